--- a/knowledge/tests/records.rs
+++ b/knowledge/tests/records.rs
@@ -40,3 +40,26 @@
     let errors = [read(b""), read(&other), read(&vec![0; LONGEST + 1])].map(|read| read.err());
     assert_eq!(errors, [Some("no record"), Some("a record of another version"), Some("too long a record")]);
 }
+
+/// Written by the program at commit f154ff4: a balancer of that version may be the one that is replaced.
+const RECORD_OF_VERSION_1: [u8; 45] = [
+    0x01, 0x04, 0xae, 0xab, 0x82, 0xad, 0xcc, 0xcd, 0x8f, 0xe7, 0xb4, 0x01, 0xf0, 0x2e, 0x00, 0xac, 0x02,
+    0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01, 0x80, 0xd0, 0x0f, 0xef, 0x9b, 0xaf, 0xcd,
+    0xf8, 0xac, 0xd1, 0x91, 0x01, 0xb9, 0x60, 0x6e, 0x67, 0xa4, 0xee,
+];
+
+#[test]
+fn a_record_of_version_1_reads_as_it_was_meant_and_is_written_so_still() {
+    let expected: Vec<Learnt> = [
+        (Place::of("10.0.0.1:6379"), 6.0),
+        (Place(0), 0.3),
+        (Place(u64::MAX), 256.0),
+        (Place(0x0123_4567_89ab_cdef), 12.345),
+    ]
+    .into_iter()
+    .map(|(place, room)| Learnt { place, room })
+    .collect();
+    assert_eq!(read(&RECORD_OF_VERSION_1).expect("a record"), expected);
+    assert_eq!(written(&expected), RECORD_OF_VERSION_1);
+    assert_eq!(written(&[]), [0x01, 0x00, 0xbe, 0x23, 0xc2, 0x58]);
+}
