--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -4,7 +4,7 @@
 
 use basaltwood::rules::Balancer;
 use basaltwood::types::*;
-use basaltwood_terms::{micros, Entry, Info, Words};
+use basaltwood_settings::{micros, Entry, Info, Words};
 
 use crate::wire::{Event, ListEntry, Rc, Scope, State};
 
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -45,7 +45,7 @@
 impl Hosting {
     fn batch(&mut self, line: &str) -> Result<String, String> {
         let batch: Batch = serde_json::from_str(line).map_err(|e| e.to_string())?;
-        let now = basaltwood_terms::micros(batch.time_ms);
+        let now = basaltwood_settings::micros(batch.time_ms);
         let mut replies = BTreeMap::new();
         for (nth, part) in batch.parts.into_iter().enumerate() {
             let who = part.who.unwrap_or(u64::MAX);
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use basaltwood_terms::Info;
+use basaltwood_settings::Info;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
--- a/management/tests/calls.rs
+++ b/admin/tests/calls.rs
@@ -1,6 +1,6 @@
 //! Calls and figures as bytes.
 
-use basaltwood_management::{answered, call, refused, Page};
+use basaltwood_admin::{answered, call, refused, Page};
 use expect_test::expect;
 
 #[test]
--- a/balancer/src/figures.rs
+++ b/balancer/src/figures.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use basaltwood::types::CategoryId;
-use basaltwood_management::Page;
+use basaltwood_admin::Page;
 use basaltwood_regions::{Counts, Regions};
 
 /// How an op ended for its client.
--- a/balancer/src/list.rs
+++ b/balancer/src/list.rs
@@ -8,7 +8,7 @@
 use basaltwood::types::{Lifecycle, Listed, Micros};
 use basaltwood_membership::{Asking, Trouble};
 use basaltwood_regions::{Entry, Note, Regions};
-use basaltwood_terms::{self as terms, micros};
+use basaltwood_settings::{self as terms, micros};
 use basaltwood_wire::http;
 use serde::Deserialize;
 use tokio::io::AsyncWriteExt;
--- a/balancer/src/management.rs
+++ b/balancer/src/management.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use basaltwood_management::{answered, call, refused, Call, Refusal, MOST};
+use basaltwood_admin::{answered, call, refused, Call, Refusal, MOST};
 use basaltwood_wire::buffer::Buffer;
 use bytes::Bytes;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/balancer/src/ops.rs
+++ b/balancer/src/ops.rs
@@ -7,7 +7,7 @@
 use basaltwood::facade::{Ask, Decision, Facade};
 use basaltwood::types::*;
 use basaltwood_regions::RegionMap;
-use basaltwood_terms::Words;
+use basaltwood_settings::Words;
 use bytes::Bytes;
 use tokio::sync::{oneshot, Notify};
 use tokio::task::{AbortHandle, JoinSet};
--- a/balancer/src/phases.rs
+++ b/balancer/src/phases.rs
@@ -10,9 +10,9 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
 
-use basaltwood_knowledge as knowledge;
+use basaltwood_connection_pool::Pools;
+use basaltwood_handover as knowledge;
 use basaltwood_membership::{self as membership, Asking};
-use basaltwood_pools::Pools;
 
 use crate::budget::Budget;
 use crate::clients;
@@ -77,7 +77,7 @@
             None => (told.sockets, told.memory),
         };
         let budget = Budget::new(sockets, aside, memory);
-        let pools = Pools::new(basaltwood_pools::Terms {
+        let pools = Pools::new(basaltwood_connection_pool::Terms {
             seed: told.terms.seed,
             balancers: told.terms.balancers,
             idle_for: told.bounds.idle_for,
--- a/balancer/src/seats.rs
+++ b/balancer/src/seats.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use basaltwood::types::Learnt;
-use basaltwood_knowledge as knowledge;
+use basaltwood_handover as knowledge;
 
 /// A new process keeps to what the old one left free until that has made room.
 const SETTLING: Duration = Duration::from_millis(500);
--- a/balancer/src/servers.rs
+++ b/balancer/src/servers.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 use basaltwood::types::{End, HostId, Micros, OpId, PushNo};
-use basaltwood_pools::{Counted, Failure, Fault, Grant, LinkId, Order, Pools};
-use basaltwood_terms::Bounds;
+use basaltwood_connection_pool::{Counted, Failure, Fault, Grant, LinkId, Order, Pools};
+use basaltwood_settings::Bounds;
 use basaltwood_wire::buffer::Buffer;
 use basaltwood_wire::resp::{self, LongReply, Reply, MOST};
 use bytes::{BufMut, Bytes, BytesMut};
--- a/balancer/src/told.rs
+++ b/balancer/src/told.rs
@@ -7,7 +7,7 @@
 
 use basaltwood::types::{Place, Terms};
 use basaltwood_regions::RegionMap;
-use basaltwood_terms::{Bounds, Info, Words};
+use basaltwood_settings::{Bounds, Info, Words};
 use serde::Deserialize;
 
 use crate::list::Page;
--- a/pools/tests/traces.rs
+++ b/connection_pool/tests/traces.rs
@@ -1,7 +1,7 @@
 //! Talks with the pools, printed step by step: what a push gets, whose fault an end was, what is ordered.
 
 use basaltwood::types::{HostId, Micros};
-use basaltwood_pools::{Failure, Fault, Grant, LinkId, Pools, Terms};
+use basaltwood_connection_pool::{Failure, Fault, Grant, LinkId, Pools, Terms};
 use expect_test::{expect, Expect};
 
 const MS: Micros = 1_000;
--- a/knowledge/tests/records.rs
+++ b/handover/tests/records.rs
@@ -1,7 +1,7 @@
 //! Records read as they were written, and nothing else is taken for one.
 
 use basaltwood::types::{Learnt, Place};
-use basaltwood_knowledge::{read, written, LONGEST};
+use basaltwood_handover::{read, written, LONGEST};
 use proptest::prelude::*;
 
 proptest! {
--- a/terms/tests/names.rs
+++ b/settings/tests/names.rs
@@ -1,6 +1,6 @@
 //! Numbers for texts, and those that were forgotten.
 
-use basaltwood_terms::Names;
+use basaltwood_settings::Names;
 
 /// Whoever forgets says so again and again, also when the text has another number by then.
 #[test]
--- a/lab/src/main.rs
+++ b/testbed/src/main.rs
@@ -9,21 +9,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use basaltwood_lab::balancers::Program;
-use basaltwood_lab::compare;
-use basaltwood_lab::figures::{self, Run};
-use basaltwood_lab::lateness::{self, Bare};
-use basaltwood_lab::ledger::Ledger;
-use basaltwood_lab::load::{plan::Plan, player, trace};
-use basaltwood_lab::measure;
-use basaltwood_lab::play::{self, play, Tick, INTERRUPTED, STOP};
-use basaltwood_lab::report;
-use basaltwood_lab::router::{self, Misdeed};
-use basaltwood_lab::scale;
-use basaltwood_lab::script::{Arm, Baseline, Experiment};
-use basaltwood_lab::settings;
-use basaltwood_lab::time::{Clock, MS};
-use basaltwood_lab::world::World;
+use basaltwood_testbed::balancers::Program;
+use basaltwood_testbed::compare;
+use basaltwood_testbed::figures::{self, Run};
+use basaltwood_testbed::lateness::{self, Bare};
+use basaltwood_testbed::ledger::Ledger;
+use basaltwood_testbed::load::{plan::Plan, player, trace};
+use basaltwood_testbed::measure;
+use basaltwood_testbed::play::{self, play, Tick, INTERRUPTED, STOP};
+use basaltwood_testbed::report;
+use basaltwood_testbed::router::{self, Misdeed};
+use basaltwood_testbed::scale;
+use basaltwood_testbed::script::{Arm, Baseline, Experiment};
+use basaltwood_testbed::settings;
+use basaltwood_testbed::time::{Clock, MS};
+use basaltwood_testbed::world::World;
 use clap::{Parser, Subcommand};
 
 const DEMO: &str = include_str!("../experiments/demo.toml");
@@ -35,12 +35,12 @@
 
 /// A world for balancers: emulated hosts, open-loop load, faults, and an audit of what crossed the sockets.
 ///
-/// Start with `basaltwood-lab demo`. Exit codes: 0 well, 1 could not be done, 2 bad input, 3 rules broken, 4 void
+/// Start with `basaltwood-testbed demo`. Exit codes: 0 well, 1 could not be done, 2 bad input, 3 rules broken, 4 void
 /// (the lab itself or the machine was too late; the line says which), 130 interrupted.
 #[derive(Parser)]
 #[command(
     version,
-    after_help = "Example: basaltwood-lab run lab/experiments/hang.toml --arm today --arm random"
+    after_help = "Example: basaltwood-testbed run testbed/experiments/hang.toml --arm today --arm random"
 )]
 struct Line {
     #[command(subcommand)]
@@ -56,7 +56,7 @@
         out: PathBuf,
     },
     /// Plays an experiment: every arm with every seed, in turn.
-    #[command(after_help = "Example: basaltwood-lab run lab/experiments/surge.toml --seeds 1,2,3")]
+    #[command(after_help = "Example: basaltwood-testbed run testbed/experiments/surge.toml --seeds 1,2,3")]
     Run {
         file: PathBuf,
         /// Only these arms of the file; `random`, `least-in-flight` and `plain-ring` are always there.
@@ -100,7 +100,9 @@
         json: bool,
     },
     /// Says of each figure whether the difference between two arms is above noise.
-    #[command(after_help = "Example: basaltwood-lab compare lab-results/hang:today lab-results/hang:random")]
+    #[command(
+        after_help = "Example: basaltwood-testbed compare lab-results/hang:today lab-results/hang:random"
+    )]
     Compare {
         /// A result's folder, with :ARM where it holds several.
         a: String,
@@ -113,7 +115,7 @@
     ///
     /// Exit codes as for `run`; 2 also where descriptors, memory (half of the machine's at most) or processes
     /// would not do, before anything starts.
-    #[command(after_help = "Example: basaltwood-lab scale lab/scale/hosts.toml --quick")]
+    #[command(after_help = "Example: basaltwood-testbed scale testbed/scale/hosts.toml --quick")]
     Scale {
         file: PathBuf,
         /// Small and under a minute: the file's [quick], or its first two points, once each.
@@ -203,7 +205,7 @@
     match carry_out(line.verb) {
         Ok(code) => ExitCode::from(code),
         Err(Trouble(code, cause)) => {
-            eprintln!("basaltwood-lab: {cause}");
+            eprintln!("basaltwood-testbed: {cause}");
             ExitCode::from(code)
         }
     }
--- a/lab/src/router.rs
+++ b/testbed/src/router.rs
@@ -1,5 +1,5 @@
 //! Baselines: small routers that keep the protocol and decide next to nothing, to be measured beside a balancer. They are
-//! programs of their own (`basaltwood-lab router KIND`) and are told by PROXY_CONFIG like any other.
+//! programs of their own (`basaltwood-testbed router KIND`) and are told by PROXY_CONFIG like any other.
 //!
 //! Each picks a host (at random; with fewest of its own in flight; the next on a ring of 64 points a host), goes on to one
 //! other where no connection came up, asks the origin for what the host lacks, and nacks what surely never ran. There are
--- a/lab/src/scale/hollow.rs
+++ b/testbed/src/scale/hollow.rs
@@ -14,9 +14,9 @@
 
 use basaltwood::facade::{Ask, Decision, Facade};
 use basaltwood::types::{CategoryId, End, HostId, Lifecycle, Micros, OpId, Place, PushNo};
+use basaltwood_connection_pool::{Failure, Fault, Grant, LinkId, Order, Pools};
 use basaltwood_membership::{Asking, Trouble};
-use basaltwood_pools::{Failure, Fault, Grant, LinkId, Order, Pools};
-use basaltwood_terms::{Bounds, Entry, Info, Words};
+use basaltwood_settings::{Bounds, Entry, Info, Words};
 use basaltwood_wire::buffer::Buffer;
 use basaltwood_wire::{http, resp};
 use bytes::Bytes;
@@ -218,7 +218,7 @@
         let info = Info::deserialize(&spec.settings).map_err(|cause| cause.to_string())?;
         let terms = info.terms(Place(spec.seed).mixed(u64::from(no)).0)?;
         let bounds = info.bounds();
-        let pools = Pools::new(basaltwood_pools::Terms {
+        let pools = Pools::new(basaltwood_connection_pool::Terms {
             seed: terms.seed,
             balancers: terms.balancers,
             idle_for: bounds.idle_for,
@@ -273,7 +273,7 @@
                 cell: entry.cell,
                 lifecycle,
                 weight: entry.weight,
-                started: started.map(|ms| basaltwood_terms::micros(ms) - self.clock.unix_us),
+                started: started.map(|ms| basaltwood_settings::micros(ms) - self.clock.unix_us),
             });
             self.place(one.host, entry.host_port);
             listed.push(one);
--- a/lab/src/scale/part.rs
+++ b/testbed/src/scale/part.rs
@@ -189,7 +189,7 @@
     }
 }
 
-/// The process itself: `basaltwood-lab scale-part`.
+/// The process itself: `basaltwood-testbed scale-part`.
 ///
 /// # Errors
 /// One line where its first line makes no sense.
--- a/lab/tests/audit.rs
+++ b/testbed/tests/audit.rs
@@ -4,10 +4,10 @@
 
 use std::thread;
 
-use basaltwood_lab::audit::{audit, Rule, Terms};
-use basaltwood_lab::ledger::{Answered, Event, HostNo, Id, What};
-use basaltwood_lab::script::{Category, Experiment, Group};
-use basaltwood_lab::time::{Micros, MS, SECOND};
+use basaltwood_testbed::audit::{audit, Rule, Terms};
+use basaltwood_testbed::ledger::{Answered, Event, HostNo, Id, What};
+use basaltwood_testbed::script::{Category, Experiment, Group};
+use basaltwood_testbed::time::{Micros, MS, SECOND};
 use common::*;
 use expect_test::expect;
 
@@ -44,7 +44,7 @@
                 match expected {
                     None => assert!(found.is_empty(), "{misdeed:?}: {found:#?}"),
                     Some((rule, text)) => {
-                        let of_kind = |breach: &&basaltwood_lab::audit::Breach| {
+                        let of_kind = |breach: &&basaltwood_testbed::audit::Breach| {
                             breach.rule == rule && breach.what.contains(text)
                         };
                         let breach = run.breaches.iter().find(of_kind);
--- a/lab/tests/cli.rs
+++ b/testbed/tests/cli.rs
@@ -5,7 +5,7 @@
 use std::process::{Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-const LAB: &str = env!("CARGO_BIN_EXE_basaltwood-lab");
+const LAB: &str = env!("CARGO_BIN_EXE_basaltwood-testbed");
 
 /// Of files, codes and words, not of times: a machine whose timers wake late must not void it.
 const SHORT: &str = r#"
@@ -49,7 +49,7 @@
     let (code, out, err) = run(&SHORT.replace("rate = 100", "rite = 100"));
     assert_eq!((code, out.as_str()), (2, ""));
     assert!(
-        err.starts_with("basaltwood-lab: x.toml:12: unknown field `rite`") && err.lines().count() == 1,
+        err.starts_with("basaltwood-testbed: x.toml:12: unknown field `rite`") && err.lines().count() == 1,
         "{err}"
     );
     let cold =
--- a/lab/tests/common/mod.rs
+++ b/testbed/tests/common/mod.rs
@@ -3,10 +3,10 @@
 
 use std::path::Path;
 
-use basaltwood_lab::balancers::Program;
-use basaltwood_lab::figures::Run;
-use basaltwood_lab::play::play;
-use basaltwood_lab::script::Experiment;
+use basaltwood_testbed::balancers::Program;
+use basaltwood_testbed::figures::Run;
+use basaltwood_testbed::play::play;
+use basaltwood_testbed::script::Experiment;
 
 /// A quick fleet: two hosts and an origin that answer within milliseconds, one category of each kind.
 const BASE: &str = r#"
@@ -62,12 +62,12 @@
 pub fn router(kind: &str, misdeed: Option<&str>) -> Program {
     let misdeed = misdeed.map(|misdeed| format!("--misdeed={misdeed}"));
     let arguments = ["router".to_owned(), kind.to_owned()].into_iter().chain(misdeed).collect();
-    Program { path: env!("CARGO_BIN_EXE_basaltwood-lab").into(), arguments, regions: None }
+    Program { path: env!("CARGO_BIN_EXE_basaltwood-testbed").into(), arguments, regions: None }
 }
 
 /// The balancer that the workspace has built beside the lab.
 pub fn balancer() -> Program {
-    let path = Path::new(env!("CARGO_BIN_EXE_basaltwood-lab")).with_file_name("basaltwood-balancer");
+    let path = Path::new(env!("CARGO_BIN_EXE_basaltwood-testbed")).with_file_name("basaltwood-balancer");
     assert!(path.is_file(), "{} is missing: run `cargo test --workspace`", path.display());
     Program { path, arguments: Vec::new(), regions: None }
 }
--- a/lab/tests/input.rs
+++ b/testbed/tests/input.rs
@@ -2,9 +2,9 @@
 
 mod common;
 
-use basaltwood_lab::load::plan::Plan;
-use basaltwood_lab::load::trace;
-use basaltwood_lab::script::Experiment;
+use basaltwood_testbed::load::plan::Plan;
+use basaltwood_testbed::load::trace;
+use basaltwood_testbed::script::Experiment;
 use common::*;
 use expect_test::expect;
 
--- a/lab/tests/lateness.rs
+++ b/testbed/tests/lateness.rs
@@ -2,10 +2,10 @@
 
 use std::time::{Duration, Instant};
 
-use basaltwood_lab::lateness::{
+use basaltwood_testbed::lateness::{
     histogram, judge, part_over, part_over_twice, Bare, Bounds, Cause, Lateness, Seen, Verdict, Waits,
 };
-use basaltwood_lab::time::{Micros, MS};
+use basaltwood_testbed::time::{Micros, MS};
 use hdrhistogram::Histogram;
 
 const BOUNDS: Bounds = Bounds { late: 2 * MS, target: 150 * MS, missed: 0.5 };
--- a/lab/tests/scale.rs
+++ b/testbed/tests/scale.rs
@@ -8,13 +8,13 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-use basaltwood_lab::scale::draw::file_name;
-use basaltwood_lab::scale::script::{Machine, Script};
-use basaltwood_lab::scale::slope::line;
-use basaltwood_lab::script::Experiment;
+use basaltwood_testbed::scale::draw::file_name;
+use basaltwood_testbed::scale::script::{Machine, Script};
+use basaltwood_testbed::scale::slope::line;
+use basaltwood_testbed::script::Experiment;
 use serde_json::Value;
 
-const LAB: &str = env!("CARGO_BIN_EXE_basaltwood-lab");
+const LAB: &str = env!("CARGO_BIN_EXE_basaltwood-testbed");
 
 const SMALL: &str = r#"
 name = "small"
@@ -167,7 +167,7 @@
     let Output { status, stdout, stderr } = run.expect("it starts");
     let err = String::from_utf8(stderr).expect("text");
     assert_eq!((status.code(), stdout.len(), err.lines().count()), (Some(2), 0, 1), "{err}");
-    assert!(err.starts_with("basaltwood-lab: x.toml: hosts = 6: a hollow process needs up to"), "{err}");
+    assert!(err.starts_with("basaltwood-testbed: x.toml: hosts = 6: a hollow process needs up to"), "{err}");
     assert!(!folder.path().join("lab-results").exists(), "nothing is written");
 }
 
--- a/lab/tests/world.rs
+++ b/testbed/tests/world.rs
@@ -6,9 +6,9 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-use basaltwood_lab::ledger::Ledger;
-use basaltwood_lab::time::{span, Clock, Micros, MS};
-use basaltwood_lab::world::World;
+use basaltwood_testbed::ledger::Ledger;
+use basaltwood_testbed::time::{span, Clock, Micros, MS};
+use basaltwood_testbed::world::World;
 use common::*;
 use expect_test::expect;
 
