--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use basaltwood::rules::Balancer;
+use basaltwood::policy::Balancer;
 use basaltwood::types::*;
 use basaltwood_settings::{micros, Entry, Info, Words};
 
--- a/balancer/src/management.rs
+++ b/balancer/src/admin.rs
@@ -14,9 +14,9 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-use crate::ops::Desk;
-use crate::phase::Phase;
+use crate::lifecycle::Phase;
 use crate::read;
+use crate::requests::Desk;
 
 /// Callers at a time.
 const CALLERS: usize = 10;
--- a/balancer/src/told.rs
+++ b/balancer/src/config.rs
@@ -10,7 +10,7 @@
 use basaltwood_settings::{Bounds, Info, Words};
 use serde::Deserialize;
 
-use crate::list::Page;
+use crate::discovery::Page;
 
 /// Where the map of regions is looked for, from the working directory, unless `$BASALTWOOD_REGIONS` names
 /// another file.
--- a/balancer/src/list.rs
+++ b/balancer/src/discovery/mod.rs
@@ -16,9 +16,9 @@
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
 
 use crate::clock::span;
-use crate::ops::Desk;
 use crate::read;
-use crate::servers::Link;
+use crate::requests::Desk;
+use crate::upstream::Link;
 
 /// From one call to the next at least: a discovery that holds nothing must not keep the balancer busy.
 const APART: Duration = Duration::from_millis(20);
--- a/balancer/src/clients.rs
+++ b/balancer/src/downstream/mod.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use basaltwood::facade::Ask;
+use basaltwood::router::Ask;
 use basaltwood::types::{Micros, Place};
 use basaltwood_wire::body::Body;
 use basaltwood_wire::buffer::Buffer;
@@ -22,11 +22,11 @@
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
 use crate::budget::{Permit, Room};
-use crate::figures::{Outcome, Taken};
-use crate::ops::{Answer, Desk, Final};
-use crate::phase::Phase;
+use crate::lifecycle::Phase;
+use crate::metrics::{Outcome, Taken};
 use crate::read;
 use crate::request::{Long, Request, Value};
+use crate::requests::{Answer, Desk, Final};
 
 /// Commands of one connection that wait for their answers; more are left unread.
 const PIPELINE: usize = 32;
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -1,30 +1,29 @@
 //! The balancer on sockets: clients, cache hosts, origin and discovery around basaltwood's decisions. A program reads
 //! what it is [`Told`] and calls [`run`], which serves until a signal ends it. This crate decides nothing about ops.
 
+mod admin;
 mod budget;
-mod clients;
 mod clock;
+mod config;
 mod counters;
-mod figures;
-mod list;
+mod discovery;
+mod downstream;
+mod lifecycle;
 mod listener;
-mod management;
-mod ops;
-mod origin;
-mod phase;
-mod phases;
+mod metrics;
+mod process;
 mod request;
-mod seats;
-mod servers;
-mod told;
+mod requests;
+mod takeover;
+mod upstream;
 
 use std::io;
 
 use basaltwood_wire::buffer::Buffer;
-use phases::Phases;
+use process::Phases;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-pub use told::Told;
+pub use config::Told;
 
 /// Serves until it is told to end (SIGTERM, SIGINT), on a runtime of its own in this thread.
 ///
--- a/balancer/src/phases.rs
+++ b/balancer/src/process.rs
@@ -14,19 +14,19 @@
 use basaltwood_handover as knowledge;
 use basaltwood_membership::{self as membership, Asking};
 
+use crate::admin::{self, Front};
 use crate::budget::Budget;
-use crate::clients;
 use crate::clock::{span, Clock};
+use crate::config::Told;
 use crate::counters::Counters;
-use crate::figures::Figures;
-use crate::list;
+use crate::discovery;
+use crate::downstream;
+use crate::lifecycle::Phase;
 use crate::listener;
-use crate::management::{self, Front};
-use crate::ops::Desk;
-use crate::phase::Phase;
-use crate::seats::{Seats, Share};
-use crate::servers::Servers;
-use crate::told::Told;
+use crate::metrics::Figures;
+use crate::requests::Desk;
+use crate::takeover::{Seats, Share};
+use crate::upstream::Servers;
 
 /// Clients go on coming for a while after SIGTERM; so long they are taken in.
 const STILL_COMING: Duration = Duration::from_millis(600);
@@ -70,7 +70,7 @@
         let longest = told.terms.categories.iter().map(|category| category.ttl).max();
         let last_answers = longest.map_or(LAST_ANSWERS, |longest| span(longest).min(LAST_ANSWERS));
         let counters = Rc::new(Counters::default());
-        let aside = told.mgmt.map_or(0, |_| management::DESCRIPTORS);
+        let aside = told.mgmt.map_or(0, |_| admin::DESCRIPTORS);
         // Where another process may be at work, the least until that is known, and half of what can't change hands.
         let (sockets, memory) = match told.inherited {
             Some(_) => (Share::Beginning.of(told.sockets), Share::Half.of(told.memory)),
@@ -108,7 +108,7 @@
             // Taken over before it listens: until then SIGHUP would end the program.
             reload: signal(SignalKind::hangup()).map_err(failed)?,
         };
-        let known = list::take(&desk, told.known, true);
+        let known = discovery::take(&desk, told.known, true);
         let listener = match told.inherited {
             Some(descriptor) => listener::inherited(descriptor, told.listen)?,
             None => listener::bound("listen", told.listen)?,
@@ -131,7 +131,7 @@
         let (seed, balancers) = (told.terms.seed, told.fleet);
         let grace = told.bounds.grace;
         let asking = Asking::new(membership::Terms { seed, balancers, known: Some(known), grace });
-        parts.spawn_local(list::watch(desk.clone(), discovery.subscribe(), asking));
+        parts.spawn_local(discovery::watch(desk.clone(), discovery.subscribe(), asking));
         parts.spawn_local(tick(desk.clone()));
         parts.spawn_local(desk.clone().heed());
         log::info!("{} listens on {}", told.name, listener.local_addr().map_err(failed)?);
@@ -147,7 +147,7 @@
             log::info!("{now:?}");
         };
         enter(Phase::Serving);
-        parts.spawn_local(clients::accept(desk.clone(), listener, phase.subscribe()));
+        parts.spawn_local(downstream::accept(desk.clone(), listener, phase.subscribe()));
         parts.spawn_local(print(desk.clone(), signals.print));
         parts.spawn_local(reload(signals.reload, discovery));
         let outcome = tokio::select! {
--- a/balancer/src/ops.rs
+++ b/balancer/src/requests.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::rc::Rc;
 
-use basaltwood::facade::{Ask, Decision, Facade};
+use basaltwood::router::{Ask, Decision, Facade};
 use basaltwood::types::*;
 use basaltwood_regions::RegionMap;
 use basaltwood_settings::Words;
@@ -15,11 +15,11 @@
 use crate::budget::{Budget, Held};
 use crate::clock::Clock;
 use crate::counters::Counters;
-use crate::figures::Figures;
-use crate::list::Rings;
-use crate::origin;
+use crate::discovery::Rings;
+use crate::metrics::Figures;
 use crate::request::{Outcome, Request, Value};
-use crate::servers::{Note, Servers};
+use crate::upstream::origin;
+use crate::upstream::{Note, Servers};
 
 /// The final answer to an op, in no protocol's form.
 pub enum Answer {
--- a/balancer/src/servers.rs
+++ b/balancer/src/upstream/mod.rs
@@ -2,6 +2,8 @@
 //! carries it, and when another is opened, the pools decide; this carries that out on sockets.
 //! One push at a time on each connection, so that calling it off closes nothing else.
 
+pub mod origin;
+
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -25,7 +27,7 @@
 use crate::budget::{Budget, Permit};
 use crate::clock::{span, Clock};
 use crate::counters::Counters;
-use crate::figures::Figures;
+use crate::metrics::Figures;
 use crate::read;
 use crate::request::{Long, Outcome, Request, Value};
 
--- a/balancer/src/origin.rs
+++ b/balancer/src/upstream/origin.rs
@@ -8,7 +8,7 @@
 use basaltwood_wire::resp::{LONGEST, MOST_VALUE};
 
 use crate::request::{Outcome, Request, Value};
-use crate::servers::{Found, Rest, Servers, Text, Ticket};
+use crate::upstream::{Found, Rest, Servers, Text, Ticket};
 
 /// One push of an op to the origin.
 pub async fn push(
--- a/src/rules.rs
+++ b/src/policy/mod.rs
@@ -10,9 +10,10 @@
 use crate::histogram::{Bucket, Counts, Histogram, Windows};
 use crate::ring::Ring;
 use crate::types::*;
-use crate::zones::{Pulse, Zones};
+use zones::{Pulse, Zones};
 
 mod views;
+mod zones;
 
 // The ordinary path: ring and hot keys.
 const POINTS: f64 = 64.0; // per host of mean weight: arcs within about an eighth of their mean
--- a/src/facade.rs
+++ b/src/router.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::rules::Balancer;
+use crate::policy::Balancer;
 use crate::types::*;
 
 /// An op as it is taken in.
--- a/testbed/src/scale/hollow.rs
+++ b/testbed/src/scale/hollow.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant as Started, SystemTime, UNIX_EPOCH};
 
-use basaltwood::facade::{Ask, Decision, Facade};
+use basaltwood::router::{Ask, Decision, Facade};
 use basaltwood::types::{CategoryId, End, HostId, Lifecycle, Micros, OpId, Place, PushNo};
 use basaltwood_connection_pool::{Failure, Fault, Grant, LinkId, Order, Pools};
 use basaltwood_membership::{Asking, Trouble};
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -14,7 +14,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use basaltwood::rules::Balancer;
+use basaltwood::policy::Balancer;
 use basaltwood::types::*;
 
 pub const MS: Micros = 1_000;
--- a/tests/facade.rs
+++ b/tests/router.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use basaltwood::facade::{Ask, Decision, Facade};
+use basaltwood::router::{Ask, Decision, Facade};
 use basaltwood::types::*;
 use common::*;
 use expect_test::expect;
