--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -9,7 +9,7 @@
 use expect_test::expect;
 
 fn fleet(hosts: u32) -> Fleet {
-    Fleet::new(&terms(), (0..hosts).map(listed).collect())
+    Fleet::new(&terms(), (0..hosts).map(endpoint).collect())
 }
 
 fn keys(count: u32) -> Vec<String> {
@@ -24,10 +24,10 @@
 fn a_host_that_leaves_or_returns_moves_only_its_own_keys() {
     let mut fleet = fleet(6);
     let before = homes(&mut fleet, 120);
-    let gone = Listed { lifecycle: Lifecycle::Draining, ..listed(2) };
-    fleet.hear(Heard::List { whole: false, entries: vec![gone] });
+    let gone = Endpoint { lifecycle: Lifecycle::Draining, ..endpoint(2) };
+    fleet.handle(PolicyEvent::Endpoints { complete: false, endpoints: vec![gone] });
     let without = homes(&mut fleet, 120);
-    fleet.hear(Heard::List { whole: false, entries: vec![listed(2)] });
+    fleet.handle(PolicyEvent::Endpoints { complete: false, endpoints: vec![endpoint(2)] });
     let after = homes(&mut fleet, 120);
     let own = before.iter().filter(|&&home| home == HostId(2)).count();
     let moved = before.iter().zip(&without).filter(|(a, b)| a != b).count();
@@ -40,7 +40,7 @@
 
 #[test]
 fn weight_widens_a_hosts_part_of_the_ring() {
-    let mut hosts: Vec<_> = (0..4).map(listed).collect();
+    let mut hosts: Vec<_> = (0..4).map(endpoint).collect();
     hosts[1].weight = 2.0;
     let homes = homes(&mut Fleet::new(&terms(), hosts), 400);
     let counts: Vec<_> =
@@ -55,16 +55,16 @@
         let mut hosts: Vec<HostId> = Vec::new();
         for round in 0..rounds {
             // They overlap, so that the least busy holder changes.
-            let ops: Vec<_> = (0..hot).map(|_| fleet.op(READ, "hot")).collect();
+            let requests: Vec<_> = (0..hot).map(|_| fleet.request(READ, "hot")).collect();
             fleet.now += 50 * MS;
-            for (op, orders) in ops {
-                let host = pushed(&orders)[0];
+            for (request, actions) in requests {
+                let host = attempted(&actions)[0];
                 hosts.push(host);
-                fleet.end(op, 0, host, End::Acked, 50 * MS);
+                fleet.attempt_ended(request, 0, host, AttemptOutcome::Succeeded, 50 * MS);
             }
             for key in 0..10 {
                 fleet.served(&format!("cold-{}", round * 10 + key));
-                fleet.hear(Heard::Wake(Wake::Sweep));
+                fleet.handle(PolicyEvent::TimerFired(Timer::Sweep));
             }
         }
         hosts.sort_unstable();
@@ -82,51 +82,51 @@
 
 #[test]
 fn each_outcome_leads_to_one_final_answer_as_its_category_allows() {
-    let ends = [
-        End::Acked,
-        End::Error,
-        End::TurnedAway,
-        End::TimedOut,
-        End::Unreachable,
-        End::Broken,
-        End::CalledOff,
-        End::Void,
+    let outcomes = [
+        AttemptOutcome::Succeeded,
+        AttemptOutcome::Error,
+        AttemptOutcome::Rejected,
+        AttemptOutcome::TimedOut,
+        AttemptOutcome::Unreachable,
+        AttemptOutcome::ConnectionLost,
+        AttemptOutcome::Cancelled,
+        AttemptOutcome::NotSent,
     ];
     let mut lines = String::new();
-    for (name, category) in [("redeliverable", READ), ("deduplicated", KEYED), ("at-most-once", ONCE)] {
-        for end in ends {
+    for (name, class) in [("redeliverable", READ), ("deduplicated", KEYED), ("at-most-once", ONCE)] {
+        for outcome in outcomes {
             let mut fleet = fleet(4);
-            let (op, orders) = fleet.op(category, "k");
+            let (request, actions) = fleet.request(class, "k");
             fleet.now += 50 * MS;
-            let next = fleet.end(op, 0, pushed(&orders)[0], end, 50 * MS);
-            lines += &format!("{name} {end:?}: {}\n", trace(&next));
+            let next = fleet.attempt_ended(request, 0, attempted(&actions)[0], outcome, 50 * MS);
+            lines += &format!("{name} {outcome:?}: {}\n", trace(&next));
         }
     }
     expect![[r#"
-        redeliverable Acked: nothing
+        redeliverable Succeeded: nothing
         redeliverable Error: push h2 for 748
-        redeliverable TurnedAway: push h2 for 748
+        redeliverable Rejected: push h2 for 748
         redeliverable TimedOut: push h2 for 748
         redeliverable Unreachable: push h2 for 748
-        redeliverable Broken: push h2 for 748
-        redeliverable CalledOff: push h2 for 748
-        redeliverable Void: push h2 for 748
-        deduplicated Acked: nothing
+        redeliverable ConnectionLost: push h2 for 748
+        redeliverable Cancelled: push h2 for 748
+        redeliverable NotSent: push h2 for 748
+        deduplicated Succeeded: nothing
         deduplicated Error: push h1 for 748
-        deduplicated TurnedAway: push h2 for 748
+        deduplicated Rejected: push h2 for 748
         deduplicated TimedOut: push h1 for 748
         deduplicated Unreachable: push h2 for 748
-        deduplicated Broken: push h1 for 748
-        deduplicated CalledOff: push h1 for 748
-        deduplicated Void: push h2 for 748
-        at-most-once Acked: nothing
+        deduplicated ConnectionLost: push h1 for 748
+        deduplicated Cancelled: push h1 for 748
+        deduplicated NotSent: push h2 for 748
+        at-most-once Succeeded: nothing
         at-most-once Error: dead letter
-        at-most-once TurnedAway: push h2 for 748
+        at-most-once Rejected: push h2 for 748
         at-most-once TimedOut: dead letter
         at-most-once Unreachable: push h2 for 748
-        at-most-once Broken: dead letter
-        at-most-once CalledOff: dead letter
-        at-most-once Void: push h2 for 748
+        at-most-once ConnectionLost: dead letter
+        at-most-once Cancelled: dead letter
+        at-most-once NotSent: push h2 for 748
     "#]]
     .assert_eq(&lines);
 }
@@ -134,15 +134,16 @@
 #[test]
 fn pushes_run_out_and_the_op_is_answered_once() {
     let mut fleet = fleet(6);
-    let (op, mut orders) = fleet.op(READ, "k");
+    let (request, mut actions) = fleet.request(READ, "k");
     let mut lines = String::new();
-    for push in 0..4 {
-        let Some(&host) = pushed(&orders).first() else { break };
+    for attempt in 0..4 {
+        let Some(&host) = attempted(&actions).first() else { break };
         fleet.now += 10 * MS;
-        orders = fleet.end(op, push, host, End::Error, 10 * MS);
-        lines += &format!("{}\n", trace(&orders));
+        actions = fleet.attempt_ended(request, attempt, host, AttemptOutcome::Error, 10 * MS);
+        lines += &format!("{}\n", trace(&actions));
     }
-    lines += &format!("late: {}", trace(&fleet.end(op, 0, HostId(0), End::TimedOut, 0)));
+    lines +=
+        &format!("late: {}", trace(&fleet.attempt_ended(request, 0, HostId(0), AttemptOutcome::TimedOut, 0)));
     expect![[r#"
         push h3 for 788
         dead letter
@@ -155,10 +156,10 @@
     let mut lines = String::new();
     for after in [100, 990] {
         let mut fleet = fleet(6);
-        let (op, orders) = fleet.op(KEYED, "k");
-        let first = pushed(&orders)[0];
+        let (request, actions) = fleet.request(KEYED, "k");
+        let first = attempted(&actions)[0];
         fleet.now += after * MS;
-        let next = fleet.end(op, 0, first, End::Broken, after * MS);
+        let next = fleet.attempt_ended(request, 0, first, AttemptOutcome::ConnectionLost, after * MS);
         lines += &format!("first {first:?}, after {after} ms: {}\n", trace(&next));
     }
     expect![[r#"
@@ -173,27 +174,32 @@
     let mut lines = String::new();
     for way in ["change", "gone", "missing from the whole list", "origin gone"] {
         let mut terms = terms();
-        terms.allowed.aside = way.starts_with("origin");
-        let origin = Listed { origin: true, ..listed(1) };
-        let hosts = if terms.allowed.aside { vec![listed(0), origin.clone()] } else { vec![listed(0)] };
+        terms.capabilities.cache_aside = way.starts_with("origin");
+        let origin = Endpoint { origin: true, ..endpoint(1) };
+        let hosts = if terms.capabilities.cache_aside {
+            vec![endpoint(0), origin.clone()]
+        } else {
+            vec![endpoint(0)]
+        };
         let mut fleet = Fleet::new(&terms, hosts);
-        let heard = match way {
-            "change" => Heard::List {
-                whole: false,
-                entries: vec![Listed { lifecycle: Lifecycle::Draining, ..listed(0) }],
+        let event = match way {
+            "change" => PolicyEvent::Endpoints {
+                complete: false,
+                endpoints: vec![Endpoint { lifecycle: Lifecycle::Draining, ..endpoint(0) }],
             },
-            "gone" => Heard::List {
-                whole: false,
-                entries: vec![Listed { lifecycle: Lifecycle::Gone, ..listed(0) }],
+            "gone" => PolicyEvent::Endpoints {
+                complete: false,
+                endpoints: vec![Endpoint { lifecycle: Lifecycle::Gone, ..endpoint(0) }],
             },
-            "origin gone" => {
-                Heard::List { whole: false, entries: vec![Listed { lifecycle: Lifecycle::Gone, ..origin }] }
-            }
-            _ => Heard::List { whole: true, entries: Vec::new() },
+            "origin gone" => PolicyEvent::Endpoints {
+                complete: false,
+                endpoints: vec![Endpoint { lifecycle: Lifecycle::Gone, ..origin }],
+            },
+            _ => PolicyEvent::Endpoints { complete: true, endpoints: Vec::new() },
         };
-        fleet.hear(heard);
-        let category = if terms.allowed.aside { ONCE } else { READ };
-        lines += &format!("{way}: {}\n", trace(&fleet.op(category, "k").1));
+        fleet.handle(event);
+        let class = if terms.capabilities.cache_aside { ONCE } else { READ };
+        lines += &format!("{way}: {}\n", trace(&fleet.request(class, "k").1));
     }
     expect![[r#"
         change: nack, back in 400
@@ -206,32 +212,35 @@
 
 #[test]
 fn a_cold_host_gets_a_growing_part_of_its_keys_and_no_more_than_its_budget() {
-    let mut hosts: Vec<_> = (0..4).map(listed).collect();
+    let mut hosts: Vec<_> = (0..4).map(endpoint).collect();
     let mut fleet = Fleet::new(&terms(), hosts.clone());
     let warm = homes(&mut fleet, 100).iter().filter(|&&home| home == HostId(3)).count();
-    hosts[3].started = Some(fleet.now);
-    fleet.hear(Heard::List { whole: true, entries: hosts });
+    hosts[3].started_at = Some(fleet.now);
+    fleet.handle(PolicyEvent::Endpoints { complete: true, endpoints: hosts });
     let mut line = format!("warm {warm}");
     for _ in 0..3 {
-        fleet.hear(Heard::Wake(Wake::Sweep));
+        fleet.handle(PolicyEvent::TimerFired(Timer::Sweep));
         let cold = homes(&mut fleet, 100).iter().filter(|&&home| home == HostId(3)).count();
         line += &format!(", then {cold}");
     }
     expect!["warm 28, then 21, then 28, then 28"].assert_eq(&line);
 
     // A fleet that is cold as a whole: the rest is turned away, whatever is asked.
-    let cold = (0..2).map(|host| Listed { started: Some(0), ..listed(host) }).collect();
+    let cold = (0..2).map(|host| Endpoint { started_at: Some(0), ..endpoint(host) }).collect();
     let mut fleet = Fleet::new(&terms(), cold);
-    let sent: usize = keys(50).iter().map(|key| pushed(&fleet.op(READ, key).1).len()).sum();
+    let sent: usize = keys(50).iter().map(|key| attempted(&fleet.request(READ, key).1).len()).sum();
     expect!["sent 4 of 50 at once"].assert_eq(&format!("sent {sent} of 50 at once"));
 }
 
 #[test]
 fn where_only_draining_binds_hosts_that_the_list_drops_stay_by_their_own_answers() {
     let mut lines = Vec::new();
-    for dropped_stay in [false, true] {
-        let terms = Terms { allowed: Allowed { dropped_stay, ..terms().allowed }, ..terms() };
-        let mut fleet = Fleet::new(&terms, (0..4).map(listed).collect());
+    for keeps_dropped_hosts in [false, true] {
+        let terms = PolicyConfig {
+            capabilities: Capabilities { keeps_dropped_hosts, ..terms().capabilities },
+            ..terms()
+        };
+        let mut fleet = Fleet::new(&terms, (0..4).map(endpoint).collect());
         let fleet_of = |fleet: &mut Fleet| {
             let mut homes: Vec<u32> =
                 keys(60).iter().flat_map(|key| fleet.served(key)).map(|host| host.0).collect();
@@ -240,23 +249,24 @@
             format!("{homes:?}")
         };
         let mut line = fleet_of(&mut fleet);
-        let drains = Listed { lifecycle: Lifecycle::Draining, ..listed(3) };
-        fleet.hear(Heard::List { whole: false, entries: vec![drains] });
-        fleet.hear(Heard::List { whole: true, entries: Vec::new() });
+        let drains = Endpoint { lifecycle: Lifecycle::Draining, ..endpoint(3) };
+        fleet.handle(PolicyEvent::Endpoints { complete: false, endpoints: vec![drains] });
+        fleet.handle(PolicyEvent::Endpoints { complete: true, endpoints: Vec::new() });
         line += &format!(", emptied {}", fleet_of(&mut fleet));
         // One that is really gone loses what it is sent, and is left until the list names it again.
         let mut lost = 0;
         for key in keys(300) {
-            let (op, orders) = fleet.op(READ, &key);
-            for (push, &host) in pushed(&orders).iter().enumerate() {
-                let end = if host == HostId(1) { End::Unreachable } else { End::Acked };
+            let (request, actions) = fleet.request(READ, &key);
+            for (attempt, &host) in attempted(&actions).iter().enumerate() {
+                let outcome =
+                    if host == HostId(1) { AttemptOutcome::Unreachable } else { AttemptOutcome::Succeeded };
                 lost += usize::from(host == HostId(1));
-                fleet.end(op, push as u32, host, end, MS);
+                fleet.attempt_ended(request, attempt as u32, host, outcome, MS);
             }
             fleet.pass(50 * MS);
         }
         line += &format!(", one gone {} after {lost} pushes", fleet_of(&mut fleet));
-        fleet.hear(Heard::List { whole: true, entries: (0..3).map(listed).collect() });
+        fleet.handle(PolicyEvent::Endpoints { complete: true, endpoints: (0..3).map(endpoint).collect() });
         line += &format!(", listed again {}", fleet_of(&mut fleet));
         lines.push(line);
     }
@@ -272,14 +282,14 @@
     let mut lines = Vec::new();
     // Every push of this op gets an error; how many it had, and how it ended.
     let fails = |fleet: &mut Fleet, key: &str| {
-        let (op, mut orders) = fleet.op(READ, key);
-        let (mut pushes, mut last) = (0, Vec::new());
-        while let Some(&host) = pushed(&orders).first() {
-            orders = fleet.end(op, pushes, host, End::Error, MS);
-            pushes += 1;
-            last = orders.clone();
+        let (request, mut actions) = fleet.request(READ, key);
+        let (mut attempts, mut last) = (0, Vec::new());
+        while let Some(&host) = attempted(&actions).first() {
+            actions = fleet.attempt_ended(request, attempts, host, AttemptOutcome::Error, MS);
+            attempts += 1;
+            last = actions.clone();
         }
-        format!("{pushes} pushes, {}", trace(&last))
+        format!("{attempts} pushes, {}", trace(&last))
     };
     for nth in 0..8 {
         let line = fails(&mut fleet, "bad");
@@ -317,16 +327,22 @@
         for nth in 0..120 {
             // Each third op gets an error wherever it goes, and its key comes once.
             let bad = nth % 3 == 0;
-            let (op, mut orders) = fleet.op(READ, &format!("{round}-{nth}"));
-            let (mut push, mut served) = (0, false);
-            while let Some(&host) = pushed(&orders).first() {
+            let (request, mut actions) = fleet.request(READ, &format!("{round}-{nth}"));
+            let (mut attempt, mut served) = (0, false);
+            while let Some(&host) = attempted(&actions).first() {
                 fleet.pass(50 * MS);
                 let fails = bad || host == ill;
                 at_ill += usize::from(!bad && host == ill);
-                orders = fleet.end(op, push, host, if fails { End::Error } else { End::Acked }, 50 * MS);
-                (push, served) = (push + 1, !fails);
+                actions = fleet.attempt_ended(
+                    request,
+                    attempt,
+                    host,
+                    if fails { AttemptOutcome::Error } else { AttemptOutcome::Succeeded },
+                    50 * MS,
+                );
+                (attempt, served) = (attempt + 1, !fails);
             }
-            bad_pushes += if bad { push } else { 0 };
+            bad_pushes += if bad { attempt } else { 0 };
             unserved += usize::from(!bad && !served);
         }
         lines.push(format!("{bad_pushes} pushes of 40 bad ops; of 80 good ones {at_ill} at the ill host, {unserved} unserved"));
@@ -347,12 +363,12 @@
     let own: Vec<String> =
         keys(60).into_iter().zip(homes).filter(|(_, home)| *home == silent).map(|(key, _)| key).collect();
     let mut lines = format!("{} keys\n", own.len());
-    let (op, orders) = fleet.op(READ, &own[0]);
-    let (_, more) = fleet.op(READ, &own[1]);
-    lines += &format!("two of them: {}; {}\n", trace(&orders), trace(&more));
+    let (request, actions) = fleet.request(READ, &own[0]);
+    let (_, more) = fleet.request(READ, &own[1]);
+    lines += &format!("two of them: {}; {}\n", trace(&actions), trace(&more));
     lines += &format!("within 750 ms: {}\n", trace(&fleet.pass(750 * MS)));
-    lines += &format!("then: {}\n", trace(&fleet.op(READ, &own[0]).1));
-    fleet.end(op, 0, silent, End::TimedOut, 798 * MS);
+    lines += &format!("then: {}\n", trace(&fleet.request(READ, &own[0]).1));
+    fleet.attempt_ended(request, 0, silent, AttemptOutcome::TimedOut, 798 * MS);
     fleet.pass(3_000 * MS);
     for span in [0, 5_000, 5_000] {
         fleet.pass(span * MS);
@@ -379,26 +395,39 @@
     fleet.pass(2_000 * MS);
     let (mut elsewhere, mut nacked) = (0, 0);
     for round in 0..40 {
-        let ops: Vec<(OpId, Vec<Order>)> =
-            own.iter().cycle().skip(round * 2).take(2).map(|key| fleet.op(READ, key)).collect();
-        elsewhere += ops.iter().filter(|(_, orders)| pushed(orders).iter().any(|host| *host != home)).count();
-        nacked += ops.iter().filter(|(_, orders)| pushed(orders).is_empty()).count();
-        let (sent, push) = (fleet.now, PushNo(0));
-        for &(op, _) in ops.iter().filter(|_| first) {
-            fleet.hear(Heard::First { op, push, host: home });
+        let requests: Vec<(RequestId, Vec<PolicyAction>)> =
+            own.iter().cycle().skip(round * 2).take(2).map(|key| fleet.request(READ, key)).collect();
+        elsewhere += requests
+            .iter()
+            .filter(|(_, actions)| attempted(actions).iter().any(|host| *host != home))
+            .count();
+        nacked += requests.iter().filter(|(_, actions)| attempted(actions).is_empty()).count();
+        let (sent, attempt) = (fleet.now, AttemptNumber(0));
+        for &(request, _) in requests.iter().filter(|_| first) {
+            fleet.handle(PolicyEvent::NewConnection { request, attempt, host: home });
         }
-        elsewhere += pushed(&fleet.pass(wait)).len();
-        let took = fleet.now - sent;
-        for (op, orders) in ops {
-            let end = Heard::Ended { op, push, host: home, took, end: End::TimedOut, over: true };
-            if pushed(&orders) == [home] {
-                fleet.hear(end);
+        elsewhere += attempted(&fleet.pass(wait)).len();
+        let elapsed = fleet.now - sent;
+        for (request, actions) in requests {
+            let ended = PolicyEvent::AttemptEnded {
+                request,
+                attempt,
+                host: home,
+                elapsed,
+                outcome: AttemptOutcome::TimedOut,
+                finished: true,
+            };
+            if attempted(&actions) == [home] {
+                fleet.handle(ended);
             }
         }
         fleet.served(&own[round % own.len()]);
     }
-    let room = fleet.learnt().into_iter().find(|learnt| learnt.place == listed(home.0).place);
-    format!("elsewhere {elsewhere}, nacked {nacked}, room {:.1}", room.expect("it is up").room)
+    let room = fleet
+        .learned_limits()
+        .into_iter()
+        .find(|learned_limits| learned_limits.position == endpoint(home.0).position);
+    format!("elsewhere {elsewhere}, nacked {nacked}, room {:.1}", room.expect("it is up").limit)
 }
 
 #[test]
@@ -427,24 +456,26 @@
     let own: Vec<String> = keys(400).into_iter().filter(|key| fleet.served(key)[0] == home).collect();
     fleet.pass(2_000 * MS);
     for round in 0..100 {
-        let mut out: Vec<OpId> = Vec::new();
+        let mut out: Vec<RequestId> = Vec::new();
         for key in own.iter().cycle().skip(round * 6).take(6) {
-            let (op, orders) = fleet.op(READ, key);
+            let (request, actions) = fleet.request(READ, key);
             asked += 1;
-            elsewhere += usize::from(pushed(&orders) != [home]);
-            out.push(op);
+            elsewhere += usize::from(attempted(&actions) != [home]);
+            out.push(request);
         }
         let sent = fleet.now;
         // Now and then an answer never comes; that op is out until it is given up.
         if round % 5 == 0 {
             lost.push_back((out.remove(round % 6), sent));
         }
-        elsewhere += pushed(&fleet.pass(50 * MS)).len();
-        out.iter().for_each(|&op| drop(fleet.end(op, 0, home, End::Acked, 50 * MS)));
+        elsewhere += attempted(&fleet.pass(50 * MS)).len();
+        out.iter().for_each(|&request| {
+            drop(fleet.attempt_ended(request, 0, home, AttemptOutcome::Succeeded, 50 * MS))
+        });
         while lost.front().is_some_and(|&(_, sent)| fleet.now - sent >= 798 * MS) {
-            let (op, sent) = lost.pop_front().expect("it was just seen");
-            let took = fleet.now - sent;
-            fleet.end(op, 0, home, End::TimedOut, took);
+            let (request, sent) = lost.pop_front().expect("it was just seen");
+            let elapsed = fleet.now - sent;
+            fleet.attempt_ended(request, 0, home, AttemptOutcome::TimedOut, elapsed);
         }
     }
     expect!["600 asked, sent elsewhere 47"].assert_eq(&format!("{asked} asked, sent elsewhere {elsewhere}"));
@@ -457,31 +488,31 @@
     // It drains, and the list does not say so. More ops than the budget of further pushes has.
     let (mut asked, mut given_up) = (0, 0);
     for key in keys(400) {
-        let (op, orders) = busy.op(READ, &key);
-        let Some(&home) = pushed(&orders).first() else { continue };
-        let (mut host, mut push) = (home, 0);
+        let (request, actions) = busy.request(READ, &key);
+        let Some(&home) = attempted(&actions).first() else { continue };
+        let (mut host, mut attempt) = (home, 0);
         asked += usize::from(host == drains);
         while host == drains {
-            let orders = busy.end(op, push, host, End::TurnedAway, MS);
-            push += 1;
-            let Some(&next) = pushed(&orders).first() else { break };
+            let actions = busy.attempt_ended(request, attempt, host, AttemptOutcome::Rejected, MS);
+            attempt += 1;
+            let Some(&next) = attempted(&actions).first() else { break };
             host = next;
         }
         given_up += usize::from(host == drains);
         busy.pass(50 * MS);
         if host != drains {
-            busy.end(op, push, host, End::Acked, 50 * MS);
+            busy.attempt_ended(request, attempt, host, AttemptOutcome::Succeeded, 50 * MS);
         }
     }
     let mut lines = format!("asked {asked} times in 20 s, {given_up} ops given up\n");
     let mut refused = fleet(9);
-    let (op, mut orders) = refused.op(READ, "k");
-    let mut pushes = 0;
-    while let Some(&host) = pushed(&orders).first() {
-        orders = refused.end(op, pushes, host, End::Unreachable, 0);
-        pushes += 1;
+    let (request, mut actions) = refused.request(READ, "k");
+    let mut attempts = 0;
+    while let Some(&host) = attempted(&actions).first() {
+        actions = refused.attempt_ended(request, attempts, host, AttemptOutcome::Unreachable, 0);
+        attempts += 1;
     }
-    lines += &format!("unreachable everywhere: {pushes} pushes, {}\n", trace(&orders));
+    lines += &format!("unreachable everywhere: {attempts} pushes, {}\n", trace(&actions));
     expect![[r#"
         asked 33 times in 20 s, 6 ops given up
         unreachable everywhere: 4 pushes, nack, back in 400
@@ -497,26 +528,31 @@
     for round in 0..12 {
         let mut out = Vec::new();
         for key in keys(10) {
-            let (op, orders) = fleet.op(READ, &format!("{key}-{round}"));
-            out.extend(pushed(&orders).into_iter().enumerate().map(|(push, host)| (op, push as u32, host)));
+            let (request, actions) = fleet.request(READ, &format!("{key}-{round}"));
+            out.extend(
+                attempted(&actions)
+                    .into_iter()
+                    .enumerate()
+                    .map(|(attempt, host)| (request, attempt as u32, host)),
+            );
         }
-        for &(op, push, host) in out.iter().filter(|push| !hung(push.2)) {
-            fleet.end(op, push, host, End::Acked, 60 * MS);
+        for &(request, attempt, host) in out.iter().filter(|attempt| !hung(attempt.2)) {
+            fleet.attempt_ended(request, attempt, host, AttemptOutcome::Succeeded, 60 * MS);
         }
-        let again: Vec<_> = fleet
+        let retries: Vec<_> = fleet
             .pass(750 * MS)
             .iter()
-            .filter_map(|order| match order {
-                Order::Push { op, host, .. } => Some((*op, 1, *host)),
+            .filter_map(|action| match action {
+                PolicyAction::StartAttempt { request, host, .. } => Some((*request, 1, *host)),
                 _ => None,
             })
             .collect();
-        out.extend(again);
-        for &(op, push, host) in &out {
-            let end = if hung(host) { End::TimedOut } else { End::Acked };
-            fleet.end(op, push, host, end, 750 * MS);
+        out.extend(retries);
+        for &(request, attempt, host) in &out {
+            let outcome = if hung(host) { AttemptOutcome::TimedOut } else { AttemptOutcome::Succeeded };
+            fleet.attempt_ended(request, attempt, host, outcome, 750 * MS);
         }
-        let to_hung = out.iter().filter(|push| hung(push.2)).count();
+        let to_hung = out.iter().filter(|attempt| hung(attempt.2)).count();
         sent.push((to_hung, out.len() - to_hung));
     }
     expect!["pushes to hung hosts and to the other, by round: [(12, 6), (0, 5), (0, 4), (4, 5), (4, 3), (0, 5), (0, 6), (2, 6), (1, 5), (0, 7), (0, 7), (1, 7)]"].assert_eq(&format!("pushes to hung hosts and to the other, by round: {sent:?}"));
@@ -529,12 +565,12 @@
     for round in 0..6 {
         let mut out = Vec::new();
         for nth in 0..20 {
-            let (op, orders) = fleet.op(READ, &format!("{round}-{nth}"));
-            out.extend(pushed(&orders).iter().map(|_| op));
+            let (request, actions) = fleet.request(READ, &format!("{round}-{nth}"));
+            out.extend(attempted(&actions).iter().map(|_| request));
         }
         fleet.pass(750 * MS);
-        for &op in &out {
-            fleet.end(op, 0, HostId(0), End::Acked, 750 * MS);
+        for &request in &out {
+            fleet.attempt_ended(request, 0, HostId(0), AttemptOutcome::Succeeded, 750 * MS);
         }
         fleet.pass(250 * MS);
         let_in.push(out.len());
@@ -545,16 +581,24 @@
 
 #[test]
 fn no_host_and_no_origin_mean_an_answer_at_once() {
-    let mut lines = format!("no host: {}\n", trace(&fleet(0).op(READ, "k").1));
-    let aside = Terms { allowed: Allowed { aside: true, ..terms().allowed }, ..terms() };
-    let mut fleet = Fleet::new(&aside, vec![listed(0)]);
-    let (op, _) = fleet.op(READ, "k");
-    lines += &format!("miss, no origin: {}\n", trace(&fleet.end(op, 0, HostId(0), End::Miss, MS)));
-    lines += &format!("write, no origin: {}\n", trace(&fleet.op(ONCE, "k").1));
-    fleet.hear(Heard::List { whole: false, entries: vec![Listed { origin: true, ..listed(1) }] });
-    let (op, _) = fleet.op(READ, "k");
-    lines += &format!("miss: {}\n", trace(&fleet.end(op, 0, HostId(0), End::Miss, MS)));
-    lines += &format!("write: {}", trace(&fleet.op(ONCE, "k").1));
+    let mut lines = format!("no host: {}\n", trace(&fleet(0).request(READ, "k").1));
+    let cache_aside =
+        PolicyConfig { capabilities: Capabilities { cache_aside: true, ..terms().capabilities }, ..terms() };
+    let mut fleet = Fleet::new(&cache_aside, vec![endpoint(0)]);
+    let (request, _) = fleet.request(READ, "k");
+    lines += &format!(
+        "miss, no origin: {}\n",
+        trace(&fleet.attempt_ended(request, 0, HostId(0), AttemptOutcome::Miss, MS))
+    );
+    lines += &format!("write, no origin: {}\n", trace(&fleet.request(ONCE, "k").1));
+    fleet.handle(PolicyEvent::Endpoints {
+        complete: false,
+        endpoints: vec![Endpoint { origin: true, ..endpoint(1) }],
+    });
+    let (request, _) = fleet.request(READ, "k");
+    lines +=
+        &format!("miss: {}\n", trace(&fleet.attempt_ended(request, 0, HostId(0), AttemptOutcome::Miss, MS)));
+    lines += &format!("write: {}", trace(&fleet.request(ONCE, "k").1));
     expect![[r#"
         no host: nack, back in 400
         miss, no origin: nack, back in 400
@@ -569,7 +613,7 @@
     let mut fleet = fleet(4);
     let mut lines = String::new();
     for nth in 0..14 {
-        lines += &format!("{nth}: {}\n", trace(&fleet.op(READ, "k").1));
+        lines += &format!("{nth}: {}\n", trace(&fleet.request(READ, "k").1));
     }
     expect![[r#"
         0: push h3 for 798
@@ -593,9 +637,9 @@
 #[test]
 fn a_customers_flood_leaves_room_for_the_others() {
     let mut fleet = fleet(1);
-    let mut count = |customer, ops| -> usize {
-        (0..ops)
-            .map(|nth| pushed(&fleet.op_of(READ, &format!("{nth}"), Some(CustomerId(customer))).1).len())
+    let mut count = |tenant, requests| -> usize {
+        (0..requests)
+            .map(|nth| attempted(&fleet.request_of(READ, &format!("{nth}"), Some(TenantId(tenant))).1).len())
             .sum()
     };
     let (flood, other) = (count(0, 30), count(1, 30));
@@ -606,15 +650,22 @@
 fn the_list_is_watched_again_after_a_refusal_and_the_same_events_give_the_same_orders() {
     let run = || {
         let mut fleet = Fleet::new(
-            &Terms { allowed: Allowed { list_asked: true, ..terms().allowed }, ..terms() },
+            &PolicyConfig {
+                capabilities: Capabilities { polls_discovery: true, ..terms().capabilities },
+                ..terms()
+            },
             Vec::new(),
         );
         let mut lines = String::new();
-        for heard in [Heard::ListRefused, Heard::Wake(Wake::Watch), Heard::ListRefused] {
-            let orders = fleet.hear(heard);
-            lines += &format!("{}\n", trace(&orders));
+        for event in [
+            PolicyEvent::DiscoveryFailed,
+            PolicyEvent::TimerFired(Timer::Watch),
+            PolicyEvent::DiscoveryFailed,
+        ] {
+            let actions = fleet.handle(event);
+            lines += &format!("{}\n", trace(&actions));
         }
-        fleet.hear(Heard::List { whole: true, entries: (0..5).map(listed).collect() });
+        fleet.handle(PolicyEvent::Endpoints { complete: true, endpoints: (0..5).map(endpoint).collect() });
         lines + &format!("{:?}", homes(&mut fleet, 12))
     };
     assert_eq!(run(), run());
@@ -627,7 +678,7 @@
 
 /// A hundred hosts, and so many balancers that this one hears little.
 fn large(balancers: u32, hosts: u32) -> Fleet {
-    Fleet::new(&Terms { balancers, ..terms() }, (0..hosts).map(listed).collect())
+    Fleet::new(&PolicyConfig { balancers, ..terms() }, (0..hosts).map(endpoint).collect())
 }
 
 #[test]
@@ -636,9 +687,9 @@
     let homes = homes(&mut fleet, 2_000);
     let jammed = HostId(7);
     let own: Vec<_> = keys(2_000).into_iter().zip(homes).filter(|(_, home)| *home == jammed).collect();
-    let (op, _) = fleet.op(READ, &own[0].0);
+    let (request, _) = fleet.request(READ, &own[0].0);
     fleet.pass(800 * MS);
-    fleet.end(op, 0, jammed, End::TimedOut, 798 * MS);
+    fleet.attempt_ended(request, 0, jammed, AttemptOutcome::TimedOut, 798 * MS);
     fleet.pass(10_000 * MS);
     let kept = own.iter().filter(|(key, _)| fleet.served(key)[0] == jammed).count();
     expect!["keeps 11 of 26 keys"].assert_eq(&format!("keeps {kept} of {} keys", own.len()));
@@ -648,24 +699,25 @@
 /// has its further ones still, as its category allows.
 #[test]
 fn where_one_push_may_be_out_an_op_at_a_silent_host_keeps_its_further_pushes() {
-    let one = Terms { allowed: Allowed { second_copies: false, ..terms().allowed }, ..terms() };
+    let one =
+        PolicyConfig { capabilities: Capabilities { hedging: false, ..terms().capabilities }, ..terms() };
     let mut lines = String::new();
-    for (name, category) in [("redeliverable", READ), ("deduplicated", KEYED), ("at-most-once", ONCE)] {
-        let mut fleet = Fleet::new(&one, (0..4).map(listed).collect());
+    for (name, class) in [("redeliverable", READ), ("deduplicated", KEYED), ("at-most-once", ONCE)] {
+        let mut fleet = Fleet::new(&one, (0..4).map(endpoint).collect());
         let key =
             keys(200).into_iter().find(|key| fleet.served(key) == [HostId(2)]).expect("a key of its own");
-        let (op, _) = fleet.op(category, &key);
+        let (request, _) = fleet.request(class, &key);
         let silence = trace(&fleet.pass(600 * MS));
         lines += &format!("{name}: {} left, {silence}", fleet.avoided());
-        let mut orders = fleet.end(op, 0, HostId(2), End::TimedOut, 600 * MS);
-        let mut push = 0;
-        while let Some(&host) = pushed(&orders).first() {
-            lines += &format!("; {}", trace(&orders));
-            push += 1;
+        let mut actions = fleet.attempt_ended(request, 0, HostId(2), AttemptOutcome::TimedOut, 600 * MS);
+        let mut attempt = 0;
+        while let Some(&host) = attempted(&actions).first() {
+            lines += &format!("; {}", trace(&actions));
+            attempt += 1;
             fleet.now += 50 * MS;
-            orders = fleet.end(op, push, host, End::TimedOut, 50 * MS);
+            actions = fleet.attempt_ended(request, attempt, host, AttemptOutcome::TimedOut, 50 * MS);
         }
-        lines += &format!("; {}\n", trace(&orders));
+        lines += &format!("; {}\n", trace(&actions));
     }
     expect![[r#"
         redeliverable: 1 left, nothing; push h0 for 198; push h3 for 148; dead letter
@@ -684,15 +736,15 @@
             let mut fleet = large(balancers, 8);
             let home = fleet.served("k")[0];
             fleet.pass(300 * MS);
-            let (op, _) = fleet.op(READ, "k");
+            let (request, _) = fleet.request(READ, "k");
             // Others that are out are witnesses of their own, sent later than this one.
             fleet.now += 600 * MS;
-            let more: Vec<_> = (0..others).map(|_| fleet.op(READ, "k")).collect();
+            let more: Vec<_> = (0..others).map(|_| fleet.request(READ, "k")).collect();
             fleet.now += 198 * MS;
-            fleet.end(op, 0, home, End::TimedOut, 798 * MS);
-            fleet.hear(Heard::Wake(Wake::Sweep));
-            let next = fleet.op(READ, "k").1;
-            let asked = pushed(&next).first() == Some(&home);
+            fleet.attempt_ended(request, 0, home, AttemptOutcome::TimedOut, 798 * MS);
+            fleet.handle(PolicyEvent::TimerFired(Timer::Sweep));
+            let next = fleet.request(READ, "k").1;
+            let asked = attempted(&next).first() == Some(&home);
             lines += &format!("{balancers} balancers, {} more out: asked again {asked}\n", more.len());
         }
     }
@@ -721,21 +773,26 @@
             let zone = |host: HostId| host.0 % 2 == 1;
             let (mut lost, mut left, mut back) = (0, 0, 0);
             // One op each 80 ms: a host is met every second or two.
-            let mut out: VecDeque<(Micros, OpId, HostId, End)> = VecDeque::new();
+            let mut out: VecDeque<(Micros, RequestId, HostId, AttemptOutcome)> = VecDeque::new();
             for round in 0..200 {
                 fleet.pass(80 * MS);
                 let silent = |host: HostId| zone(host) && host.0 < hung && (50..150).contains(&round);
                 let due = out.iter().filter(|next| next.0 <= fleet.now).copied().collect::<Vec<_>>();
                 out.retain(|next| next.0 > fleet.now);
-                for (at, op, host, end) in due {
-                    let took = if end == End::Acked { 60 * MS } else { 798 * MS };
+                for (at, request, host, outcome) in due {
+                    let elapsed = if outcome == AttemptOutcome::Succeeded { 60 * MS } else { 798 * MS };
                     fleet.now = fleet.now.max(at);
-                    fleet.end(op, 0, host, end, took);
+                    fleet.attempt_ended(request, 0, host, outcome, elapsed);
                 }
-                let (op, orders) = fleet.op(READ, &format!("key-{}", round * 7 % 61));
-                let Some(&host) = pushed(&orders).first() else { continue };
-                let end = if silent(host) { End::TimedOut } else { End::Acked };
-                out.push_back((fleet.now + if silent(host) { 798 * MS } else { 60 * MS }, op, host, end));
+                let (request, actions) = fleet.request(READ, &format!("key-{}", round * 7 % 61));
+                let Some(&host) = attempted(&actions).first() else { continue };
+                let outcome = if silent(host) { AttemptOutcome::TimedOut } else { AttemptOutcome::Succeeded };
+                out.push_back((
+                    fleet.now + if silent(host) { 798 * MS } else { 60 * MS },
+                    request,
+                    host,
+                    outcome,
+                ));
                 lost += u32::from(silent(host));
                 let other = zone(host) && host.0 >= 6;
                 left += u32::from(other && (80..150).contains(&round));
@@ -767,7 +824,7 @@
             for key in 0..3 {
                 fleet.served(&format!("cold-{}", 3 * round + key));
             }
-            fleet.hear(Heard::Wake(Wake::Sweep));
+            fleet.handle(PolicyEvent::TimerFired(Timer::Sweep));
         }
         let mut read: Vec<_> = (0..300).flat_map(|_| fleet.served("hot")).collect();
         read.sort_unstable();
@@ -782,21 +839,23 @@
     let mut lines = String::new();
     for balancers in [2, 900] {
         for write in [false, true] {
-            let mut terms = Terms { balancers, ..terms() };
-            terms.allowed.aside = true;
-            let mut hosts: Vec<_> = (0..100).map(listed).collect();
-            hosts.push(Listed { origin: true, ..listed(100) });
+            let mut terms = PolicyConfig { balancers, ..terms() };
+            terms.capabilities.cache_aside = true;
+            let mut hosts: Vec<_> = (0..100).map(endpoint).collect();
+            hosts.push(Endpoint { origin: true, ..endpoint(100) });
             let mut fleet = Fleet::new(&terms, hosts);
             let mut sent = Vec::new();
             for round in 0..10 {
-                let category = if write { ONCE } else { READ };
-                let ops: Vec<_> = (0..4).map(|nth| fleet.op(category, &format!("{round}-{nth}"))).collect();
+                let class = if write { ONCE } else { READ };
+                let requests: Vec<_> =
+                    (0..4).map(|nth| fleet.request(class, &format!("{round}-{nth}"))).collect();
                 fleet.pass(800 * MS);
-                let out =
-                    ops.iter().flat_map(|(op, orders)| pushed(orders).into_iter().map(|host| (*op, host)));
+                let out = requests.iter().flat_map(|(request, actions)| {
+                    attempted(actions).into_iter().map(|host| (*request, host))
+                });
                 let out: Vec<_> = out.collect();
-                for &(op, host) in &out {
-                    fleet.end(op, 0, host, End::TimedOut, 798 * MS);
+                for &(request, host) in &out {
+                    fleet.attempt_ended(request, 0, host, AttemptOutcome::TimedOut, 798 * MS);
                 }
                 sent.push(out.len());
             }
@@ -817,18 +876,20 @@
 /// how many of them are out at a time, and of a thousand how many are turned away.
 fn at_its_mean(balancers: u32) -> String {
     let mut fleet = large(balancers, (balancers * 3 / 10).max(1));
-    let mut chance = Chance::new(3);
-    let mut out: Vec<(Micros, OpId, HostId)> = Vec::new();
+    let mut chance = SeededRng::new(3);
+    let mut out: Vec<(Micros, RequestId, HostId)> = Vec::new();
     let (mut came, mut nacked, mut abroad) = (0, 0, 0);
     for turn in 0..6_000 {
         // A slow answer: the limit learns its room by such.
-        for (_, op, host) in out.extract_if(.., |sent| fleet.now - sent.0 >= 300 * MS).collect::<Vec<_>>() {
-            fleet.end(op, 0, host, End::Acked, 300 * MS);
+        for (_, request, host) in
+            out.extract_if(.., |sent| fleet.now - sent.0 >= 300 * MS).collect::<Vec<_>>()
+        {
+            fleet.attempt_ended(request, 0, host, AttemptOutcome::Succeeded, 300 * MS);
         }
         if chance.draw() % 1_000 < 65 {
-            let (op, orders) = fleet.op(READ, &format!("{turn}"));
-            let sent = pushed(&orders);
-            out.extend(sent.iter().map(|&host| (fleet.now, op, host)));
+            let (request, actions) = fleet.request(READ, &format!("{turn}"));
+            let sent = attempted(&actions);
+            out.extend(sent.iter().map(|&host| (fleet.now, request, host)));
             // The first seconds are the limit's own.
             let counts = usize::from(turn >= 2_000);
             (came, nacked) = (came + counts, nacked + counts * usize::from(sent.is_empty()));
@@ -836,7 +897,7 @@
         abroad += out.len();
         fleet.now += 10 * MS;
         if turn % 5 == 0 {
-            fleet.hear(Heard::Wake(Wake::Sweep));
+            fleet.handle(PolicyEvent::TimerFired(Timer::Sweep));
         }
     }
     format!("{balancers}: {:.1} out, {} turned away", abroad as f64 / 6_000.0, nacked * 1_000 / came)
@@ -859,70 +920,77 @@
 /// anew; with `hot`, a tenth of all reads turns to one key of such a host in the same instant. What the cold hosts got of
 /// what would push them over in their worst window, at most and on average, and the part of the ops that went nowhere.
 /// Where one is `replaced`, another process takes over from the first balancer in the midst of the warming.
-fn hosts_started_anew(cold: &ColdTerms, balancers: u32, hot: bool, replaced: bool) -> (f64, f64, f64) {
+fn hosts_started_anew(cold: &SlowStart, balancers: u32, hot: bool, replaced: bool) -> (f64, f64, f64) {
     const HOSTS: u32 = 25;
-    let terms = Terms { balancers, cold: cold.clone(), ..terms() };
-    let hosts: Vec<_> = (0..HOSTS).map(listed).collect();
+    let terms = PolicyConfig { balancers, slow_start: cold.clone(), ..terms() };
+    let hosts: Vec<_> = (0..HOSTS).map(endpoint).collect();
     let started = |host: u32| host.is_multiple_of(4) && host > 0;
     let at = 8_000 * MS;
-    let anew = |host| Listed { started: Some(at).filter(|_| started(host)), ..listed(host) };
+    let anew = |host| Endpoint { started_at: Some(at).filter(|_| started(host)), ..endpoint(host) };
     let mut all: Vec<Fleet> = (0..balancers)
-        .map(|nth| Fleet::new(&Terms { seed: u64::from(nth), ..terms.clone() }, hosts.clone()))
+        .map(|nth| Fleet::new(&PolicyConfig { seed: u64::from(nth), ..terms.clone() }, hosts.clone()))
         .collect();
     let hot_key = keys(500).into_iter().find(|key| all[0].served(key)[0] == HostId(4)).expect("a key");
-    all[0] = Fleet::new(&Terms { seed: 900, ..terms.clone() }, hosts);
-    let (mut chance, mut pushes, mut nowhere) = (Chance::new(5), Vec::new(), 0.0);
-    let mut out: VecDeque<(Micros, usize, OpId, HostId)> = VecDeque::new();
+    all[0] = Fleet::new(&PolicyConfig { seed: 900, ..terms.clone() }, hosts);
+    let (mut chance, mut attempts, mut nowhere) = (SeededRng::new(5), Vec::new(), 0.0);
+    let mut out: VecDeque<(Micros, usize, RequestId, HostId)> = VecDeque::new();
     for tick in 0..14_000 {
         let now = tick * MS;
         if replaced && now == at + 900 * MS {
             // It is told the list as it stands and what the old one had learnt; that one ends what it has out.
-            let entries = (0..HOSTS).map(anew).collect();
-            let mut new = Fleet::new(&Terms { seed: 901, ..terms.clone() }, entries);
+            let endpoints = (0..HOSTS).map(anew).collect();
+            let mut new = Fleet::new(&PolicyConfig { seed: 901, ..terms.clone() }, endpoints);
             new.now = now;
-            new.hear(Heard::Learnt(all[0].learnt()));
+            new.handle(PolicyEvent::LimitsLearned(all[0].learned_limits()));
             let old = std::mem::replace(&mut all[0], new);
             all.push(old);
-            out.iter_mut().filter(|push| push.1 == 0).for_each(|push| push.1 = balancers as usize);
+            out.iter_mut()
+                .filter(|attempt| attempt.1 == 0)
+                .for_each(|attempt| attempt.1 = balancers as usize);
         }
         while out.front().is_some_and(|next| next.0 <= now) {
-            let (_, nth, op, host) = out.pop_front().expect("there is one");
+            let (_, nth, request, host) = out.pop_front().expect("there is one");
             all[nth].now = now;
-            all[nth].end(op, 0, host, End::Acked, 60 * MS);
+            all[nth].attempt_ended(request, 0, host, AttemptOutcome::Succeeded, 60 * MS);
         }
         for (nth, fleet) in all.iter_mut().enumerate() {
             if (tick + nth as i64) % 50 == 0 {
                 fleet.now = now;
                 if now / (50 * MS) == at / (50 * MS) {
-                    fleet.hear(Heard::List { whole: true, entries: (0..HOSTS).map(anew).collect() });
+                    fleet.handle(PolicyEvent::Endpoints {
+                        complete: true,
+                        endpoints: (0..HOSTS).map(anew).collect(),
+                    });
                 }
-                fleet.hear(Heard::Wake(Wake::Sweep));
+                fleet.handle(PolicyEvent::TimerFired(Timer::Sweep));
             }
         }
         let nth = (chance.draw() % u64::from(balancers)) as usize;
         let key = format!("key-{}", chance.draw() % 20_000);
         let turned = hot && now >= at && chance.draw() % 10 == 0;
         all[nth].now = now;
-        let (op, orders) = all[nth].op(READ, if turned { &hot_key } else { &key });
-        match pushed(&orders).first() {
+        let (request, actions) = all[nth].request(READ, if turned { &hot_key } else { &key });
+        match attempted(&actions).first() {
             Some(&host) => {
-                out.push_back((now + 60 * MS, nth, op, host));
-                pushes.push((now, host));
+                out.push_back((now + 60 * MS, nth, request, host));
+                attempts.push((now, host));
             }
             None if now >= at => nowhere += 1.0 / 6_000.0,
             None => {}
         }
     }
     // As many as a host of full load bears in the window, by what it surely has in the middle of it.
-    let window = cold.fall_window;
+    let window = cold.overload_window;
     let bears = (window / MS) as f64 / f64::from(HOSTS);
     let worst = |host: u32| {
         let got_in = |from: Micros| {
-            let got = pushes
+            let got = attempts
                 .iter()
-                .filter(|push| push.1 == HostId(host) && (from..from + window).contains(&push.0));
+                .filter(|attempt| attempt.1 == HostId(host) && (from..from + window).contains(&attempt.0));
             got.count() as f64
-                / (terms.cold.fall_multiple * terms.cold.surely(from + window / 2 - at) * bears)
+                / (terms.slow_start.overload_multiple
+                    * terms.slow_start.minimum_capacity(from + window / 2 - at)
+                    * bears)
         };
         (0..6).map(|nth| got_in(at + nth * 500 * MS)).fold(0.0, f64::max)
     };
@@ -931,7 +999,7 @@
 }
 
 /// The same as a table for so many balancers, with each figure under a bound.
-fn started_anew(cold: &ColdTerms, balancers: &[u32], replaced: bool, under: f64) -> String {
+fn started_anew(cold: &SlowStart, balancers: &[u32], replaced: bool, under: f64) -> String {
     let mut table = "balancers  hot key  most of what pushes over  mean  ops given up\n".to_owned();
     for &balancers in balancers {
         for hot in [false, true] {
@@ -945,7 +1013,7 @@
 
 #[test]
 fn a_process_that_takes_over_pushes_no_cold_host_over() {
-    let table = started_anew(&terms().cold, &[1, 2, 20], true, 1.0);
+    let table = started_anew(&terms().slow_start, &[1, 2, 20], true, 1.0);
     expect![[r#"
         balancers  hot key  most of what pushes over  mean  ops given up
         1          false    0.47                      0.44  0.000
@@ -960,7 +1028,7 @@
 
 #[test]
 fn cold_hosts_are_used_and_none_is_pushed_over_by_all_balancers_together() {
-    let table = started_anew(&terms().cold, &[1, 2, 20, 100, 900], false, 0.9);
+    let table = started_anew(&terms().slow_start, &[1, 2, 20, 100, 900], false, 0.9);
     expect![[r#"
         balancers  hot key  most of what pushes over  mean  ops given up
         1          false    0.56                      0.47  0.000
@@ -980,8 +1048,12 @@
 /// The bound by the cold figures of the two deployments that take the balancer on.
 #[test]
 fn the_cold_figures_of_a_quick_fall_and_of_a_slow_warm_up_keep_the_bound_too() {
-    let cold =
-        |from, warm_within| ColdTerms { from, warm_within, fall_multiple: 3.0, fall_window: 1_000 * MS };
+    let cold = |from, warm_up_time| SlowStart {
+        initial_capacity: from,
+        warm_up_time,
+        overload_multiple: 3.0,
+        overload_window: 1_000 * MS,
+    };
     let slowly = started_anew(&cold(0.12, 24_000 * MS), &[13, 117], false, 1.1);
     let quickly = started_anew(&cold(0.3, 8_900 * MS), &[62, 420], false, 1.1);
     expect![[r#"
@@ -1001,17 +1073,17 @@
 
 #[test]
 fn overflow_and_what_the_gate_refuses_go_past_a_cold_host() {
-    let mut hosts: Vec<_> = (0..4).map(listed).collect();
-    hosts[2].started = Some(0);
+    let mut hosts: Vec<_> = (0..4).map(endpoint).collect();
+    hosts[2].started_at = Some(0);
     let mut fleet = Fleet::new(&terms(), hosts);
     fleet.pass(300 * MS);
-    let turned: Vec<_> = (0..60).map(|key| fleet.op(READ, &format!("k{key}"))).collect();
+    let turned: Vec<_> = (0..60).map(|key| fleet.request(READ, &format!("k{key}"))).collect();
     let mut counts = [0; 2];
-    for (op, orders) in turned {
-        let Some(&host) = pushed(&orders).first() else { continue };
+    for (request, actions) in turned {
+        let Some(&host) = attempted(&actions).first() else { continue };
         counts[0] += usize::from(host == HostId(2));
-        let again = fleet.end(op, 0, host, End::TurnedAway, 5 * MS);
-        counts[1] += pushed(&again).iter().filter(|&&host| host == HostId(2)).count();
+        let retries = fleet.attempt_ended(request, 0, host, AttemptOutcome::Rejected, 5 * MS);
+        counts[1] += attempted(&retries).iter().filter(|&&host| host == HostId(2)).count();
     }
     expect!["to the cold host at first 1, as overflow 0"]
         .assert_eq(&format!("to the cold host at first {}, as overflow {}", counts[0], counts[1]));
@@ -1020,25 +1092,26 @@
 /// Clients that give up early and come again at once would have every host of a large fleet work for nobody.
 #[test]
 fn what_cant_wait_for_the_shortest_typical_answer_is_refused_before_it_loads_a_host() {
-    let aside = Terms { allowed: Allowed { aside: true, ..terms().allowed }, ..terms() };
-    let origin = Listed { origin: true, ..listed(9) };
-    let mut fleet = Fleet::new(&aside, vec![listed(0), listed(1), origin]);
+    let cache_aside =
+        PolicyConfig { capabilities: Capabilities { cache_aside: true, ..terms().capabilities }, ..terms() };
+    let origin = Endpoint { origin: true, ..endpoint(9) };
+    let mut fleet = Fleet::new(&cache_aside, vec![endpoint(0), endpoint(1), origin]);
     let mut lines = Vec::new();
-    let ask = |fleet: &mut Fleet, lines: &mut Vec<String>, category, wait| {
-        let (op, orders) = fleet.op_within(category, "key", None, wait * MS);
-        lines.push(format!("waits {wait} ms: {}", trace(&orders)));
-        pushed(&orders).first().map(|&host| (op, host))
+    let ask = |fleet: &mut Fleet, lines: &mut Vec<String>, class, wait| {
+        let (request, actions) = fleet.request_within(class, "key", None, wait * MS);
+        lines.push(format!("waits {wait} ms: {}", trace(&actions)));
+        attempted(&actions).first().map(|&host| (request, host))
     };
     // Before anything was answered nobody knows what can't be waited for.
-    if let Some((op, host)) = ask(&mut fleet, &mut lines, READ, 30) {
-        fleet.end(op, 0, host, End::Acked, 30 * MS);
+    if let Some((request, host)) = ask(&mut fleet, &mut lines, READ, 30) {
+        fleet.attempt_ended(request, 0, host, AttemptOutcome::Succeeded, 30 * MS);
     }
     // Hits in 100 ms, fetches in 60.
     for round in 0..60 {
         fleet.served(&format!("key-{round}"));
-        let (op, _) = fleet.op(ONCE, "written");
+        let (request, _) = fleet.request(ONCE, "written");
         fleet.now += 60 * MS;
-        fleet.end(op, 0, HostId(9), End::Acked, 60 * MS);
+        fleet.attempt_ended(request, 0, HostId(9), AttemptOutcome::Succeeded, 60 * MS);
         fleet.pass(100 * MS);
     }
     for wait in [30, 90, 120] {
@@ -1047,11 +1120,11 @@
     ask(&mut fleet, &mut lines, ONCE, 40);
     ask(&mut fleet, &mut lines, ONCE, 80);
     // A miss that leaves too little for a fetch is not fetched for nobody.
-    for (wait, took) in [(150, 100), (200, 100)] {
-        if let Some((op, host)) = ask(&mut fleet, &mut lines, READ, wait) {
-            fleet.now += took * MS;
-            let orders = fleet.end(op, 0, host, End::Miss, took * MS);
-            lines.push(format!("  a miss after {took} ms: {}", trace(&orders)));
+    for (wait, elapsed) in [(150, 100), (200, 100)] {
+        if let Some((request, host)) = ask(&mut fleet, &mut lines, READ, wait) {
+            fleet.now += elapsed * MS;
+            let actions = fleet.attempt_ended(request, 0, host, AttemptOutcome::Miss, elapsed * MS);
+            lines.push(format!("  a miss after {elapsed} ms: {}", trace(&actions)));
         }
     }
     expect![[r#"
@@ -1087,12 +1160,12 @@
             fleet.served(&key);
             round(&mut fleet);
         }
-        let (op, _) = fleet.op(READ, &key);
+        let (request, _) = fleet.request(READ, &key);
         // It goes elsewhere meanwhile, and is acked there.
-        for (nth, host) in (1..).zip(pushed(&fleet.pass(800 * MS))) {
-            fleet.end(op, nth, host, End::Acked, 100 * MS);
+        for (nth, host) in (1..).zip(attempted(&fleet.pass(800 * MS))) {
+            fleet.attempt_ended(request, nth, host, AttemptOutcome::Succeeded, 100 * MS);
         }
-        fleet.end(op, 0, HostId(2), End::TimedOut, 800 * MS);
+        fleet.attempt_ended(request, 0, HostId(2), AttemptOutcome::TimedOut, 800 * MS);
         let silent = fleet.now;
         while fleet.avoided() > 0 && fleet.now - silent < 40_000 * MS {
             fleet.pass(250 * MS);
@@ -1108,18 +1181,18 @@
 
 /// One of a hundred balancers before an origin in a jam, in through mode: every answer is an error that took so long. How
 /// many may be out at a time after some seconds of it.
-fn after_errors(took: Micros) -> usize {
+fn after_errors(elapsed: Micros) -> usize {
     let mut fleet = large(100, 20);
     let keys = keys(20);
     for round in 0..40 {
-        let (op, orders) = fleet.op(READ, &keys[round % 20]);
-        fleet.pass(took.max(50 * MS));
-        for (push, host) in pushed(&orders).into_iter().enumerate() {
-            fleet.end(op, push as u32, host, End::Error, took);
+        let (request, actions) = fleet.request(READ, &keys[round % 20]);
+        fleet.pass(elapsed.max(50 * MS));
+        for (attempt, host) in attempted(&actions).into_iter().enumerate() {
+            fleet.attempt_ended(request, attempt as u32, host, AttemptOutcome::Error, elapsed);
         }
         fleet.pass(50 * MS);
     }
-    (0..20).filter(|&nth| !pushed(&fleet.op(READ, &format!("other-{nth}")).1).is_empty()).count()
+    (0..20).filter(|&nth| !attempted(&fleet.request(READ, &format!("other-{nth}")).1).is_empty()).count()
 }
 
 #[test]
@@ -1137,18 +1210,18 @@
     let homes: Vec<HostId> = keys.iter().map(|key| fleet.served(key)[0]).collect();
     let at_home = keys.iter().zip(&homes).filter(|(_, home)| **home == HostId(2));
     let own: Vec<&String> = at_home.map(|(key, _)| key).take(100).collect();
-    let (op, orders) = fleet.op(READ, own[0]);
-    assert_eq!(pushed(&orders), [HostId(2)]);
+    let (request, actions) = fleet.request(READ, own[0]);
+    assert_eq!(attempted(&actions), [HostId(2)]);
     fleet.pass(700 * MS);
-    fleet.end(op, 0, HostId(2), End::TimedOut, 700 * MS);
+    fleet.attempt_ended(request, 0, HostId(2), AttemptOutcome::TimedOut, 700 * MS);
     fleet.pass(2_300 * MS);
     let mut asked = 0;
     for key in &own {
-        let (op, orders) = fleet.op(READ, key);
-        let Some(&host) = pushed(&orders).first() else { continue };
-        let took = if host == HostId(2) { answers } else { 100 * MS };
-        fleet.now += took;
-        fleet.end(op, 0, host, End::Acked, took);
+        let (request, actions) = fleet.request(READ, key);
+        let Some(&host) = attempted(&actions).first() else { continue };
+        let elapsed = if host == HostId(2) { answers } else { 100 * MS };
+        fleet.now += elapsed;
+        fleet.attempt_ended(request, 0, host, AttemptOutcome::Succeeded, elapsed);
         asked += u32::from(host == HostId(2));
         if asked == 3 {
             break;
@@ -1156,10 +1229,10 @@
     }
     // Asked for and dropped, so that nothing more is learnt meanwhile.
     let mut goes_there = |key: &&&String| {
-        let (op, orders) = fleet.op(READ, key);
-        fleet.hear(Heard::Dropped { op });
-        let host = pushed(&orders).first().copied();
-        host.map(|host| fleet.end(op, 0, host, End::CalledOff, 0));
+        let (request, actions) = fleet.request(READ, key);
+        fleet.handle(PolicyEvent::ClientGone { request });
+        let host = attempted(&actions).first().copied();
+        host.map(|host| fleet.attempt_ended(request, 0, host, AttemptOutcome::Cancelled, 0));
         host == Some(HostId(2))
     };
     own.iter().filter(|key| goes_there(key)).count()
--- a/tests/mixed.rs
+++ b/tests/mixed.rs
@@ -23,21 +23,21 @@
 const ANSWERED_WITHIN: Micros = 2_000 * MS; // every op's TTL
 
 /// As before the move: two pushes at a time, late answers worth nothing.
-fn old_shape() -> Terms {
-    let mut terms = Terms { balancers: 2 * EACH, ..terms() };
-    for category in &mut terms.categories {
-        if let Repeats::Deduplicated { group, .. } = &mut category.repeats {
-            *group = Group::All;
+fn old_shape() -> PolicyConfig {
+    let mut terms = PolicyConfig { balancers: 2 * EACH, ..terms() };
+    for class in &mut terms.classes {
+        if let RetrySafety::IdempotencyKey { scope, .. } = &mut class.retry_safety {
+            *scope = DeduplicationScope::All;
         }
     }
     terms
 }
 
 /// As after it: one push at a time, late answers still earn.
-fn new_shape() -> Terms {
+fn new_shape() -> PolicyConfig {
     let mut terms = old_shape();
-    terms.allowed.second_copies = false;
-    terms.categories.iter_mut().for_each(|category| category.late_benefit = 0.4);
+    terms.capabilities.hedging = false;
+    terms.classes.iter_mut().for_each(|class| class.late_weight = 0.4);
     terms
 }
 
@@ -45,17 +45,17 @@
 struct Out {
     kind: usize,
     nth: usize,
-    op: OpId,
-    push: u32,
+    request: RequestId,
+    attempt: u32,
     host: HostId,
     sent: Micros,
     ends: Micros,
-    end: End,
+    outcome: AttemptOutcome,
 }
 
 #[derive(Default)]
 struct Taken {
-    category: u16,
+    class: u16,
     at: Micros,
     answers: u32,
     out: u32,
@@ -67,7 +67,7 @@
     kinds: [Vec<Fleet>; 2],
     free_at: Vec<Micros>,
     out: Vec<Out>,
-    ops: BTreeMap<(usize, usize, OpId), Taken>,
+    requests: BTreeMap<(usize, usize, RequestId), Taken>,
     /// By kind: reads taken, and answered within the target latency.
     served: [(u32, u32); 2],
     to_started: Vec<Micros>,
@@ -75,37 +75,38 @@
 }
 
 impl Move {
-    fn listed_at(host: u32, now: Micros) -> Listed {
-        Listed {
+    fn listed_at(host: u32, now: Micros) -> Endpoint {
+        Endpoint {
             lifecycle: if host == DRAINED && now >= DRAIN_AT { Lifecycle::Draining } else { Lifecycle::Up },
-            started: (host == STARTED && now >= START_AT).then_some(START_AT),
-            ..listed(host)
+            started_at: (host == STARTED && now >= START_AT).then_some(START_AT),
+            ..endpoint(host)
         }
     }
 
-    fn new(shapes: [Terms; 2]) -> Move {
-        let hosts: Vec<Listed> = (0..HOSTS).map(listed).collect();
-        let fleet = |terms: &Terms, seed: u32| {
-            Fleet::new(&Terms { seed: u64::from(seed), ..terms.clone() }, hosts.clone())
+    fn new(shapes: [PolicyConfig; 2]) -> Move {
+        let hosts: Vec<Endpoint> = (0..HOSTS).map(endpoint).collect();
+        let fleet = |terms: &PolicyConfig, seed: u32| {
+            Fleet::new(&PolicyConfig { seed: u64::from(seed), ..terms.clone() }, hosts.clone())
         };
         let kind = |nth: usize| (0..EACH).map(|seed| fleet(&shapes[nth], 10 * nth as u32 + seed)).collect();
         Move {
             kinds: [kind(0), kind(1)],
             free_at: vec![0; HOSTS as usize],
             out: Vec::new(),
-            ops: BTreeMap::new(),
+            requests: BTreeMap::new(),
             served: [(0, 0); 2],
             to_started: Vec::new(),
             broken: Vec::new(),
         }
     }
 
-    fn carry_out(&mut self, kind: usize, nth: usize, now: Micros, orders: Vec<Order>) {
-        for order in orders {
-            match order {
-                Order::Push { op, host, timeout } => {
-                    let taken = self.ops.get_mut(&(kind, nth, op)).expect("an op that was taken");
-                    let others = self.out.iter().any(|out| (out.kind, out.nth, out.op) == (kind, nth, op));
+    fn carry_out(&mut self, kind: usize, nth: usize, now: Micros, actions: Vec<PolicyAction>) {
+        for action in actions {
+            match action {
+                PolicyAction::StartAttempt { request, host, timeout } => {
+                    let taken = self.requests.get_mut(&(kind, nth, request)).expect("an op that was taken");
+                    let others =
+                        self.out.iter().any(|out| (out.kind, out.nth, out.request) == (kind, nth, request));
                     if taken.answers > 0 {
                         self.broken.push("a push after the final answer".to_owned());
                     }
@@ -119,78 +120,86 @@
                         self.to_started.push(now);
                     }
                     let free = &mut self.free_at[host.0 as usize];
-                    let (ends, end) = if *free - now > QUEUE as Micros * WORK {
-                        (now + MS, End::TurnedAway)
+                    let (ends, outcome) = if *free - now > QUEUE as Micros * WORK {
+                        (now + MS, AttemptOutcome::Rejected)
                     } else if host == HostId(HUNG) && HANGS.contains(&now) {
                         taken.runs.push(now);
-                        (now + timeout, End::TimedOut)
+                        (now + timeout, AttemptOutcome::TimedOut)
                     } else {
                         taken.runs.push((*free).max(now));
                         *free = (*free).max(now) + WORK;
                         if *free > now + timeout {
-                            (now + timeout, End::TimedOut)
+                            (now + timeout, AttemptOutcome::TimedOut)
                         } else {
-                            (*free, End::Acked)
+                            (*free, AttemptOutcome::Succeeded)
                         }
                     };
-                    let push = taken.out;
+                    let attempt = taken.out;
                     taken.out += 1;
-                    self.out.push(Out { kind, nth, op, push, host, sent: now, ends, end });
+                    self.out.push(Out { kind, nth, request, attempt, host, sent: now, ends, outcome });
                 }
-                Order::CallOff { op, push } => {
-                    let named =
-                        |out: &&mut Out| (out.kind, out.nth, out.op, out.push) == (kind, nth, op, push.0);
+                PolicyAction::CancelAttempt { request, attempt } => {
+                    let named = |out: &&mut Out| {
+                        (out.kind, out.nth, out.request, out.attempt) == (kind, nth, request, attempt.0)
+                    };
                     // What waits or runs goes on: calling off proves nothing.
                     if let Some(out) = self.out.iter_mut().find(named) {
-                        (out.ends, out.end) = (now + MS, End::CalledOff);
+                        (out.ends, out.outcome) = (now + MS, AttemptOutcome::Cancelled);
                     }
                 }
-                Order::Nack { op, .. } | Order::DeadLetter { op } => {
-                    let taken = self.ops.get_mut(&(kind, nth, op)).expect("an op that was taken");
+                PolicyAction::Reject { request, .. } | PolicyAction::Fail { request } => {
+                    let taken = self.requests.get_mut(&(kind, nth, request)).expect("an op that was taken");
                     taken.answers += 1;
-                    if matches!(order, Order::Nack { .. })
-                        && taken.category == ONCE.0
+                    if matches!(action, PolicyAction::Reject { .. })
+                        && taken.class == ONCE.0
                         && !taken.runs.is_empty()
                     {
                         self.broken.push("a nack of an at-most-once op that may have run".to_owned());
                     }
                 }
-                Order::Wake { .. } | Order::Watch => {}
+                PolicyAction::SetTimer { .. } | PolicyAction::WatchDiscovery => {}
             }
         }
     }
 
-    fn tick(&mut self, now: Micros, chance: &mut Chance) {
+    fn tick(&mut self, now: Micros, chance: &mut SeededRng) {
         let due = |out: &Out| out.ends <= now;
         while let Some(at) = self.out.iter().position(due) {
-            let Out { kind, nth, op, push, host, sent, end, .. } = self.out.remove(at);
-            let taken = self.ops.get_mut(&(kind, nth, op)).expect("an op that was taken");
-            let over = taken.answers > 0;
-            if end == End::Acked && !over {
+            let Out { kind, nth, request, attempt, host, sent, outcome, .. } = self.out.remove(at);
+            let taken = self.requests.get_mut(&(kind, nth, request)).expect("an op that was taken");
+            let finished = taken.answers > 0;
+            if outcome == AttemptOutcome::Succeeded && !finished {
                 taken.answers += 1;
-                let in_time = taken.category == READ.0 && now - taken.at <= 800 * MS;
+                let in_time = taken.class == READ.0 && now - taken.at <= 800 * MS;
                 self.served[kind].1 += u32::from(in_time);
             }
             let fleet = &mut self.kinds[kind][nth];
             fleet.now = now;
-            let over = over || end == End::Acked;
-            let heard = Heard::Ended { op, push: PushNo(push), host, took: now - sent, end, over };
-            let orders = fleet.hear(heard);
-            self.carry_out(kind, nth, now, orders);
+            let finished = finished || outcome == AttemptOutcome::Succeeded;
+            let event = PolicyEvent::AttemptEnded {
+                request,
+                attempt: AttemptNumber(attempt),
+                host,
+                elapsed: now - sent,
+                outcome,
+                finished,
+            };
+            let actions = fleet.handle(event);
+            self.carry_out(kind, nth, now, actions);
         }
         for kind in 0..2 {
             for nth in 0..EACH as usize {
                 let fleet = &mut self.kinds[kind][nth];
                 fleet.now = now;
-                let mut orders = Vec::new();
+                let mut actions = Vec::new();
                 if now == DRAIN_AT || now == START_AT {
-                    let entries = (0..HOSTS).map(|host| Move::listed_at(host, now)).collect();
-                    orders.extend(fleet.hear(Heard::List { whole: true, entries }));
+                    let endpoints = (0..HOSTS).map(|host| Move::listed_at(host, now)).collect();
+                    actions.extend(fleet.handle(PolicyEvent::Endpoints { complete: true, endpoints }));
                 }
                 if (now / MS + 7 * nth as i64) % 50 == 0 {
-                    orders.extend(fleet.hear(Heard::Wake(Wake::Sweep)));
+                    actions.extend(fleet.handle(PolicyEvent::TimerFired(Timer::Sweep)));
                 }
-                self.carry_out(kind, nth, now, orders);
+                self.carry_out(kind, nth, now, actions);
             }
         }
         // Like traffic for both kinds: a third more than all hosts bear.
@@ -198,33 +207,36 @@
             return;
         }
         let (kind, nth) = (chance.draw() as usize % 2, chance.draw() as usize % EACH as usize);
-        let category = match chance.draw() % 20 {
+        let class = match chance.draw() % 20 {
             0 => KEYED,
             1 => ONCE,
             _ => READ,
         };
         let key = format!("key-{}", chance.draw() % 3_000);
-        self.served[kind].0 += u32::from(category == READ);
-        let (op, orders) = self.kinds[kind][nth].op(category, &key);
-        let taken = Taken { category: category.0, at: now, ..Taken::default() };
-        assert!(self.ops.insert((kind, nth, op), taken).is_none(), "each op has a number of its own");
-        self.carry_out(kind, nth, now, orders);
+        self.served[kind].0 += u32::from(class == READ);
+        let (request, actions) = self.kinds[kind][nth].request(class, &key);
+        let taken = Taken { class: class.0, at: now, ..Taken::default() };
+        assert!(
+            self.requests.insert((kind, nth, request), taken).is_none(),
+            "each op has a number of its own"
+        );
+        self.carry_out(kind, nth, now, actions);
     }
 
     /// Plays the move; each kind's share of reads served in time, and what was broken.
-    fn play(shapes: [Terms; 2]) -> ([f64; 2], Vec<String>) {
-        let cold = shapes[0].cold.clone();
+    fn play(shapes: [PolicyConfig; 2]) -> ([f64; 2], Vec<String>) {
+        let cold = shapes[0].slow_start.clone();
         let mut world = Move::new(shapes);
-        let mut chance = Chance::new(11);
+        let mut chance = SeededRng::new(11);
         for tick in 0..(END + ANSWERED_WITHIN + 100 * MS) / MS {
             world.tick(tick * MS, &mut chance);
         }
-        for taken in world.ops.values() {
+        for taken in world.requests.values() {
             if taken.answers != 1 {
                 world.broken.push(format!("{} final answers", taken.answers));
             }
             let first = taken.runs.first().copied().unwrap_or(0);
-            let twice = match taken.category {
+            let twice = match taken.class {
                 1 => taken.runs.iter().any(|run| run - first >= 1_000 * MS),
                 2 => taken.runs.len() > 1,
                 _ => false,
@@ -236,9 +248,9 @@
         // What the host surely bears in the middle of a window, and its full capacity of one op for each WORK.
         for from in (START_AT..END).step_by(250 * MS as usize) {
             let got =
-                world.to_started.iter().filter(|at| (from..from + cold.fall_window).contains(at)).count();
-            let surely = cold.surely(from + cold.fall_window / 2 - START_AT);
-            if got as f64 > cold.fall_multiple * surely * (cold.fall_window / WORK) as f64 {
+                world.to_started.iter().filter(|at| (from..from + cold.overload_window).contains(at)).count();
+            let minimum_capacity = cold.minimum_capacity(from + cold.overload_window / 2 - START_AT);
+            if got as f64 > cold.overload_multiple * minimum_capacity * (cold.overload_window / WORK) as f64 {
                 world.broken.push("a cold host pushed over".to_owned());
             }
         }
@@ -263,9 +275,9 @@
 #[test]
 fn a_kind_that_heeds_no_jam_is_seen_to_starve_the_other() {
     let mut greedy = new_shape();
-    for category in &mut greedy.categories {
-        category.target_latency = 200_000 * MS;
-        category.benefit = 10.0;
+    for class in &mut greedy.classes {
+        class.latency_objective = 200_000 * MS;
+        class.priority_weight = 10.0;
     }
     greedy.balancers = 1;
     let (shares, _) = Move::play([old_shape(), greedy]);
