--- a/balancer/src/budget.rs
+++ b/balancer/src/budget.rs
@@ -19,9 +19,9 @@
 const PIECES: std::ops::RangeInclusive<usize> = 4 * 1024..=64 * 1024;
 
 /// Memory for a value that is read, given back when dropped.
-pub type Room = OwnedSemaphorePermit;
+pub type ValuePermit = OwnedSemaphorePermit;
 
-pub struct Budget {
+pub struct ResourceBudget {
     used: Cell<usize>,
     most: Cell<usize>,
     /// Descriptors that are no connections.
@@ -59,12 +59,12 @@
 }
 
 /// One descriptor, given back when dropped.
-pub struct Permit {
-    budget: Rc<Budget>,
+pub struct DescriptorPermit {
+    budget: Rc<ResourceBudget>,
     client: bool,
 }
 
-impl Drop for Permit {
+impl Drop for DescriptorPermit {
     fn drop(&mut self) {
         let budget = &self.budget;
         budget.used.set(budget.used.get() - 1);
@@ -74,9 +74,9 @@
 }
 
 /// So many bytes held, given back when dropped.
-pub struct Held(Rc<Budget>, usize);
+pub struct MemoryGuard(Rc<ResourceBudget>, usize);
 
-impl Held {
+impl MemoryGuard {
     pub fn set(&mut self, bytes: usize) {
         let budget = &self.0;
         budget.bytes.set(budget.bytes.get() + bytes - self.1);
@@ -87,32 +87,32 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for MemoryGuard {
     fn drop(&mut self) {
         self.set(0);
     }
 }
 
 /// A value that streams.
-pub struct Stream(Rc<Budget>);
+pub struct StreamGuard(Rc<ResourceBudget>);
 
-impl Stream {
+impl StreamGuard {
     /// How much of it may be read at a time now.
     pub fn piece(&self) -> usize {
         (self.0.most_windows / WINDOW / self.0.streams.get()).clamp(*PIECES.start(), *PIECES.end())
     }
 }
 
-impl Drop for Stream {
+impl Drop for StreamGuard {
     fn drop(&mut self) {
         self.0.streams.set(self.0.streams.get() - 1);
     }
 }
 
-impl Budget {
+impl ResourceBudget {
     /// With some of the descriptors set aside for others.
-    pub fn new(descriptors: usize, aside: usize, memory: usize) -> Rc<Budget> {
-        let budget = Budget {
+    pub fn new(descriptors: usize, aside: usize, memory: usize) -> Rc<ResourceBudget> {
+        let budget = ResourceBudget {
             used: Cell::new(0),
             most: Cell::default(),
             aside: OWN + aside,
@@ -151,21 +151,21 @@
         self.used.get().saturating_sub(self.most.get())
     }
 
-    pub fn take(self: &Rc<Budget>) -> Option<Permit> {
+    pub fn take(self: &Rc<ResourceBudget>) -> Option<DescriptorPermit> {
         self.permit(false)
     }
 
-    pub fn take_for_client(self: &Rc<Budget>) -> Option<Permit> {
+    pub fn take_for_client(self: &Rc<ResourceBudget>) -> Option<DescriptorPermit> {
         self.room_for_client().then(|| self.permit(true)).flatten()
     }
 
-    fn permit(self: &Rc<Budget>, client: bool) -> Option<Permit> {
+    fn permit(self: &Rc<ResourceBudget>, client: bool) -> Option<DescriptorPermit> {
         if self.used.get() >= self.most.get() {
             return None;
         }
         self.used.set(self.used.get() + 1);
         self.clients.set(self.clients.get() + usize::from(client));
-        Some(Permit { budget: self.clone(), client })
+        Some(DescriptorPermit { budget: self.clone(), client })
     }
 
     pub fn room_for_client(&self) -> bool {
@@ -194,8 +194,8 @@
         }
     }
 
-    pub fn hold(self: &Rc<Budget>) -> Held {
-        Held(self.clone(), 0)
+    pub fn hold(self: &Rc<ResourceBudget>) -> MemoryGuard {
+        MemoryGuard(self.clone(), 0)
     }
 
     /// Whether a value of this length can ever be read.
@@ -204,15 +204,15 @@
     }
 
     /// Memory for a value, once it is this one's turn.
-    pub async fn reserve(self: Rc<Budget>, length: usize) -> Option<Room> {
+    pub async fn reserve(self: Rc<ResourceBudget>, length: usize) -> Option<ValuePermit> {
         let part = if length > MOST_VALUE { &self.long } else { &self.short };
         part.clone().acquire_many_owned(length.div_ceil(UNIT) as u32).await.ok()
     }
 
     /// One more value streams until this is dropped.
-    pub fn stream(self: &Rc<Budget>) -> Stream {
+    pub fn stream(self: &Rc<ResourceBudget>) -> StreamGuard {
         self.streams.set(self.streams.get() + 1);
-        Stream(self.clone())
+        StreamGuard(self.clone())
     }
 
     pub fn room_for_bytes(&self) -> bool {
--- a/balancer/src/config.rs
+++ b/balancer/src/config.rs
@@ -10,7 +10,7 @@
 use basaltwood_settings::{NameTable, OperatorSettings, RuntimeLimits};
 use serde::Deserialize;
 
-use crate::discovery::Page;
+use crate::discovery::EndpointList;
 
 /// Where the map of regions is looked for, from the working directory, unless `$BASALTWOOD_REGIONS` names
 /// another file.
@@ -28,7 +28,7 @@
     #[serde(default)]
     limits: Limits,
     #[serde(default)]
-    known: Page,
+    known: EndpointList,
     settings: OperatorSettings,
 }
 
@@ -56,7 +56,7 @@
     pub folder: Option<PathBuf>,
     pub memory: usize,
     pub sockets: usize,
-    pub known: Page,
+    pub known: EndpointList,
     /// For the module and the pools: its balancers are those that a host deals with, the own region's where the
     /// map says.
     pub policy: PolicyConfig,
--- a/balancer/src/discovery/mod.rs
+++ b/balancer/src/discovery/mod.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use basaltwood::types::{Endpoint, Lifecycle, Micros};
-use basaltwood_membership::{Asking, Trouble};
-use basaltwood_regions::{Entry, Note, Regions};
+use basaltwood_membership::{WatchError, WatchSchedule};
+use basaltwood_regions::{ListedHost, RegionEvent, Regions};
 use basaltwood_settings::{self as settings, micros};
 use basaltwood_wire::http;
 use serde::Deserialize;
@@ -18,7 +18,7 @@
 use crate::clock::span;
 use crate::read;
 use crate::requests::Shared;
-use crate::upstream::Link;
+use crate::upstream::UpstreamConnection;
 
 /// From one call to the next at least: a discovery that holds nothing must not keep the balancer busy.
 const APART: Duration = Duration::from_millis(20);
@@ -28,7 +28,7 @@
 
 /// The list as discovery writes it. Entries are read one by one, so that an absurd one spoils no other.
 #[derive(Default, Deserialize)]
-pub struct Page {
+pub struct EndpointList {
     generation: u64,
     #[serde(default)]
     reset: bool,
@@ -57,7 +57,7 @@
 
 /// What an entry tells of a host beside its place and lifecycle.
 #[derive(Clone)]
-pub struct Rest {
+pub struct HostDetails {
     /// None where it takes nothing new.
     address: Option<SocketAddr>,
     started: Option<Micros>,
@@ -65,10 +65,10 @@
     cell: Option<u32>,
 }
 
-pub type Rings = Regions<Rest>;
+pub type Rings = Regions<HostDetails>;
 
 /// Tells the facade and the servers what a page says; its generation.
-pub fn take(shared: &Shared, page: Page, whole: bool) -> u64 {
+pub fn take(shared: &Shared, page: EndpointList, whole: bool) -> u64 {
     let now = shared.clock.now();
     let mut entries = Vec::with_capacity(page.instances.len());
     for value in page.instances {
@@ -112,40 +112,45 @@
 }
 
 /// What of a list the module is to hear where there are regions.
-fn in_ring(shared: &Shared, regions: &mut Rings, whole: bool, entries: Vec<Entry<Rest>>) -> Vec<Entry<Rest>> {
-    let passed = regions.hear(whole, entries);
-    for note in &passed.notes {
+fn in_ring(
+    shared: &Shared,
+    regions: &mut Rings,
+    whole: bool,
+    entries: Vec<ListedHost<HostDetails>>,
+) -> Vec<ListedHost<HostDetails>> {
+    let passed = regions.apply(whole, entries);
+    for note in &passed.events {
         match note {
-            Note::Unnamed(zone) => {
+            RegionEvent::UnknownZone(zone) => {
                 shared.counters.regions_zones_unnamed.add();
                 let zone = zone.as_deref().map_or("no zone".to_owned(), |zone| format!("zone {zone:?}"));
                 log::warn!("regions: the list has hosts of {zone}, which no region names: not used here");
             }
-            Note::Ring { before, now } => {
+            RegionEvent::RingChanged { before, now } => {
                 shared.counters.regions_rings.add();
                 log::warn!("regions: the ring is region {now:?} from now on, {before:?} before");
             }
         }
     }
-    shared.counters.regions_hosts_in.add_many(passed.came);
-    shared.counters.regions_hosts_out.add_many(passed.went);
+    shared.counters.regions_hosts_in.add_many(passed.hosts_added);
+    shared.counters.regions_hosts_out.add_many(passed.hosts_removed);
     passed.entries
 }
 
 /// A host as the module knows it, and its place for the servers.
-fn placed(shared: &Shared, entry: Entry<Rest>) -> Endpoint {
-    let Entry { host, zone, origin, lifecycle, rest } = entry;
+fn placed(shared: &Shared, entry: ListedHost<HostDetails>) -> Endpoint {
+    let ListedHost { host, zone, origin, lifecycle, details } = entry;
     let listed = shared.names.borrow_mut().endpoint(&settings::EndpointRecord {
         host: &host,
         zone: zone.as_deref(),
         kind: None,
-        cell: rest.cell,
+        cell: details.cell,
         lifecycle,
-        weight: rest.weight,
-        started_at: rest.started,
+        weight: details.weight,
+        started_at: details.started,
     });
     let listed = Endpoint { origin, ..listed };
-    if let Some(address) = rest.address {
+    if let Some(address) = details.address {
         shared.upstreams.place(listed.host, address, origin);
     }
     if lifecycle != Lifecycle::Up {
@@ -162,7 +167,7 @@
     Some(Instance { instance_id: word("instanceId")?, lifecycle, ..Instance::default() })
 }
 
-fn entry(shared: &Shared, value: &serde_json::Value, now: Micros) -> Result<Entry<Rest>, String> {
+fn entry(shared: &Shared, value: &serde_json::Value, now: Micros) -> Result<ListedHost<HostDetails>, String> {
     let instance = match Instance::deserialize(value) {
         Ok(instance) => instance,
         Err(cause) => bare(value).ok_or_else(|| cause.to_string())?,
@@ -192,24 +197,28 @@
         _ => None,
     };
     let weight = instance.weight.filter(|weight| (1e-3..1e6).contains(weight));
-    Ok(Entry {
+    Ok(ListedHost {
         host: instance.instance_id.into(),
         zone: instance.zone.map(Into::into),
         origin: shared.names.borrow().is_origin(instance.machine_type.as_deref()),
         lifecycle,
-        rest: Rest { address, started, weight, cell: instance.cell },
+        details: HostDetails { address, started, weight, cell: instance.cell },
     })
 }
 
 /// Watches for ever, and moves at once where discovery is said to be elsewhere: the call under way is given up
 /// and its connection closed, so that nothing is heard from two places.
-pub async fn watch(shared: Rc<Shared>, mut discovery: watch::Receiver<SocketAddr>, mut asking: Asking) {
+pub async fn watch(
+    shared: Rc<Shared>,
+    mut discovery: watch::Receiver<SocketAddr>,
+    mut schedule: WatchSchedule,
+) {
     loop {
         let address = *discovery.borrow_and_update();
         tokio::select! {
-            () = watch_at(&shared, address, &mut asking) => {}
+            () = watch_at(&shared, address, &mut schedule) => {}
             moved = discovery.changed() => match moved {
-                Ok(()) => asking.moved(),
+                Ok(()) => schedule.discovery_moved(),
                 Err(_) => return,
             },
         }
@@ -217,34 +226,34 @@
 }
 
 /// Watches at one address for ever.
-async fn watch_at(shared: &Shared, address: SocketAddr, asking: &mut Asking) {
+async fn watch_at(shared: &Shared, address: SocketAddr, schedule: &mut WatchSchedule) {
     let mut connection = None;
     loop {
         let began = Instant::now();
         let next = began + APART;
-        log::debug!("asks discovery from {:?}", asking.from());
-        match call(shared, &mut connection, address, asking, began).await {
+        log::debug!("asks discovery from {:?}", schedule.known_version());
+        match call(shared, &mut connection, address, schedule, began).await {
             Ok(page) => {
-                if asking.failures() > 0 {
+                if schedule.consecutive_failures() > 0 {
                     log::info!("discovery answers again");
                 }
-                let whole = page.reset || asking.from().is_none();
+                let whole = page.reset || schedule.known_version().is_none();
                 let generation = take(shared, page, whole);
-                asking.answered(generation, whole);
+                schedule.succeeded(generation, whole);
                 sleep_until(next).await;
             }
             Err(trouble) => {
                 connection = None;
                 let counters = &shared.counters;
                 match trouble {
-                    Trouble::NotNow { .. } => counters.list_refused.add(),
-                    Trouble::Silent(_) => counters.list_silent.add(),
-                    Trouble::Senseless(_) => counters.list_senseless.add(),
+                    WatchError::Unavailable { .. } => counters.list_refused.add(),
+                    WatchError::TimedOut(_) => counters.list_silent.add(),
+                    WatchError::InvalidResponse(_) => counters.list_senseless.add(),
                 }
-                if asking.failures() == 0 {
+                if schedule.consecutive_failures() == 0 {
                     log::warn!("discovery: {}; the list stays as it is", trouble.cause());
                 }
-                sleep(span(asking.failed(&trouble, took(began)))).await;
+                sleep(span(schedule.failed(&trouble, took(began)))).await;
             }
         }
     }
@@ -256,28 +265,28 @@
 
 async fn call(
     shared: &Shared,
-    connection: &mut Option<Link>,
+    connection: &mut Option<UpstreamConnection>,
     discovery: SocketAddr,
-    asking: &Asking,
+    schedule: &WatchSchedule,
     began: Instant,
-) -> Result<Page, Trouble> {
-    let silent = |cause: std::io::Error| Trouble::Silent(cause.to_string());
-    let mute = |what: &str| Trouble::Silent(what.to_owned());
-    let Link { stream, buffer, .. } = match connection {
+) -> Result<EndpointList, WatchError> {
+    let silent = |cause: std::io::Error| WatchError::TimedOut(cause.to_string());
+    let mute = |what: &str| WatchError::TimedOut(what.to_owned());
+    let UpstreamConnection { stream, buffer, .. } = match connection {
         Some(open) => open,
         None => {
-            let until = began + span(asking.overdue().min(asking.patience()));
+            let until = began + span(schedule.response_timeout().min(schedule.call_timeout()));
             // Its descriptor is set aside: where clients and hosts hold all others, a drain must be heard still.
             let opening = shared.upstreams.open(None, discovery, until, MOST_BODY + 64 * 1024);
             connection.insert(opening.await.map_err(silent)?)
         }
     };
-    let path = match asking.from() {
-        Some(from) => format!("/v1/servers?from={from}&hold_ms={}", asking.hold(took(began)) / 1000),
+    let path = match schedule.known_version() {
+        Some(from) => format!("/v1/servers?from={from}&hold_ms={}", schedule.hold_for(took(began)) / 1000),
         None => "/v1/servers".to_owned(),
     };
     let request = http::request("GET", &path, &discovery.to_string(), &[], None);
-    let answer = timeout_at(began + span(asking.patience()), async {
+    let answer = timeout_at(began + span(schedule.call_timeout()), async {
         stream.write_all(&request).await.map_err(silent)?;
         loop {
             match read(stream, buffer).await {
@@ -285,7 +294,9 @@
                 Ok(_) => {}
                 Err(cause) => return Err(silent(cause)),
             }
-            if let Some(answer) = http::answer(buffer.bytes(), MOST_BODY).map_err(Trouble::Senseless)? {
+            if let Some(answer) =
+                http::answer(buffer.bytes(), MOST_BODY).map_err(WatchError::InvalidResponse)?
+            {
                 return Ok(answer);
             }
         }
@@ -300,9 +311,9 @@
         // Too much is asked of it, or it is not itself: asking for more would make that worse.
         429 | 500.. => {
             let retry_after = answer.retry_after.map(|seconds| Micros::from(seconds) * 1_000_000);
-            return Err(Trouble::NotNow { cause: format!("status {}", answer.status), retry_after });
+            return Err(WatchError::Unavailable { cause: format!("status {}", answer.status), retry_after });
         }
-        status => return Err(Trouble::Senseless(format!("status {status}"))),
+        status => return Err(WatchError::InvalidResponse(format!("status {status}"))),
     }
-    serde_json::from_slice(&answer.body).map_err(|cause| Trouble::Senseless(cause.to_string()))
+    serde_json::from_slice(&answer.body).map_err(|cause| WatchError::InvalidResponse(cause.to_string()))
 }
--- a/balancer/src/downstream/mod.rs
+++ b/balancer/src/downstream/mod.rs
@@ -21,12 +21,12 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-use crate::budget::{Permit, Room};
+use crate::budget::{DescriptorPermit, ValuePermit};
 use crate::lifecycle::Phase;
-use crate::metrics::{Outcome, Taken};
+use crate::metrics::{ActiveRequest, RequestOutcome};
 use crate::read;
-use crate::request::{Long, Request, Value};
-use crate::requests::{Answer, Final, Shared};
+use crate::request::{ClientRequest, StreamedValue, Value};
+use crate::requests::{Final, FinalAnswer, Shared};
 
 /// Commands of one connection that wait for their answers; more are left unread.
 const PIPELINE: usize = 32;
@@ -73,7 +73,7 @@
             biased;
             now = phase.wait_for(|now| !now.accepts()), if !ends => match now {
                 // The platform's socket goes on, and another process takes what waits there.
-                Ok(now) if *now == Phase::HandingOver => return,
+                Ok(now) if *now == Phase::Takeover => return,
                 _ => {
                     ends = true;
                     continue;
@@ -91,7 +91,7 @@
             }
             Err(cause) => {
                 log::warn!("accept: {cause}");
-                if *phase.borrow() == Phase::LastAnswers {
+                if *phase.borrow() == Phase::Flushing {
                     return;
                 }
                 shared.upstreams.drop_idle();
@@ -103,7 +103,7 @@
 
 /// Room for one more client. Where there is none, connections that stand idle go first, the one that did so longest
 /// before others.
-async fn room(shared: &Shared) -> Permit {
+async fn room(shared: &Shared) -> DescriptorPermit {
     loop {
         if let Some(permit) = shared.budget.take_for_client() {
             return permit;
@@ -119,7 +119,7 @@
 /// An answer that is there, or that an op still owes.
 enum Waiting {
     There(Bytes),
-    Owed(oneshot::Receiver<Final>, Taken),
+    Owed(oneshot::Receiver<Final>, ActiveRequest),
 }
 
 /// An answer on its way to the client, and what it means for the op that owed it.
@@ -127,8 +127,8 @@
 struct Sending {
     text: Bytes,
     /// What follows the text, of a long value.
-    long: Option<Long>,
-    ends: Option<(Taken, Outcome)>,
+    long: Option<StreamedValue>,
+    ends: Option<(ActiveRequest, RequestOutcome)>,
 }
 
 impl Sending {
@@ -166,7 +166,7 @@
                 true
             }
             None => {
-                self.ends = self.ends.take().map(|(taken, _)| (taken, Outcome::Errors));
+                self.ends = self.ends.take().map(|(taken, _)| (taken, RequestOutcome::Errors));
                 self.end();
                 false
             }
@@ -185,8 +185,8 @@
 enum Wanted {
     /// A small one is read as any command is.
     None,
-    Awaited(Pin<Box<dyn Future<Output = Option<Room>>>>),
-    Given(Room),
+    Awaited(Pin<Box<dyn Future<Output = Option<ValuePermit>>>>),
+    Given(ValuePermit),
 }
 
 impl Coming {
@@ -271,7 +271,12 @@
     Output::Wrote(to.write(&sending.text).await)
 }
 
-async fn serve(shared: Rc<Shared>, mut stream: TcpStream, permit: Permit, mut phase: watch::Receiver<Phase>) {
+async fn serve(
+    shared: Rc<Shared>,
+    mut stream: TcpStream,
+    permit: DescriptorPermit,
+    mut phase: watch::Receiver<Phase>,
+) {
     let _permit = permit;
     let _ = stream.set_nodelay(true);
     let linger = match talk(&shared, &mut stream, &mut phase).await {
@@ -371,10 +376,10 @@
             Phase::LameDuck => !half && (heard || since(Some(came), UNASKED)),
             Phase::Draining => !half && (heard || silent),
             // Later ones go to the other process. A close that follows an answer crosses no request.
-            Phase::HandingOver => !half && (parting || (heard && since(leaving, KEPT))),
+            Phase::Takeover => !half && (parting || (heard && since(leaving, KEPT))),
             // Half a command that nothing is added to will not be whole, and a balancer must not stay away for it.
             Phase::Closing => silent || (!half && heard),
-            Phase::LastAnswers | Phase::Ended => true,
+            Phase::Flushing | Phase::Ended => true,
         };
         if idle && (ends || late) {
             // What came in the meantime is served: a close by a timer must cross as few requests as can be.
@@ -393,7 +398,7 @@
             _ => None,
         };
         until = limit.and_then(|limit| until.or_else(|| Some(Instant::now() + limit)));
-        let takes = last.is_none() && !awaits_room && !late && now != Phase::LastAnswers;
+        let takes = last.is_none() && !awaits_room && !late && now != Phase::Flushing;
         let more = takes && waiting.len() < most(&sending);
         let owes = awaits_room || waiting.iter().any(|one| matches!(one, Waiting::Owed(..)));
         // What waits for its turn is read all the same while an op goes on: of a client whose unread bytes fill its window the
@@ -434,7 +439,7 @@
             output = output(&mut writing, &mut sending), if !sending.is_empty() => match output {
                 Output::Wrote(Ok(count)) if count > 0 => {
                     sending.sent(count);
-                    parting = *phase.borrow() == Phase::HandingOver;
+                    parting = *phase.borrow() == Phase::Takeover;
                     until = until.filter(|_| !sending.is_empty() && sending.long.is_none());
                 }
                 Output::Piece(true) => {}
@@ -523,13 +528,13 @@
     match (waiting.pop_front(), last) {
         (Some(Waiting::Owed(_, taken)), Ok((answer, _))) => {
             let outcome = match &answer {
-                Answer::Succeeded(_) => Outcome::Ok,
-                Answer::Rejected { .. } => Outcome::Shed,
-                Answer::Failed => Outcome::Errors,
+                FinalAnswer::Succeeded(_) => RequestOutcome::Ok,
+                FinalAnswer::Rejected { .. } => RequestOutcome::Shed,
+                FinalAnswer::Failed => RequestOutcome::Errors,
             };
             let text = written(&answer);
             let long = match answer {
-                Answer::Succeeded(Value::Long(long)) => Some(long),
+                FinalAnswer::Succeeded(Value::Streamed(long)) => Some(long),
                 _ => None,
             };
             Some(Sending { text, long, ends: Some((taken, outcome)) })
@@ -586,7 +591,7 @@
     shared: &Shared,
     words: Vec<Bytes>,
     apart: Option<(Vec<Bytes>, Wanted)>,
-) -> Result<(Request, NewRequest), String> {
+) -> Result<(ClientRequest, NewRequest), String> {
     let mut words = words.into_iter();
     let (Some(command), Some(key), Some(id), Some(facts)) =
         (words.next(), words.next(), words.next(), words.next())
@@ -625,16 +630,18 @@
     if !shared.admit(&id) {
         return Err("an op with this id is open".to_owned());
     }
-    Ok((Request { command, key, id, facts, value, _room: room, over: watch::Sender::new(false) }, ask))
+    Ok((ClientRequest { command, key, id, facts, value, _room: room, over: watch::Sender::new(false) }, ask))
 }
 
 /// A final answer in the protocol's words; of a long value its head.
-fn written(answer: &Answer) -> Bytes {
+fn written(answer: &FinalAnswer) -> Bytes {
     match answer {
-        Answer::Succeeded(Value::Whole(value)) => resp::value(value),
-        Answer::Succeeded(Value::Long(long)) => resp::head(long.length),
-        Answer::Rejected { retry_after: Some(span) } => Bytes::from(format!("-BUSY {}\r\n", span / 1000)),
-        Answer::Rejected { retry_after: None } => Bytes::from_static(b"-BUSY\r\n"),
-        Answer::Failed => resp::error("dead-lettered"),
+        FinalAnswer::Succeeded(Value::Whole(value)) => resp::value(value),
+        FinalAnswer::Succeeded(Value::Streamed(long)) => resp::head(long.length),
+        FinalAnswer::Rejected { retry_after: Some(span) } => {
+            Bytes::from(format!("-BUSY {}\r\n", span / 1000))
+        }
+        FinalAnswer::Rejected { retry_after: None } => Bytes::from_static(b"-BUSY\r\n"),
+        FinalAnswer::Failed => resp::error("dead-lettered"),
     }
 }
--- a/balancer/src/lifecycle.rs
+++ b/balancer/src/lifecycle.rs
@@ -11,11 +11,11 @@
     /// Told to end: takes what still comes, answers it, closes connections once they were of use.
     Draining,
     /// Told to end where another process accepts: each connection is closed after its next answer.
-    HandingOver,
+    Takeover,
     /// Nothing new is taken; connections are closed as soon as they are owed nothing.
     Closing,
     /// Whatever was open has its final answer, what still comes is nacked; connections are closed once those are written.
-    LastAnswers,
+    Flushing,
     /// Nothing is owed any more.
     Ended,
 }
--- a/balancer/src/metrics.rs
+++ b/balancer/src/metrics.rs
@@ -5,11 +5,11 @@
 
 use basaltwood::types::{PoolSize, RequestClassId};
 use basaltwood_admin::Page;
-use basaltwood_regions::{Counts, Regions};
+use basaltwood_regions::{RegionCounts, Regions};
 
 /// How an op ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum RequestOutcome {
     Ok,
     Shed,
     Errors,
@@ -17,7 +17,7 @@
 
 pub struct Metrics {
     categories: Vec<String>,
-    /// By category, in the order of `Outcome`.
+    /// By category, in the order of `RequestOutcome`.
     ended: RefCell<Vec<[u64; 3]>>,
     tries: Cell<u64>,
     active: Cell<u64>,
@@ -29,7 +29,7 @@
 
 /// How many hosts of the list lie where, each region's name with whether it is the ring, the map's version.
 struct InRegions {
-    counts: Counts,
+    counts: RegionCounts,
     names: Vec<(String, bool)>,
     /// The map's, as eight digits.
     version: String,
@@ -37,17 +37,17 @@
 
 /// An op that was taken and has not ended for its client. Dropped without an outcome it was abandoned, and counts as
 /// none: every way out of an op passes here once.
-pub struct Taken(Rc<Metrics>, RequestClassId);
+pub struct ActiveRequest(Rc<Metrics>, RequestClassId);
 
-impl Taken {
-    pub fn ended(self, outcome: Outcome) {
+impl ActiveRequest {
+    pub fn ended(self, outcome: RequestOutcome) {
         if let Some(ended) = self.0.ended.borrow_mut().get_mut(usize::from(self.1 .0)) {
             ended[outcome as usize] += 1;
         }
     }
 }
 
-impl Drop for Taken {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
         self.0.active.set(self.0.active.get() - 1);
     }
@@ -61,9 +61,9 @@
         Rc::new(Metrics { categories, ended, tries, active, pool, regions: RefCell::default() })
     }
 
-    pub fn take(self: &Rc<Metrics>, category: RequestClassId) -> Taken {
+    pub fn take(self: &Rc<Metrics>, category: RequestClassId) -> ActiveRequest {
         self.active.set(self.active.get() + 1);
-        Taken(self.clone(), category)
+        ActiveRequest(self.clone(), category)
     }
 
     /// A push was written whole, to a cache host or the origin.
@@ -92,9 +92,9 @@
         let mut page = Page::default();
         let ended = self.ended.borrow();
         for (name, help, which) in [
-            ("edge_proxy_ok", "Ops whose value was written to the client.", Outcome::Ok),
-            ("edge_proxy_shed", "Ops refused: trying again is harmless.", Outcome::Shed),
-            ("edge_proxy_errors", "Ops that failed.", Outcome::Errors),
+            ("edge_proxy_ok", "Ops whose value was written to the client.", RequestOutcome::Ok),
+            ("edge_proxy_shed", "Ops refused: trying again is harmless.", RequestOutcome::Shed),
+            ("edge_proxy_errors", "Ops that failed.", RequestOutcome::Errors),
         ] {
             let by_kind = self.categories.iter().zip(ended.iter());
             let samples = by_kind.map(|(kind, ended)| (Some(("kind", kind.as_str())), ended[which as usize]));
--- a/balancer/src/process.rs
+++ b/balancer/src/process.rs
@@ -10,12 +10,12 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
 
-use basaltwood_connection_pool::Pools;
+use basaltwood_connection_pool::ConnectionPools;
 use basaltwood_handover as knowledge;
-use basaltwood_membership::{self as membership, Asking};
+use basaltwood_membership::{self as membership, WatchSchedule};
 
 use crate::admin::{self, Front};
-use crate::budget::Budget;
+use crate::budget::ResourceBudget;
 use crate::clock::{span, Clock};
 use crate::config::Config;
 use crate::counters::Counters;
@@ -76,13 +76,13 @@
             Some(_) => (LimitShare::Beginning.of(config.sockets), LimitShare::Half.of(config.memory)),
             None => (config.sockets, config.memory),
         };
-        let budget = Budget::new(sockets, aside, memory);
-        let pools = Pools::new(basaltwood_connection_pool::Terms {
+        let budget = ResourceBudget::new(sockets, aside, memory);
+        let pools = ConnectionPools::new(basaltwood_connection_pool::PoolConfig {
             seed: config.policy.seed,
             balancers: config.policy.balancers,
-            idle_for: config.limits.idle_timeout,
-            connect_within: config.limits.connect_timeout,
-            most: config.sockets,
+            idle_timeout: config.limits.idle_timeout,
+            connect_timeout: config.limits.connect_timeout,
+            max_connections: config.sockets,
         });
         let figures = Metrics::new(config.names.class_names());
         let servers = Upstreams::new(
@@ -130,12 +130,17 @@
         let discovery = watch::Sender::new(config.discovery);
         let (seed, balancers) = (config.policy.seed, config.fleet);
         let grace = config.limits.drain_grace;
-        let asking = Asking::new(membership::Terms { seed, balancers, known: Some(known), grace });
-        parts.spawn_local(discovery::watch(shared.clone(), discovery.subscribe(), asking));
+        let schedule = WatchSchedule::new(membership::WatchConfig {
+            seed,
+            balancers,
+            known_version: Some(known),
+            drain_grace: grace,
+        });
+        parts.spawn_local(discovery::watch(shared.clone(), discovery.subscribe(), schedule));
         parts.spawn_local(tick(shared.clone()));
         parts.spawn_local(shared.clone().heed());
         log::info!("{} listens on {}", config.name, listener.local_addr().map_err(failed)?);
-        let leaving = if config.inherited.is_some() { Phase::HandingOver } else { Phase::Draining };
+        let leaving = if config.inherited.is_some() { Phase::Takeover } else { Phase::Draining };
         Ok(Process { phase, shared, listener, signals, last_answers, leaving, discovery, parts })
     }
 
@@ -166,7 +171,7 @@
         }
         // Each connection holds a receiver for as long as it lives, and ends once it owes nothing.
         if timeout_at(end, phase.closed()).await.is_err() {
-            enter(Phase::LastAnswers);
+            enter(Phase::Flushing);
             shared.router.borrow_mut().shut_down(shared.clock.now());
             shared.ring();
             // Only a client that does not take its answer is left to wait for, and that is cut off by itself.
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -6,26 +6,26 @@
 use bytes::Bytes;
 use tokio::sync::{mpsc, watch};
 
-use crate::budget::Room;
+use crate::budget::ValuePermit;
 
 /// How a push ended, and the value where it brought one.
-pub type Outcome = (AttemptOutcome, Option<Value>);
+pub type AttemptResult = (AttemptOutcome, Option<Value>);
 
 /// A value that a push brought.
 pub enum Value {
     Whole(Bytes),
-    Long(Long),
+    Streamed(StreamedValue),
 }
 
 /// A value past what is held whole: it comes in pieces, as they are taken. Where they end before its length is reached,
 /// the host did not give the rest.
-pub struct Long {
+pub struct StreamedValue {
     pub length: usize,
     pub pieces: mpsc::Receiver<Bytes>,
 }
 
 /// What a client asked, in its own bytes.
-pub struct Request {
+pub struct ClientRequest {
     pub command: Bytes,
     pub key: Bytes,
     pub id: Bytes,
@@ -34,12 +34,12 @@
     /// What is to be written, in segments.
     pub value: Option<Vec<Bytes>>,
     /// The memory that a long one was given.
-    pub _room: Option<Room>,
+    pub _room: Option<ValuePermit>,
     /// The op has its final answer, or nobody waits for one: nothing more may be sent.
     pub over: watch::Sender<bool>,
 }
 
-impl Request {
+impl ClientRequest {
     /// The value where it is too long to be copied into a command: its length and its segments.
     pub fn long(&self) -> Option<(usize, &[Bytes])> {
         let segments = self.value.as_deref()?;
--- a/balancer/src/requests.rs
+++ b/balancer/src/requests.rs
@@ -12,24 +12,24 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::task::{AbortHandle, JoinSet};
 
-use crate::budget::{Budget, Held};
+use crate::budget::{MemoryGuard, ResourceBudget};
 use crate::clock::Clock;
 use crate::counters::Counters;
 use crate::discovery::Rings;
 use crate::metrics::Metrics;
-use crate::request::{Outcome, Request, Value};
+use crate::request::{AttemptResult, ClientRequest, Value};
 use crate::upstream::origin;
-use crate::upstream::{Note, Upstreams};
+use crate::upstream::{UpstreamEvent, Upstreams};
 
 /// The final answer to an op, in no protocol's form.
-pub enum Answer {
+pub enum FinalAnswer {
     Succeeded(Value),
     Rejected { retry_after: Option<Micros> },
     Failed,
 }
 
 /// A final answer and the memory that it takes until it is sent.
-pub type Final = (Answer, Held);
+pub type Final = (FinalAnswer, MemoryGuard);
 
 /// All that serving an op takes, shared by every connection.
 pub struct Shared {
@@ -41,7 +41,7 @@
     pub clock: Rc<Clock>,
     pub counters: Rc<Counters>,
     pub metrics: Rc<Metrics>,
-    pub budget: Rc<Budget>,
+    pub budget: Rc<ResourceBudget>,
     bells: RefCell<BTreeMap<RequestId, Rc<Notify>>>,
     /// The clients' ids of the ops open here: hosts drop or refuse what comes under one a second time.
     open: RefCell<HashSet<Bytes>>,
@@ -55,7 +55,7 @@
         upstreams: Rc<Upstreams>,
         clock: Rc<Clock>,
         counters: Rc<Counters>,
-        budget: Rc<Budget>,
+        budget: Rc<ResourceBudget>,
     ) -> Shared {
         Shared {
             router: RefCell::new(Router::new(config, most_held)),
@@ -99,10 +99,10 @@
             let now = self.clock.now();
             let mut router = self.router.borrow_mut();
             match note {
-                Note::Doubt((op, push)) => router.attempt_in_doubt(now, op, push),
-                Note::First((op, push)) => router.attempt_on_new_connection(now, op, push),
-                Note::Alive(host) => router.host_alive(now, host),
-                Note::Stopped(span) => router.process_stalled(now, span),
+                UpstreamEvent::AttemptInDoubt((op, push)) => router.attempt_in_doubt(now, op, push),
+                UpstreamEvent::NewConnection((op, push)) => router.attempt_on_new_connection(now, op, push),
+                UpstreamEvent::HostAlive(host) => router.host_alive(now, host),
+                UpstreamEvent::ProcessStalled(span) => router.process_stalled(now, span),
             }
         }
         self.ring();
@@ -116,10 +116,10 @@
     /// Serves one op that was admitted. The client is gone once the other end of `answer` is dropped.
     pub async fn serve(
         self: Rc<Shared>,
-        request: Request,
+        request: ClientRequest,
         ask: NewRequest,
         answer: oneshot::Sender<Final>,
-        held: Held,
+        held: MemoryGuard,
     ) {
         self.counters.ops.add();
         // It may have asked and gone while it waited to be served: nothing is begun for nobody.
@@ -177,10 +177,10 @@
 struct UnderWay {
     shared: Rc<Shared>,
     op: RequestId,
-    request: Rc<Request>,
-    held: Option<Held>,
+    request: Rc<ClientRequest>,
+    held: Option<MemoryGuard>,
     answer: Option<oneshot::Sender<Final>>,
-    tasks: JoinSet<(AttemptNumber, Outcome)>,
+    tasks: JoinSet<(AttemptNumber, AttemptResult)>,
     out: BTreeMap<AttemptNumber, AbortHandle>,
     value: Option<Value>,
 }
@@ -223,27 +223,27 @@
                 RequestAction::Succeed(_) => {
                     counters.acked.add();
                     let value = self.value.take().unwrap_or(Value::Whole(Bytes::new()));
-                    self.finish(Answer::Succeeded(value));
+                    self.finish(FinalAnswer::Succeeded(value));
                 }
                 RequestAction::Reject { retry_after } => {
                     counters.nacked.add();
                     log::debug!("op {} nacked", self.op.0);
-                    self.finish(Answer::Rejected { retry_after });
+                    self.finish(FinalAnswer::Rejected { retry_after });
                 }
                 RequestAction::Fail => {
                     counters.dead_lettered.add();
                     log::debug!("op {} dead-lettered", self.op.0);
-                    self.finish(Answer::Failed);
+                    self.finish(FinalAnswer::Failed);
                 }
             }
         }
     }
 
-    fn finish(&mut self, last: Answer) {
+    fn finish(&mut self, last: FinalAnswer) {
         self.request.over.send_replace(true);
         if let (Some(answer), Some(mut held)) = (self.answer.take(), self.held.take()) {
             // A long value is held by its stream's window alone.
-            held.set(if let Answer::Succeeded(Value::Whole(value)) = &last { value.len() } else { 0 });
+            held.set(if let FinalAnswer::Succeeded(Value::Whole(value)) = &last { value.len() } else { 0 });
             // A client that has just gone needs none.
             let _ = answer.send((last, held));
         }
@@ -255,7 +255,7 @@
 
     fn ended(
         &mut self,
-        ended: Option<Result<(AttemptNumber, Outcome), tokio::task::JoinError>>,
+        ended: Option<Result<(AttemptNumber, AttemptResult), tokio::task::JoinError>>,
     ) -> Vec<RequestAction> {
         let (push, (end, value)) = match ended {
             Some(Ok(ended)) => ended,
--- a/balancer/src/upstream/mod.rs
+++ b/balancer/src/upstream/mod.rs
@@ -13,7 +13,9 @@
 use std::time::Duration;
 
 use basaltwood::types::{AttemptNumber, AttemptOutcome, HostId, Micros, RequestId};
-use basaltwood_connection_pool::{Counted, Failure, Fault, Grant, LinkId, Order, Pools};
+use basaltwood_connection_pool::{
+    Checkout, ConnectFailure, ConnectionId, ConnectionPools, Fault, PoolAction, PoolStats,
+};
 use basaltwood_settings::RuntimeLimits;
 use basaltwood_wire::buffer::Buffer;
 use basaltwood_wire::resp::{self, LongReply, Reply, MOST};
@@ -24,19 +26,19 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{timeout, timeout_at, Instant};
 
-use crate::budget::{Budget, Permit};
+use crate::budget::{DescriptorPermit, ResourceBudget};
 use crate::clock::{span, Clock};
 use crate::counters::Counters;
 use crate::metrics::Metrics;
 use crate::read;
-use crate::request::{Long, Outcome, Request, Value};
+use crate::request::{AttemptResult, ClientRequest, StreamedValue, Value};
 
 /// A connection that this balancer opened. Dropping it closes it.
-pub struct Link {
+pub struct UpstreamConnection {
     pub stream: TcpStream,
     pub buffer: Buffer,
     /// None where its descriptor is set aside.
-    _permit: Option<Permit>,
+    _permit: Option<DescriptorPermit>,
     /// The last answer that came on it.
     last: Option<Stamp>,
 }
@@ -49,7 +51,7 @@
 
 impl Stamp {
     /// By its length and its last bytes: all of a long one would cost more than it tells.
-    fn of(answer: &[u8], request: &Request) -> Stamp {
+    fn of(answer: &[u8], request: &ClientRequest) -> Stamp {
         let of = |what: (usize, &[u8])| {
             let mut hasher = DefaultHasher::new();
             what.hash(&mut hasher);
@@ -68,9 +70,9 @@
 /// What stands of an answer at the front of a buffer.
 pub enum Found {
     /// All of it: the outcome, how many bytes it took, and whether the connection may carry another.
-    Whole(Outcome, usize, bool),
+    Whole(AttemptResult, usize, bool),
     /// The head of one with a value of so many bytes that is too long to be held whole.
-    Long { start: usize, length: usize, rest: Rest },
+    Streamed { start: usize, length: usize, rest: Rest },
 }
 
 pub type Read = fn(&[u8]) -> Result<Option<Found>, String>;
@@ -99,33 +101,33 @@
 const REST: Duration = Duration::from_millis(500);
 
 /// The push of an op, as the facade numbers it.
-pub type Ticket = (RequestId, AttemptNumber);
+pub type AttemptKey = (RequestId, AttemptNumber);
 
 /// What connections tell of ops and hosts.
-pub enum Note {
-    Doubt(Ticket),
+pub enum UpstreamEvent {
+    AttemptInDoubt(AttemptKey),
     /// It goes on a new connection.
-    First(Ticket),
-    Alive(HostId),
+    NewConnection(AttemptKey),
+    HostAlive(HostId),
     /// This process stood still for so long.
-    Stopped(Micros),
+    ProcessStalled(Micros),
 }
 
 pub struct Upstreams {
     hosts: RefCell<BTreeMap<HostId, Place>>,
-    pools: RefCell<Pools>,
+    pools: RefCell<ConnectionPools>,
     /// Connections that carry nothing.
-    idle: RefCell<BTreeMap<LinkId, Link>>,
+    idle: RefCell<BTreeMap<ConnectionId, UpstreamConnection>>,
     /// Those whose push has given up, read for what may come late.
-    listening: RefCell<BTreeMap<LinkId, AbortHandle>>,
-    carrying: RefCell<BTreeMap<LinkId, Ticket>>,
-    notes: RefCell<Vec<Note>>,
+    listening: RefCell<BTreeMap<ConnectionId, AbortHandle>>,
+    carrying: RefCell<BTreeMap<ConnectionId, AttemptKey>>,
+    notes: RefCell<Vec<UpstreamEvent>>,
     /// When a host last said more than it was asked for.
     twice: Cell<Option<Instant>>,
     /// There are notes.
     pub noted: Notify,
     bounds: RuntimeLimits,
-    budget: Rc<Budget>,
+    budget: Rc<ResourceBudget>,
     counters: Rc<Counters>,
     pub metrics: Rc<Metrics>,
     pub clock: Rc<Clock>,
@@ -143,13 +145,13 @@
 }
 
 /// A connection that a push has; where that is called off, or fails, the pools learn of it.
-struct Held<'a> {
+struct CheckedOut<'a> {
     servers: &'a Upstreams,
-    id: LinkId,
-    link: Option<Link>,
+    id: ConnectionId,
+    link: Option<UpstreamConnection>,
 }
 
-impl Drop for Held<'_> {
+impl Drop for CheckedOut<'_> {
     fn drop(&mut self) {
         self.servers.carrying.borrow_mut().remove(&self.id);
         if self.link.take().is_some() {
@@ -160,7 +162,7 @@
 }
 
 /// One that is being opened; the same.
-struct Opening<'a>(&'a Upstreams, Option<LinkId>);
+struct Opening<'a>(&'a Upstreams, Option<ConnectionId>);
 
 impl Drop for Opening<'_> {
     fn drop(&mut self) {
@@ -173,8 +175,8 @@
 impl Upstreams {
     pub fn new(
         bounds: RuntimeLimits,
-        pools: Pools,
-        budget: Rc<Budget>,
+        pools: ConnectionPools,
+        budget: Rc<ResourceBudget>,
         counters: Rc<Counters>,
         metrics: Rc<Metrics>,
         clock: Rc<Clock>,
@@ -203,7 +205,7 @@
         let place = hosts.entry(host).or_insert_with(fresh);
         place.origin = origin;
         if std::mem::replace(&mut place.address, address) != address {
-            self.pools.borrow_mut().moved(host);
+            self.pools.borrow_mut().host_moved(host);
         }
         drop(hosts);
         self.carry_out();
@@ -215,7 +217,7 @@
         for (&host, place) in self.hosts.borrow_mut().iter_mut() {
             place.takes = takes(host);
             if !place.takes {
-                self.pools.borrow_mut().drained(host);
+                self.pools.borrow_mut().host_draining(host);
                 place.closed.notify_waiters();
             }
         }
@@ -236,7 +238,7 @@
     /// A host that is gone, with nothing open there.
     pub fn forget(&self, host: HostId) {
         self.hosts.borrow_mut().remove(&host);
-        self.pools.borrow_mut().forget(host);
+        self.pools.borrow_mut().forget_host(host);
         self.carry_out();
     }
 
@@ -246,15 +248,15 @@
 
     /// So many descriptors are this process's from now on.
     pub fn allow(&self, most: usize) {
-        self.pools.borrow_mut().allow(most);
+        self.pools.borrow_mut().set_max_connections(most);
     }
 
-    pub fn counted(&self) -> Counted {
-        self.pools.borrow().counted()
+    pub fn counted(&self) -> PoolStats {
+        self.pools.borrow().stats()
     }
 
     /// What was noted since this was last asked.
-    pub fn notes(&self) -> Vec<Note> {
+    pub fn notes(&self) -> Vec<UpstreamEvent> {
         self.notes.take()
     }
 
@@ -263,22 +265,22 @@
         let stopped = self.pools.borrow_mut().tick(self.clock.now());
         if stopped > 0 {
             log::warn!("stood still for {} ms; nobody's silence counts for that time", stopped / 1000);
-            self.note(Note::Stopped(stopped));
+            self.note(UpstreamEvent::ProcessStalled(stopped));
         }
         self.carry_out();
     }
 
-    fn note(&self, note: Note) {
+    fn note(&self, note: UpstreamEvent) {
         self.notes.borrow_mut().push(note);
         self.noted.notify_one();
     }
 
     fn carry_out(&self) {
-        let orders = self.pools.borrow_mut().orders();
+        let orders = self.pools.borrow_mut().take_actions();
         for order in orders {
             match order {
-                Order::Close(id) => self.shut(id),
-                Order::Doubt(id) => {
+                PoolAction::Close(id) => self.shut(id),
+                PoolAction::AttemptInDoubt(id) => {
                     let ticket = self.carrying.borrow().get(&id).copied();
                     if let Some(ticket) = ticket {
                         log::debug!(
@@ -286,18 +288,18 @@
                             ticket.1 .0,
                             ticket.0 .0
                         );
-                        self.note(Note::Doubt(ticket));
+                        self.note(UpstreamEvent::AttemptInDoubt(ticket));
                     }
                 }
-                Order::Alive(host) => {
+                PoolAction::HostAlive(host) => {
                     log::debug!("host {} answers again on a connection from before its silence", host.0);
-                    self.note(Note::Alive(host));
+                    self.note(UpstreamEvent::HostAlive(host));
                 }
             }
         }
     }
 
-    fn shut(&self, id: LinkId) {
+    fn shut(&self, id: ConnectionId) {
         self.idle.borrow_mut().remove(&id);
         if let Some(listening) = self.listening.borrow_mut().remove(&id) {
             listening.abort();
@@ -306,36 +308,41 @@
 
     /// Closes a connection that is needed least; whether there was one.
     pub fn drop_idle(&self) -> bool {
-        let oldest = self.pools.borrow_mut().make_room();
+        let oldest = self.pools.borrow_mut().evict_idle();
         oldest.map(|id| self.shut(id)).is_some()
     }
 
     /// A descriptor for a connection, at the cost of an idle one where there is no other.
-    fn permit(&self) -> Option<Permit> {
+    fn permit(&self) -> Option<DescriptorPermit> {
         self.budget.take().or_else(|| self.drop_idle().then(|| self.budget.take()).flatten())
     }
 
     /// A new connection, up by then; `most` bytes may stand in its buffer.
     pub async fn open(
         &self,
-        permit: Option<Permit>,
+        permit: Option<DescriptorPermit>,
         address: SocketAddr,
         until: Instant,
         most: usize,
-    ) -> io::Result<Link> {
+    ) -> io::Result<UpstreamConnection> {
         let stream = timeout_at(until, TcpStream::connect(address)).await??;
         stream.set_nodelay(true)?;
-        Ok(Link { stream, buffer: Buffer::new(most), _permit: permit, last: None })
+        Ok(UpstreamConnection { stream, buffer: Buffer::new(most), _permit: permit, last: None })
     }
 
     /// A connection for a push: one that is kept, or a new one. A push that gets none never ran; what is this balancer's
     /// own want must not be held against the host.
-    async fn link(&self, host: HostId, ticket: Ticket, until: Instant) -> Result<Held<'_>, AttemptOutcome> {
+    async fn link(
+        &self,
+        host: HostId,
+        ticket: AttemptKey,
+        until: Instant,
+    ) -> Result<CheckedOut<'_>, AttemptOutcome> {
         loop {
-            let grant = self.pools.borrow_mut().grant(self.clock.now(), host);
+            let grant = self.pools.borrow_mut().checkout(self.clock.now(), host);
             self.carry_out();
             match grant {
-                Grant::Carry(id) => {
+                Checkout::Reuse(id) => {
                     let Some(link) = self.idle.borrow_mut().remove(&id) else {
                         self.pools.borrow_mut().abandoned(id);
                         continue;
@@ -344,19 +351,19 @@
                     let read = link.stream.try_read(&mut [0]);
                     if matches!(&read, Err(cause) if cause.kind() == ErrorKind::WouldBlock) {
                         self.counters.connections_reused.add();
-                        return Ok(Held { servers: self, id, link: Some(link) });
+                        return Ok(CheckedOut { servers: self, id, link: Some(link) });
                     }
                     if matches!(read, Ok(1..)) {
                         self.twice.set(Some(Instant::now()));
                     }
                     self.counters.connections_stale.add();
-                    self.pools.borrow_mut().found_ended(id);
+                    self.pools.borrow_mut().found_closed(id);
                 }
-                Grant::Open(id) => {
-                    self.note(Note::First(ticket));
+                Checkout::Open(id) => {
+                    self.note(UpstreamEvent::NewConnection(ticket));
                     return self.opened(host, id, until).await;
                 }
-                Grant::Later(at) => {
+                Checkout::RetryAt(at) => {
                     let freed = self.hosts.borrow().get(&host).map(|place| place.freed.clone());
                     let freed = freed.ok_or(AttemptOutcome::NotSent)?;
                     if Instant::now() >= until {
@@ -364,13 +371,18 @@
                     }
                     let _ = timeout_at(until.min(self.clock.at(at)), freed.notified()).await;
                 }
-                Grant::Closed => return Err(AttemptOutcome::Unreachable),
-                Grant::Full => return Err(AttemptOutcome::NotSent),
+                Checkout::CircuitOpen => return Err(AttemptOutcome::Unreachable),
+                Checkout::Exhausted => return Err(AttemptOutcome::NotSent),
             }
         }
     }
 
-    async fn opened(&self, host: HostId, id: LinkId, until: Instant) -> Result<Held<'_>, AttemptOutcome> {
+    async fn opened(
+        &self,
+        host: HostId,
+        id: ConnectionId,
+        until: Instant,
+    ) -> Result<CheckedOut<'_>, AttemptOutcome> {
         let mut opening = Opening(self, Some(id));
         let address =
             self.hosts.borrow().get(&host).map(|place| place.address).ok_or(AttemptOutcome::NotSent)?;
@@ -387,15 +399,15 @@
             }
             Ok(link) => {
                 self.counters.connections_opened.add();
-                self.pools.borrow_mut().opened(now, id);
-                Ok(Held { servers: self, id, link: Some(link) })
+                self.pools.borrow_mut().connected(now, id);
+                Ok(CheckedOut { servers: self, id, link: Some(link) })
             }
             Err(cause) => {
                 log::debug!("host {} at {address} does not come up: {cause}", host.0);
                 // Cut off by the op's own time it tells nothing of the host.
                 let own = cause.kind() == ErrorKind::TimedOut && until < bound;
-                let why = if own { Failure::Own } else { Failure::Host };
-                self.pools.borrow_mut().failed(now, id, why);
+                let why = if own { ConnectFailure::Local } else { ConnectFailure::Host };
+                self.pools.borrow_mut().connect_failed(now, id, why);
                 Err(AttemptOutcome::Unreachable)
             }
         }
@@ -406,12 +418,12 @@
     pub async fn exchange(
         self: &Rc<Upstreams>,
         host: HostId,
-        ticket: Ticket,
-        request: &Request,
+        ticket: AttemptKey,
+        request: &ClientRequest,
         text: impl FnOnce(Micros) -> Text,
         until: Micros,
         find: Read,
-    ) -> Outcome {
+    ) -> AttemptResult {
         let (ends, until) = (until, self.clock.at(until));
         // Rule 3 again, at the one place that every push passes before its first byte: the module judged when it decided, and
         // leave to open, a handshake or a connection in use may have taken longer than the grace since. A host that was
@@ -450,7 +462,7 @@
             return (end, None);
         }
         let id = held.id;
-        self.pools.borrow_mut().sent(self.clock.now(), id);
+        self.pools.borrow_mut().request_sent(self.clock.now(), id);
         self.metrics.tried();
         self.carrying.borrow_mut().insert(id, ticket);
         loop {
@@ -460,7 +472,7 @@
             match filled {
                 Err(_) => {
                     let link = held.link.take();
-                    let (_, listens) = self.pools.borrow_mut().silent(now, id);
+                    let (_, listens) = self.pools.borrow_mut().attempt_timed_out(now, id);
                     if let Some(link) = link.filter(|_| listens) {
                         self.listen(host, id, link, find);
                     }
@@ -468,11 +480,11 @@
                 }
                 Ok(Ok(0) | Err(_)) => {
                     held.link = None;
-                    let fault = self.pools.borrow_mut().broke(now, id);
+                    let fault = self.pools.borrow_mut().connection_lost(now, id);
                     self.carry_out();
                     log::debug!("host {}: a connection ended over a push, {fault:?} at fault", host.0);
                     return (
-                        if fault == Fault::Link {
+                        if fault == Fault::Connection {
                             AttemptOutcome::ConnectionFault
                         } else {
                             AttemptOutcome::ConnectionLost
@@ -484,13 +496,16 @@
             }
             match find(link.buffer.bytes()) {
                 Ok(None) => {}
-                Ok(Some(Found::Long { start, length, rest })) => {
+                Ok(Some(Found::Streamed { start, length, rest })) => {
                     link.buffer.consume(start);
-                    self.pools.borrow_mut().begun(now, id);
+                    self.pools.borrow_mut().response_begun(now, id);
                     let (give, pieces) = mpsc::channel(1);
                     let passing = Passing { host, id, link: held.link.take(), length, rest };
                     spawn_local(self.clone().pass(passing, give));
-                    return (AttemptOutcome::Succeeded, Some(Value::Long(Long { length, pieces })));
+                    return (
+                        AttemptOutcome::Succeeded,
+                        Some(Value::Streamed(StreamedValue { length, pieces })),
+                    );
                 }
                 Ok(Some(Found::Whole(outcome, used, keep))) => {
                     let stamp = Stamp::of(&link.buffer.bytes()[..used], request);
@@ -528,7 +543,7 @@
     /// of the connection alone.
     async fn pass(self: Rc<Upstreams>, passing: Passing, give: mpsc::Sender<Bytes>) {
         let Passing { host, id, link, length, rest } = passing;
-        let mut held = Held { servers: &self, id, link };
+        let mut held = CheckedOut { servers: &self, id, link };
         let Some(link) = &mut held.link else { return };
         let stream = self.budget.stream();
         let mut left = length;
@@ -576,7 +591,7 @@
         }
     }
 
-    fn give_back(&self, host: HostId, id: LinkId, link: Option<Link>) {
+    fn give_back(&self, host: HostId, id: ConnectionId, link: Option<UpstreamConnection>) {
         if let Some(link) = link {
             self.idle.borrow_mut().insert(id, link);
         }
@@ -584,14 +599,20 @@
             Some(place) if place.takes => place.freed.notify_one(),
             // It drained under its last push: places there are scarce.
             _ => {
-                self.pools.borrow_mut().drained(host);
+                self.pools.borrow_mut().host_draining(host);
                 self.carry_out();
             }
         }
     }
 
     /// Reads on for what may come late: that tells that the host is there again, and the connection can carry pushes.
-    fn listen(self: &Rc<Upstreams>, host: HostId, id: LinkId, mut link: Link, find: Read) {
+    fn listen(
+        self: &Rc<Upstreams>,
+        host: HostId,
+        id: ConnectionId,
+        mut link: UpstreamConnection,
+        find: Read,
+    ) {
         const LONGEST: Duration = Duration::from_secs(60);
         let servers = self.clone();
         let listening = async move {
@@ -607,13 +628,13 @@
                             return keep && link.buffer.is_empty();
                         }
                         // Nobody waits for a long value any more.
-                        Ok(Some(Found::Long { .. })) | Err(_) => return false,
+                        Ok(Some(Found::Streamed { .. })) | Err(_) => return false,
                     }
                 }
             };
             let good = timeout(LONGEST, answer).await.unwrap_or(false);
             servers.listening.borrow_mut().remove(&id);
-            let kept = servers.pools.borrow_mut().late(servers.clock.now(), id, good);
+            let kept = servers.pools.borrow_mut().late_response(servers.clock.now(), id, good);
             if kept {
                 servers.give_back(host, id, Some(link));
             }
@@ -627,10 +648,10 @@
     pub async fn push(
         self: &Rc<Upstreams>,
         host: HostId,
-        ticket: Ticket,
-        request: &Request,
+        ticket: AttemptKey,
+        request: &ClientRequest,
         until: Micros,
-    ) -> Outcome {
+    ) -> AttemptResult {
         let text = |left| {
             let facts = request.facts(left);
             let mut words: Vec<&[u8]> = vec![&request.command, &request.key, &request.id, &facts];
@@ -653,8 +674,8 @@
 /// A long value on its way from a host.
 struct Passing {
     host: HostId,
-    id: LinkId,
-    link: Option<Link>,
+    id: ConnectionId,
+    link: Option<UpstreamConnection>,
     length: usize,
     rest: Rest,
 }
@@ -662,7 +683,7 @@
 fn reply(bytes: &[u8]) -> Result<Option<Found>, String> {
     if let Some(LongReply { start, length, more }) = resp::long_reply(bytes) {
         let rest: Rest = Box::new(move |bytes| Ok(resp::rest(bytes, more)?));
-        return Ok(Some(Found::Long { start, length, rest }));
+        return Ok(Some(Found::Streamed { start, length, rest }));
     }
     let Some((reply, used, keep)) = resp::reply(bytes)? else { return Ok(None) };
     let outcome = match reply {
--- a/balancer/src/upstream/origin.rs
+++ b/balancer/src/upstream/origin.rs
@@ -7,18 +7,18 @@
 use basaltwood_wire::http;
 use basaltwood_wire::resp::{LONGEST, MOST_VALUE};
 
-use crate::request::{Outcome, Request, Value};
-use crate::upstream::{Found, Rest, Text, Ticket, Upstreams};
+use crate::request::{AttemptResult, ClientRequest, Value};
+use crate::upstream::{AttemptKey, Found, Rest, Text, Upstreams};
 
 /// One push of an op to the origin.
 pub async fn push(
     servers: &Rc<Upstreams>,
     host: HostId,
     address: SocketAddr,
-    ticket: Ticket,
-    request: &Request,
+    ticket: AttemptKey,
+    request: &ClientRequest,
     until: Micros,
-) -> Outcome {
+) -> AttemptResult {
     let path = format!("/{}", http::escaped(&request.key));
     let text = |left| {
         let facts = request.facts(left);
@@ -39,7 +39,7 @@
     if let Some((answer, length)) = http::long(bytes, MOST_VALUE, LONGEST) {
         if answer.status == 200 {
             let (start, rest): (usize, Rest) = (answer.used, Box::new(move |_| Ok(Some((0, answer.keep)))));
-            return Ok(Some(Found::Long { start, length, rest }));
+            return Ok(Some(Found::Streamed { start, length, rest }));
         }
     }
     let Some(answer) = http::answer(bytes, MOST_VALUE)? else { return Ok(None) };
--- a/balancer/tests/endings.rs
+++ b/balancer/tests/endings.rs
@@ -44,7 +44,7 @@
     sent.sort();
     let began = Instant::now();
     program.signal("TERM");
-    program.logged("LastAnswers");
+    program.logged("Flushing");
     // What is asked now is turned away, and the connection ends with what it is owed.
     let mut trace = sent.to_vec();
     trace.extend([read.answer(), once.answer(), read.answer(), once.answer()]);
--- a/balancer/tests/operators.rs
+++ b/balancer/tests/operators.rs
@@ -376,7 +376,7 @@
     assert_eq!(kept.answer(), "closed");
     let new = platform.start();
     old.signal("TERM");
-    old.logged("HandingOver");
+    old.logged("Takeover");
     // From now on the new one answers, and is in no drain.
     let mut late = new.client();
     let mut trace = vec![late.asks(&["PING"]), late.asks(&["CACHE.GET", "k", "id2", "c=once,d=900"])];
--- a/connection_pool/src/lib.rs
+++ b/connection_pool/src/lib.rs
@@ -1,9 +1,9 @@
 //! Which connection of a host carries a push, when another is opened, how many are kept, and when one is dead or in doubt.
 //! Pure: time comes in with every call, chance from a seed; sockets are the caller's, who tells what came of each step.
 //!
-//! For a push: [`Pools::grant`]; then [`Pools::opened`] or [`Pools::failed`] where that said to open; [`Pools::sent`] once
-//! its last byte is written; and at its end one of [`Pools::answered`], [`Pools::silent`], [`Pools::broke`] or
-//! [`Pools::abandoned`]. [`Pools::tick`] every now and then; [`Pools::orders`] after any of these.
+//! For a push: [`ConnectionPools::grant`]; then [`ConnectionPools::opened`] or [`ConnectionPools::failed`] where that said to open; [`ConnectionPools::sent`] once
+//! its last byte is written; and at its end one of [`ConnectionPools::answered`], [`ConnectionPools::silent`], [`ConnectionPools::broke`] or
+//! [`ConnectionPools::abandoned`]. [`ConnectionPools::tick`] every now and then; [`ConnectionPools::orders`] after any of these.
 //!
 //! It never decides which host an op goes to or whether it goes again: it says of a fault whose it was ([`Fault`]), tells of
 //! pushes in doubt and of hosts that are surely alive, and the module decides. It opens, closes and reads nothing itself.
@@ -18,72 +18,72 @@
 
 use basaltwood::types::{HostId, Micros, SeededRng};
 
-use opening::Pace;
+use opening::TokenBucket;
 pub use pool::State;
-use pool::{Link, Pool};
+use pool::{Connection, HostPool};
 
 /// A connection, never used again for another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct LinkId(pub u64);
+pub struct ConnectionId(pub u64);
 
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct PoolConfig {
     pub seed: u64,
     /// Balancers that do as this one does: what is bounded is bounded for all of them together.
     pub balancers: u32,
     /// Hosts close a connection that has stood idle for so long, by what the settings say.
-    pub idle_for: Micros,
+    pub idle_timeout: Micros,
     /// A connection that is not up by then will not come up.
-    pub connect_within: Micros,
+    pub connect_timeout: Micros,
     /// Descriptors that connections to hosts may take.
-    pub most: usize,
+    pub max_connections: usize,
 }
 
 /// What a push gets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Grant {
+pub enum Checkout {
     /// This connection, which is up.
-    Carry(LinkId),
+    Reuse(ConnectionId),
     /// A new one: open it.
-    Open(LinkId),
+    Open(ConnectionId),
     /// Not before then, or before a connection comes free.
-    Later(Micros),
+    RetryAt(Micros),
     /// The host does not let connections come up, and is not asked before its pause is over.
-    Closed,
+    CircuitOpen,
     /// The host holds its part of the descriptors with pushes that it does not answer.
-    Full,
+    Exhausted,
 }
 
 /// Whose fault an end was.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// The connection's: the host is well, as far as anyone knows.
-    Link,
+    Connection,
     /// Perhaps the host's.
     Host,
 }
 
 /// Why a connection did not come up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failure {
+pub enum ConnectFailure {
     /// Refused, or not up in time.
     Host,
     /// The push was over meanwhile, or there was no descriptor: nothing was learnt of the host.
-    Own,
+    Local,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
-    Close(LinkId),
+pub enum PoolAction {
+    Close(ConnectionId),
     /// The push on this one is in doubt: others of its host answer, and it does not.
-    Doubt(LinkId),
+    AttemptInDoubt(ConnectionId),
     /// This host answered on a connection from before its silence: it is alive, and the same as before.
-    Alive(HostId),
+    HostAlive(HostId),
 }
 
 /// What it counts, for an operator.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counted {
+pub struct PoolStats {
     /// Kept connections that were not trusted any more for their age, or for a fellow's end.
     pub distrusted: u64,
     /// More than were needed of late.
@@ -111,15 +111,15 @@
 const FORGOT: usize = 3;
 const FORGOT_WITHIN: Micros = 500_000;
 
-pub struct Pools {
-    terms: Terms,
+pub struct ConnectionPools {
+    terms: PoolConfig,
     chance: SeededRng,
-    hosts: BTreeMap<HostId, Pool>,
-    links: BTreeMap<LinkId, HostId>,
+    hosts: BTreeMap<HostId, HostPool>,
+    links: BTreeMap<ConnectionId, HostId>,
     next: u64,
-    pace: Pace,
-    orders: Vec<Order>,
-    counted: Counted,
+    pace: TokenBucket,
+    orders: Vec<PoolAction>,
+    counted: PoolStats,
     ticked: Option<Micros>,
     /// The age that several hosts' connections have proved good up to, as of the last tick.
     others: Micros,
@@ -127,7 +127,7 @@
     dead: Vec<(Micros, HostId)>,
 }
 
-impl std::fmt::Display for Counted {
+impl std::fmt::Display for PoolStats {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
             f,
@@ -146,52 +146,52 @@
     }
 }
 
-impl Pools {
-    pub fn new(terms: Terms) -> Pools {
-        Pools {
+impl ConnectionPools {
+    pub fn new(terms: PoolConfig) -> ConnectionPools {
+        ConnectionPools {
             chance: SeededRng::new(terms.seed),
-            pace: Pace::of_all(terms.balancers),
+            pace: TokenBucket::of_all(terms.balancers),
             terms,
             hosts: BTreeMap::new(),
             links: BTreeMap::new(),
             next: 0,
             orders: Vec::new(),
-            counted: Counted::default(),
+            counted: PoolStats::default(),
             ticked: None,
-            others: pool::by_settings(terms.idle_for),
+            others: pool::by_settings(terms.idle_timeout),
             dead: Vec::new(),
         }
     }
 
     /// So many descriptors may be taken from now on.
-    pub fn allow(&mut self, most: usize) {
-        self.terms.most = most;
+    pub fn set_max_connections(&mut self, max_connections: usize) {
+        self.terms.max_connections = max_connections;
     }
 
-    pub fn counted(&self) -> Counted {
+    pub fn stats(&self) -> PoolStats {
         self.counted
     }
 
     /// What is to be done by now.
-    pub fn orders(&mut self) -> Vec<Order> {
+    pub fn take_actions(&mut self) -> Vec<PoolAction> {
         std::mem::take(&mut self.orders)
     }
 
     /// Where a connection stands, for traces.
-    pub fn state(&self, link: LinkId) -> State {
+    pub fn state(&self, link: ConnectionId) -> State {
         let pool = self.links.get(&link).and_then(|host| self.hosts.get(host));
         pool.and_then(|pool| pool.links.get(&link)).map_or(State::Closed, |link| link.state)
     }
 
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.links.len()
     }
 
     /// Another machine stands at the host's address now, or another address is the host's: nothing open goes there.
-    pub fn moved(&mut self, host: HostId) {
+    pub fn host_moved(&mut self, host: HostId) {
         let Some(pool) = self.hosts.remove(&host) else { return };
         let idle = pool.links.iter().filter(|(_, link)| !link.busy()).map(|(id, _)| *id);
-        self.orders.extend(idle.map(Order::Close));
+        self.orders.extend(idle.map(PoolAction::Close));
         // What carries a push goes on, and is closed at its end: nobody knows it here any more.
         for id in pool.links.keys() {
             self.links.remove(id);
@@ -199,19 +199,19 @@
     }
 
     /// Takes nothing new: it needs no idle connections.
-    pub fn drained(&mut self, host: HostId) {
+    pub fn host_draining(&mut self, host: HostId) {
         let Some(pool) = self.hosts.get(&host) else { return };
-        let idle: Vec<LinkId> =
+        let idle: Vec<ConnectionId> =
             pool.links.iter().filter(|(_, link)| !link.busy()).map(|(id, _)| *id).collect();
         idle.into_iter().for_each(|id| self.close(id));
     }
 
     /// What a push to this host gets now.
-    pub fn grant(&mut self, now: Micros, host: HostId) -> Grant {
+    pub fn checkout(&mut self, now: Micros, host: HostId) -> Checkout {
         let trust = self.trust(host);
-        let short = self.links.len() * 8 >= self.terms.most * 7;
-        let fair = (2 * self.terms.most / self.hosts.len().max(1)).max(4);
-        let pool = self.hosts.entry(host).or_insert_with(|| Pool::new(self.terms.idle_for));
+        let short = self.links.len() * 8 >= self.terms.max_connections * 7;
+        let fair = (2 * self.terms.max_connections / self.hosts.len().max(1)).max(4);
+        let pool = self.hosts.entry(host).or_insert_with(|| HostPool::new(self.terms.idle_timeout));
         // The one used last is used first, so that those not needed grow old.
         while let Some(id) = pool.youngest() {
             let link = pool.links.get_mut(&id).expect("it is there");
@@ -219,38 +219,38 @@
                 link.reused_at_age = Some(now - link.idle_since);
                 link.state = State::Carrying;
                 pool.carrying_peaks(now);
-                return Grant::Carry(id);
+                return Checkout::Reuse(id);
             }
             // Older than is known to be good: one is opened beside it rather than that it is trusted with a push.
             self.counted.distrusted += 1;
             pool.links.remove(&id);
             self.links.remove(&id);
-            self.orders.push(Order::Close(id));
+            self.orders.push(PoolAction::Close(id));
         }
         let busy = pool.links.len();
         if short && busy >= fair {
             self.counted.full += 1;
-            return Grant::Full;
+            return Checkout::Exhausted;
         }
         if let Some(until) = pool.circuit.until(now) {
             self.counted.closed += 1;
             // One at a time goes out to see, once the pause is over.
-            return if until > now { Grant::Closed } else { Grant::Later(now + 10_000) };
+            return if until > now { Checkout::CircuitOpen } else { Checkout::RetryAt(now + 10_000) };
         }
         let free_at = pool.pace.free_at(now).max(self.pace.free_at(now));
         if free_at > now {
             self.counted.put_off += 1;
-            return Grant::Later(free_at);
+            return Checkout::RetryAt(free_at);
         }
         pool.pace.take(now);
         self.pace.take(now);
         pool.circuit.asks();
-        let id = LinkId(self.next);
+        let id = ConnectionId(self.next);
         self.next += 1;
-        pool.links.insert(id, Link::new(now));
+        pool.links.insert(id, Connection::new(now));
         self.links.insert(id, host);
         pool.carrying_peaks(now);
-        Grant::Open(id)
+        Checkout::Open(id)
     }
 
     /// How old an idle connection of this host may be: what was learnt there, or what several others have learnt.
@@ -263,25 +263,29 @@
     fn say_so(&self) -> Micros {
         let mut learnt: Vec<Micros> = self.hosts.values().filter_map(|pool| pool.age.learnt()).collect();
         learnt.sort_unstable();
-        learnt.get(SAY_SO - 1).copied().unwrap_or(Micros::MAX).min(pool::by_settings(self.terms.idle_for))
+        learnt.get(SAY_SO - 1).copied().unwrap_or(Micros::MAX).min(pool::by_settings(self.terms.idle_timeout))
     }
 
-    fn with<T>(&mut self, link: LinkId, act: impl FnOnce(&mut Pool, LinkId) -> T) -> Option<T> {
+    fn with<T>(
+        &mut self,
+        link: ConnectionId,
+        act: impl FnOnce(&mut HostPool, ConnectionId) -> T,
+    ) -> Option<T> {
         let host = self.links.get(&link)?;
         let pool = self.hosts.get_mut(host).filter(|pool| pool.links.contains_key(&link))?;
         Some(act(pool, link))
     }
 
-    fn close(&mut self, link: LinkId) {
+    fn close(&mut self, link: ConnectionId) {
         if let Some(host) = self.links.remove(&link) {
             if let Some(pool) = self.hosts.get_mut(&host) {
                 pool.links.remove(&link);
             }
-            self.orders.push(Order::Close(link));
+            self.orders.push(PoolAction::Close(link));
         }
     }
 
-    fn drop_link(&mut self, link: LinkId) {
+    fn drop_link(&mut self, link: ConnectionId) {
         if let Some(host) = self.links.remove(&link) {
             if let Some(pool) = self.hosts.get_mut(&host) {
                 pool.links.remove(&link);
@@ -290,7 +294,7 @@
     }
 
     /// A connection is up.
-    pub fn opened(&mut self, now: Micros, link: LinkId) {
+    pub fn connected(&mut self, now: Micros, link: ConnectionId) {
         self.with(link, |pool, id| {
             pool.circuit.came_up();
             if let Some(link) = pool.links.get_mut(&id) {
@@ -301,20 +305,20 @@
     }
 
     /// It did not come up.
-    pub fn failed(&mut self, now: Micros, link: LinkId, why: Failure) {
+    pub fn connect_failed(&mut self, now: Micros, link: ConnectionId, why: ConnectFailure) {
         let (balancers, draw) = (self.terms.balancers, self.chance.draw());
         self.with(link, |pool, _| match why {
-            Failure::Host => {
+            ConnectFailure::Host => {
                 pool.circuit.failed(now, draw);
                 pool.pace.recover(now, balancers);
             }
-            Failure::Own => pool.circuit.unknown(),
+            ConnectFailure::Local => pool.circuit.unknown(),
         });
         self.drop_link(link);
     }
 
     /// A push's last byte is written on it.
-    pub fn sent(&mut self, now: Micros, link: LinkId) {
+    pub fn request_sent(&mut self, now: Micros, link: ConnectionId) {
         self.with(link, |pool, id| {
             if let Some(link) = pool.links.get_mut(&id) {
                 link.sent_at = Some(now);
@@ -324,12 +328,12 @@
     }
 
     /// A kept connection was found ended before its use. Its host said so in time: nothing is lost, and nothing learnt.
-    pub fn found_ended(&mut self, link: LinkId) {
+    pub fn found_closed(&mut self, link: ConnectionId) {
         self.drop_link(link);
     }
 
     /// An answer came, whatever it said; `keep` where the connection can carry another push. Whether it is kept.
-    pub fn answered(&mut self, now: Micros, link: LinkId, keep: bool) -> bool {
+    pub fn answered(&mut self, now: Micros, link: ConnectionId, keep: bool) -> bool {
         let known = self.with(link, |pool, id| {
             let stood = pool.links.get(&id).and_then(|link| Some((link.sent_at?, link.reused_at_age?)));
             pool.answered(id, now);
@@ -350,8 +354,8 @@
     }
 
     /// The head of a long answer came: its host is well and has answered in this time. Pools hear of its end with
-    /// [`Pools::answered`] or [`Pools::abandoned`], and however long that takes it tells nothing of the host.
-    pub fn begun(&mut self, now: Micros, link: LinkId) {
+    /// [`ConnectionPools::answered`] or [`ConnectionPools::abandoned`], and however long that takes it tells nothing of the host.
+    pub fn response_begun(&mut self, now: Micros, link: ConnectionId) {
         self.with(link, |pool, id| {
             pool.answered(id, now);
             if let Some(link) = pool.links.get_mut(&id) {
@@ -361,7 +365,7 @@
     }
 
     /// Its push was called off, or what came on it made no sense: it is closed, and nothing was learnt of its host.
-    pub fn abandoned(&mut self, link: LinkId) {
+    pub fn abandoned(&mut self, link: ConnectionId) {
         self.with(link, |pool, id| {
             if pool.links.get(&id).is_some_and(|link| link.state == State::Opening) {
                 pool.circuit.unknown();
@@ -371,8 +375,8 @@
     }
 
     /// The push on it waits no longer. The connection is listened to from now on where that may tell something: keep it,
-    /// and tell of what comes with [`Pools::late`]; an order closes it. Whose fault it was, and whether to listen.
-    pub fn silent(&mut self, now: Micros, link: LinkId) -> (Fault, bool) {
+    /// and tell of what comes with [`ConnectionPools::late`]; an order closes it. Whose fault it was, and whether to listen.
+    pub fn attempt_timed_out(&mut self, now: Micros, link: ConnectionId) -> (Fault, bool) {
         let found = self.with(link, |pool, id| {
             let fault = pool.silence(id);
             (fault, pool.listens(id, now))
@@ -386,7 +390,7 @@
 
     /// Something came on a connection that is listened to: a whole answer after which it can carry pushes again, or its
     /// end, or bytes of no sense. Whether it is kept.
-    pub fn late(&mut self, now: Micros, link: LinkId, whole: bool) -> bool {
+    pub fn late_response(&mut self, now: Micros, link: ConnectionId, whole: bool) -> bool {
         let Some(&host) = self.links.get(&link) else { return false };
         if whole {
             self.counted.late += 1;
@@ -398,7 +402,7 @@
             });
             // One that answers others all along is not told to be back.
             if silent == Some(true) {
-                self.orders.push(Order::Alive(host));
+                self.orders.push(PoolAction::HostAlive(host));
             }
             return true;
         }
@@ -407,7 +411,7 @@
     }
 
     /// It ended over a push: whose fault that was.
-    pub fn broke(&mut self, now: Micros, link: LinkId) -> Fault {
+    pub fn connection_lost(&mut self, now: Micros, link: ConnectionId) -> Fault {
         let Some(&host) = self.links.get(&link) else { return Fault::Host };
         let balancers = self.terms.balancers;
         let found = self.with(link, |pool, id| {
@@ -419,7 +423,7 @@
         });
         let (fault, fellows) = found.unwrap_or((Fault::Host, Vec::new()));
         self.drop_link(link);
-        if fault == Fault::Link {
+        if fault == Fault::Connection {
             self.counted.dead_kept += 1;
             self.counted.distrusted += fellows.len() as u64;
             fellows.into_iter().for_each(|fellow| self.close(fellow));
@@ -437,15 +441,15 @@
             return;
         }
         let since = self.dead.iter().map(|dead| dead.0).min().unwrap_or(now);
-        let idle = |link: &Link| link.state == State::Ready && link.idle_since < since;
+        let idle = |link: &Connection| link.state == State::Ready && link.idle_since < since;
         let all = self.hosts.values().flat_map(|pool| pool.links.iter());
-        let stale: Vec<LinkId> = all.filter(|(_, link)| idle(link)).map(|(id, _)| *id).collect();
+        let stale: Vec<ConnectionId> = all.filter(|(_, link)| idle(link)).map(|(id, _)| *id).collect();
         self.counted.distrusted += stale.len() as u64;
         stale.into_iter().for_each(|id| self.close(id));
     }
 
     /// Descriptors are short: the connection that stood idle longest, or was only listened to, is to be closed.
-    pub fn make_room(&mut self) -> Option<LinkId> {
+    pub fn evict_idle(&mut self) -> Option<ConnectionId> {
         let all = self.hosts.values().flat_map(|pool| pool.links.iter());
         let idle = all.filter(|(_, link)| !link.busy());
         let oldest =
@@ -476,7 +480,7 @@
             self.counted.distrusted += old.len() as u64;
             self.counted.surplus += surplus.len() as u64;
             self.counted.doubts += doubted.len() as u64;
-            self.orders.extend(doubted.into_iter().map(Order::Doubt));
+            self.orders.extend(doubted.into_iter().map(PoolAction::AttemptInDoubt));
             closed.extend(old.into_iter().chain(surplus));
         }
         closed.into_iter().for_each(|id| self.close(id));
@@ -484,8 +488,8 @@
     }
 
     /// A host that is not known any more, with nothing open there that is of use.
-    pub fn forget(&mut self, host: HostId) {
-        self.moved(host);
+    pub fn forget_host(&mut self, host: HostId) {
+        self.host_moved(host);
         self.dead.retain(|dead| dead.1 != host);
     }
 }
--- a/connection_pool/src/opening.rs
+++ b/connection_pool/src/opening.rs
@@ -6,7 +6,7 @@
 
 /// A store of leave to open: so many at once, and so many a second.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct TokenBucket {
     store: f64,
     most: f64,
     rate: f64,
@@ -24,19 +24,19 @@
 /// At least, whatever the number of balancers.
 const LEAST: (f64, f64) = (1.0, 1.0);
 
-impl Pace {
-    fn new(whole: (f64, f64)) -> Pace {
-        Pace { store: whole.0, most: whole.0, rate: whole.1, at: 0, whole }
+impl TokenBucket {
+    fn new(whole: (f64, f64)) -> TokenBucket {
+        TokenBucket { store: whole.0, most: whole.0, rate: whole.1, at: 0, whole }
     }
 
-    pub fn of_host() -> Pace {
-        Pace::new(HOST)
+    pub fn of_host() -> TokenBucket {
+        TokenBucket::new(HOST)
     }
 
-    pub fn of_all(balancers: u32) -> Pace {
+    pub fn of_all(balancers: u32) -> TokenBucket {
         // Hundreds of balancers that meet the same trouble open so many times as much.
         let part = (8.0 / f64::from(balancers.max(1))).min(1.0);
-        Pace::new(((ALL.0 * part).max(16.0), (ALL.1 * part).max(20.0)))
+        TokenBucket::new(((ALL.0 * part).max(16.0), (ALL.1 * part).max(20.0)))
     }
 
     fn fill(&mut self, now: Micros) {
@@ -80,14 +80,14 @@
 
 /// Whether a host that let no connection come up is asked again: after pauses that double, each drawn from its upper half.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Circuit {
+pub struct CircuitBreaker {
     failures: u32,
     until: Micros,
     /// One is out to see.
     asking: bool,
 }
 
-impl Circuit {
+impl CircuitBreaker {
     /// While nothing is to be opened: until when; the present where one is out to see.
     pub fn until(&self, now: Micros) -> Option<Micros> {
         match self.failures {
@@ -102,7 +102,7 @@
     }
 
     pub fn came_up(&mut self) {
-        *self = Circuit::default();
+        *self = CircuitBreaker::default();
     }
 
     pub fn unknown(&mut self) {
--- a/connection_pool/src/pool.rs
+++ b/connection_pool/src/pool.rs
@@ -4,8 +4,8 @@
 
 use basaltwood::types::Micros;
 
-use crate::opening::{Circuit, Pace};
-use crate::{Fault, LinkId};
+use crate::opening::{CircuitBreaker, TokenBucket};
+use crate::{ConnectionId, Fault};
 
 /// Where a connection stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -55,12 +55,12 @@
 /// What is left of the slowest answer after each further one.
 const FADES: f64 = 0.995;
 
-pub fn by_settings(idle_for: Micros) -> Micros {
-    (idle_for as f64 * FRESH) as Micros
+pub fn by_settings(idle_timeout: Micros) -> Micros {
+    (idle_timeout as f64 * FRESH) as Micros
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Link {
+pub struct Connection {
     pub state: State,
     pub opened_at: Micros,
     pub idle_since: Micros,
@@ -71,9 +71,9 @@
     pub doubted: bool,
 }
 
-impl Link {
-    pub fn new(now: Micros) -> Link {
-        Link {
+impl Connection {
+    pub fn new(now: Micros) -> Connection {
+        Connection {
             state: State::Opening,
             opened_at: now,
             idle_since: now,
@@ -92,15 +92,15 @@
 /// How kept connections of each age fared of late: the age from which on too many were dead is not trusted. One that dies by
 /// itself at any age, as a reset that comes by chance, teaches next to nothing: a new connection has its price too.
 #[derive(Clone, Copy, Debug)]
-pub struct Age {
+pub struct IdleAge {
     /// By age, each step twice the one before: good, and dead.
     fared: [(f64, f64); STEPS],
     most: Micros,
 }
 
-impl Age {
-    fn new(most: Micros) -> Age {
-        Age { fared: [(0.0, 0.0); STEPS], most }
+impl IdleAge {
+    fn new(most: Micros) -> IdleAge {
+        IdleAge { fared: [(0.0, 0.0); STEPS], most }
     }
 
     fn step(age: Micros) -> usize {
@@ -114,7 +114,7 @@
     pub fn trusted(&self) -> Micros {
         let bad = |&(good, dead): &(f64, f64)| dead >= SEVERAL && dead > TOO_MANY * (good + dead);
         let first = self.fared.iter().position(bad);
-        first.map_or(self.most, |step| Age::begins(step).max(FIRST_STEP).min(self.most))
+        first.map_or(self.most, |step| IdleAge::begins(step).max(FIRST_STEP).min(self.most))
     }
 
     /// Shorter than the settings say, where it is.
@@ -123,7 +123,7 @@
     }
 
     fn fared(&mut self, age: Micros, well: bool) {
-        let step = &mut self.fared[Age::step(age)];
+        let step = &mut self.fared[IdleAge::step(age)];
         *step = (step.0 * FADES_AGE, step.1 * FADES_AGE);
         *(if well { &mut step.0 } else { &mut step.1 }) += 1.0;
     }
@@ -134,11 +134,11 @@
     }
 }
 
-pub struct Pool {
-    pub links: BTreeMap<LinkId, Link>,
-    pub age: Age,
-    pub circuit: Circuit,
-    pub pace: Pace,
+pub struct HostPool {
+    pub links: BTreeMap<ConnectionId, Connection>,
+    pub age: IdleAge,
+    pub circuit: CircuitBreaker,
+    pub pace: TokenBucket,
     /// Most in use at a time of late, and when that was.
     peak: (usize, Micros),
     /// When the last answers' pushes were sent, newest last.
@@ -154,14 +154,14 @@
     silent: u32,
 }
 
-impl Pool {
-    pub fn new(idle_for: Micros) -> Pool {
-        let most = by_settings(idle_for);
-        Pool {
+impl HostPool {
+    pub fn new(idle_timeout: Micros) -> HostPool {
+        let most = by_settings(idle_timeout);
+        HostPool {
             links: BTreeMap::new(),
-            age: Age::new(most),
-            circuit: Circuit::default(),
-            pace: Pace::of_host(),
+            age: IdleAge::new(most),
+            circuit: CircuitBreaker::default(),
+            pace: TokenBucket::of_host(),
             peak: (0, 0),
             answered: Vec::new(),
             slowest: 0.0,
@@ -172,7 +172,7 @@
         }
     }
 
-    pub fn youngest(&self) -> Option<LinkId> {
+    pub fn youngest(&self) -> Option<ConnectionId> {
         let ready = self.links.iter().filter(|(_, link)| link.state == State::Ready);
         ready.max_by_key(|(id, link)| (link.idle_since, **id)).map(|(id, _)| *id)
     }
@@ -188,14 +188,14 @@
         }
     }
 
-    pub fn rests(&mut self, id: LinkId, now: Micros) {
+    pub fn rests(&mut self, id: ConnectionId, now: Micros) {
         if let Some(link) = self.links.get_mut(&id) {
             link.state = State::Ready;
             (link.idle_since, link.sent_at, link.reused_at_age) = (now, None, None);
         }
     }
 
-    pub fn answered(&mut self, id: LinkId, now: Micros) {
+    pub fn answered(&mut self, id: ConnectionId, now: Micros) {
         let Some(link) = self.links.get(&id) else { return };
         self.answered_at = Some(now);
         self.silent = 0;
@@ -222,28 +222,29 @@
     }
 
     /// A push gave up: the connection's fault where others that went after it were answered.
-    pub fn silence(&self, id: LinkId) -> Fault {
+    pub fn silence(&self, id: ConnectionId) -> Fault {
         let sent = self.links.get(&id).and_then(|link| link.sent_at);
         match sent {
-            Some(sent) if self.overtakes(sent) > 0 => Fault::Link,
+            Some(sent) if self.overtakes(sent) > 0 => Fault::Connection,
             _ => Fault::Host,
         }
     }
 
     /// Nothing was answered since the push on this one was sent.
-    pub fn silent_since(&self, id: LinkId) -> bool {
+    pub fn silent_since(&self, id: ConnectionId) -> bool {
         let sent = self.links.get(&id).and_then(|link| link.sent_at);
         sent.is_some_and(|sent| self.answered_at.is_none_or(|at| at < sent))
     }
 
     /// Whether a connection is listened to after its push gave up: where the whole host is silent it tells of its return.
-    pub fn listens(&mut self, id: LinkId, now: Micros) -> bool {
+    pub fn listens(&mut self, id: ConnectionId, now: Micros) -> bool {
         // A slow host that still answers is not listened to: it would work on what nobody waits for.
         let nothing = self.silent_since(id);
         self.silent = if nothing { self.silent + 1 } else { 0 };
         let silent = self.silent >= SILENT;
-        let silent_too =
-            |(id, link): &(&LinkId, &Link)| link.state == State::Doubtful && self.silent_since(**id);
+        let silent_too = |(id, link): &(&ConnectionId, &Connection)| {
+            link.state == State::Doubtful && self.silent_since(**id)
+        };
         let listening = self.links.iter().filter(silent_too).count();
         let Some(link) = self.links.get_mut(&id) else { return false };
         // A new one whose first push gave up is warm once it answers: in its place another would be opened, and be late alike.
@@ -256,27 +257,27 @@
     }
 
     /// One ended over its push. A kept one may have been dead before; then its fellows that stood idle as long are in doubt.
-    pub fn broke(&mut self, id: LinkId, now: Micros) -> (Fault, Vec<LinkId>) {
+    pub fn broke(&mut self, id: ConnectionId, now: Micros) -> (Fault, Vec<ConnectionId>) {
         let Some(link) = self.links.get(&id).copied() else { return (Fault::Host, Vec::new()) };
         let Some(age) = link.reused_at_age else {
             // A new one says something of its host, unless that answers on others at the same time.
             let lively = self.answered_at.is_some_and(|at| now - at < LIVELY);
-            return (if lively { Fault::Link } else { Fault::Host }, Vec::new());
+            return (if lively { Fault::Connection } else { Fault::Host }, Vec::new());
         };
         self.age.fared(age, false);
         self.dead += 1;
         if self.dead < IN_A_ROW {
-            return (Fault::Link, Vec::new());
+            return (Fault::Connection, Vec::new());
         }
         let stood_since = link.sent_at.unwrap_or(link.idle_since) - age;
-        let as_long = |other: &Link| other.state == State::Ready && other.idle_since <= stood_since;
+        let as_long = |other: &Connection| other.state == State::Ready && other.idle_since <= stood_since;
         let fellows = self.links.iter().filter(|(other, link)| **other != id && as_long(link));
-        (Fault::Link, fellows.map(|(id, _)| *id).collect())
+        (Fault::Connection, fellows.map(|(id, _)| *id).collect())
     }
 
     /// Idle for longer than is trusted, or listened to for long enough.
-    pub fn old(&self, now: Micros, trust: Micros) -> Vec<LinkId> {
-        let old = |link: &Link| match link.state {
+    pub fn old(&self, now: Micros, trust: Micros) -> Vec<ConnectionId> {
+        let old = |link: &Connection| match link.state {
             State::Ready => now - link.idle_since >= trust,
             State::Doubtful => now - link.idle_since >= LISTEN_FOR,
             _ => false,
@@ -292,11 +293,11 @@
     }
 
     /// More than were in use at a time of late, and not needed for a while.
-    pub fn surplus(&mut self, now: Micros) -> Vec<LinkId> {
+    pub fn surplus(&mut self, now: Micros) -> Vec<ConnectionId> {
         if now - self.peak.1 > REMEMBER {
             self.peak = (self.busy(), now);
         }
-        let mut idle: Vec<(Micros, LinkId)> = self
+        let mut idle: Vec<(Micros, ConnectionId)> = self
             .links
             .iter()
             .filter(|(_, link)| link.state == State::Ready)
@@ -309,11 +310,12 @@
     }
 
     /// Connections whose push is in doubt from now on.
-    pub fn doubts(&mut self, now: Micros) -> Vec<LinkId> {
+    pub fn doubts(&mut self, now: Micros) -> Vec<ConnectionId> {
         let bound = ((self.slowest * SLOWEST) as Micros).max(LEAST_DOUBT);
-        let waits =
-            |link: &Link| link.sent_at.filter(|&sent| link.busy() && !link.doubted && now - sent > bound);
-        let late: Vec<(LinkId, Micros)> =
+        let waits = |link: &Connection| {
+            link.sent_at.filter(|&sent| link.busy() && !link.doubted && now - sent > bound)
+        };
+        let late: Vec<(ConnectionId, Micros)> =
             self.links.iter().filter_map(|(id, link)| Some((*id, waits(link)?))).collect();
         let mut doubted = Vec::new();
         for (id, sent) in late {
--- a/connection_pool/tests/traces.rs
+++ b/connection_pool/tests/traces.rs
@@ -1,28 +1,37 @@
 //! Talks with the pools, printed step by step: what a push gets, whose fault an end was, what is ordered.
 
 use basaltwood::types::{HostId, Micros};
-use basaltwood_connection_pool::{Failure, Fault, Grant, LinkId, Pools, Terms};
+use basaltwood_connection_pool::{
+    Checkout, ConnectFailure, ConnectionId, ConnectionPools, Fault, PoolConfig,
+};
 use expect_test::{expect, Expect};
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 
 struct Talk {
-    pools: Pools,
+    pools: ConnectionPools,
     now: Micros,
     text: String,
 }
 
 impl Talk {
-    fn new(balancers: u32, most: usize) -> Talk {
-        let terms = Terms { seed: 7, balancers, idle_for: 15 * SECOND, connect_within: 250 * MS, most };
-        let mut talk = Talk { pools: Pools::new(terms), now: 0, text: String::new() };
+    fn new(balancers: u32, max_connections: usize) -> Talk {
+        let terms = PoolConfig {
+            seed: 7,
+            balancers,
+            idle_timeout: 15 * SECOND,
+            connect_timeout: 250 * MS,
+            max_connections,
+        };
+        let mut talk = Talk { pools: ConnectionPools::new(terms), now: 0, text: String::new() };
         talk.pools.tick(0);
         talk
     }
 
     fn say(&mut self, what: &str) {
-        let orders: Vec<String> = self.pools.orders().iter().map(|order| format!("{order:?}")).collect();
+        let orders: Vec<String> =
+            self.pools.take_actions().iter().map(|order| format!("{order:?}")).collect();
         let orders = if orders.is_empty() { String::new() } else { format!(" -> {}", orders.join(", ")) };
         self.text += &format!("{:<6}{what}{orders}\n", self.now / MS);
     }
@@ -33,7 +42,7 @@
         while self.now < until {
             self.now = (self.now + 50 * MS).min(until);
             self.pools.tick(self.now);
-            let orders = self.pools.orders();
+            let orders = self.pools.take_actions();
             if !orders.is_empty() {
                 self.text += &format!("{:<6}{orders:?}\n", self.now / MS);
             }
@@ -41,33 +50,33 @@
     }
 
     /// A push that is sent at once, on whatever connection it gets; that one.
-    fn sent(&mut self, host: u32) -> LinkId {
-        let grant = self.pools.grant(self.now, HostId(host));
+    fn sent(&mut self, host: u32) -> ConnectionId {
+        let grant = self.pools.checkout(self.now, HostId(host));
         let link = match grant {
-            Grant::Carry(link) => link,
-            Grant::Open(link) => {
-                self.pools.opened(self.now, link);
+            Checkout::Reuse(link) => link,
+            Checkout::Open(link) => {
+                self.pools.connected(self.now, link);
                 link
             }
             other => panic!("{other:?}"),
         };
-        self.pools.sent(self.now, link);
+        self.pools.request_sent(self.now, link);
         self.say(&format!("h{host} {grant:?}"));
         link
     }
 
     /// The same, answered after 5 ms.
-    fn served(&mut self, host: u32) -> LinkId {
+    fn served(&mut self, host: u32) -> ConnectionId {
         let link = self.sent(host);
         self.now += 5 * MS;
         self.pools.answered(self.now, link, true);
         link
     }
 
-    fn ends(&mut self, what: &str, link: LinkId) -> Fault {
+    fn ends(&mut self, what: &str, link: ConnectionId) -> Fault {
         let fault = match what {
-            "broke" => self.pools.broke(self.now, link),
-            "silent" => self.pools.silent(self.now, link).0,
+            "broke" => self.pools.connection_lost(self.now, link),
+            "silent" => self.pools.attempt_timed_out(self.now, link).0,
             other => panic!("{other}"),
         };
         let state = self.pools.state(link);
@@ -76,7 +85,7 @@
     }
 
     fn is(mut self, expected: Expect) {
-        self.text += &self.pools.counted().to_string();
+        self.text += &self.pools.stats().to_string();
         expected.assert_eq(&self.text);
     }
 }
@@ -85,7 +94,7 @@
 fn a_kept_connection_that_was_dead_tells_of_its_fellows_and_not_of_its_host() {
     let mut talk = Talk::new(2, 300);
     // Three in use together, all idle from now on.
-    let three: Vec<LinkId> = (0..3).map(|_| talk.sent(0)).collect();
+    let three: Vec<ConnectionId> = (0..3).map(|_| talk.sent(0)).collect();
     talk.now += 5 * MS;
     three.iter().for_each(|&link| {
         talk.pools.answered(talk.now, link, true);
@@ -106,19 +115,19 @@
     talk.pass(700 * MS);
     talk.served(0);
     talk.is(expect![[r#"
-        0     h0 Open(LinkId(0))
-        0     h0 Open(LinkId(1))
-        0     h0 Open(LinkId(2))
-        605   h0 Carry(LinkId(2))
-        606   broke LinkId(2): Link at fault, Closed
-        606   h0 Carry(LinkId(1))
-        607   broke LinkId(1): Link at fault, Closed -> Close(LinkId(0))
-        607   h0 Open(LinkId(3))
-        912   [Close(LinkId(3))]
-        1312  h0 Open(LinkId(4))
-        1617  [Close(LinkId(4))]
-        31317 h0 Open(LinkId(5))
-        32022 h0 Carry(LinkId(5))
+        0     h0 Open(ConnectionId(0))
+        0     h0 Open(ConnectionId(1))
+        0     h0 Open(ConnectionId(2))
+        605   h0 Reuse(ConnectionId(2))
+        606   broke ConnectionId(2): Connection at fault, Closed
+        606   h0 Reuse(ConnectionId(1))
+        607   broke ConnectionId(1): Connection at fault, Closed -> Close(ConnectionId(0))
+        607   h0 Open(ConnectionId(3))
+        912   [Close(ConnectionId(3))]
+        1312  h0 Open(ConnectionId(4))
+        1617  [Close(ConnectionId(4))]
+        31317 h0 Open(ConnectionId(5))
+        32022 h0 Reuse(ConnectionId(5))
         links_distrusted=3 links_surplus=0 links_dead_kept=2 pushes_doubted=0 links_late=0 opens_put_off=0 opens_closed=0 opens_full=0 own_stops=0"#]]);
 }
 
@@ -138,19 +147,19 @@
     talk.served(3);
     talk.served(4);
     talk.is(expect![[r#"
-        0     h0 Open(LinkId(0))
-        5     h1 Open(LinkId(1))
-        10    h2 Open(LinkId(2))
-        15    h3 Open(LinkId(3))
-        20    h4 Open(LinkId(4))
-        925   h0 Carry(LinkId(0))
-        925   h1 Carry(LinkId(1))
-        925   h2 Carry(LinkId(2))
-        926   broke LinkId(0): Link at fault, Closed
-        926   broke LinkId(1): Link at fault, Closed
-        926   broke LinkId(2): Link at fault, Closed -> Close(LinkId(3)), Close(LinkId(4))
-        926   h3 Open(LinkId(5))
-        931   h4 Open(LinkId(6))
+        0     h0 Open(ConnectionId(0))
+        5     h1 Open(ConnectionId(1))
+        10    h2 Open(ConnectionId(2))
+        15    h3 Open(ConnectionId(3))
+        20    h4 Open(ConnectionId(4))
+        925   h0 Reuse(ConnectionId(0))
+        925   h1 Reuse(ConnectionId(1))
+        925   h2 Reuse(ConnectionId(2))
+        926   broke ConnectionId(0): Connection at fault, Closed
+        926   broke ConnectionId(1): Connection at fault, Closed
+        926   broke ConnectionId(2): Connection at fault, Closed -> Close(ConnectionId(3)), Close(ConnectionId(4))
+        926   h3 Open(ConnectionId(5))
+        931   h4 Open(ConnectionId(6))
         links_distrusted=2 links_surplus=0 links_dead_kept=3 pushes_doubted=0 links_late=0 opens_put_off=0 opens_closed=0 opens_full=0 own_stops=0"#]]);
 }
 
@@ -169,19 +178,19 @@
     talk.ends("broke", dead[2]);
     talk.served(4);
     talk.is(expect![[r#"
-        0     h0 Open(LinkId(0))
-        5     h1 Open(LinkId(1))
-        10    h2 Open(LinkId(2))
-        15    h3 Open(LinkId(3))
-        20    h4 Open(LinkId(4))
-        925   h0 Carry(LinkId(0))
-        925   h1 Carry(LinkId(1))
-        925   h2 Carry(LinkId(2))
-        926   broke LinkId(0): Link at fault, Closed
-        926   h3 Carry(LinkId(3))
-        931   broke LinkId(1): Link at fault, Closed
-        931   broke LinkId(2): Link at fault, Closed -> Close(LinkId(4))
-        931   h4 Open(LinkId(5))
+        0     h0 Open(ConnectionId(0))
+        5     h1 Open(ConnectionId(1))
+        10    h2 Open(ConnectionId(2))
+        15    h3 Open(ConnectionId(3))
+        20    h4 Open(ConnectionId(4))
+        925   h0 Reuse(ConnectionId(0))
+        925   h1 Reuse(ConnectionId(1))
+        925   h2 Reuse(ConnectionId(2))
+        926   broke ConnectionId(0): Connection at fault, Closed
+        926   h3 Reuse(ConnectionId(3))
+        931   broke ConnectionId(1): Connection at fault, Closed
+        931   broke ConnectionId(2): Connection at fault, Closed -> Close(ConnectionId(4))
+        931   h4 Open(ConnectionId(5))
         links_distrusted=1 links_surplus=0 links_dead_kept=3 pushes_doubted=0 links_late=0 opens_put_off=0 opens_closed=0 opens_full=0 own_stops=0"#]]);
 }
 
@@ -196,43 +205,43 @@
     talk.pass(50 * MS);
     talk.ends("silent", mute);
     // All silent at once: the host, and with the third one is listened to.
-    let all: Vec<LinkId> = (0..3).map(|_| talk.sent(0)).collect();
+    let all: Vec<ConnectionId> = (0..3).map(|_| talk.sent(0)).collect();
     talk.pass(300 * MS);
     for &link in &all {
         talk.ends("silent", link);
     }
     talk.pass(100 * MS);
     // It answers late, on one from before: it is there, and was not started anew.
-    let kept = talk.pools.late(talk.now, all[2], true);
+    let kept = talk.pools.late_response(talk.now, all[2], true);
     talk.say(&format!("late whole answer, kept {kept}"));
     talk.served(0);
     talk.now += MS;
     let slow = talk.sent(0);
     talk.pass(300 * MS);
     talk.ends("silent", slow);
-    let kept = talk.pools.late(talk.now, slow, false);
+    let kept = talk.pools.late_response(talk.now, slow, false);
     talk.say(&format!("late nonsense, kept {kept}"));
     talk.served(0);
     talk.is(expect![[r#"
-        0     h0 Open(LinkId(0))
-        2     h0 Open(LinkId(1))
-        9     h0 Carry(LinkId(1))
-        16    h0 Carry(LinkId(1))
-        23    h0 Carry(LinkId(1))
-        78    [Doubt(LinkId(0))]
-        78    silent LinkId(0): Link at fault, Doubtful
-        78    h0 Carry(LinkId(1))
-        78    h0 Open(LinkId(2))
-        78    h0 Open(LinkId(3))
-        378   silent LinkId(1): Host at fault, Closed
-        378   silent LinkId(2): Host at fault, Closed
-        378   silent LinkId(3): Host at fault, Doubtful
-        478   late whole answer, kept true -> Alive(HostId(0))
-        478   h0 Carry(LinkId(3))
-        484   h0 Carry(LinkId(3))
-        784   silent LinkId(3): Host at fault, Closed
+        0     h0 Open(ConnectionId(0))
+        2     h0 Open(ConnectionId(1))
+        9     h0 Reuse(ConnectionId(1))
+        16    h0 Reuse(ConnectionId(1))
+        23    h0 Reuse(ConnectionId(1))
+        78    [AttemptInDoubt(ConnectionId(0))]
+        78    silent ConnectionId(0): Connection at fault, Doubtful
+        78    h0 Reuse(ConnectionId(1))
+        78    h0 Open(ConnectionId(2))
+        78    h0 Open(ConnectionId(3))
+        378   silent ConnectionId(1): Host at fault, Closed
+        378   silent ConnectionId(2): Host at fault, Closed
+        378   silent ConnectionId(3): Host at fault, Doubtful
+        478   late whole answer, kept true -> HostAlive(HostId(0))
+        478   h0 Reuse(ConnectionId(3))
+        484   h0 Reuse(ConnectionId(3))
+        784   silent ConnectionId(3): Host at fault, Closed
         784   late nonsense, kept false
-        784   h0 Open(LinkId(4))
+        784   h0 Open(ConnectionId(4))
         links_distrusted=0 links_surplus=0 links_dead_kept=0 pushes_doubted=1 links_late=1 opens_put_off=0 opens_closed=0 opens_full=0 own_stops=0"#]]);
 }
 
@@ -246,7 +255,7 @@
     talk.ends("silent", first);
     talk.pass(50 * MS);
     // Its host answered others all along: nobody is told that it is back.
-    let kept = talk.pools.late(talk.now, first, true);
+    let kept = talk.pools.late_response(talk.now, first, true);
     talk.say(&format!("late whole answer, kept {kept}"));
     talk.sent(0);
     // One that is warm and gives up is slow by its host, which is not to work on for nobody.
@@ -255,13 +264,13 @@
     talk.pass(50 * MS);
     talk.ends("silent", first);
     talk.is(expect![[r#"
-        0     h0 Open(LinkId(0))
-        2     h0 Open(LinkId(1))
-        57    silent LinkId(0): Link at fault, Doubtful
+        0     h0 Open(ConnectionId(0))
+        2     h0 Open(ConnectionId(1))
+        57    silent ConnectionId(0): Connection at fault, Doubtful
         107   late whole answer, kept true
-        107   h0 Carry(LinkId(0))
-        108   h0 Carry(LinkId(1))
-        163   silent LinkId(0): Link at fault, Closed
+        107   h0 Reuse(ConnectionId(0))
+        108   h0 Reuse(ConnectionId(1))
+        163   silent ConnectionId(0): Connection at fault, Closed
         links_distrusted=0 links_surplus=0 links_dead_kept=0 pushes_doubted=0 links_late=1 opens_put_off=0 opens_closed=0 opens_full=0 own_stops=0"#]]);
 }
 
@@ -269,12 +278,12 @@
 fn a_host_that_lets_nothing_come_up_is_asked_in_growing_pauses() {
     let mut talk = Talk::new(2, 300);
     for _ in 0..40 {
-        match talk.pools.grant(talk.now, HostId(0)) {
-            Grant::Open(link) => {
+        match talk.pools.checkout(talk.now, HostId(0)) {
+            Checkout::Open(link) => {
                 talk.say("asked");
-                talk.pools.failed(talk.now, link, Failure::Host);
+                talk.pools.connect_failed(talk.now, link, ConnectFailure::Host);
             }
-            other => assert!(matches!(other, Grant::Closed), "{other:?}"),
+            other => assert!(matches!(other, Checkout::CircuitOpen), "{other:?}"),
         }
         talk.pass(100 * MS);
     }
@@ -291,8 +300,8 @@
         1500  asked
         2500  asked
         3900  asked
-        6000  h0 Open(LinkId(9))
-        6005  h0 Carry(LinkId(9))
+        6000  h0 Open(ConnectionId(9))
+        6005  h0 Reuse(ConnectionId(9))
         links_distrusted=0 links_surplus=0 links_dead_kept=0 pushes_doubted=0 links_late=0 opens_put_off=0 opens_closed=31 opens_full=0 own_stops=0"#]]);
 }
 
@@ -304,13 +313,13 @@
     });
     let mut held = 0;
     let refused = loop {
-        match talk.pools.grant(talk.now, HostId(0)) {
-            Grant::Open(link) => {
-                talk.pools.opened(talk.now, link);
-                talk.pools.sent(talk.now, link);
+        match talk.pools.checkout(talk.now, HostId(0)) {
+            Checkout::Open(link) => {
+                talk.pools.connected(talk.now, link);
+                talk.pools.request_sent(talk.now, link);
                 held += 1;
             }
-            Grant::Later(at) => talk.now = at,
+            Checkout::RetryAt(at) => talk.now = at,
             other => break other,
         }
     };
@@ -318,16 +327,16 @@
     talk.say(&format!("{refused:?} at {held} held"));
     // All others go on.
     talk.served(5);
-    match talk.pools.grant(talk.now, HostId(5)) {
-        Grant::Carry(_) => {}
+    match talk.pools.checkout(talk.now, HostId(5)) {
+        Checkout::Reuse(_) => {}
         other => panic!("{other:?}"),
     }
-    let grant = talk.pools.grant(talk.now, HostId(5));
+    let grant = talk.pools.checkout(talk.now, HostId(5));
     talk.say(&format!("h5 {grant:?}"));
     talk.is(expect![[r#"
-        205   Full at 96 held
-        205   h5 Carry(LinkId(4))
-        210   h5 Open(LinkId(105))
+        205   Exhausted at 96 held
+        205   h5 Reuse(ConnectionId(4))
+        210   h5 Open(ConnectionId(105))
         links_distrusted=0 links_surplus=0 links_dead_kept=0 pushes_doubted=0 links_late=0 opens_put_off=32 opens_closed=0 opens_full=1 own_stops=0"#]]);
 }
 
@@ -346,11 +355,11 @@
     talk.now += 5 * MS;
     talk.pools.answered(talk.now, out, true);
     talk.is(expect![[r#"
-        0     h0 Open(LinkId(0))
-        1     h0 Open(LinkId(1))
-        7     h0 Carry(LinkId(1))
-        13    h0 Carry(LinkId(1))
-        2018  stopped for 2018 ms, LinkId(0) is Warming
+        0     h0 Open(ConnectionId(0))
+        1     h0 Open(ConnectionId(1))
+        7     h0 Reuse(ConnectionId(1))
+        13    h0 Reuse(ConnectionId(1))
+        2018  stopped for 2018 ms, ConnectionId(0) is Warming
         links_distrusted=0 links_surplus=0 links_dead_kept=0 pushes_doubted=0 links_late=0 opens_put_off=0 opens_closed=0 opens_full=0 own_stops=1"#]]);
 }
 
@@ -366,20 +375,20 @@
     talk.pass(200 * MS);
     talk.say(&format!("{mute:?} is {:?}", talk.pools.state(mute)));
     talk.is(expect![[r#"
-        0     h0 Open(LinkId(0))
-        5     h0 Carry(LinkId(0))
-        65    h0 Open(LinkId(1))
-        70    h0 Carry(LinkId(1))
-        75    h0 Carry(LinkId(1))
-        130   [Doubt(LinkId(0))]
-        280   LinkId(0) is Carrying
+        0     h0 Open(ConnectionId(0))
+        5     h0 Reuse(ConnectionId(0))
+        65    h0 Open(ConnectionId(1))
+        70    h0 Reuse(ConnectionId(1))
+        75    h0 Reuse(ConnectionId(1))
+        130   [AttemptInDoubt(ConnectionId(0))]
+        280   ConnectionId(0) is Carrying
         links_distrusted=0 links_surplus=0 links_dead_kept=0 pushes_doubted=1 links_late=0 opens_put_off=0 opens_closed=0 opens_full=0 own_stops=0"#]]);
 }
 
 #[test]
 fn more_than_were_needed_of_late_are_closed_and_room_is_made_of_the_oldest() {
     let mut talk = Talk::new(2, 300);
-    let many: Vec<LinkId> = (0..6).map(|_| talk.sent(0)).collect();
+    let many: Vec<ConnectionId> = (0..6).map(|_| talk.sent(0)).collect();
     talk.now += 5 * MS;
     many.iter().for_each(|&link| {
         talk.pools.answered(talk.now, link, true);
@@ -391,11 +400,11 @@
     }
     talk.text =
         talk.text.lines().filter(|line| line.contains("Close")).map(|line| format!("{line}\n")).collect();
-    let room = talk.pools.make_room();
-    talk.say(&format!("room: {room:?}, {} open", talk.pools.open()));
+    let room = talk.pools.evict_idle();
+    talk.say(&format!("room: {room:?}, {} open", talk.pools.open_connections()));
     talk.is(expect![[r#"
-        5050  [Close(LinkId(0)), Close(LinkId(1)), Close(LinkId(2)), Close(LinkId(3)), Close(LinkId(4))]
-        7075  room: Some(LinkId(5)), 0 open
+        5050  [Close(ConnectionId(0)), Close(ConnectionId(1)), Close(ConnectionId(2)), Close(ConnectionId(3)), Close(ConnectionId(4))]
+        7075  room: Some(ConnectionId(5)), 0 open
         links_distrusted=0 links_surplus=5 links_dead_kept=0 pushes_doubted=0 links_late=0 opens_put_off=0 opens_closed=0 opens_full=0 own_stops=0"#]]);
 }
 
@@ -409,14 +418,14 @@
     let mut by_tenth = vec![0_u64; 600];
     let mut whole = 0;
     for nth in 0..played {
-        let terms = Terms {
+        let terms = PoolConfig {
             seed: u64::from(nth),
             balancers,
-            idle_for: 15 * SECOND,
-            connect_within: 250 * MS,
-            most: 1_000,
+            idle_timeout: 15 * SECOND,
+            connect_timeout: 250 * MS,
+            max_connections: 1_000,
         };
-        let mut pools = Pools::new(terms);
+        let mut pools = ConnectionPools::new(terms);
         let mut up = vec![0; HOSTS as usize];
         for step in 0..3_000_i64 {
             let now = step * 20 * MS;
@@ -424,18 +433,18 @@
             let there = now >= 2 * SECOND;
             if step % 5 == 0 {
                 pools.tick(now);
-                pools.orders();
+                pools.take_actions();
             }
             for host in 0..HOSTS {
                 while up[host as usize] < EACH {
-                    match pools.grant(now, HostId(host)) {
-                        Grant::Open(link) if there => {
-                            pools.opened(now, link);
-                            pools.sent(now, link);
+                    match pools.checkout(now, HostId(host)) {
+                        Checkout::Open(link) if there => {
+                            pools.connected(now, link);
+                            pools.request_sent(now, link);
                             up[host as usize] += 1;
                             by_tenth[(now / (100 * MS)) as usize] += 1;
                         }
-                        Grant::Open(link) => pools.failed(now, link, Failure::Host),
+                        Checkout::Open(link) => pools.connect_failed(now, link, ConnectFailure::Host),
                         _ => break,
                     }
                 }
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -1,9 +1,9 @@
 //! When discovery is asked for the list of hosts, and for how much of it. Pure: chance comes from a seed, time is the
 //! caller's, who waits as long as he is told and says what came of each call.
 //!
-//! For each call [`Asking::from`], [`Asking::patience`] and [`Asking::hold`], and after it [`Asking::answered`], or
-//! [`Asking::failed`], which tells how long to wait;
-//! [`Asking::moved`] when discovery is elsewhere from now on. The first call is made at once: what discovery would tell one
+//! For each call [`WatchSchedule::from`], [`WatchSchedule::patience`] and [`WatchSchedule::hold`], and after it [`WatchSchedule::answered`], or
+//! [`WatchSchedule::failed`], which tells how long to wait;
+//! [`WatchSchedule::moved`] when discovery is elsewhere from now on. The first call is made at once: what discovery would tell one
 //! who has no call open counts as told, and the rule on drains binds from then on.
 //!
 //! It never reads a list, never gives up, and never makes a call dearer because an earlier one was refused.
@@ -17,8 +17,8 @@
 /// From the beginning of a call to the beginning of the next at most, whatever came of it: refused, silent, given up, or of no
 /// sense. A change counts as told 6 s after discovery had it and could be reached, and an answer may take 2 s: so a call has to
 /// begin in the 4 s before that, less a tenth for what is not counted here. Source: the operators' page on real days.
-pub const BETWEEN: Micros = 3_900_000;
-/// How long a call may take at most, from its dial to the last byte of its answer. The rest of [`BETWEEN`] is for the pause.
+pub const MAX_CALL_INTERVAL: Micros = 3_900_000;
+/// How long a call may take at most, from its dial to the last byte of its answer. The rest of [`MAX_CALL_INTERVAL`] is for the pause.
 const WITHIN: Micros = 3_600_000;
 /// How long discovery may hold a call while nothing changes.
 const HOLD: Micros = 3_000_000;
@@ -38,36 +38,38 @@
 const TURN: Micros = 60_000;
 
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct WatchConfig {
     pub seed: u64,
     /// Balancers that ask as this one does.
     pub balancers: u32,
     /// The version that is known at the start.
-    pub known: Option<u64>,
+    pub known_version: Option<u64>,
     /// How long a host that leaves may still be sent to.
-    pub grace: Micros,
+    pub drain_grace: Micros,
 }
 
 /// Why a call brought no list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum WatchError {
     /// A refusal for now, with the pause it asks for. The version that is known still holds.
-    NotNow { cause: String, retry_after: Option<Micros> },
+    Unavailable { cause: String, retry_after: Option<Micros> },
     /// No answer came. The same holds.
-    Silent(String),
+    TimedOut(String),
     /// An answer of no use: perhaps that version is not known there.
-    Senseless(String),
+    InvalidResponse(String),
 }
 
-impl Trouble {
+impl WatchError {
     pub fn cause(&self) -> &str {
         match self {
-            Trouble::NotNow { cause, .. } | Trouble::Silent(cause) | Trouble::Senseless(cause) => cause,
+            WatchError::Unavailable { cause, .. }
+            | WatchError::TimedOut(cause)
+            | WatchError::InvalidResponse(cause) => cause,
         }
     }
 }
 
-pub struct Asking {
+pub struct WatchSchedule {
     chance: SeededRng,
     /// The first pause after a call that was answered, but with no list: refused, or with nonsense.
     least: Micros,
@@ -77,19 +79,19 @@
     failures: u32,
 }
 
-impl Asking {
-    pub fn new(terms: Terms) -> Asking {
-        Asking {
+impl WatchSchedule {
+    pub fn new(terms: WatchConfig) -> WatchSchedule {
+        WatchSchedule {
             chance: SeededRng::new(terms.seed),
-            least: (TURN * Micros::from(terms.balancers)).clamp(LEAST, BETWEEN),
-            blind: (terms.grace / 2).clamp(LEAST / 2, BLIND),
-            from: terms.known,
+            least: (TURN * Micros::from(terms.balancers)).clamp(LEAST, MAX_CALL_INTERVAL),
+            blind: (terms.drain_grace / 2).clamp(LEAST / 2, BLIND),
+            from: terms.known_version,
             failures: 0,
         }
     }
 
     /// The version after which changes are asked for; the whole list where there is none.
-    pub fn from(&self) -> Option<u64> {
+    pub fn known_version(&self) -> Option<u64> {
         self.from
     }
 
@@ -98,7 +100,7 @@
     }
 
     /// How long a call may take, from its dial to the last byte of its answer.
-    pub fn patience(&self) -> Micros {
+    pub fn call_timeout(&self) -> Micros {
         if self.from.is_some() {
             WITHIN
         } else {
@@ -107,53 +109,53 @@
     }
 
     /// How long its connection may take to come up, and its answer be overdue.
-    pub fn overdue(&self) -> Micros {
+    pub fn response_timeout(&self) -> Micros {
         self.longer(OVERDUE).min(MOST_OVERDUE)
     }
 
     /// How long discovery may hold a call, of which the dial has taken so much of its time: whole tenths of a second.
-    pub fn hold(&self, dialled: Micros) -> Micros {
-        let left = (self.patience() - self.overdue() - dialled).clamp(0, HOLD);
+    pub fn hold_for(&self, dialled: Micros) -> Micros {
+        let left = (self.call_timeout() - self.response_timeout() - dialled).clamp(0, HOLD);
         left - left % 100_000
     }
 
     /// Calls that failed since the last answer.
-    pub fn failures(&self) -> u32 {
+    pub fn consecutive_failures(&self) -> u32 {
         self.failures
     }
 
     /// An answer came; `whole` where it held all there is. One that counts from less than was known, as another discovery
     /// may, has not told all, so all is asked for next.
-    pub fn answered(&mut self, version: u64, whole: bool) {
+    pub fn succeeded(&mut self, version: u64, whole: bool) {
         let behind = !whole && self.from.is_some_and(|from| version < from);
         self.from = (!behind).then_some(version);
         self.failures = 0;
     }
 
     /// A call failed that took so long: how long to wait before the next. The pause doubles, and is drawn from its upper half;
-    /// with the call it is no longer than [`BETWEEN`].
-    pub fn failed(&mut self, trouble: &Trouble, took: Micros) -> Micros {
-        if matches!(trouble, Trouble::Senseless(_)) {
+    /// with the call it is no longer than [`MAX_CALL_INTERVAL`].
+    pub fn failed(&mut self, trouble: &WatchError, took: Micros) -> Micros {
+        if matches!(trouble, WatchError::InvalidResponse(_)) {
             self.from = None;
         }
         // What a silent call would have told counts as told by now, and so does what discovery has to tell in the instant in
         // which it is back. One more call overbooks nobody: no turn is waited for, and no longer than half of the grace.
-        let silent = matches!(trouble, Trouble::Silent(_));
-        let (least, longest) = if silent { (LEAST, self.blind) } else { (self.least, BETWEEN) };
+        let silent = matches!(trouble, WatchError::TimedOut(_));
+        let (least, longest) = if silent { (LEAST, self.blind) } else { (self.least, MAX_CALL_INTERVAL) };
         let pause = self.longer(least).min(longest);
         self.failures += 1;
         let pause = self.chance.jittered(pause);
         let pause = match trouble {
-            Trouble::NotNow { retry_after: Some(retry_after), .. } => pause.max(*retry_after),
+            WatchError::Unavailable { retry_after: Some(retry_after), .. } => pause.max(*retry_after),
             _ => pause,
         };
         // A refusal may come as late as any answer, and however late it comes the next call must not.
-        pause.min((BETWEEN - took).max(LEAST / 2))
+        pause.min((MAX_CALL_INTERVAL - took).max(LEAST / 2))
     }
 
     /// Discovery is elsewhere: that one is asked at once, and has refused nobody yet. It may count otherwise, and hold a call
     /// from a version that it never had while there is news: all is asked for.
-    pub fn moved(&mut self) {
+    pub fn discovery_moved(&mut self) {
         self.failures = 0;
         self.from = None;
     }
--- a/membership/tests/told.rs
+++ b/membership/tests/told.rs
@@ -2,7 +2,7 @@
 //! before: by then the list is in force, at every balancer.
 
 use basaltwood::types::Micros;
-use basaltwood_membership::{Asking, Terms, Trouble, BETWEEN};
+use basaltwood_membership::{WatchConfig, WatchError, WatchSchedule, MAX_CALL_INTERVAL};
 use proptest::prelude::*;
 
 const MS: Micros = 1_000;
@@ -25,7 +25,7 @@
         after: Micros,
         retry_after: Option<Micros>,
     },
-    Senseless {
+    InvalidResponse {
         after: Micros,
     },
     /// It is answered at the end of its hold, or right away where it is not held, with nothing new.
@@ -41,7 +41,7 @@
         (0..4_000i64).prop_map(|after| Fate::Closed { after }),
         (0..4_000i64, proptest::option::of(0..90_000i64))
             .prop_map(|(after, retry_after)| Fate::Refused { after, retry_after }),
-        (0..4_000i64).prop_map(|after| Fate::Senseless { after }),
+        (0..4_000i64).prop_map(|after| Fate::InvalidResponse { after }),
         (0..500i64).prop_map(|late| Fate::Nothing { late }),
     ]
 }
@@ -49,38 +49,43 @@
 /// One balancer from its start: what the calls before meet, and when discovery has the change and can be reached. A call that is
 /// open then keeps its fate; each one after it has its answer as late as `answers`. When the list is in force, and the most
 /// between the beginnings of two calls.
-fn in_force(terms: Terms, fates: &[Fate], reached: Micros, answers: Micros) -> (Micros, Micros) {
-    let mut asking = Asking::new(terms);
+fn in_force(terms: WatchConfig, fates: &[Fate], reached: Micros, answers: Micros) -> (Micros, Micros) {
+    let mut schedule = WatchSchedule::new(terms);
     let (mut now, mut apart) = (0, 0);
     for nth in 0.. {
-        let patience = asking.patience();
-        assert!(asking.hold(0) + asking.overdue() <= patience, "a held call has time to be answered");
+        let patience = schedule.call_timeout();
+        assert!(
+            schedule.hold_for(0) + schedule.response_timeout() <= patience,
+            "a held call has time to be answered"
+        );
         if now >= reached {
             // The answer may be any within the bound, and the call has to be open for as long.
             assert!(patience >= answers, "given up after {patience} us");
             return (now + answers, apart);
         }
-        let silent = || Trouble::Silent("it is silent".to_owned());
+        let silent = || WatchError::TimedOut("it is silent".to_owned());
         let given_up = |after: Micros| (after * MS).min(patience);
         let (took, trouble) = match &fates[nth % fates.len()] {
-            Fate::NoDial => (asking.overdue().min(patience), Some(silent())),
+            Fate::NoDial => (schedule.response_timeout().min(patience), Some(silent())),
             // The dial takes a part of the call's own time.
             Fate::Silent { dial } => {
-                assert!(asking.hold(dial * MS) + dial * MS <= patience);
+                assert!(schedule.hold_for(dial * MS) + dial * MS <= patience);
                 (patience, Some(silent()))
             }
             Fate::Closed { after } => (given_up(*after), Some(silent())),
-            Fate::Refused { after, .. } | Fate::Senseless { after } if after * MS >= patience => {
+            Fate::Refused { after, .. } | Fate::InvalidResponse { after } if after * MS >= patience => {
                 (patience, Some(silent()))
             }
             Fate::Refused { after, retry_after } => {
                 let retry_after = retry_after.map(|ms| ms * MS);
-                (after * MS, Some(Trouble::NotNow { cause: "status 503".to_owned(), retry_after }))
+                (after * MS, Some(WatchError::Unavailable { cause: "status 503".to_owned(), retry_after }))
+            }
+            Fate::InvalidResponse { after } => {
+                (after * MS, Some(WatchError::InvalidResponse("no list".to_owned())))
             }
-            Fate::Senseless { after } => (after * MS, Some(Trouble::Senseless("no list".to_owned()))),
             Fate::Nothing { late } => {
-                let held = if asking.from().is_some() { asking.hold(0) } else { 0 };
-                let took = held + (late * MS).min(asking.overdue());
+                let held = if schedule.known_version().is_some() { schedule.hold_for(0) } else { 0 };
+                let took = held + (late * MS).min(schedule.response_timeout());
                 // The change would have ended the hold.
                 if now + took >= reached && took < patience {
                     return (reached.max(now) + answers, apart);
@@ -89,9 +94,9 @@
             }
         };
         let pause = match &trouble {
-            Some(trouble) => asking.failed(trouble, took),
+            Some(trouble) => schedule.failed(trouble, took),
             None => {
-                asking.answered(41, true);
+                schedule.succeeded(41, true);
                 20 * MS
             }
         };
@@ -114,11 +119,11 @@
         reached in 0..60_000i64,
         answers in 0..=2_000i64,
     ) {
-        let terms = Terms { seed, balancers, known, grace: grace * MS };
+        let terms = WatchConfig { seed, balancers, known_version: known, drain_grace: grace * MS };
         let reached = reached * MS;
         let (at, apart) = in_force(terms, &fates, reached, answers * MS);
         prop_assert!(at - reached <= TOLD, "in force {} us after it could be reached", at - reached);
-        prop_assert!(apart <= BETWEEN + 50 * MS, "{apart} us between two calls");
+        prop_assert!(apart <= MAX_CALL_INTERVAL + 50 * MS, "{apart} us between two calls");
     }
 }
 
@@ -130,14 +135,15 @@
             .map(|_| Fate::Refused { after: 10, retry_after: Some(90_000) })
             .chain([Fate::Silent { dial: 499 }])
             .collect();
-        let terms = Terms { seed: 7, balancers: 14_000, known: Some(41), grace: 9 * SECOND };
+        let terms =
+            WatchConfig { seed: 7, balancers: 14_000, known_version: Some(41), drain_grace: 9 * SECOND };
         // The last of them begins when all others are over.
-        let mut asking = Asking::new(terms);
+        let mut schedule = WatchSchedule::new(terms);
         let mut begins = 0;
         for _ in 0..failures {
             let retry_after = Some(90 * SECOND);
-            let refused = Trouble::NotNow { cause: "status 503".to_owned(), retry_after };
-            begins += 10 * MS + asking.failed(&refused, 10 * MS);
+            let refused = WatchError::Unavailable { cause: "status 503".to_owned(), retry_after };
+            begins += 10 * MS + schedule.failed(&refused, 10 * MS);
         }
         let (at, _) = in_force(terms, &fates, begins + 1, 2 * SECOND);
         assert!(at - begins <= TOLD, "after {failures} refusals: {} us", at - begins);
--- a/membership/tests/traces.rs
+++ b/membership/tests/traces.rs
@@ -3,40 +3,43 @@
 use std::collections::BTreeSet;
 
 use basaltwood::types::Micros;
-use basaltwood_membership::{Asking, Terms, Trouble, BETWEEN};
+use basaltwood_membership::{WatchConfig, WatchError, WatchSchedule, MAX_CALL_INTERVAL};
 use expect_test::expect;
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 
-fn asking(seed: u64, balancers: u32) -> Asking {
-    Asking::new(Terms { seed, balancers, known: Some(41), grace: 300 * MS })
+fn schedule(seed: u64, balancers: u32) -> WatchSchedule {
+    WatchSchedule::new(WatchConfig { seed, balancers, known_version: Some(41), drain_grace: 300 * MS })
 }
 
-fn refused() -> Trouble {
-    Trouble::NotNow { cause: "status 503".to_owned(), retry_after: None }
+fn refused() -> WatchError {
+    WatchError::Unavailable { cause: "status 503".to_owned(), retry_after: None }
 }
 
 #[test]
 fn a_refusal_makes_no_call_dearer_and_pauses_fall_back_with_the_first_answer() {
-    let mut asking = asking(3, 2);
+    let mut schedule = schedule(3, 2);
     let mut trace = Vec::new();
-    let mut failed = |asking: &mut Asking, trouble: Trouble| {
-        let pause = asking.failed(&trouble, 10 * MS);
+    let mut failed = |schedule: &mut WatchSchedule, trouble: WatchError| {
+        let pause = schedule.failed(&trouble, 10 * MS);
         trace.push(format!(
             "{:<10} wait {:>4} ms, ask from {:?}",
             trouble.cause(),
             pause / MS,
-            asking.from()
+            schedule.known_version()
         ));
     };
-    (0..8).for_each(|_| failed(&mut asking, refused()));
-    failed(&mut asking, Trouble::NotNow { cause: "come later".to_owned(), retry_after: Some(90 * SECOND) });
-    asking.moved();
-    failed(&mut asking, Trouble::Silent("it moved".to_owned()));
-    asking.answered(43, false);
-    failed(&mut asking, Trouble::Silent("silent".to_owned()));
-    failed(&mut asking, Trouble::Senseless("no list".to_owned()));
+    (0..8).for_each(|_| failed(&mut schedule, refused()));
+    failed(
+        &mut schedule,
+        WatchError::Unavailable { cause: "come later".to_owned(), retry_after: Some(90 * SECOND) },
+    );
+    schedule.discovery_moved();
+    failed(&mut schedule, WatchError::TimedOut("it moved".to_owned()));
+    schedule.succeeded(43, false);
+    failed(&mut schedule, WatchError::TimedOut("silent".to_owned()));
+    failed(&mut schedule, WatchError::InvalidResponse("no list".to_owned()));
     expect![[r#"
         status 503 wait   99 ms, ask from Some(41)
         status 503 wait  169 ms, ask from Some(41)
@@ -58,8 +61,11 @@
 
 /// Calls in the tenth of a second with most, over how long a time all have their first answer, and for how long the one that
 /// waited longest had no call open, where discovery serves one call in 10 ms, and refuses a call that would wait longer than 2 s.
-fn started_together(balancers: u32, pauses: impl Fn(&mut Asking) -> Micros) -> (usize, Micros, Micros) {
-    let mut all: Vec<Asking> = (0..balancers).map(|nth| asking(u64::from(nth), balancers)).collect();
+fn started_together(
+    balancers: u32,
+    pauses: impl Fn(&mut WatchSchedule) -> Micros,
+) -> (usize, Micros, Micros) {
+    let mut all: Vec<WatchSchedule> = (0..balancers).map(|nth| schedule(u64::from(nth), balancers)).collect();
     // Each asks in the instant of its start.
     let mut due: BTreeSet<(Micros, usize)> = (0..balancers as usize).map(|nth| (0, nth)).collect();
     let (mut free_at, mut tenths, mut last, mut blind) = (0, vec![0; 1_200], 0, 0);
@@ -87,7 +93,7 @@
     // The last: 14,000 before 15 discoveries.
     for balancers in [1, 2, 20, 100, 200, 300, 900, 934] {
         let (most, after, blind) =
-            started_together(balancers, |asking| asking.failed(&refused(), REFUSED_AFTER));
+            started_together(balancers, |schedule| schedule.failed(&refused(), REFUSED_AFTER));
         table.push(format!(
             "{balancers:<9}  {most:<15}  {:<16}  {} ms",
             format!("{} ms", after / MS),
@@ -95,7 +101,10 @@
         ));
         assert!(after < 30 * SECOND, "{table:?}");
         // What discovery has to tell counts as told after 6 s, and an answer may take 2 s.
-        assert!(REFUSED_AFTER + blind <= BETWEEN && BETWEEN + 2 * SECOND < 6 * SECOND, "{table:?}");
+        assert!(
+            REFUSED_AFTER + blind <= MAX_CALL_INTERVAL && MAX_CALL_INTERVAL + 2 * SECOND < 6 * SECOND,
+            "{table:?}"
+        );
     }
     expect![[r#"
         balancers  calls in 100 ms  all served after  longest with no call open
@@ -114,13 +123,13 @@
 fn after_silence_it_asks_again_at_once_however_many_ask() {
     let mut lines = Vec::new();
     for balancers in [1, 2, 20, 100, 300, 900] {
-        let (mut silent, mut refusing) = (asking(7, balancers), asking(7, balancers));
-        let pauses = |asking: &mut Asking, trouble: &Trouble| {
+        let (mut silent, mut refusing) = (schedule(7, balancers), schedule(7, balancers));
+        let pauses = |schedule: &mut WatchSchedule, trouble: &WatchError| {
             let pauses: Vec<String> =
-                (0..7).map(|_| (asking.failed(trouble, 10 * MS) / MS).to_string()).collect();
+                (0..7).map(|_| (schedule.failed(trouble, 10 * MS) / MS).to_string()).collect();
             pauses.join(" ")
         };
-        let quiet = pauses(&mut silent, &Trouble::Silent("it is silent".to_owned()));
+        let quiet = pauses(&mut silent, &WatchError::TimedOut("it is silent".to_owned()));
         lines.push(format!("{balancers}: silent {quiet}; refused {}", pauses(&mut refusing, &refused())));
     }
     expect![[r#"
@@ -137,13 +146,18 @@
 /// as told 6 s after.
 #[test]
 fn the_news_that_a_silent_watch_misses_are_here_before_they_count_as_told() {
-    let silent = Trouble::Silent("it is silent".to_owned());
+    let silent = WatchError::TimedOut("it is silent".to_owned());
     for (balancers, grace) in [(1, 250), (6, 300), (300, 1_000), (900, 1_500)] {
         for seed in 0..50 {
             let known = Some(41);
-            let mut asking = Asking::new(Terms { seed, balancers, known, grace: grace * MS });
-            let patience = asking.patience();
-            let answer = patience + asking.failed(&silent, patience) + 2 * SECOND;
+            let mut schedule = WatchSchedule::new(WatchConfig {
+                seed,
+                balancers,
+                known_version: known,
+                drain_grace: grace * MS,
+            });
+            let patience = schedule.call_timeout();
+            let answer = patience + schedule.failed(&silent, patience) + 2 * SECOND;
             // The grace is not used.
             assert!(answer <= 6 * SECOND, "{balancers} balancers: {answer} us");
         }
@@ -154,13 +168,18 @@
 /// grace, and a call that is open then is waited for.
 #[test]
 fn however_long_discovery_is_down_no_pause_outlasts_the_grace() {
-    let silent = Trouble::Silent("it closed the connection".to_owned());
+    let silent = WatchError::TimedOut("it closed the connection".to_owned());
     let mut lines = Vec::new();
     for grace in [250, 300, 1_000, 8_000] {
-        let mut asking = Asking::new(Terms { seed: 5, balancers: 300, known: Some(41), grace: grace * MS });
+        let mut schedule = WatchSchedule::new(WatchConfig {
+            seed: 5,
+            balancers: 300,
+            known_version: Some(41),
+            drain_grace: grace * MS,
+        });
         let failed = (0..60).map(|_| {
-            let patience = asking.patience();
-            (asking.failed(&silent, 10 * MS), patience)
+            let patience = schedule.call_timeout();
+            (schedule.failed(&silent, 10 * MS), patience)
         });
         let failed: Vec<(Micros, Micros)> = failed.collect();
         let longest = failed.iter().map(|one| one.0).max().unwrap_or(0);
--- a/regions/src/hosts.rs
+++ b/regions/src/hosts.rs
@@ -11,37 +11,37 @@
 
 /// A host as a list words it. `rest` is whatever else the shell wants to know of it again.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry<T> {
+pub struct ListedHost<T> {
     pub host: Box<str>,
     pub zone: Option<Box<str>>,
     pub origin: bool,
     pub lifecycle: Lifecycle,
-    pub rest: T,
+    pub details: T,
 }
 
 /// Something that is worth a line of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum RegionEvent {
     /// No region names this zone, or an entry names none; told once.
-    Unnamed(Option<Box<str>>),
+    UnknownZone(Option<Box<str>>),
     /// The ring is another region's hosts from now on.
-    Ring { before: String, now: String },
+    RingChanged { before: String, now: String },
 }
 
 /// What the module is to hear, in this order, as whole a list as the one that came.
 #[derive(Debug, PartialEq)]
-pub struct Passed<T> {
-    pub entries: Vec<Entry<T>>,
-    pub notes: Vec<Note>,
+pub struct RingUpdate<T> {
+    pub entries: Vec<ListedHost<T>>,
+    pub events: Vec<RegionEvent>,
     /// Hosts that are up and came into the ring, those of the first list too.
-    pub came: usize,
+    pub hosts_added: usize,
     /// Hosts that are up and were taken out of it: they moved, or the ring did.
-    pub went: usize,
+    pub hosts_removed: usize,
 }
 
 /// How many hosts of the list lie where; the origin's are in none of these.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct RegionCounts {
     /// In the ring's region, those that drain too.
     pub ring: usize,
     pub outside: usize,
@@ -63,7 +63,7 @@
     /// The module has heard of it, and the shell has not forgotten it since. One that no list names any more
     /// is `Gone` and stays for as long: the module may go on using it, and then has to hear its drain.
     told: bool,
-    rest: T,
+    details: T,
 }
 
 impl<T: Clone> Host<T> {
@@ -72,9 +72,9 @@
     }
 
     /// As the module is to hear of it, in that zone.
-    fn entry(&self, name: &str, zone: Option<Zone>, lifecycle: Lifecycle, map: &RegionMap) -> Entry<T> {
-        let (zone, rest) = (zone.map(|zone| map.zone_name(zone).into()), self.rest.clone());
-        Entry { host: name.into(), zone, origin: self.origin, lifecycle, rest }
+    fn entry(&self, name: &str, zone: Option<Zone>, lifecycle: Lifecycle, map: &RegionMap) -> ListedHost<T> {
+        let (zone, details) = (zone.map(|zone| map.zone_name(zone).into()), self.details.clone());
+        ListedHost { host: name.into(), zone, origin: self.origin, lifecycle, details }
     }
 }
 
@@ -97,7 +97,7 @@
     ///
     /// A host that leaves the ring is told as draining and then as gone: where only draining binds, a host
     /// that just goes would be sent to for as long as it answers.
-    pub fn hear(&mut self, whole: bool, entries: Vec<Entry<T>>) -> Passed<T> {
+    pub fn apply(&mut self, whole: bool, entries: Vec<ListedHost<T>>) -> RingUpdate<T> {
         if whole {
             let named: BTreeSet<&str> = entries.iter().map(|entry| &*entry.host).collect();
             self.hosts.retain(|name, host| {
@@ -108,16 +108,16 @@
                 stays || host.told
             });
         }
-        let mut notes = Vec::new();
-        entries.iter().for_each(|entry| self.note(entry, &mut notes));
+        let mut events = Vec::new();
+        entries.iter().for_each(|entry| self.note(entry, &mut events));
         let before = self.ring;
         self.ring = self.by_the_list();
         if before != self.ring {
             let name = |region: u16| self.map.names()[usize::from(region)].clone();
-            notes.push(Note::Ring { before: name(before), now: name(self.ring) });
+            events.push(RegionEvent::RingChanged { before: name(before), now: name(self.ring) });
         }
         let (map, ring) = (&self.map, Some(self.ring));
-        let mut passed = Passed { entries: Vec::new(), notes, came: 0, went: 0 };
+        let mut passed = RingUpdate { entries: Vec::new(), events, hosts_added: 0, hosts_removed: 0 };
         for entry in entries {
             let Some(host) = self.hosts.get_mut(&entry.host) else { continue };
             let ends = entry.lifecycle != Lifecycle::Up;
@@ -127,17 +127,17 @@
             if host.origin || here {
                 // What ends its use leaves its place as it was, whatever that says.
                 let kept = host.heard.filter(|_| host.told && ends);
-                passed.came += usize::from(!host.told && !ends && !host.origin);
+                passed.hosts_added += usize::from(!host.told && !ends && !host.origin);
                 (host.told, host.heard) = (true, kept.or(zone));
                 let kept = kept.map(|zone| map.zone_name(zone).into());
-                passed.entries.push(Entry { zone: kept.or(entry.zone), ..entry });
+                passed.entries.push(ListedHost { zone: kept.or(entry.zone), ..entry });
             }
         }
         self.hosts.retain(|name, host| {
             let region = host.region(map);
             if host.told && !host.origin && region != ring {
                 host.told = false;
-                passed.went += usize::from(host.lifecycle == Lifecycle::Up);
+                passed.hosts_removed += usize::from(host.lifecycle == Lifecycle::Up);
                 for lifecycle in [Lifecycle::Draining, Lifecycle::Gone] {
                     passed.entries.push(host.entry(name, host.heard, lifecycle, map));
                 }
@@ -145,7 +145,7 @@
             }
             if !host.told && region == ring {
                 (host.told, host.heard) = (true, host.zone);
-                passed.came += usize::from(host.lifecycle == Lifecycle::Up);
+                passed.hosts_added += usize::from(host.lifecycle == Lifecycle::Up);
                 passed.entries.push(host.entry(name, host.zone, host.lifecycle, map));
             }
             true
@@ -169,8 +169,8 @@
         &self.map
     }
 
-    pub fn counts(&self) -> Counts {
-        let mut counts = Counts { zones_unnamed: self.said.len(), ..Counts::default() };
+    pub fn counts(&self) -> RegionCounts {
+        let mut counts = RegionCounts { zones_unnamed: self.said.len(), ..RegionCounts::default() };
         let listed = |host: &&Host<T>| host.lifecycle != Lifecycle::Gone && !host.origin;
         for host in self.hosts.values().filter(listed) {
             let region = host.region(&self.map);
@@ -183,26 +183,27 @@
 
     /// What an entry says, into the books. One that ends a host's use may leave its place out, or name an
     /// absurd one: that is as it was.
-    fn note(&mut self, entry: &Entry<T>, notes: &mut Vec<Note>) {
+    fn note(&mut self, entry: &ListedHost<T>, events: &mut Vec<RegionEvent>) {
         let up = entry.lifecycle == Lifecycle::Up;
         let zone = entry.zone.as_deref().and_then(|zone| self.map.zone(zone));
         let unnamed = up && zone.is_none() && !entry.origin && self.said.len() < MOST_SAID;
         if unnamed && self.said.insert(entry.zone.clone()) {
-            notes.push(Note::Unnamed(entry.zone.clone()));
+            events.push(RegionEvent::UnknownZone(entry.zone.clone()));
         }
         match self.hosts.get_mut(&entry.host) {
             Some(host) => {
                 host.zone = zone.or(host.zone.filter(|_| !up));
                 host.origin = entry.origin || host.origin && !up;
                 host.lifecycle = entry.lifecycle;
-                host.rest = entry.rest.clone();
+                host.details = entry.details.clone();
                 if !host.told && entry.lifecycle == Lifecycle::Gone {
                     self.hosts.remove(&entry.host);
                 }
             }
             None if entry.lifecycle != Lifecycle::Gone => {
-                let Entry { origin, lifecycle, ref rest, .. } = *entry;
-                let host = Host { zone, heard: None, lifecycle, origin, told: false, rest: rest.clone() };
+                let ListedHost { origin, lifecycle, ref details, .. } = *entry;
+                let host =
+                    Host { zone, heard: None, lifecycle, origin, told: false, details: details.clone() };
                 self.hosts.insert(entry.host.clone(), host);
             }
             None => {}
--- a/regions/src/lib.rs
+++ b/regions/src/lib.rs
@@ -14,5 +14,5 @@
 mod hosts;
 mod map;
 
-pub use hosts::{Counts, Entry, Note, Passed, Regions};
+pub use hosts::{ListedHost, RegionCounts, RegionEvent, Regions, RingUpdate};
 pub use map::RegionMap;
--- a/regions/tests/bytes.rs
+++ b/regions/tests/bytes.rs
@@ -1,7 +1,7 @@
 //! What a host outside the ring costs. Alone in its process, which it looks at from outside.
 
 use basaltwood::types::Lifecycle;
-use basaltwood_regions::{Entry, RegionMap, Regions};
+use basaltwood_regions::{ListedHost, RegionMap, Regions};
 
 /// So many bytes this process holds.
 fn held() -> usize {
@@ -20,12 +20,12 @@
     let mut regions = Regions::new(RegionMap::parse("regions.toml", MAP).expect("it makes sense"));
     let entry = |nth: usize, zone: &str| {
         let (host, zone) = (format!("cache-host-{nth:08}").into_boxed_str(), Some(zone.into()));
-        Entry { host, zone, origin: false, lifecycle: Lifecycle::Up, rest: [nth; 8] }
+        ListedHost { host, zone, origin: false, lifecycle: Lifecycle::Up, details: [nth; 8] }
     };
-    assert_eq!(regions.hear(false, vec![entry(MANY, "n1")]).entries.len(), 1);
+    assert_eq!(regions.apply(false, vec![entry(MANY, "n1")]).entries.len(), 1);
     let before = held();
     for nth in 0..MANY / 100 {
-        let passed = regions.hear(false, (0..100).map(|at| entry(nth * 100 + at, "s1")).collect());
+        let passed = regions.apply(false, (0..100).map(|at| entry(nth * 100 + at, "s1")).collect());
         assert!(passed.entries.is_empty());
     }
     let each = (held() - before) / MANY;
--- a/regions/tests/common/mod.rs
+++ b/regions/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use basaltwood::types::Lifecycle;
-use basaltwood_regions::{Entry, Note, Passed, RegionMap, Regions};
+use basaltwood_regions::{ListedHost, RegionEvent, RegionMap, Regions, RingUpdate};
 
 pub const MAP: &str = r#"own = "north"
 [[region]]
@@ -19,7 +19,7 @@
 "#;
 
 /// With a number as all that the shell wants to know of a host.
-pub type Listed = Entry<u32>;
+pub type Listed = ListedHost<u32>;
 
 pub fn regions() -> Regions<u32> {
     Regions::new(RegionMap::parse("regions.toml", MAP).expect("it makes sense"))
@@ -46,13 +46,13 @@
         Some("left") => Lifecycle::Gone,
         _ => Lifecycle::Up,
     };
-    let rest = words.next().and_then(|rest| rest.parse().ok()).unwrap_or(0);
-    Entry {
+    let details = words.next().and_then(|details| details.parse().ok()).unwrap_or(0);
+    ListedHost {
         host: host.into(),
         zone: zone.map(Into::into),
         origin: host.starts_with("origin"),
         lifecycle,
-        rest,
+        details,
     }
 }
 
@@ -61,7 +61,7 @@
 }
 
 /// What is passed on, in a line.
-pub fn shown(passed: &Passed<u32>) -> String {
+pub fn shown(passed: &RingUpdate<u32>) -> String {
     let word = |lifecycle| match lifecycle {
         Lifecycle::Up => "",
         Lifecycle::Draining => " drains",
@@ -71,11 +71,11 @@
         let zone = entry.zone.as_deref().unwrap_or("-");
         format!("{} {zone}{}", entry.host, word(entry.lifecycle))
     };
-    let note = |note: &Note| match note {
-        Note::Unnamed(zone) => format!("[no region for {}]", zone.as_deref().unwrap_or("-")),
-        Note::Ring { before, now } => format!("[ring {before} to {now}]"),
+    let note = |note: &RegionEvent| match note {
+        RegionEvent::UnknownZone(zone) => format!("[no region for {}]", zone.as_deref().unwrap_or("-")),
+        RegionEvent::RingChanged { before, now } => format!("[ring {before} to {now}]"),
     };
-    let words = passed.notes.iter().map(note).chain(passed.entries.iter().map(entry)).collect::<Vec<_>>();
+    let words = passed.events.iter().map(note).chain(passed.entries.iter().map(entry)).collect::<Vec<_>>();
     match words.is_empty() {
         true => "nothing".to_owned(),
         false => words.chunks(6).map(|words| words.join(", ")).collect::<Vec<_>>().join(",\n     "),
@@ -99,20 +99,23 @@
 }
 
 impl Module {
-    pub fn hear(&mut self, whole: bool, passed: &Passed<u32>) {
+    pub fn apply(&mut self, whole: bool, passed: &RingUpdate<u32>) {
         let named: Vec<&str> = passed.entries.iter().map(|entry| &*entry.host).collect();
         for (name, known) in &mut self.hosts {
             if whole && !named.contains(&&**name) {
-                known.hear(Entry { lifecycle: Lifecycle::Gone, ..known.entry.clone() }, self.dropped_stay);
+                known.apply(
+                    ListedHost { lifecycle: Lifecycle::Gone, ..known.entry.clone() },
+                    self.dropped_stay,
+                );
             }
         }
         for entry in &passed.entries {
             let known = self.hosts.entry(entry.host.clone()).or_insert_with(|| Known {
-                entry: Entry { lifecycle: Lifecycle::Gone, ..entry.clone() },
+                entry: ListedHost { lifecycle: Lifecycle::Gone, ..entry.clone() },
                 drained: false,
                 dropped: false,
             });
-            known.hear(entry.clone(), self.dropped_stay);
+            known.apply(entry.clone(), self.dropped_stay);
         }
     }
 
@@ -141,7 +144,7 @@
 }
 
 impl Known {
-    fn hear(&mut self, entry: Listed, dropped_stay: bool) {
+    fn apply(&mut self, entry: Listed, dropped_stay: bool) {
         self.drained |= entry.lifecycle == Lifecycle::Draining;
         let stays = dropped_stay && !self.drained && self.entry.lifecycle == Lifecycle::Up;
         self.dropped = entry.lifecycle == Lifecycle::Gone && stays;
--- a/regions/tests/rings.rs
+++ b/regions/tests/rings.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use basaltwood::types::Lifecycle;
-use basaltwood_regions::{Counts, Entry, RegionMap, Regions};
+use basaltwood_regions::{ListedHost, RegionCounts, RegionMap, Regions};
 use common::*;
 use expect_test::expect;
 use proptest::prelude::*;
@@ -18,7 +18,7 @@
 fn trace_of(mut regions: Regions<u32>, lists: &[&str]) -> String {
     let lines = lists.iter().map(|list| {
         let (whole, text) = list.strip_prefix("all: ").map_or((false, *list), |text| (true, text));
-        let passed = regions.hear(whole, entries(text));
+        let passed = regions.apply(whole, entries(text));
         format!("{}\n  => {}\n", list.trim(), shown(&passed))
     });
     lines.collect()
@@ -257,7 +257,7 @@
         for own in ["north", "south"] {
             let map = map.replace("own = \"north\"", &format!("own = \"{own}\""));
             let mut regions = Regions::new(RegionMap::parse("regions.toml", &map).expect("it makes sense"));
-            let passed = regions.hear(true, entries("a n1, b n2, c s1, d s2"));
+            let passed = regions.apply(true, entries("a n1, b n2, c s1, d s2"));
             lines += &format!("{version}, {own}: {}\n", shown(&passed));
         }
     }
@@ -275,11 +275,11 @@
 #[test]
 fn hosts_are_counted_by_where_they_lie() {
     let mut regions = regions();
-    regions.hear(true, entries("a n1, b n2 leaving, c s1, d x1, e -, origin x9"));
-    let counted = Counts { ring: 2, outside: 3, unnamed: 2, zones_unnamed: 2 };
+    regions.apply(true, entries("a n1, b n2 leaving, c s1, d x1, e -, origin x9"));
+    let counted = RegionCounts { ring: 2, outside: 3, unnamed: 2, zones_unnamed: 2 };
     assert_eq!((regions.counts(), regions.ring()), (counted, "north"));
-    regions.hear(false, entries("a n1 left, b n2 left"));
-    let counted = Counts { ring: 1, outside: 2, ..counted };
+    regions.apply(false, entries("a n1 left, b n2 left"));
+    let counted = RegionCounts { ring: 1, outside: 2, ..counted };
     assert_eq!((regions.counts(), regions.ring()), (counted, "south"));
 }
 
@@ -290,8 +290,8 @@
     let mut regions = regions();
     let mut module = Module { dropped_stay: true, ..Module::default() };
     let mut hear = |whole, text: &str, module: &mut Module| {
-        let passed = regions.hear(whole, entries(text));
-        module.hear(whole, &passed);
+        let passed = regions.apply(whole, entries(text));
+        module.apply(whole, &passed);
         module.free().iter().for_each(|name| regions.forget(name));
         let up: Vec<_> = module.up().into_keys().collect();
         format!("{text}\n  => {}; up: {}\n", shown(&passed), up.join(" ")).replace(": \n", ": none\n")
@@ -358,9 +358,9 @@
         1 => Just(Lifecycle::Gone)
     ];
     let entry =
-        (0..HOSTS.len(), 0..ZONES.len(), lifecycle, 0..9_u32).prop_map(|(host, zone, lifecycle, rest)| {
+        (0..HOSTS.len(), 0..ZONES.len(), lifecycle, 0..9_u32).prop_map(|(host, zone, lifecycle, details)| {
             let (host, zone) = (HOSTS[host], ZONES[zone].map(Into::into));
-            Entry { host: host.into(), zone, origin: host == "origin", lifecycle, rest }
+            ListedHost { host: host.into(), zone, origin: host == "origin", lifecycle, details }
         });
     let entries = proptest::collection::vec(entry, 0..7);
     (prop::bool::weighted(0.3), entries, any::<bool>(), 0..HOSTS.len())
@@ -416,11 +416,11 @@
     ) {
         let (mut regions, mut module, mut list) = (regions_with(leasts), Module::default(), BTreeMap::new());
         for step in steps {
-            let passed = regions.hear(step.whole, step.entries.clone());
-            module.hear(step.whole, &passed);
+            let passed = regions.apply(step.whole, step.entries.clone());
+            module.apply(step.whole, &passed);
             listed(&mut list, &step);
             let mut other = Module::default();
-            other.hear(true, &regions_with(leasts).hear(true, shuffled(&list, order)));
+            other.apply(true, &regions_with(leasts).apply(true, shuffled(&list, order)));
             prop_assert_eq!(module.up(), ring_of(&list, leasts));
             prop_assert_eq!(other.up(), ring_of(&list, leasts));
             if step.frees {
@@ -441,8 +441,8 @@
         // The list, and where a host was when an entry last told of its place.
         let (mut list, mut places) = (BTreeMap::new(), BTreeMap::new());
         for step in steps {
-            let passed = regions.hear(step.whole, step.entries.clone());
-            module.hear(step.whole, &passed);
+            let passed = regions.apply(step.whole, step.entries.clone());
+            module.apply(step.whole, &passed);
             listed(&mut list, &step);
             let up = module.up();
             for entry in list.values().filter(|entry| entry.lifecycle == Lifecycle::Draining) {
--- a/testbed/src/scale/hollow.rs
+++ b/testbed/src/scale/hollow.rs
@@ -16,8 +16,10 @@
 use basaltwood::types::{
     AttemptNumber, AttemptOutcome, HostId, Lifecycle, Micros, RequestClassId, RequestId, RingPosition,
 };
-use basaltwood_connection_pool::{Failure, Fault, Grant, LinkId, Order, Pools};
-use basaltwood_membership::{Asking, Trouble};
+use basaltwood_connection_pool::{
+    Checkout, ConnectFailure, ConnectionId, ConnectionPools, Fault, PoolAction,
+};
+use basaltwood_membership::{WatchError, WatchSchedule};
 use basaltwood_settings::{EndpointRecord, NameTable, OperatorSettings, RuntimeLimits};
 use basaltwood_wire::buffer::Buffer;
 use basaltwood_wire::{http, resp};
@@ -161,14 +163,14 @@
     clock: Rc<Clock>,
     router: RefCell<Router>,
     words: RefCell<NameTable>,
-    pools: RefCell<Pools>,
+    pools: RefCell<ConnectionPools>,
     bounds: RuntimeLimits,
     sockets: usize,
     ttl: Micros,
     target: Micros,
     hosts: RefCell<BTreeMap<HostId, Seat>>,
-    idle: RefCell<BTreeMap<LinkId, Link>>,
-    carrying: RefCell<BTreeMap<LinkId, (RequestId, AttemptNumber)>>,
+    idle: RefCell<BTreeMap<ConnectionId, Link>>,
+    carrying: RefCell<BTreeMap<ConnectionId, (RequestId, AttemptNumber)>>,
     bells: RefCell<HashMap<u32, Rc<Notify>>>,
     shared: Rc<Shared>,
 }
@@ -190,7 +192,7 @@
 /// A connection that a push has; where that ends otherwise than with an answer, the pools learn of it.
 struct Held<'a> {
     of: &'a Hollow,
-    id: LinkId,
+    id: ConnectionId,
     link: Option<Link>,
 }
 
@@ -205,7 +207,7 @@
 }
 
 /// One that is being opened; the same.
-struct Opening<'a>(&'a Hollow, Option<LinkId>);
+struct Opening<'a>(&'a Hollow, Option<ConnectionId>);
 
 impl Drop for Opening<'_> {
     fn drop(&mut self) {
@@ -220,12 +222,12 @@
         let info = OperatorSettings::deserialize(&spec.settings).map_err(|cause| cause.to_string())?;
         let terms = info.policy_config(RingPosition(spec.seed).mixed(u64::from(no)).0)?;
         let bounds = info.runtime_limits();
-        let pools = Pools::new(basaltwood_connection_pool::Terms {
+        let pools = ConnectionPools::new(basaltwood_connection_pool::PoolConfig {
             seed: terms.seed,
             balancers: terms.balancers,
-            idle_for: bounds.idle_timeout,
-            connect_within: bounds.connect_timeout,
-            most: spec.sockets,
+            idle_timeout: bounds.idle_timeout,
+            connect_timeout: bounds.connect_timeout,
+            max_connections: spec.sockets,
         });
         let hollow = Rc::new(Hollow {
             no,
@@ -246,13 +248,13 @@
         let known = Page::deserialize(&spec.known).map_err(|cause| cause.to_string())?;
         let generation = known.generation;
         hollow.takes_list(true, known.instances);
-        let asking = Asking::new(basaltwood_membership::Terms {
+        let schedule = WatchSchedule::new(basaltwood_membership::WatchConfig {
             seed: terms.seed,
             balancers: terms.balancers,
-            known: Some(generation),
-            grace: bounds.drain_grace,
+            known_version: Some(generation),
+            drain_grace: bounds.drain_grace,
         });
-        spawn_local(hollow.clone().watch(spec.discovery, asking));
+        spawn_local(hollow.clone().watch(spec.discovery, schedule));
         spawn_local(hollow.clone().tick());
         Ok(hollow)
     }
@@ -283,13 +285,13 @@
         self.router.borrow_mut().update_endpoints(now, whole, listed);
         let gone = |host: &HostId| !self.router.borrow().accepts_attempts(*host);
         let hosts: Vec<HostId> = self.hosts.borrow().keys().copied().filter(gone).collect();
-        hosts.into_iter().for_each(|host| self.pools.borrow_mut().drained(host));
+        hosts.into_iter().for_each(|host| self.pools.borrow_mut().host_draining(host));
         self.carry_out();
         self.ring();
         for host in self.router.borrow().released_hosts() {
             self.words.borrow_mut().hosts.forget(host.0);
             self.hosts.borrow_mut().remove(&host);
-            self.pools.borrow_mut().forget(host);
+            self.pools.borrow_mut().forget_host(host);
         }
     }
 
@@ -297,33 +299,33 @@
         let mut hosts = self.hosts.borrow_mut();
         let seat = hosts.entry(host).or_insert_with(|| Seat { address, freed: Rc::default() });
         if std::mem::replace(&mut seat.address, address) != address {
-            self.pools.borrow_mut().moved(host);
+            self.pools.borrow_mut().host_moved(host);
         }
     }
 
     // Discovery.
 
-    async fn watch(self: Rc<Hollow>, discovery: SocketAddr, mut asking: Asking) {
+    async fn watch(self: Rc<Hollow>, discovery: SocketAddr, mut schedule: WatchSchedule) {
         let mut connection = None;
         loop {
             let began = Instant::now();
             let next = began + APART;
-            match self.call(&mut connection, discovery, &asking).await {
+            match self.call(&mut connection, discovery, &schedule).await {
                 Ok(page) => {
-                    let whole = page.reset || asking.from().is_none();
+                    let whole = page.reset || schedule.known_version().is_none();
                     let news = whole || !page.instances.is_empty();
                     self.takes_list(whole, page.instances);
                     if news {
                         let applied = (self.no, page.generation, unix_us());
                         self.shared.count(|mark| mark.applied.push(applied));
                     }
-                    asking.answered(page.generation, whole);
+                    schedule.succeeded(page.generation, whole);
                     sleep_until(next).await;
                 }
                 Err(trouble) => {
                     connection = None;
                     let took = began.elapsed().as_micros() as Micros;
-                    sleep(span(asking.failed(&trouble, took))).await;
+                    sleep(span(schedule.failed(&trouble, took))).await;
                 }
             }
         }
@@ -333,25 +335,26 @@
         &self,
         connection: &mut Option<Link>,
         discovery: SocketAddr,
-        asking: &Asking,
-    ) -> Result<Page, Trouble> {
+        schedule: &WatchSchedule,
+    ) -> Result<Page, WatchError> {
         let began = Instant::now();
-        let until = began + span(asking.patience());
-        let silent = |cause: io::Error| Trouble::Silent(cause.to_string());
+        let until = began + span(schedule.call_timeout());
+        let silent = |cause: io::Error| WatchError::TimedOut(cause.to_string());
         let Link { stream, buffer } = match connection {
             Some(open) => open,
             None => {
-                let opening = timeout(span(asking.overdue()), TcpStream::connect(discovery));
-                let opened = opening.await.map_err(|_| Trouble::Silent("it does not come up".to_owned()))?;
+                let opening = timeout(span(schedule.response_timeout()), TcpStream::connect(discovery));
+                let opened =
+                    opening.await.map_err(|_| WatchError::TimedOut("it does not come up".to_owned()))?;
                 let stream = opened.map_err(silent)?;
                 let _ = stream.set_nodelay(true);
                 connection.insert(Link { stream, buffer: Buffer::new(MOST_BODY + 64 * 1024) })
             }
         };
-        let path = match asking.from() {
+        let path = match schedule.known_version() {
             Some(from) => format!(
                 "/v1/servers?from={from}&hold_ms={}",
-                asking.hold(began.elapsed().as_micros() as Micros) / MS
+                schedule.hold_for(began.elapsed().as_micros() as Micros) / MS
             ),
             None => "/v1/servers".to_owned(),
         };
@@ -362,24 +365,26 @@
             loop {
                 let room = buffer.room().map_err(silent)?;
                 match stream.read_buf(room).await.map_err(silent)? {
-                    0 => return Err(Trouble::Silent("it closed the connection".to_owned())),
+                    0 => return Err(WatchError::TimedOut("it closed the connection".to_owned())),
                     read => self.shared.count(|mark| mark.control_in += read as u64),
                 }
-                if let Some(answer) = http::answer(buffer.bytes(), MOST_BODY).map_err(Trouble::Senseless)? {
+                if let Some(answer) =
+                    http::answer(buffer.bytes(), MOST_BODY).map_err(WatchError::InvalidResponse)?
+                {
                     return Ok(answer);
                 }
             }
         });
-        let answer = answer.await.map_err(|_| Trouble::Silent("it is silent".to_owned()))??;
+        let answer = answer.await.map_err(|_| WatchError::TimedOut("it is silent".to_owned()))??;
         buffer.consume(answer.used);
         if !answer.keep {
             *connection = None;
         }
         match answer.status {
             200 => {}
-            status => return Err(Trouble::Senseless(format!("status {status}"))),
+            status => return Err(WatchError::InvalidResponse(format!("status {status}"))),
         }
-        serde_json::from_slice(&answer.body).map_err(|cause| Trouble::Senseless(cause.to_string()))
+        serde_json::from_slice(&answer.body).map_err(|cause| WatchError::InvalidResponse(cause.to_string()))
     }
 
     // Timers.
@@ -408,17 +413,17 @@
     }
 
     fn carry_out(&self) {
-        let orders = self.pools.borrow_mut().orders();
+        let orders = self.pools.borrow_mut().take_actions();
         for order in orders {
             match order {
-                Order::Close(id) => drop(self.idle.borrow_mut().remove(&id)),
-                Order::Doubt(id) => {
+                PoolAction::Close(id) => drop(self.idle.borrow_mut().remove(&id)),
+                PoolAction::AttemptInDoubt(id) => {
                     let ticket = self.carrying.borrow().get(&id).copied();
                     if let Some((op, push)) = ticket {
                         self.router.borrow_mut().attempt_in_doubt(self.clock.now(), op, push);
                     }
                 }
-                Order::Alive(host) => self.router.borrow_mut().host_alive(self.clock.now(), host),
+                PoolAction::HostAlive(host) => self.router.borrow_mut().host_alive(self.clock.now(), host),
             }
         }
     }
@@ -525,7 +530,7 @@
             return AttemptOutcome::Unreachable;
         }
         self.shared.count(|mark| mark.host_out += text.len() as u64);
-        self.pools.borrow_mut().sent(self.clock.now(), id);
+        self.pools.borrow_mut().request_sent(self.clock.now(), id);
         self.carrying.borrow_mut().insert(id, ticket);
         loop {
             let Some(link) = &mut held.link else { return AttemptOutcome::NotSent };
@@ -535,14 +540,14 @@
             match read {
                 Err(_) => {
                     // Whatever may come late is not listened to here.
-                    self.pools.borrow_mut().silent(now, id);
+                    self.pools.borrow_mut().attempt_timed_out(now, id);
                     return AttemptOutcome::TimedOut;
                 }
                 Ok(Ok(0) | Err(_)) => {
                     held.link = None;
-                    let fault = self.pools.borrow_mut().broke(now, id);
+                    let fault = self.pools.borrow_mut().connection_lost(now, id);
                     self.carry_out();
-                    return if fault == Fault::Link {
+                    return if fault == Fault::Connection {
                         AttemptOutcome::ConnectionFault
                     } else {
                         AttemptOutcome::ConnectionLost
@@ -582,10 +587,10 @@
         until: Instant,
     ) -> Result<Held<'_>, AttemptOutcome> {
         loop {
-            let grant = self.pools.borrow_mut().grant(self.clock.now(), host);
+            let grant = self.pools.borrow_mut().checkout(self.clock.now(), host);
             self.carry_out();
             match grant {
-                Grant::Carry(id) => {
+                Checkout::Reuse(id) => {
                     let Some(link) = self.idle.borrow_mut().remove(&id) else {
                         self.pools.borrow_mut().abandoned(id);
                         continue;
@@ -594,14 +599,14 @@
                     if matches!(&read, Err(cause) if cause.kind() == ErrorKind::WouldBlock) {
                         return Ok(Held { of: self, id, link: Some(link) });
                     }
-                    self.pools.borrow_mut().found_ended(id);
+                    self.pools.borrow_mut().found_closed(id);
                 }
-                Grant::Open(id) => {
+                Checkout::Open(id) => {
                     self.router.borrow_mut().attempt_on_new_connection(self.clock.now(), ticket.0, ticket.1);
                     self.ring();
                     return self.open(host, id, until).await;
                 }
-                Grant::Later(at) => {
+                Checkout::RetryAt(at) => {
                     let freed = self.hosts.borrow().get(&host).map(|seat| seat.freed.clone());
                     let freed = freed.ok_or(AttemptOutcome::NotSent)?;
                     if Instant::now() >= until {
@@ -609,19 +614,19 @@
                     }
                     let _ = timeout_at(until.min(self.clock.at(at)), freed.notified()).await;
                 }
-                Grant::Closed => return Err(AttemptOutcome::Unreachable),
-                Grant::Full => return Err(AttemptOutcome::NotSent),
+                Checkout::CircuitOpen => return Err(AttemptOutcome::Unreachable),
+                Checkout::Exhausted => return Err(AttemptOutcome::NotSent),
             }
         }
     }
 
-    async fn open(&self, host: HostId, id: LinkId, until: Instant) -> Result<Held<'_>, AttemptOutcome> {
+    async fn open(&self, host: HostId, id: ConnectionId, until: Instant) -> Result<Held<'_>, AttemptOutcome> {
         let mut opening = Opening(self, Some(id));
         let address =
             self.hosts.borrow().get(&host).map(|seat| seat.address).ok_or(AttemptOutcome::NotSent)?;
         // A descriptor, at the cost of an idle connection where there is no other.
-        while self.pools.borrow().open() > self.sockets {
-            let Some(old) = self.pools.borrow_mut().make_room() else { return Err(AttemptOutcome::NotSent) };
+        while self.pools.borrow().open_connections() > self.sockets {
+            let Some(old) = self.pools.borrow_mut().evict_idle() else { return Err(AttemptOutcome::NotSent) };
             self.idle.borrow_mut().remove(&old);
         }
         let bound = Instant::now() + span(self.bounds.connect_timeout);
@@ -632,13 +637,13 @@
             Ok(Ok(stream)) => {
                 let _ = stream.set_nodelay(true);
                 self.shared.count(|mark| mark.opened += 1);
-                self.pools.borrow_mut().opened(now, id);
+                self.pools.borrow_mut().connected(now, id);
                 Ok(Held { of: self, id, link: Some(Link { stream, buffer: Buffer::new(resp::MOST) }) })
             }
             failed => {
                 let own = failed.is_err() && until < bound;
-                let why = if own { Failure::Own } else { Failure::Host };
-                self.pools.borrow_mut().failed(now, id, why);
+                let why = if own { ConnectFailure::Local } else { ConnectFailure::Host };
+                self.pools.borrow_mut().connect_failed(now, id, why);
                 Err(AttemptOutcome::Unreachable)
             }
         }
@@ -673,9 +678,9 @@
         let mut rng = ChaCha8Rng::seed_from_u64(self.spec.seed ^ u64::from(self.spec.first) << 20);
         let law = Zipf::new(self.spec.keys as f64, self.spec.zipf).ok().filter(|_| self.spec.zipf > 0.0);
         let rate = self.spec.rate * f64::from(self.spec.balancers);
-        let mut asking = self.asks.subscribe();
+        let mut schedule = self.asks.subscribe();
         loop {
-            if asking.wait_for(|asking| *asking).await.is_err() || rate <= 0.0 || self.all.is_empty() {
+            if schedule.wait_for(|schedule| *schedule).await.is_err() || rate <= 0.0 || self.all.is_empty() {
                 return;
             }
             let mut due = self.clock.now() as f64;
@@ -712,7 +717,7 @@
             Asked::Rest => drop(self.asks.send_replace(false)),
             Asked::Mark | Asked::Silent | Asked::Speak => {}
         }
-        let open = self.all.iter().map(|hollow| hollow.pools.borrow().open() as u64).sum();
+        let open = self.all.iter().map(|hollow| hollow.pools.borrow().open_connections() as u64).sum();
         let mut mark = self.shared.mark.borrow_mut();
         (mark.cpu_s, mark.resident_kb, mark.base_kb) = (thread_cpu(), resident_kb(), self.base_kb);
         mark.open = open;
