--- a/src/policy/zones.rs
+++ b/src/policy/zones.rs
@@ -9,7 +9,7 @@
 use crate::types::{AttemptOutcome, Micros, ZoneId};
 
 /// Hosts that lost a push in a row that tell of their zone: fewer may be chance where some are bad anyway.
-const IN_A_ROW: usize = 3;
+const MIN_SUSPECT_HOSTS: usize = 3;
 
 /// A host's signs of life, and of none.
 #[derive(Clone, Copy, Debug, Default)]
@@ -21,7 +21,7 @@
 
 impl HostActivity {
     /// A push that was sent then has ended.
-    pub fn event(&mut self, outcome: AttemptOutcome, sent: Micros, now: Micros) {
+    pub fn record(&mut self, outcome: AttemptOutcome, sent: Micros, now: Micros) {
         if outcome.answered() {
             self.answered_at = now;
         } else if matches!(
@@ -35,26 +35,28 @@
 
 #[derive(Default)]
 pub struct ZoneOutageDetector {
-    dark: BTreeSet<ZoneId>,
+    dark_zones: BTreeSet<ZoneId>,
 }
 
 impl ZoneOutageDetector {
     /// Looks at all hosts anew; the zones that went dark since the last look.
-    pub fn look(&mut self, hosts: impl Iterator<Item = (ZoneId, HostActivity)>) -> BTreeSet<ZoneId> {
+    pub fn newly_dark(&mut self, hosts: impl Iterator<Item = (ZoneId, HostActivity)>) -> BTreeSet<ZoneId> {
         let mut zones: BTreeMap<ZoneId, (Micros, Vec<Micros>)> = BTreeMap::new();
-        for (zone, pulse) in hosts {
+        for (zone, activity) in hosts {
             let (answered_at, lost) = zones.entry(zone).or_default();
-            *answered_at = pulse.answered_at.max(*answered_at);
-            lost.push(pulse.lost_at);
+            *answered_at = activity.answered_at.max(*answered_at);
+            lost.push(activity.lost_at);
         }
-        zones.retain(|_, (answered, lost)| lost.iter().filter(|at| *at > answered).count() >= IN_A_ROW);
-        let before = std::mem::replace(&mut self.dark, zones.into_keys().collect());
-        self.dark.difference(&before).copied().collect()
+        zones.retain(|_, (answered, lost)| {
+            lost.iter().filter(|at| *at > answered).count() >= MIN_SUSPECT_HOSTS
+        });
+        let before = std::mem::replace(&mut self.dark_zones, zones.into_keys().collect());
+        self.dark_zones.difference(&before).copied().collect()
     }
 
     /// Whether to keep away from a host of this zone. One that lost a push itself and is taken back is the
     /// zone's feeler: its answer, like any, brings the zone back.
-    pub fn dark(&self, zone: ZoneId, pulse: HostActivity) -> bool {
-        pulse.lost_at <= pulse.answered_at && self.dark.contains(&zone)
+    pub fn is_dark(&self, zone: ZoneId, activity: HostActivity) -> bool {
+        activity.lost_at <= activity.answered_at && self.dark_zones.contains(&zone)
     }
 }
