--- /dev/null
+++ b/src/dispatcher.rs
@@ -0,0 +1,238 @@
+//! What a balancer keeps of requests and of its fleet, and the events that change it. Nothing is
+//! decided here: what follows from an event is in `policy/`.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use crate::backoff::Backoff;
+use crate::host_tracker::{HostStatus, HostTracker, Mailboxes};
+use crate::key_set::BoundedKeySet;
+use crate::leaky_bucket::LeakyBucket;
+use crate::mailboxes::{DispatcherMessage, HostMessage};
+use crate::open_request::{ClassParameters, OpenRequest, SentAttempt};
+use crate::policy::concurrency_limit::ConcurrencyLimit;
+use crate::policy::constants::{MAX_TRACKED_KEYS, SWEEP_INTERVAL};
+use crate::policy::hot_keys::LoadStatistics;
+use crate::policy::zones::ZoneOutageDetector;
+use crate::retry_budget::RetryBudget;
+use crate::ring::{Ring, RingHost};
+use crate::send_windows::SendWindows;
+use crate::types::*;
+
+/// Holds the open requests and what all hosts have in common.
+#[derive(Default)]
+pub(crate) struct Dispatcher {
+    pub(crate) rng: SeededRng,
+    /// Its own, so that balancers leave different keys of a slow host.
+    pub(crate) salt: u64,
+    pub(crate) capabilities: Capabilities,
+    pub(crate) classes: Vec<ClassParameters>,
+    /// Requests per second of each tenant inside its quota, as far as this balancer's part goes.
+    pub(crate) tenant_quotas: Vec<LeakyBucket>,
+    /// The limit share of a request past its tenant's quota, or of a client's own retry, against
+    /// others of its class.
+    pub(crate) over_quota_share: f64,
+    pub(crate) retry_after: Option<Micros>,
+    /// The latency objective of late, over the requests taken.
+    pub(crate) latency_objective: f64,
+    pub(crate) shortest_objective: f64,
+
+    pub(crate) requests: BTreeMap<RequestId, OpenRequest>,
+    pub(crate) retry_budget: RetryBudget,
+    /// The same for what was lost with a connection alone.
+    pub(crate) connection_retry_budget: RetryBudget,
+    /// Keys whose requests got errors from two hosts, and no value since.
+    pub(crate) failing_keys: BoundedKeySet,
+
+    pub(crate) host_statuses: Vec<HostStatus>,
+    pub(crate) ring: Ring,
+    pub(crate) ring_is_stale: bool,
+    pub(crate) loads: LoadStatistics,
+    pub(crate) zones: ZoneOutageDetector,
+    /// Of all cache hosts together.
+    pub(crate) fleet_limit: ConcurrencyLimit,
+    pub(crate) in_flight_total: usize,
+    /// The part of all balancers that the others are.
+    pub(crate) others_part: f64,
+    pub(crate) typical_latency: f64,
+    pub(crate) evaluated_at: Micros,
+
+    pub(crate) slow_start: SlowStart,
+    /// Of what a host that is warming up surely bears, the part that is kept there.
+    pub(crate) warm_up_share: f64,
+    /// The part of a host's keys that it keeps, over all hosts.
+    pub(crate) mean_key_share: f64,
+    /// Own sends to a host of mean load in the window in which one that is warming up may be
+    /// overloaded.
+    pub(crate) sends_per_window: f64,
+    /// The mean time from one own send to a host of mean load to the next.
+    pub(crate) send_interval: Micros,
+    pub(crate) warm_up_sends: SendWindows,
+
+    /// Between calls for the endpoint list that fail.
+    pub(crate) watch_backoff: Backoff,
+    /// The first endpoint list came.
+    pub(crate) has_started: bool,
+}
+
+/// An attempt that ended.
+pub(crate) struct EndedAttempt {
+    pub(crate) attempt: AttemptKey,
+    pub(crate) host: HostId,
+    /// How long it was in flight.
+    pub(crate) elapsed: Micros,
+    pub(crate) outcome: AttemptOutcome,
+}
+
+impl Dispatcher {
+    /// The tracker of a host that nothing is known of.
+    pub(crate) fn new_tracker(&self, id: HostId) -> HostTracker {
+        let limit = ConcurrencyLimit::of_new_host(self.fleet_limit.growth);
+        HostTracker::new(id, limit, self.slow_start.clone(), self.capabilities.keeps_dropped_hosts)
+    }
+
+    /// Takes one message.
+    pub(crate) fn handle(&mut self, message: DispatcherMessage<HostStatus>, mailboxes: &mut Mailboxes) {
+        // Once for all hosts that came or went together, before anything looks at the ring.
+        if self.ring_is_stale && !matches!(message, DispatcherMessage::HostStatus(..)) {
+            self.rebuild_ring();
+        }
+        match message {
+            DispatcherMessage::HostStatus(host, status) => {
+                let shown = &mut self.host_statuses[host.index()];
+                self.ring_is_stale |= shown.is_up() != status.is_up();
+                *shown = *status;
+            }
+            DispatcherMessage::HostSuspected(request) => self.retry(request, mailboxes),
+            DispatcherMessage::Event(event) => self.handle_event(event, mailboxes),
+        }
+    }
+
+    fn handle_event(&mut self, event: PolicyEvent, mailboxes: &mut Mailboxes) {
+        match event {
+            PolicyEvent::Endpoints { complete, endpoints } => {
+                self.update_endpoints(complete, endpoints, mailboxes)
+            }
+            PolicyEvent::DiscoveryFailed => {
+                let after = self.watch_backoff.next_pause(&mut self.rng);
+                mailboxes.actions.push(PolicyAction::SetTimer { after, timer: Timer::Watch });
+            }
+            PolicyEvent::TimerFired(Timer::Watch) => mailboxes.actions.push(PolicyAction::WatchDiscovery),
+            PolicyEvent::TimerFired(Timer::Sweep) => self.sweep(mailboxes),
+            PolicyEvent::Request { request, class, tenant, key, is_write, is_retry, deadline } => {
+                let open = OpenRequest {
+                    class: class.0 as usize,
+                    key,
+                    is_write,
+                    is_client_retry: is_retry,
+                    is_in_quota: self.is_in_quota(tenant, mailboxes.now),
+                    expires_at: deadline,
+                    ..OpenRequest::default()
+                };
+                self.open(request, open, mailboxes);
+            }
+            PolicyEvent::LimitsLearned(limits) => self.limits_learned(limits, mailboxes),
+            PolicyEvent::ClientGone { request } => self.forget(request, mailboxes),
+            PolicyEvent::ShuttingDown { request } => self.close(request, true, mailboxes),
+            PolicyEvent::AttemptInDoubt { request, attempt } => {
+                self.attempt_in_doubt(request, attempt, mailboxes)
+            }
+            PolicyEvent::HostAlive { host } => mailboxes.send_to_host(host, HostMessage::Alive),
+            PolicyEvent::ProcessStalled(span) => {
+                let hosts = (0..self.host_statuses.len() as u32).map(HostId);
+                hosts.for_each(|host| mailboxes.send_to_host(host, HostMessage::ProcessStalled(span)));
+            }
+            PolicyEvent::NewConnection { request, attempt, host } => {
+                let attempt = AttemptKey { request, number: attempt };
+                mailboxes.send_to_host(host, HostMessage::OnNewConnection(attempt));
+            }
+            PolicyEvent::AttemptEnded { request, attempt, host, elapsed, outcome, finished } => {
+                let attempt = AttemptKey { request, number: attempt };
+                let ended = EndedAttempt { attempt, host, elapsed, outcome };
+                self.tell_host_of_end(&ended, mailboxes);
+                self.attempt_ended(&ended, finished, mailboxes);
+            }
+        }
+    }
+
+    fn update_endpoints(&mut self, complete: bool, endpoints: Vec<Endpoint>, mailboxes: &mut Mailboxes) {
+        let named: BTreeSet<HostId> = endpoints.iter().map(|endpoint| endpoint.host).collect();
+        let known = self.host_statuses.iter().filter_map(|status| status.endpoint.as_ref());
+        for endpoint in known.filter(|endpoint| complete && !named.contains(&endpoint.host)) {
+            let gone = Endpoint { lifecycle: Lifecycle::Gone, ..endpoint.clone() };
+            mailboxes.send_to_host(gone.host, HostMessage::Endpoint(gone));
+        }
+        for endpoint in endpoints {
+            mailboxes.send_to_host(endpoint.host, HostMessage::Endpoint(endpoint));
+        }
+        self.watch_backoff.reset();
+        if !self.has_started {
+            self.has_started = true;
+            mailboxes.actions.push(PolicyAction::SetTimer { after: SWEEP_INTERVAL, timer: Timer::Sweep });
+            if self.capabilities.polls_discovery {
+                mailboxes.actions.push(PolicyAction::WatchDiscovery);
+            }
+        }
+    }
+
+    /// Counts a request of a tenant, where one is known.
+    fn is_in_quota(&mut self, tenant: Option<TenantId>, now: Micros) -> bool {
+        tenant.is_none_or(|tenant| self.tenant_quotas[tenant.0 as usize].admits(now))
+    }
+
+    fn limits_learned(&mut self, limits: Vec<LearnedLimit>, mailboxes: &mut Mailboxes) {
+        let position = |status: &HostStatus| status.endpoint.as_ref().map(|endpoint| endpoint.position);
+        for learned in limits {
+            let mut statuses = self.host_statuses.iter();
+            if let Some(at) = statuses.position(|status| position(status) == Some(learned.position)) {
+                mailboxes.send_to_host(HostId(at as u32), HostMessage::LearnedLimit(learned.limit));
+            }
+        }
+    }
+
+    /// Books an attempt that was admitted, and has it sent.
+    pub(crate) fn record_attempt(&mut self, id: RequestId, host: HostId, mailboxes: &mut Mailboxes) {
+        let now = mailboxes.now;
+        let request = self.requests.get_mut(&id).expect("it was admitted");
+        let key = request.key;
+        let attempt = AttemptKey { request: id, number: request.start_attempt(host, now) };
+        let timeout = request.expires_at - now;
+        let status = &mut self.host_statuses[host.index()];
+        status.in_flight += 1;
+        if status.is_cache() {
+            self.in_flight_total += 1;
+            self.fleet_limit.peak_in_flight = self.fleet_limit.peak_in_flight.max(self.in_flight_total);
+            let home = key.and_then(|key| self.ring.home(key)).unwrap_or(host);
+            self.loads.counts.count(host, key, home, MAX_TRACKED_KEYS);
+        }
+        mailboxes.send_to_host(host, HostMessage::AttemptStarted(attempt));
+        mailboxes.actions.push(PolicyAction::StartAttempt { request: id, host, timeout });
+    }
+
+    /// The cache hosts that are up.
+    pub(crate) fn ring_hosts(&self) -> Vec<RingHost> {
+        let has_weights = self.capabilities.steady_weights;
+        let up = (0..).map(HostId).zip(&self.host_statuses).filter(|(_, status)| status.is_cache());
+        let hosts = up.filter_map(|(host, status)| {
+            let endpoint = status.endpoint.as_ref()?;
+            let weight = if has_weights && endpoint.weight > 0.0 { endpoint.weight } else { 1.0 };
+            Some(RingHost { position: endpoint.position, host, weight })
+        });
+        hosts.collect()
+    }
+
+    /// Tells of each request with an attempt in flight in one of these zones that its host is
+    /// suspected.
+    pub(crate) fn suspect_zones(&self, zones: &BTreeSet<ZoneId>, mailboxes: &mut Mailboxes) {
+        let is_there = |sent: &SentAttempt| zones.contains(&self.host_statuses[sent.host.index()].zone());
+        let requests = self.requests.iter().filter(|(_, request)| request.in_flight.iter().any(is_there));
+        mailboxes.dispatcher.extend(requests.map(|(&id, _)| DispatcherMessage::HostSuspected(id)));
+    }
+
+    /// Takes a request off the books and cancels what is in flight.
+    pub(crate) fn forget(&mut self, id: RequestId, mailboxes: &mut Mailboxes) {
+        let Some(request) = self.requests.remove(&id) else { return };
+        let cancelled = request.in_flight.iter().filter(|_| self.capabilities.cancellation);
+        let cancel = |sent: &SentAttempt| PolicyAction::CancelAttempt { request: id, attempt: sent.number };
+        mailboxes.actions.extend(cancelled.map(cancel));
+    }
+}
--- /dev/null
+++ b/src/host_tracker.rs
@@ -0,0 +1,169 @@
+//! What a balancer keeps of one host, and the messages that change it. Nothing is decided here:
+//! what follows from a message is in `policy/host.rs`.
+
+use std::collections::BTreeMap;
+
+use crate::activity::HostActivity;
+use crate::mailboxes::{self, DispatcherMessage, HostMessage};
+use crate::policy::concurrency_limit::ConcurrencyLimit;
+use crate::types::{AttemptKey, Endpoint, HostId, Lifecycle, Micros, SlowStart, ZoneId};
+
+/// The mailboxes of a policy, whose hosts publish a [`HostStatus`].
+pub(crate) type Mailboxes = mailboxes::Mailboxes<HostStatus>;
+
+/// What a host's tracker shows the dispatcher.
+#[derive(Clone, Default)]
+pub(crate) struct HostStatus {
+    pub(crate) endpoint: Option<Endpoint>,
+    pub(crate) is_suspected: bool,
+    /// The part of its capacity that it surely has since its start; 1 when warm.
+    pub(crate) capacity: f64,
+    /// The part of its own keys that a slow host keeps.
+    pub(crate) key_share: f64,
+    pub(crate) limit: ConcurrencyLimit,
+    pub(crate) in_flight: usize,
+    pub(crate) activity: HostActivity,
+    /// Nothing to evaluate and nothing in flight: a sweep may pass it by. Fleets are large,
+    /// requests at one host few.
+    pub(crate) is_idle: bool,
+}
+
+impl HostStatus {
+    pub(crate) fn is_up(&self) -> bool {
+        self.endpoint.as_ref().is_some_and(|endpoint| endpoint.lifecycle == Lifecycle::Up)
+    }
+
+    pub(crate) fn is_cache(&self) -> bool {
+        self.is_up() && !self.is_origin()
+    }
+
+    pub(crate) fn is_origin(&self) -> bool {
+        self.endpoint.as_ref().is_some_and(|endpoint| endpoint.origin)
+    }
+
+    /// Its zone; the first of all where it was never listed.
+    pub(crate) fn zone(&self) -> ZoneId {
+        self.endpoint.as_ref().map_or(ZoneId(0), |endpoint| endpoint.zone)
+    }
+
+    pub(crate) fn is_warming_up(&self) -> bool {
+        self.capacity < 1.0
+    }
+
+    /// The part of its own keys that it keeps, where a host that is warming up keeps so much of its
+    /// capacity.
+    pub(crate) fn kept_key_share(&self, warm_up_share: f64) -> f64 {
+        let of_capacity = if self.is_warming_up() { (warm_up_share * self.capacity).min(1.0) } else { 1.0 };
+        self.key_share * of_capacity
+    }
+}
+
+/// An attempt in flight at the host.
+pub(crate) struct InFlight {
+    pub(crate) sent_at: Micros,
+    pub(crate) on_new_connection: bool,
+}
+
+/// Follows one host: its life by the endpoint list, its health, latency and concurrency limit by
+/// own attempts.
+#[derive(Default)]
+pub(crate) struct HostTracker {
+    pub(crate) id: HostId,
+    pub(crate) slow_start: SlowStart,
+    pub(crate) status: HostStatus,
+    pub(crate) in_flight: BTreeMap<AttemptKey, InFlight>,
+    pub(crate) warming_since: Option<Micros>,
+    pub(crate) suspected_since: Option<Micros>,
+    /// In typical latencies, since the last sign of health.
+    pub(crate) failure_evidence: f64,
+    /// When the last attempt of those that brought a value or a miss was sent.
+    pub(crate) served_sent_at: Micros,
+    /// When the last latency came.
+    pub(crate) sampled_at: Micros,
+    /// And how long after the one before.
+    pub(crate) sample_gap: Micros,
+    /// The endpoint list said so once: that binds, whatever it says later.
+    pub(crate) has_drained: bool,
+    /// The endpoint list names it no more, and its own answers are what keeps it.
+    pub(crate) is_dropped: bool,
+    pub(crate) keeps_dropped_hosts: bool,
+}
+
+impl HostTracker {
+    /// A host that nothing is known of.
+    pub(crate) fn new(
+        id: HostId,
+        limit: ConcurrencyLimit,
+        slow_start: SlowStart,
+        keeps_dropped_hosts: bool,
+    ) -> HostTracker {
+        let status = HostStatus { key_share: 1.0, limit, ..HostStatus::default() };
+        HostTracker { id, slow_start, status, keeps_dropped_hosts, ..HostTracker::default() }
+    }
+
+    /// Takes one message, and publishes the host's status as it is then.
+    pub(crate) fn handle(&mut self, message: HostMessage, mailboxes: &mut Mailboxes) {
+        let now = mailboxes.now;
+        match message {
+            HostMessage::Endpoint(endpoint) => {
+                self.reset_if_renumbered(&endpoint);
+                self.update_endpoint(endpoint);
+                if self.is_dropped {
+                    return;
+                }
+            }
+            HostMessage::AttemptStarted(attempt) => {
+                self.in_flight.insert(attempt, InFlight { sent_at: now, on_new_connection: false });
+                self.status.limit.peak_in_flight = self.status.limit.peak_in_flight.max(self.in_flight.len());
+            }
+            HostMessage::OnNewConnection(attempt) => {
+                let in_flight = self.in_flight.get_mut(&attempt);
+                in_flight.into_iter().for_each(|attempt| attempt.on_new_connection = true);
+            }
+            HostMessage::AttemptEnded { attempt, outcome, elapsed } => {
+                if let Some(sent) = self.in_flight.remove(&attempt) {
+                    self.attempt_ended(sent, outcome, elapsed, now);
+                }
+            }
+            HostMessage::Alive => self.restore(now),
+            HostMessage::ProcessStalled(span) => {
+                self.in_flight.values_mut().for_each(|attempt| attempt.sent_at += span);
+            }
+            HostMessage::LearnedLimit(limit) => self.restore_limit(limit),
+            HostMessage::Sweep(fleet) => self.sweep(fleet, mailboxes),
+        }
+        self.publish_status(mailboxes);
+    }
+
+    /// A number that was released stands for another host now.
+    fn reset_if_renumbered(&mut self, endpoint: &Endpoint) {
+        let before = self.status.endpoint.as_ref();
+        if before.is_some_and(|before| before.position != endpoint.position) {
+            let limit = ConcurrencyLimit::of_new_host(self.status.limit.growth);
+            *self = HostTracker::new(self.id, limit, self.slow_start.clone(), self.keeps_dropped_hosts);
+        }
+    }
+
+    /// Has the dispatcher look for other hosts for what is in flight here.
+    pub(crate) fn report_suspected(&self, mailboxes: &mut Mailboxes) {
+        let requests = self.in_flight.keys().map(|attempt| attempt.request);
+        mailboxes.dispatcher.extend(requests.map(DispatcherMessage::HostSuspected));
+    }
+
+    fn publish_status(&mut self, mailboxes: &mut Mailboxes) {
+        self.leave_if_dropped();
+        let age = self.warming_since.map(|since| mailboxes.now - since);
+        self.status.capacity = age.map_or(1.0, |age| self.slow_start.minimum_capacity(age));
+        self.status.is_suspected = self.suspected_since.is_some();
+        self.status.in_flight = self.in_flight.len();
+        self.status.is_idle = self.is_idle();
+        let status = Box::new(self.status.clone());
+        mailboxes.dispatcher.push_back(DispatcherMessage::HostStatus(self.id, status));
+    }
+
+    /// It showed that it is well: what was held against it is forgotten.
+    pub(crate) fn mark_healthy(&mut self) {
+        self.suspected_since = None;
+        self.failure_evidence = 0.0;
+    }
+}
--- /dev/null
+++ b/src/policy/admission.rs
@@ -0,0 +1,110 @@
+//! The gates of every attempt and of every final answer: the four rules are kept here, whatever was
+//! decided before.
+
+use super::constants::*;
+use crate::dispatcher::Dispatcher;
+use crate::host_tracker::{HostStatus, Mailboxes};
+use crate::open_request::OpenRequest;
+use crate::send_windows::{KeyBound, SendBounds};
+use crate::types::*;
+
+impl Dispatcher {
+    /// The gate for attempts: starts one unless a rule forbids it.
+    pub fn start_attempt(&mut self, id: RequestId, host: HostId, mailboxes: &mut Mailboxes) -> bool {
+        let now = mailboxes.now;
+        let Some(request) = self.requests.get(&id) else { return false };
+        let may_start = self.is_open_for_attempts(request, now)
+            && self.may_run_again_at(request, host, now)
+            && self.takes_new_work(host);
+        if !may_start {
+            return false;
+        }
+        let (key, was_tried) = (request.key, !request.tried.is_empty());
+        if !self.is_within_warm_up_budget(host, key, was_tried, now) {
+            return false;
+        }
+        self.record_attempt(id, host, mailboxes);
+        true
+    }
+
+    /// Rule 1: nothing for a request that is over, out of time or out of attempts.
+    fn is_open_for_attempts(&self, request: &OpenRequest, now: Micros) -> bool {
+        now < request.expires_at && request.attempts_started < self.capabilities.max_attempts
+    }
+
+    /// Rule 2: nothing that could take effect twice, and two attempts at a time only where that is
+    /// allowed.
+    fn may_run_again_at(&self, request: &OpenRequest, host: HostId, now: Micros) -> bool {
+        let Some(earlier) = request.first_possible_run() else { return true };
+        let Some(there) = self.host_statuses[host.index()].endpoint.as_ref() else { return true };
+        let before = self.host_statuses[earlier.host.index()].endpoint.as_ref();
+        let is_safe = match self.classes[request.class].retry_safety {
+            RetrySafety::Idempotent => true,
+            RetrySafety::AtMostOnce => false,
+            RetrySafety::IdempotencyKey { scope, window } => {
+                let is_remembered = now - earlier.sent_at < window - SWEEP_INTERVAL;
+                is_remembered && before.is_some_and(|before| scope.joins(before, there))
+            }
+        };
+        is_safe && (request.in_flight.is_empty() || self.capabilities.hedging)
+    }
+
+    /// Rule 3: nothing new to a host that drains or is gone; the grace is not used.
+    fn takes_new_work(&self, host: HostId) -> bool {
+        self.host_statuses[host.index()].is_up()
+    }
+
+    /// Rule 4: to a host that is warming up no more in a window than this balancer's part of what
+    /// it can bear. A warm host bears the mean load at least; own sends are already this balancer's
+    /// part of it.
+    fn is_within_warm_up_budget(
+        &mut self,
+        host: HostId,
+        key: Option<RingPosition>,
+        was_tried: bool,
+        now: Micros,
+    ) -> bool {
+        let status = &self.host_statuses[host.index()];
+        if !status.is_warming_up() || !status.is_cache() {
+            return true;
+        }
+        // What other hosts turned away or lost comes from every balancer at once.
+        if was_tried {
+            return false;
+        }
+        let bounds = self.warm_up_bounds(status, key);
+        self.warm_up_sends.try_send(now, self.slow_start.overload_window, host, bounds, &mut self.rng)
+    }
+
+    /// All that goes there: its part of the sum's mean and deviation, by how likely it is asked;
+    /// and one key.
+    fn warm_up_bounds(&self, status: &HostStatus, key: Option<RingPosition>) -> SendBounds {
+        let overload = self.slow_start.overload_multiple;
+        let (own_part, mean) = (1.0 - self.others_part, self.sends_per_window.max(MIN_SENDS_PER_WINDOW));
+        let bears = status.capacity * mean;
+        let kept = status.kept_key_share(self.warm_up_share) / self.mean_key_share;
+        let is_asked = 1.0 - (-mean * kept.min(1.0)).exp();
+        let deviation = WARM_UP_DEVIATION * ((overload * bears * own_part).sqrt() + own_part.min(mean));
+        let max_sends = (WARM_UP_MARGIN * overload * bears + deviation) / is_asked;
+        let max_for_key = (WARM_UP_MARGIN * overload - self.warm_up_share) * bears;
+        SendBounds { max_sends, key: key.map(|key| KeyBound { key, max_sends: max_for_key }) }
+    }
+
+    /// The gate for final answers: one for each request, and a rejection only where trying again is
+    /// harmless.
+    pub fn close(&mut self, id: RequestId, is_shed: bool, mailboxes: &mut Mailboxes) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let is_harmless = match self.classes[request.class].retry_safety {
+            RetrySafety::Idempotent | RetrySafety::IdempotencyKey { scope: DeduplicationScope::All, .. } => {
+                true
+            }
+            _ => request.may_have_run.is_none() && request.in_flight.is_empty(),
+        };
+        mailboxes.actions.push(if is_shed && is_harmless {
+            PolicyAction::Reject { request: id, retry_after: self.retry_after }
+        } else {
+            PolicyAction::Fail { request: id }
+        });
+        self.forget(id, mailboxes);
+    }
+}
--- /dev/null
+++ b/src/policy/dispatch.rs
@@ -0,0 +1,195 @@
+//! A request from its arrival to its final answer, and the events that concern no request.
+
+use super::concurrency_limit::ConcurrencyLimit;
+use super::constants::*;
+use crate::backoff::Backoff;
+use crate::dispatcher::{Dispatcher, EndedAttempt};
+use crate::host_tracker::Mailboxes;
+use crate::key_set::BoundedKeySet;
+use crate::leaky_bucket::LeakyBucket;
+use crate::mailboxes::HostMessage;
+use crate::open_request::{ClassParameters, OpenRequest, SentAttempt};
+use crate::retry_budget::RetryBudget;
+use crate::types::*;
+
+impl Dispatcher {
+    /// A dispatcher that knows no host yet.
+    pub fn new(config: &PolicyConfig) -> Dispatcher {
+        let shortest = config.classes.iter().map(|class| class.latency_objective).min().unwrap_or(0);
+        let own_part = 1.0 / f64::from(config.balancers);
+        let quota = |tenant: &Tenant| LeakyBucket::new(tenant.quota_per_s * own_part);
+        let cache_aside = config.capabilities.cache_aside;
+        let earned = if cache_aside { RETRIES_PER_SUCCESS } else { READ_THROUGH_RETRIES_PER_SUCCESS };
+        let mut rng = SeededRng::new(config.seed);
+        Dispatcher {
+            salt: rng.draw(),
+            rng,
+            capabilities: config.capabilities,
+            classes: Dispatcher::class_parameters(config),
+            tenant_quotas: config.tenants.iter().map(quota).collect(),
+            over_quota_share: 0.5 + 0.5 * config.over_quota_weight.clamp(0.0, 1.0),
+            retry_after: config.max_retry_after.map(|longest| longest.min(shortest / 2)),
+            latency_objective: shortest as f64,
+            shortest_objective: shortest as f64,
+            retry_budget: RetryBudget::new(MAX_RETRY_BUDGET, earned),
+            connection_retry_budget: RetryBudget::new(MAX_RETRY_BUDGET, earned),
+            fleet_limit: ConcurrencyLimit::new(MAX_LIMIT, (LIMIT_GROWTH * own_part).min(1.0)),
+            others_part: 1.0 - own_part,
+            watch_backoff: Backoff::new(WATCH_BACKOFF, MAX_WATCH_DOUBLINGS),
+            failing_keys: BoundedKeySet::new(MAX_TRACKED_KEYS),
+            typical_latency: shortest as f64 / 4.0,
+            slow_start: config.slow_start.clone(),
+            ..Dispatcher::default()
+        }
+    }
+
+    fn class_parameters(config: &PolicyConfig) -> Vec<ClassParameters> {
+        let top_weight = config.classes.iter().map(|class| class.priority_weight).fold(0.0, f64::max);
+        let classes = config.classes.iter().map(|class| ClassParameters {
+            latency_objective: (class.latency_objective - 2 * config.tick).max(config.tick),
+            late_is_useful: class.late_weight > 0.0,
+            limit_share: 0.6 + 0.4 * class.priority_weight / top_weight.max(1e-9),
+            max_retries: 1 + (2.0 * class.priority_weight / top_weight.max(1e-9)) as u32,
+            retry_safety: class.retry_safety,
+        });
+        classes.collect()
+    }
+
+    /// Takes a request in.
+    pub fn open(&mut self, id: RequestId, mut request: OpenRequest, mailboxes: &mut Mailboxes) {
+        let now = mailboxes.now;
+        let class = &self.classes[request.class];
+        self.latency_objective += (class.latency_objective as f64 - self.latency_objective) / 64.0;
+        if !class.late_is_useful {
+            request.expires_at = request.expires_at.min(now + class.latency_objective);
+        }
+        let is_excess = request.is_client_retry || !request.is_in_quota;
+        let share = if is_excess { self.over_quota_share } else { 1.0 };
+        request.limit_share = class.limit_share * share;
+        request.retries_left = class.max_retries;
+        self.requests.insert(id, request);
+        self.route(id, mailboxes);
+    }
+
+    /// An attempt that may be lost with its connection: the host is not in doubt and may have the
+    /// request again, paid from a budget of its own.
+    pub fn attempt_in_doubt(&mut self, id: RequestId, number: AttemptNumber, mailboxes: &mut Mailboxes) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let Some(in_doubt) = request.in_flight_attempt(number) else { return };
+        if self.connection_retry_budget.is_available() {
+            self.refund(id, AttemptOutcome::ConnectionFault, Some(in_doubt));
+            self.retry(id, mailboxes);
+        }
+    }
+
+    /// Tells the host, and the limit of the fleet, how an attempt ended.
+    pub fn tell_host_of_end(&mut self, ended: &EndedAttempt, mailboxes: &mut Mailboxes) {
+        use AttemptOutcome::{Error, Miss, NotSent, Succeeded, TimedOut};
+        let &EndedAttempt { attempt, host, elapsed, outcome } = ended;
+        if !self.host_statuses[host.index()].is_origin() {
+            self.in_flight_total = self.in_flight_total.saturating_sub(1);
+            // An error that took long waited for an origin in a jam, and its host with it.
+            let is_slow_error = outcome == Error && elapsed as f64 > self.latency_objective / 4.0;
+            if is_slow_error || matches!(outcome, Succeeded | Miss | TimedOut) {
+                self.fleet_limit.record(elapsed, 1.0, mailboxes.now);
+            }
+        }
+        // What fails wherever it goes tells of itself, and no host is blamed for it.
+        let is_own_fault = outcome == Error && self.record_error(attempt.request, host);
+        let outcome = if is_own_fault { NotSent } else { outcome };
+        mailboxes.send_to_host(host, HostMessage::AttemptEnded { attempt, outcome, elapsed });
+    }
+
+    /// A request got an error at a host; whether its key is known to get one wherever it goes.
+    fn record_error(&mut self, id: RequestId, host: HostId) -> bool {
+        let Some(request) = self.requests.get_mut(&id) else { return false };
+        let Some(key) = request.key else { return false };
+        if request.last_error_host.replace(host).is_some_and(|before| before != host) {
+            self.failing_keys.insert(key);
+        }
+        self.failing_keys.contains(key)
+    }
+
+    /// Tries again what came to nothing, or takes the request off the books.
+    pub fn attempt_ended(&mut self, ended: &EndedAttempt, finished: bool, mailboxes: &mut Mailboxes) {
+        let (id, outcome) = (ended.attempt.request, ended.outcome);
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let sent = request.end_attempt(ended.attempt.number);
+        let key_fails = request.key.is_some_and(|key| self.failing_keys.contains(key));
+        if outcome == AttemptOutcome::Succeeded {
+            request.key.into_iter().for_each(|key| self.failing_keys.remove(key));
+            self.retry_budget.earn();
+            self.connection_retry_budget.earn();
+        }
+        if finished {
+            return self.forget(id, mailboxes);
+        }
+        if outcome == AttemptOutcome::Miss && self.capabilities.cache_aside && !request.is_write {
+            request.has_missed = true;
+            // A miss at a suspected host says nothing while the request is in flight elsewhere.
+            if request.in_flight.is_empty() {
+                self.route(id, mailboxes);
+            }
+            return;
+        }
+        if let Some(attempt) = sent.filter(|_| !outcome.proves_not_run()) {
+            request.record_possible_run(attempt);
+        }
+        if key_fails && outcome == AttemptOutcome::Error && request.in_flight.is_empty() {
+            return self.close(id, false, mailboxes);
+        }
+        self.refund(id, outcome, sent);
+        self.retry(id, mailboxes);
+    }
+
+    /// What reached no host isn't paid for; a connection's fault is, from its own budget: its host
+    /// is healthy.
+    fn refund(&mut self, id: RequestId, outcome: AttemptOutcome, sent: Option<SentAttempt>) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let is_fault =
+            outcome == AttemptOutcome::ConnectionFault && self.connection_retry_budget.is_available();
+        if let Some(attempt) = sent.filter(|_| is_fault) {
+            self.connection_retry_budget.spend();
+            request.forget_tried(attempt.host);
+        }
+        if is_fault || matches!(outcome, AttemptOutcome::Unreachable | AttemptOutcome::NotSent) {
+            request.retries_left += 1;
+            self.retry_budget.refund();
+        }
+    }
+
+    /// An attempt came to nothing: another one, if the request may have it and can still use it, or
+    /// the end.
+    pub fn retry(&mut self, id: RequestId, mailboxes: &mut Mailboxes) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let is_in_time = request.expires_at - mailboxes.now > (self.typical_latency / 4.0) as Micros;
+        let may_send = request.in_flight.is_empty() || self.capabilities.hedging;
+        let is_paid = request.retries_left > 0 && self.retry_budget.is_available();
+        if may_send && is_in_time && is_paid {
+            request.retries_left -= 1;
+            self.retry_budget.spend();
+            self.route(id, mailboxes);
+        } else if request.in_flight.is_empty() {
+            self.close(id, false, mailboxes);
+        }
+    }
+
+    /// Starts an attempt at the host selected for it, or answers a request that none may have.
+    fn route(&mut self, id: RequestId, mailboxes: &mut Mailboxes) {
+        // A host that may not have the request, mostly one whose warm-up budget is spent, is passed
+        // by.
+        for _ in 0..MAX_SELECTIONS {
+            let Some(host) = self.select_host(id, mailboxes.now) else { break };
+            if self.start_attempt(id, host, mailboxes) {
+                return;
+            }
+            if self.host_statuses[host.index()].is_origin() {
+                break;
+            }
+            self.requests.get_mut(&id).expect("it is open").tried.push(host);
+        }
+        if self.requests[&id].in_flight.is_empty() {
+            self.close(id, true, mailboxes);
+        }
+    }
+}
--- /dev/null
+++ b/src/policy/hot_keys.rs
@@ -0,0 +1,44 @@
+//! The hosts found overloaded and the keys found hot, by this balancer's own sends.
+
+use std::collections::BTreeSet;
+
+use super::constants::*;
+use crate::load_counts::{KeyCount, LoadCounts};
+use crate::types::{HostId, Micros, RingPosition};
+
+/// The load of hosts and keys, and what follows from it.
+#[derive(Default)]
+pub struct LoadStatistics {
+    pub counts: LoadCounts,
+    /// By [`HostId`].
+    pub overloaded_since: Vec<Option<Micros>>,
+    pub hot_keys: BTreeSet<RingPosition>,
+}
+
+impl LoadStatistics {
+    pub fn is_overloaded(&self, host: HostId, now: Micros) -> bool {
+        self.overloaded_since[host.index()].is_some_and(|since| now - since >= OVERLOADED_AFTER)
+    }
+
+    /// Finds both anew.
+    pub fn sweep(&mut self, now: Micros) {
+        let mean = self.counts.mean();
+        for (load, since) in self.counts.hosts.iter().zip(&mut self.overloaded_since) {
+            *since = (*load > OVERLOAD_RATIO * mean).then(|| since.unwrap_or(now));
+        }
+        let is_hot = |key: &RingPosition, count: &KeyCount| {
+            let stays_hot = self.hot_keys.contains(key) && count.sends >= HOT_KEY_LOAD_SHARE * mean;
+            stays_hot || self.becomes_hot(count, mean, now)
+        };
+        let hot = self.counts.keys.iter().filter(|(key, count)| is_hot(key, count));
+        self.hot_keys = hot.map(|(&key, _)| key).collect();
+        self.counts.halve(now, LOAD_HALF_LIFE, MIN_SENDS_PER_HALF_LIFE);
+    }
+
+    fn becomes_hot(&self, count: &KeyCount, mean: f64, now: Micros) -> bool {
+        let share = HOT_KEY_LOAD_SHARE * self.counts.hosts[count.home.index()];
+        // A key that alone is past the overload bound needs no time to be told from chance.
+        let overloads = count.sends > OVERLOAD_RATIO * mean || self.is_overloaded(count.home, now);
+        count.sends >= MIN_HOT_KEY_SENDS.max(share) && overloads
+    }
+}
--- /dev/null
+++ b/src/policy/selection.rs
@@ -0,0 +1,135 @@
+//! Which host gets a request: the key's home or holders, past one that can't be used the next on
+//! the ring.
+
+use super::concurrency_limit::ConcurrencyLimit;
+use super::constants::*;
+use crate::dispatcher::Dispatcher;
+use crate::host_tracker::HostStatus;
+use crate::open_request::OpenRequest;
+use crate::types::{HostId, Micros, RequestId, RingPosition};
+
+/// What a host on a request's way is good for.
+enum Candidate {
+    Usable,
+    /// It should have the request, and is full.
+    Full,
+    /// With no better host left: the one that is worth most by this.
+    Fallback(f64),
+    Unusable,
+}
+
+impl Dispatcher {
+    /// The host for the next attempt of a request; `None` where it is better rejected.
+    pub fn select_host(&mut self, id: RequestId, now: Micros) -> Option<HostId> {
+        let request = &self.requests[&id];
+        if self.capabilities.cache_aside && (request.is_write || request.has_missed) {
+            return self.select_origin(request, now);
+        }
+        let limit = &self.fleet_limit;
+        let has_capacity =
+            limit.has_capacity(self.in_flight_total, request.limit_share, self.others_part, now);
+        if !has_capacity || cannot_finish_in_time(request, limit, now) {
+            return None;
+        }
+        let key = request.key.unwrap_or_else(|| RingPosition(self.rng.draw()));
+        let mut holders = Vec::new();
+        if self.loads.hot_keys.contains(&key) && !request.is_write {
+            holders = self.hot_key_holders(key, now);
+            let in_flight = |host: HostId| self.host_statuses[host.index()].in_flight;
+            holders.sort_by_cached_key(|&host| (in_flight(host), self.rng.draw()));
+        }
+        let (mut seen, mut full) = (Vec::new(), 0);
+        let mut fallback: Option<(f64, HostId)> = None;
+        for host in holders.into_iter().chain(self.ring.walk(key)) {
+            let is_overflow = full > 0 || !request.tried.is_empty();
+            let is_spared = is_overflow && self.host_statuses[host.index()].is_warming_up();
+            if is_spared || seen.contains(&host) || request.tried.contains(&host) {
+                continue;
+            }
+            seen.push(host);
+            match self.assess(host, request, key, now) {
+                Candidate::Usable => return Some(host),
+                Candidate::Full => {
+                    full += 1;
+                    if full > MAX_SPILLS || !self.retry_budget.is_available() {
+                        return None;
+                    }
+                    self.retry_budget.spend();
+                }
+                Candidate::Fallback(worth) if fallback.is_none_or(|(best, _)| worth > best) => {
+                    fallback = Some((worth, host));
+                }
+                Candidate::Fallback(_) | Candidate::Unusable => {}
+            }
+        }
+        fallback.filter(|_| full == 0).map(|(_, host)| host)
+    }
+
+    fn assess(&self, host: HostId, request: &OpenRequest, key: RingPosition, now: Micros) -> Candidate {
+        let status = &self.host_statuses[host.index()];
+        if !status.is_cache() {
+            return Candidate::Unusable;
+        }
+        // Suspects come last, with one attempt at a time.
+        if self.is_avoided(status) {
+            let is_free = status.in_flight == 0;
+            return if is_free { Candidate::Fallback(0.0) } else { Candidate::Unusable };
+        }
+        let has_capacity = status.limit.has_capacity(status.in_flight, request.limit_share, 0.0, now);
+        match (self.keeps_key(host, key), has_capacity) {
+            (true, true) => Candidate::Usable,
+            (true, false) => Candidate::Full,
+            (false, true) => Candidate::Fallback(status.key_share),
+            (false, false) => Candidate::Unusable,
+        }
+    }
+
+    /// Whether a host that is slow or warming up keeps a key. Each balancer leaves other keys: a
+    /// hot key must neither come to such a host from all at once, nor move as a whole and jam the
+    /// next host.
+    fn keeps_key(&self, host: HostId, key: RingPosition) -> bool {
+        let part = self.host_statuses[host.index()].kept_key_share(self.warm_up_share);
+        part >= 1.0 || (key.mixed(self.salt ^ u64::from(host.0)).0 as f64) < part * u64::MAX as f64
+    }
+
+    /// Whether a host gets nothing now but what probes for its return.
+    pub fn is_avoided(&self, status: &HostStatus) -> bool {
+        status.is_suspected || self.zones.is_dark(status.zone(), status.activity)
+    }
+
+    fn select_origin(&self, request: &OpenRequest, now: Micros) -> Option<HostId> {
+        let at = self.host_statuses.iter().position(|status| status.is_up() && status.is_origin())?;
+        let status = &self.host_statuses[at];
+        let share = if request.is_write { 2.0 } else { request.limit_share };
+        let has_capacity = status.limit.has_capacity(status.in_flight, share, self.others_part, now);
+        let is_usable = has_capacity && !cannot_finish_in_time(request, &status.limit, now);
+        is_usable.then_some(HostId(at as u32))
+    }
+
+    /// A hot key's holders, one per equal range of the ring from the key's position; the home is
+    /// the first.
+    fn hot_key_holders(&self, key: RingPosition, now: Micros) -> Vec<HostId> {
+        let by_load = (self.loads.counts.part(key) * self.ring.host_count() as f64) as u64;
+        let count = by_load.max(MIN_HOT_KEY_HOLDERS);
+        let range = u64::MAX / count;
+        let mut holders: Vec<HostId> = Vec::new();
+        for nth in 0..count {
+            let from = RingPosition(key.0.wrapping_add(nth * range));
+            let is_usable = |host: &HostId| {
+                let status = &self.host_statuses[host.index()];
+                status.is_cache() && !status.is_suspected && !holders.contains(host)
+            };
+            let hosts = || self.ring.walk_range(from, range).filter(is_usable);
+            let load = |host: HostId| self.loads.counts.hosts[host.index()];
+            let by_load = |a: &HostId, b: &HostId| load(*a).total_cmp(&load(*b)).then(a.cmp(b));
+            let first = hosts().find(|&host| nth == 0 || !self.loads.is_overloaded(host, now));
+            holders.extend(first.or_else(|| hosts().min_by(by_load)));
+        }
+        holders
+    }
+}
+
+/// What can't wait for the shortest typical answer loads no host: many such would jam it for nobody.
+fn cannot_finish_in_time(request: &OpenRequest, limit: &ConcurrencyLimit, now: Micros) -> bool {
+    request.in_flight.is_empty() && limit.is_too_short(request.expires_at - now)
+}
--- /dev/null
+++ b/src/policy_views.rs
@@ -0,0 +1,42 @@
+//! What a shell may look at in a policy beside its actions; nothing is decided here.
+
+use crate::policy::Policy;
+use crate::types::{Endpoint, HostId, LearnedLimit, Lifecycle, PoolSize};
+
+impl Policy {
+    /// Rule 3, for an attempt that waited for its connection after it was admitted.
+    pub fn accepts_attempts(&self, host: HostId) -> bool {
+        self.dispatcher.host_statuses.get(host.index()).is_some_and(|status| status.is_up())
+    }
+
+    /// Hosts that are gone and that no open request names: their numbers may stand for others from
+    /// now on.
+    pub fn released_hosts(&self) -> Vec<HostId> {
+        let requests = &self.dispatcher.requests;
+        let is_named = |host: HostId| requests.values().any(|request| request.tried.contains(&host));
+        let is_gone = |endpoint: &Endpoint| endpoint.lifecycle == Lifecycle::Gone;
+        let gone = self.hosts.iter().filter(|host| host.status.endpoint.as_ref().is_some_and(is_gone));
+        let released = gone.filter(|host| host.in_flight.is_empty() && !is_named(host.id));
+        released.map(|host| host.id).collect()
+    }
+
+    /// What was learned of the hosts that are up.
+    pub fn learned_limits(&self) -> Vec<LearnedLimit> {
+        let up = self.dispatcher.host_statuses.iter().filter(|status| status.is_up());
+        let learned = up.filter_map(|status| {
+            let position = status.endpoint.as_ref()?.position;
+            Some(LearnedLimit { position, limit: status.limit.limit })
+        });
+        learned.collect()
+    }
+
+    /// How many cache hosts are listed, and how many of them get nothing now but what probes for
+    /// their return.
+    pub fn pool_size(&self) -> PoolSize {
+        let is_listed = |endpoint: &Endpoint| endpoint.lifecycle != Lifecycle::Gone && !endpoint.origin;
+        let statuses = self.dispatcher.host_statuses.iter();
+        let listed = statuses.filter(|status| status.endpoint.as_ref().is_some_and(is_listed));
+        let ejected = listed.clone().filter(|status| self.dispatcher.is_avoided(status)).count();
+        PoolSize { listed: listed.count(), ejected }
+    }
+}
--- a/src/router.rs
+++ b/src/router.rs
@@ -1,9 +1,10 @@
 //! The policy in blocking style, for code that serves sockets.
 //!
-//! [`Router::submit`] takes a request in, [`Router::attempt_ended`] tells how one of its attempts ended, [`Router::tick`]
-//! runs the timers that are due. The first two return what is to be done for that request. What was decided for another
-//! request meanwhile waits in its mailbox: [`Router::requests_with_actions`] names those requests, and
-//! [`Router::take_actions`] empties the mailbox of one.
+//! [`Router::submit`] takes a request in, [`Router::attempt_ended`] tells how one of its attempts
+//! ended, [`Router::tick`] runs the timers that are due. The first two return what is to be done
+//! for that request. What was decided for another request meanwhile waits in its mailbox:
+//! [`Router::requests_with_actions`] names those requests, and [`Router::take_actions`] empties the
+//! mailbox of one.
 //!
 //! It owns request numbers and timers, holds no clock, and decides nothing itself.
 
@@ -29,7 +30,8 @@
     pub deadline: Micros,
 }
 
-/// What is to be done for a request. The last three are final answers, and a request gets just one of them.
+/// What is to be done for a request. The last three are final answers, and a request gets just one
+/// of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestAction {
     /// Send the request to a host.
@@ -95,7 +97,8 @@
         self.handle(now, PolicyEvent::Endpoints { complete, endpoints });
     }
 
-    /// Hosts that are gone and that no open request names any more; their numbers may stand for others from now on.
+    /// Hosts that are gone and that no open request names any more; their numbers may stand for
+    /// others from now on.
     pub fn released_hosts(&self) -> Vec<HostId> {
         self.policy.released_hosts()
     }
@@ -105,8 +108,8 @@
         self.policy.pool_size()
     }
 
-    /// Whether a host takes anything new, by the list as it last came: to be asked again before the first byte of an attempt
-    /// that had to wait for its connection.
+    /// Whether a host takes anything new, by the list as it last came: to be asked again before the
+    /// first byte of an attempt that had to wait for its connection.
     pub fn accepts_attempts(&self, host: HostId) -> bool {
         self.policy.accepts_attempts(host)
     }
@@ -189,8 +192,8 @@
         self.take_actions(request)
     }
 
-    /// The process ends: every open request gets its final answer now, in its mailbox, and what is submitted from now on is
-    /// rejected.
+    /// The process ends: every open request gets its final answer now, in its mailbox, and what is
+    /// submitted from now on is rejected.
     pub fn shut_down(&mut self, now: Micros) {
         self.max_open_requests = 0;
         let open = self.requests.iter().filter(|(_, open)| !open.finished).map(|(&request, _)| request);
@@ -213,7 +216,8 @@
         std::mem::take(&mut self.requests_with_actions).into_iter().collect()
     }
 
-    /// Empties a request's mailbox. A request that has its final answer and nothing in flight is forgotten.
+    /// Empties a request's mailbox. A request that has its final answer and nothing in flight is
+    /// forgotten.
     pub fn take_actions(&mut self, request: RequestId) -> Vec<RequestAction> {
         self.requests_with_actions.remove(&request);
         let Some(open) = self.requests.get_mut(&request) else { return Vec::new() };
--- a/src/types.rs
+++ b/src/types.rs
@@ -1,4 +1,5 @@
-//! The policy's vocabulary: identifiers, time, configuration, and the events and actions that cross its border.
+//! The policy's vocabulary: identifiers, time, configuration, and the events and actions that cross
+//! its border.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -19,7 +20,8 @@
     RequestId(u32),
     /// A number for a host at one balancer, counted up from 0 in order of first mention.
     HostId(u32),
-    /// The attempt of a request, counted from 0 in the order in which they start; each after the first is a retry.
+    /// The attempt of a request, counted from 0 in the order in which they start; each after the
+    /// first is a retry.
     AttemptNumber(u32),
     /// Index into [`PolicyConfig::classes`].
     RequestClassId(u16),
@@ -33,8 +35,25 @@
     RingPosition(u64),
 }
 
+impl HostId {
+    /// The same as an index into what is kept by host.
+    pub fn index(self) -> usize {
+        self.0 as usize
+    }
+}
+
+/// An attempt among those of all requests.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct AttemptKey {
+    /// Its request.
+    pub request: RequestId,
+    /// Its number there.
+    pub number: AttemptNumber,
+}
+
 impl RingPosition {
-    /// The position of a text: FNV-1a, then a mixing step so that texts that differ little lie far apart.
+    /// The position of a text: FNV-1a, then a mixing step so that texts that differ little lie far
+    /// apart.
     pub fn of(text: &str) -> RingPosition {
         let hash = text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash: u64, byte| {
             (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
@@ -70,7 +89,8 @@
         (self.draw() >> 11) as f64 / (1_u64 << 53) as f64
     }
 
-    /// A span drawn from the upper half of a pause: jitter, so that those who back off alike do not return together.
+    /// A span drawn from the upper half of a pause: jitter, so that those who back off alike do not
+    /// return together.
     pub fn jittered(&mut self, pause: Micros) -> Micros {
         let half = pause / 2;
         half + (self.draw() % half.max(1) as u64) as Micros
@@ -83,7 +103,8 @@
     }
 }
 
-/// Which hosts share a deduplication table, and so drop a repeat of a request that one of them has executed.
+/// Which hosts share a deduplication table, and so drop a repeat of a request that one of them has
+/// executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// Every host.
@@ -110,7 +131,8 @@
 pub enum RetrySafety {
     /// Executing it twice does no harm.
     Idempotent,
-    /// Hosts drop repeats inside the scope for the window, counted from when the attempt that may have run was sent.
+    /// Hosts drop repeats inside the scope for the window, counted from when the attempt that may
+    /// have run was sent.
     IdempotencyKey {
         /// The hosts that drop each other's repeats.
         scope: DeduplicationScope,
@@ -143,7 +165,8 @@
     pub quota_per_s: f64,
 }
 
-/// A part of the value that a class earns in full only while few of its requests miss the latency objective.
+/// A part of the value that a class earns in full only while few of its requests miss the latency
+/// objective.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TailObjective {
     /// Its weight in the result.
@@ -273,7 +296,8 @@
     Unreachable,
     /// The connection was lost with the attempt in flight; perhaps its host was too.
     ConnectionLost,
-    /// The same where the fault was the connection's own: the request may have run, and the host is healthy.
+    /// The same where the fault was the connection's own: the request may have run, and the host is
+    /// healthy.
     ConnectionFault,
     /// Cancelled by the policy.
     Cancelled,
@@ -295,6 +319,14 @@
         )
     }
 
+    /// Whether the host, or the way to it, may be down.
+    pub fn suggests_outage(self) -> bool {
+        matches!(
+            self,
+            AttemptOutcome::TimedOut | AttemptOutcome::Unreachable | AttemptOutcome::ConnectionLost
+        )
+    }
+
     /// Whether the request is known not to have run.
     pub fn proves_not_run(self) -> bool {
         matches!(
@@ -338,8 +370,8 @@
         /// When the client stops waiting.
         deadline: Micros,
     },
-    /// An attempt goes on a connection that has carried nothing yet: it takes longer than its host does, so that waiting
-    /// for it tells nothing of the host.
+    /// An attempt goes on a connection that has carried nothing yet: it takes longer than its host
+    /// does, so that waiting for it tells nothing of the host.
     NewConnection {
         /// The attempt's request.
         request: RequestId,
