--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -223,6 +223,9 @@
     /// Tells of each request with an attempt in flight in one of these zones that its host is
     /// suspected.
     pub(crate) fn suspect_zones(&self, zones: &BTreeSet<ZoneId>, mailboxes: &mut Mailboxes) {
+        if zones.is_empty() {
+            return;
+        }
         let is_there = |sent: &SentAttempt| zones.contains(&self.host_statuses[sent.host.index()].zone());
         let requests = self.requests.iter().filter(|(_, request)| request.in_flight.iter().any(is_there));
         mailboxes.dispatcher.extend(requests.map(|(&id, _)| DispatcherMessage::HostSuspected(id)));
--- a/src/policy/hot_keys.rs
+++ b/src/policy/hot_keys.rs
@@ -37,8 +37,10 @@
 
     fn becomes_hot(&self, count: &KeyCount, mean: f64, now: Micros) -> bool {
         let share = HOT_KEY_LOAD_SHARE * self.counts.hosts[count.home.index()];
+        if count.sends < MIN_HOT_KEY_SENDS.max(share) {
+            return false;
+        }
         // A key that alone is past the overload bound needs no time to be told from chance.
-        let overloads = count.sends > OVERLOAD_RATIO * mean || self.is_overloaded(count.home, now);
-        count.sends >= MIN_HOT_KEY_SENDS.max(share) && overloads
+        count.sends > OVERLOAD_RATIO * mean || self.is_overloaded(count.home, now)
     }
 }
