--- a/balancer/src/admin.rs
+++ b/balancer/src/admin.rs
@@ -16,7 +16,7 @@
 
 use crate::lifecycle::Phase;
 use crate::read;
-use crate::requests::Shared;
+use crate::shared::Shared;
 
 /// Callers at a time.
 const CALLERS: usize = 10;
--- a/balancer/src/counters.rs
+++ b/balancer/src/counters.rs
@@ -37,18 +37,18 @@
 
 counters! {
     // In: clients and what they sent.
-    clients, clients_shed, clients_slow, ops, malformed,
-    // Out: what ops were answered with; `dropped` where the client had gone.
-    acked, nacked, dead_lettered, dropped,
-    // Pushes, and how they ended.
-    pushes, push_acked, push_missed, push_error, push_turned_away, push_timed_out, push_unreachable,
-    push_broken, push_severed, push_called_off, push_never_sent,
+    clients, clients_shed, clients_slow, requests, malformed,
+    // Out: what requests were answered with; `abandoned` where the client had gone.
+    succeeded, rejected, failed, abandoned,
+    // Attempts, and how they ended.
+    attempts, attempts_succeeded, attempts_missed, attempts_error, attempts_rejected, attempts_timed_out, attempts_unreachable,
+    attempts_connection_lost, attempts_connection_fault, attempts_cancelled, attempts_not_sent,
     // Long values that their host did not give whole.
-    values_torn,
+    values_truncated,
     // Connections to hosts: opened, used again, found closed.
     connections_opened, connections_reused, connections_stale,
     // The list; calls for it that were refused for now, came to nothing, or were answered with nonsense.
-    lists, list_refused, list_silent, list_senseless, list_entries_refused, hosts_forgotten,
+    endpoint_lists, discovery_unavailable, discovery_timeouts, discovery_invalid, endpoints_refused, hosts_released,
     // Regions: how often the ring became another one's; hosts that came into it, and that were taken out of it
     // while up; zones that no region names.
     regions_rings, regions_hosts_in, regions_hosts_out, regions_zones_unnamed,
@@ -57,16 +57,16 @@
 impl Counters {
     pub fn ended(&self, end: AttemptOutcome) {
         let count = match end {
-            AttemptOutcome::Succeeded => &self.push_acked,
-            AttemptOutcome::Miss => &self.push_missed,
-            AttemptOutcome::Error => &self.push_error,
-            AttemptOutcome::Rejected => &self.push_turned_away,
-            AttemptOutcome::TimedOut => &self.push_timed_out,
-            AttemptOutcome::Unreachable => &self.push_unreachable,
-            AttemptOutcome::NotSent => &self.push_never_sent,
-            AttemptOutcome::ConnectionLost => &self.push_broken,
-            AttemptOutcome::ConnectionFault => &self.push_severed,
-            AttemptOutcome::Cancelled => &self.push_called_off,
+            AttemptOutcome::Succeeded => &self.attempts_succeeded,
+            AttemptOutcome::Miss => &self.attempts_missed,
+            AttemptOutcome::Error => &self.attempts_error,
+            AttemptOutcome::Rejected => &self.attempts_rejected,
+            AttemptOutcome::TimedOut => &self.attempts_timed_out,
+            AttemptOutcome::Unreachable => &self.attempts_unreachable,
+            AttemptOutcome::NotSent => &self.attempts_not_sent,
+            AttemptOutcome::ConnectionLost => &self.attempts_connection_lost,
+            AttemptOutcome::ConnectionFault => &self.attempts_connection_fault,
+            AttemptOutcome::Cancelled => &self.attempts_cancelled,
         };
         count.add();
     }
--- a/balancer/src/discovery/mod.rs
+++ b/balancer/src/discovery/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::clock::span;
 use crate::read;
-use crate::requests::Shared;
+use crate::shared::Shared;
 use crate::upstream::UpstreamConnection;
 
 /// From one call to the next at least: a discovery that holds nothing must not keep the balancer busy.
@@ -75,7 +75,7 @@
         match entry(shared, &value, now) {
             Ok(entry) => entries.push(entry),
             Err(cause) => {
-                shared.counters.list_entries_refused.add();
+                shared.counters.endpoints_refused.add();
                 log::warn!("list entry {}: {cause}", value.to_string().chars().take(200).collect::<String>());
             }
         }
@@ -87,12 +87,12 @@
         None => entries,
     };
     let entries: Vec<Endpoint> = entries.into_iter().map(|entry| placed(shared, entry)).collect();
-    shared.counters.lists.add();
+    shared.counters.endpoint_lists.add();
     log::debug!("list {}: {} entries{}", page.generation, heard, if whole { ", all there are" } else { "" });
     shared.router.borrow_mut().update_endpoints(now, whole, entries);
     // Before any op is told, and for hosts that a whole list does not name too.
     shared.upstreams.settle(|host| shared.router.borrow().accepts_attempts(host));
-    shared.ring();
+    shared.wake_requests();
     // Hosts come and go all day: what is known of one that has gone goes too.
     for host in shared.router.borrow().released_hosts() {
         let mut names = shared.names.borrow_mut();
@@ -102,7 +102,7 @@
                 regions.borrow_mut().forget(&names.hosts.texts[host.0 as usize]);
             }
             shared.upstreams.forget(host);
-            shared.counters.hosts_forgotten.add();
+            shared.counters.hosts_released.add();
         }
     }
     if let Some(regions) = &shared.regions {
@@ -246,9 +246,9 @@
                 connection = None;
                 let counters = &shared.counters;
                 match trouble {
-                    WatchError::Unavailable { .. } => counters.list_refused.add(),
-                    WatchError::TimedOut(_) => counters.list_silent.add(),
-                    WatchError::InvalidResponse(_) => counters.list_senseless.add(),
+                    WatchError::Unavailable { .. } => counters.discovery_unavailable.add(),
+                    WatchError::TimedOut(_) => counters.discovery_timeouts.add(),
+                    WatchError::InvalidResponse(_) => counters.discovery_invalid.add(),
                 }
                 if schedule.consecutive_failures() == 0 {
                     log::warn!("discovery: {}; the list stays as it is", trouble.cause());
--- a/balancer/src/downstream/mod.rs
+++ b/balancer/src/downstream/mod.rs
@@ -26,7 +26,8 @@
 use crate::metrics::{ActiveRequest, RequestOutcome};
 use crate::read;
 use crate::request::{ClientRequest, StreamedValue, Value};
-use crate::requests::{Final, FinalAnswer, Shared};
+use crate::requests::{serve as serve_request, Delivery, FinalAnswer};
+use crate::shared::Shared;
 
 /// Commands of one connection that wait for their answers; more are left unread.
 const PIPELINE: usize = 32;
@@ -119,7 +120,7 @@
 /// An answer that is there, or that an op still owes.
 enum Waiting {
     There(Bytes),
-    Owed(oneshot::Receiver<Final>, ActiveRequest),
+    Owed(oneshot::Receiver<Delivery>, ActiveRequest),
 }
 
 /// An answer on its way to the client, and what it means for the op that owed it.
@@ -526,7 +527,7 @@
         _ => std::future::pending().await,
     };
     match (waiting.pop_front(), last) {
-        (Some(Waiting::Owed(_, taken)), Ok((answer, _))) => {
+        (Some(Waiting::Owed(_, taken)), Ok(Delivery { answer, .. })) => {
             let outcome = match &answer {
                 FinalAnswer::Succeeded(_) => RequestOutcome::Ok,
                 FinalAnswer::Rejected { .. } => RequestOutcome::Shed,
@@ -563,7 +564,7 @@
                     let mut held = shared.budget.hold();
                     held.set(size);
                     waiting.push_back(Waiting::Owed(owed, shared.metrics.take(ask.class)));
-                    spawn_local(shared.clone().serve(request, ask, answer, held));
+                    spawn_local(serve_request(shared.clone(), request, ask, answer, held));
                     return true;
                 }
                 Err(cause) => {
@@ -627,10 +628,13 @@
         deadline: shared.clock.now() + (wait * 1000.0) as Micros,
     };
     drop(text);
-    if !shared.admit(&id) {
+    if !shared.reserve_id(&id) {
         return Err("an op with this id is open".to_owned());
     }
-    Ok((ClientRequest { command, key, id, facts, value, _room: room, over: watch::Sender::new(false) }, ask))
+    Ok((
+        ClientRequest { command, key, id, facts, value, _room: room, finished: watch::Sender::new(false) },
+        ask,
+    ))
 }
 
 /// A final answer in the protocol's words; of a long value its head.
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -14,6 +14,7 @@
 mod process;
 mod request;
 mod requests;
+mod shared;
 mod takeover;
 mod upstream;
 
--- a/balancer/src/process.rs
+++ b/balancer/src/process.rs
@@ -24,7 +24,7 @@
 use crate::lifecycle::Phase;
 use crate::listener;
 use crate::metrics::Metrics;
-use crate::requests::Shared;
+use crate::shared::Shared;
 use crate::takeover::{LimitShare, ProcessSlots};
 use crate::upstream::Upstreams;
 
@@ -138,7 +138,7 @@
         });
         parts.spawn_local(discovery::watch(shared.clone(), discovery.subscribe(), schedule));
         parts.spawn_local(tick(shared.clone()));
-        parts.spawn_local(shared.clone().heed());
+        parts.spawn_local(shared.clone().forward_upstream_events());
         log::info!("{} listens on {}", config.name, listener.local_addr().map_err(failed)?);
         let leaving = if config.inherited.is_some() { Phase::Takeover } else { Phase::Draining };
         Ok(Process { phase, shared, listener, signals, last_answers, leaving, discovery, parts })
@@ -173,7 +173,7 @@
         if timeout_at(end, phase.closed()).await.is_err() {
             enter(Phase::Flushing);
             shared.router.borrow_mut().shut_down(shared.clock.now());
-            shared.ring();
+            shared.wake_requests();
             // Only a client that does not take its answer is left to wait for, and that is cut off by itself.
             phase.closed().await;
         }
@@ -235,11 +235,11 @@
 async fn tick(shared: Rc<Shared>) {
     loop {
         shared.upstreams.tick();
-        shared.take_notes();
+        shared.process_upstream_events();
         let due = shared.router.borrow_mut().tick(shared.clock.now());
         let pool = shared.router.borrow().pool_size();
         shared.metrics.pool(pool);
-        shared.ring();
+        shared.wake_requests();
         match due {
             Some(due) => sleep_until(shared.clock.at(due).min(Instant::now() + LOOK)).await,
             None => sleep(LOOK).await,
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -36,7 +36,7 @@
     /// The memory that a long one was given.
     pub _room: Option<ValuePermit>,
     /// The op has its final answer, or nobody waits for one: nothing more may be sent.
-    pub over: watch::Sender<bool>,
+    pub finished: watch::Sender<bool>,
 }
 
 impl ClientRequest {
@@ -59,7 +59,7 @@
     /// Waits until the op is over.
     pub async fn ended(&self) {
         // The sender is our own, so this can't fail.
-        let _ = self.over.subscribe().wait_for(|over| *over).await;
+        let _ = self.finished.subscribe().wait_for(|finished| *finished).await;
     }
 
     /// The names and values as they came, but for how long this push may wait.
--- a/balancer/src/requests.rs
+++ b/balancer/src/requests.rs
@@ -1,274 +1,217 @@
-//! One op from its arrival to its final answer: carries out what the facade decides, and reports.
+//! One request from its submission to its final answer: carries out what the policy decides, and reports how attempts end.
 
-use std::cell::RefCell;
-use std::collections::{BTreeMap, HashSet, VecDeque};
+use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-use basaltwood::router::{NewRequest, RequestAction, Router};
+use basaltwood::router::{NewRequest, RequestAction};
 use basaltwood::types::*;
-use basaltwood_regions::RegionMap;
-use basaltwood_settings::NameTable;
 use bytes::Bytes;
-use tokio::sync::{oneshot, Notify};
-use tokio::task::{AbortHandle, JoinSet};
+use tokio::sync::oneshot;
+use tokio::task::{AbortHandle, JoinError, JoinSet};
 
-use crate::budget::{MemoryGuard, ResourceBudget};
-use crate::clock::Clock;
-use crate::counters::Counters;
-use crate::discovery::Rings;
-use crate::metrics::Metrics;
+use crate::budget::MemoryGuard;
 use crate::request::{AttemptResult, ClientRequest, Value};
+use crate::shared::Shared;
 use crate::upstream::origin;
-use crate::upstream::{UpstreamEvent, Upstreams};
 
-/// The final answer to an op, in no protocol's form.
+/// The final answer to a request, in no protocol's form.
 pub enum FinalAnswer {
+    /// Served, with the value that an attempt brought.
     Succeeded(Value),
-    Rejected { retry_after: Option<Micros> },
+    /// Not served, and trying again is harmless.
+    Rejected {
+        /// When to try again at the earliest, counted from now.
+        retry_after: Option<Micros>,
+    },
+    /// Failed, and it may have taken effect.
     Failed,
 }
 
-/// A final answer and the memory that it takes until it is sent.
-pub type Final = (FinalAnswer, MemoryGuard);
-
-/// All that serving an op takes, shared by every connection.
-pub struct Shared {
-    pub router: RefCell<Router>,
-    pub names: RefCell<NameTable>,
-    /// None where there are no regions.
-    pub regions: Option<RefCell<Rings>>,
-    pub upstreams: Rc<Upstreams>,
-    pub clock: Rc<Clock>,
-    pub counters: Rc<Counters>,
-    pub metrics: Rc<Metrics>,
-    pub budget: Rc<ResourceBudget>,
-    bells: RefCell<BTreeMap<RequestId, Rc<Notify>>>,
-    /// The clients' ids of the ops open here: hosts drop or refuse what comes under one a second time.
-    open: RefCell<HashSet<Bytes>>,
+/// A final answer on its way to the client's connection.
+pub struct Delivery {
+    /// The answer.
+    pub answer: FinalAnswer,
+    /// The memory that it takes until the connection takes it up.
+    pub _memory: MemoryGuard,
 }
 
-impl Shared {
-    pub fn new(
-        config: &PolicyConfig,
-        names: NameTable,
-        most_held: usize,
-        upstreams: Rc<Upstreams>,
-        clock: Rc<Clock>,
-        counters: Rc<Counters>,
-        budget: Rc<ResourceBudget>,
-    ) -> Shared {
-        Shared {
-            router: RefCell::new(Router::new(config, most_held)),
-            names: RefCell::new(names),
-            regions: None,
-            metrics: upstreams.metrics.clone(),
-            upstreams,
-            clock,
-            counters,
-            budget,
-            bells: RefCell::default(),
-            open: RefCell::default(),
-        }
-    }
-
-    /// The list passes this map of regions from now on.
-    pub fn with_regions(self, map: Option<RegionMap>) -> Shared {
-        Shared { regions: map.map(|map| RefCell::new(Rings::new(map))), ..self }
-    }
-
-    /// Rings for ops that something was decided for while another was asked about.
-    pub fn ring(&self) {
-        for op in self.router.borrow_mut().requests_with_actions() {
-            if let Some(bell) = self.bells.borrow().get(&op) {
-                bell.notify_one();
-            }
-        }
-    }
-
-    /// Takes what connections tell of ops and hosts to the facade, for ever.
-    pub async fn heed(self: Rc<Shared>) {
-        loop {
-            self.upstreams.noted.notified().await;
-            self.take_notes();
-        }
-    }
-
-    /// The same for what was noted until now.
-    pub fn take_notes(&self) {
-        for note in self.upstreams.notes() {
-            let now = self.clock.now();
-            let mut router = self.router.borrow_mut();
-            match note {
-                UpstreamEvent::AttemptInDoubt((op, push)) => router.attempt_in_doubt(now, op, push),
-                UpstreamEvent::NewConnection((op, push)) => router.attempt_on_new_connection(now, op, push),
-                UpstreamEvent::HostAlive(host) => router.host_alive(now, host),
-                UpstreamEvent::ProcessStalled(span) => router.process_stalled(now, span),
-            }
-        }
-        self.ring();
+/// Serves one request whose id was reserved. Its client has gone once the other end of `delivery` is dropped.
+pub async fn serve(
+    shared: Rc<Shared>,
+    request: ClientRequest,
+    new_request: NewRequest,
+    delivery: oneshot::Sender<Delivery>,
+    memory: MemoryGuard,
+) {
+    shared.counters.requests.add();
+    // The client may have gone while the request waited to be served: nothing is begun for nobody.
+    if delivery.is_closed() {
+        shared.counters.abandoned.add();
+        shared.release_id(&request.id);
+        return;
     }
+    let (id, actions) = shared.router.borrow_mut().submit(shared.clock.now(), new_request);
+    log::debug!("request {} is the client's {}", id.0, String::from_utf8_lossy(&request.id));
+    let task = RequestTask {
+        shared,
+        id,
+        request: Rc::new(request),
+        delivery: Some(delivery),
+        memory: Some(memory),
+        attempts: JoinSet::new(),
+        in_flight: BTreeMap::new(),
+        value: None,
+    };
+    task.run(actions).await;
+}
 
-    /// Whether an op may come under this id: not while another does.
-    pub fn admit(&self, id: &Bytes) -> bool {
-        self.open.borrow_mut().insert(id.clone())
-    }
+/// A request with its attempts in flight.
+struct RequestTask {
+    shared: Rc<Shared>,
+    id: RequestId,
+    request: Rc<ClientRequest>,
+    /// None once the request has its final answer, or its client has gone.
+    delivery: Option<oneshot::Sender<Delivery>>,
+    /// What the request holds until it has its final answer, or its last attempt has ended.
+    memory: Option<MemoryGuard>,
+    attempts: JoinSet<(AttemptNumber, AttemptResult)>,
+    in_flight: BTreeMap<AttemptNumber, AbortHandle>,
+    /// What the attempt that ended last brought.
+    value: Option<Value>,
+}
 
-    /// Serves one op that was admitted. The client is gone once the other end of `answer` is dropped.
-    pub async fn serve(
-        self: Rc<Shared>,
-        request: ClientRequest,
-        ask: NewRequest,
-        answer: oneshot::Sender<Final>,
-        held: MemoryGuard,
-    ) {
-        self.counters.ops.add();
-        // It may have asked and gone while it waited to be served: nothing is begun for nobody.
-        if answer.is_closed() {
-            self.counters.dropped.add();
-            self.open.borrow_mut().remove(&request.id);
-            return;
-        }
-        let request = Rc::new(request);
-        let (op, mut decisions) = self.router.borrow_mut().submit(self.clock.now(), ask);
-        log::debug!("op {} is the client's {}", op.0, String::from_utf8_lossy(&request.id));
-        let bell = Rc::new(Notify::new());
-        self.bells.borrow_mut().insert(op, bell.clone());
-        let mut under_way = UnderWay {
-            shared: self.clone(),
-            request,
-            held: Some(held),
-            answer: Some(answer),
-            tasks: JoinSet::new(),
-            out: BTreeMap::new(),
-            op,
-            value: None,
-        };
+impl RequestTask {
+    /// Runs until the request has its final answer and nothing is in flight.
+    async fn run(mut self, mut actions: Vec<RequestAction>) {
+        let wakeup = self.shared.register(self.id);
         loop {
-            under_way.carry_out(decisions);
-            self.ring();
-            if under_way.answer.is_none() && under_way.out.is_empty() {
+            self.perform(actions);
+            self.shared.wake_requests();
+            if self.delivery.is_none() && self.in_flight.is_empty() {
                 break;
             }
-            decisions = tokio::select! {
+            actions = tokio::select! {
                 biased;
-                ended = under_way.tasks.join_next(), if !under_way.out.is_empty() => under_way.ended(ended),
-                () = bell.notified() => self.router.borrow_mut().take_actions(op),
-                () = gone(&mut under_way.answer) => {
-                    under_way.answer = None;
-                    under_way.request.over.send_replace(true);
-                    self.counters.dropped.add();
-                    self.router.borrow_mut().client_gone(self.clock.now(), op)
-                }
+                ended = self.attempts.join_next(), if !self.in_flight.is_empty() => self.attempt_joined(ended),
+                () = wakeup.notified() => self.shared.router.borrow_mut().take_actions(self.id),
+                () = client_gone(&mut self.delivery) => self.abandon(),
             };
         }
-        self.bells.borrow_mut().remove(&op);
-        self.open.borrow_mut().remove(&under_way.request.id);
-    }
-}
-
-async fn gone(answer: &mut Option<oneshot::Sender<Final>>) {
-    match answer {
-        Some(answer) => answer.closed().await,
-        None => std::future::pending().await,
+        self.shared.unregister(self.id);
+        self.shared.release_id(&self.request.id);
     }
-}
-
-/// An op with its pushes out.
-struct UnderWay {
-    shared: Rc<Shared>,
-    op: RequestId,
-    request: Rc<ClientRequest>,
-    held: Option<MemoryGuard>,
-    answer: Option<oneshot::Sender<Final>>,
-    tasks: JoinSet<(AttemptNumber, AttemptResult)>,
-    out: BTreeMap<AttemptNumber, AbortHandle>,
-    value: Option<Value>,
-}
 
-impl UnderWay {
-    fn carry_out(&mut self, decisions: Vec<RequestAction>) {
-        let counters = self.shared.counters.clone();
-        let mut decisions: VecDeque<RequestAction> = decisions.into();
-        while let Some(decision) = decisions.pop_front() {
-            match decision {
-                RequestAction::StartAttempt { attempt: push, host, deadline: until } => {
-                    counters.pushes.add();
-                    log::debug!(
-                        "op {} push {} to host {} for {} ms",
-                        self.op.0,
-                        push.0,
-                        host.0,
-                        (until - self.shared.clock.now()) / 1000
-                    );
-                    let (shared, request) = (self.shared.clone(), self.request.clone());
-                    let ticket = (self.op, push);
-                    let task = async move {
-                        let outcome = match shared.upstreams.origin(host) {
-                            Some(address) => {
-                                origin::push(&shared.upstreams, host, address, ticket, &request, until).await
-                            }
-                            None => shared.upstreams.push(host, ticket, &request, until).await,
-                        };
-                        (push, outcome)
-                    };
-                    self.out.insert(push, self.tasks.spawn_local(task));
-                }
-                RequestAction::CancelAttempt(push) => {
-                    if let Some(task) = self.out.remove(&push) {
-                        task.abort();
-                        counters.ended(AttemptOutcome::Cancelled);
-                        decisions.extend(self.report(push, AttemptOutcome::Cancelled));
-                    }
-                }
-                RequestAction::Succeed(_) => {
-                    counters.acked.add();
-                    let value = self.value.take().unwrap_or(Value::Whole(Bytes::new()));
-                    self.finish(FinalAnswer::Succeeded(value));
-                }
-                RequestAction::Reject { retry_after } => {
-                    counters.nacked.add();
-                    log::debug!("op {} nacked", self.op.0);
-                    self.finish(FinalAnswer::Rejected { retry_after });
-                }
-                RequestAction::Fail => {
-                    counters.dead_lettered.add();
-                    log::debug!("op {} dead-lettered", self.op.0);
-                    self.finish(FinalAnswer::Failed);
+    fn perform(&mut self, actions: Vec<RequestAction>) {
+        let mut actions: VecDeque<RequestAction> = actions.into();
+        while let Some(action) = actions.pop_front() {
+            match action {
+                RequestAction::StartAttempt { attempt, host, deadline } => {
+                    self.start_attempt(attempt, host, deadline);
                 }
+                RequestAction::CancelAttempt(attempt) => actions.extend(self.cancel_attempt(attempt)),
+                RequestAction::Succeed(_) => self.succeed(),
+                RequestAction::Reject { retry_after } => self.reject(retry_after),
+                RequestAction::Fail => self.fail(),
             }
         }
     }
 
-    fn finish(&mut self, last: FinalAnswer) {
-        self.request.over.send_replace(true);
-        if let (Some(answer), Some(mut held)) = (self.answer.take(), self.held.take()) {
-            // A long value is held by its stream's window alone.
-            held.set(if let FinalAnswer::Succeeded(Value::Whole(value)) = &last { value.len() } else { 0 });
-            // A client that has just gone needs none.
-            let _ = answer.send((last, held));
-        }
+    fn start_attempt(&mut self, attempt: AttemptNumber, host: HostId, deadline: Micros) {
+        let shared = self.shared.clone();
+        shared.counters.attempts.add();
+        log::debug!(
+            "request {} attempt {} to host {} for {} ms",
+            self.id.0,
+            attempt.0,
+            host.0,
+            (deadline - shared.clock.now()) / 1000
+        );
+        let request = self.request.clone();
+        let key = (self.id, attempt);
+        let task = async move {
+            let upstreams = &shared.upstreams;
+            let result = match upstreams.origin(host) {
+                Some(address) => origin::push(upstreams, host, address, key, &request, deadline).await,
+                None => upstreams.push(host, key, &request, deadline).await,
+            };
+            (attempt, result)
+        };
+        self.in_flight.insert(attempt, self.attempts.spawn_local(task));
     }
 
-    fn report(&self, push: AttemptNumber, end: AttemptOutcome) -> Vec<RequestAction> {
-        self.shared.router.borrow_mut().attempt_ended(self.shared.clock.now(), self.op, push, end)
+    fn cancel_attempt(&mut self, attempt: AttemptNumber) -> Vec<RequestAction> {
+        let Some(task) = self.in_flight.remove(&attempt) else { return Vec::new() };
+        task.abort();
+        self.shared.counters.ended(AttemptOutcome::Cancelled);
+        self.report(attempt, AttemptOutcome::Cancelled)
     }
 
-    fn ended(
+    fn attempt_joined(
         &mut self,
-        ended: Option<Result<(AttemptNumber, AttemptResult), tokio::task::JoinError>>,
+        ended: Option<Result<(AttemptNumber, AttemptResult), JoinError>>,
     ) -> Vec<RequestAction> {
-        let (push, (end, value)) = match ended {
+        let (attempt, (outcome, value)) = match ended {
             Some(Ok(ended)) => ended,
             Some(Err(cause)) if cause.is_panic() => std::panic::resume_unwind(cause.into_panic()),
-            // One that was called off has been reported already.
+            // One that was cancelled has been reported already.
             _ => return Vec::new(),
         };
-        if self.out.remove(&push).is_none() {
+        if self.in_flight.remove(&attempt).is_none() {
             return Vec::new();
         }
-        self.shared.counters.ended(end);
-        log::debug!("op {} push {}: {end:?}", self.op.0, push.0);
+        self.shared.counters.ended(outcome);
+        log::debug!("request {} attempt {}: {outcome:?}", self.id.0, attempt.0);
         self.value = value;
-        self.report(push, end)
+        self.report(attempt, outcome)
+    }
+
+    fn report(&self, attempt: AttemptNumber, outcome: AttemptOutcome) -> Vec<RequestAction> {
+        self.shared.router.borrow_mut().attempt_ended(self.shared.clock.now(), self.id, attempt, outcome)
+    }
+
+    /// The client has gone: nothing more is sent for the request.
+    fn abandon(&mut self) -> Vec<RequestAction> {
+        self.delivery = None;
+        self.request.finished.send_replace(true);
+        self.shared.counters.abandoned.add();
+        self.shared.router.borrow_mut().client_gone(self.shared.clock.now(), self.id)
+    }
+
+    fn succeed(&mut self) {
+        self.shared.counters.succeeded.add();
+        let value = self.value.take().unwrap_or(Value::Whole(Bytes::new()));
+        self.finish(FinalAnswer::Succeeded(value));
+    }
+
+    fn reject(&mut self, retry_after: Option<Micros>) {
+        self.shared.counters.rejected.add();
+        log::debug!("request {} rejected", self.id.0);
+        self.finish(FinalAnswer::Rejected { retry_after });
+    }
+
+    fn fail(&mut self) {
+        self.shared.counters.failed.add();
+        log::debug!("request {} failed", self.id.0);
+        self.finish(FinalAnswer::Failed);
+    }
+
+    fn finish(&mut self, answer: FinalAnswer) {
+        self.request.finished.send_replace(true);
+        let (Some(delivery), Some(mut memory)) = (self.delivery.take(), self.memory.take()) else { return };
+        // A streamed value is held by its stream's window alone.
+        let held = match &answer {
+            FinalAnswer::Succeeded(Value::Whole(value)) => value.len(),
+            _ => 0,
+        };
+        memory.set(held);
+        // A client that has just gone needs none.
+        let _ = delivery.send(Delivery { answer, _memory: memory });
+    }
+}
+
+async fn client_gone(delivery: &mut Option<oneshot::Sender<Delivery>>) {
+    match delivery {
+        Some(delivery) => delivery.closed().await,
+        None => std::future::pending().await,
     }
 }
--- /dev/null
+++ b/balancer/src/shared.rs
@@ -0,0 +1,132 @@
+//! The state that every connection and every request of this process shares.
+
+use std::cell::RefCell;
+use std::collections::{BTreeMap, HashSet};
+use std::rc::Rc;
+
+use basaltwood::router::Router;
+use basaltwood::types::{PolicyConfig, RequestId};
+use basaltwood_regions::RegionMap;
+use basaltwood_settings::NameTable;
+use bytes::Bytes;
+use tokio::sync::Notify;
+
+use crate::budget::ResourceBudget;
+use crate::clock::Clock;
+use crate::counters::Counters;
+use crate::discovery::Rings;
+use crate::metrics::Metrics;
+use crate::upstream::{UpstreamEvent, Upstreams};
+
+/// All that serving a request takes. It lives from start to exit.
+pub struct Shared {
+    /// The policy, with every request that is open.
+    pub router: RefCell<Router>,
+    /// The deployment's names, and the numbers that the policy knows them by.
+    pub names: RefCell<NameTable>,
+    /// Which listed hosts make the ring; none where the operators gave no map of regions.
+    pub regions: Option<RefCell<Rings>>,
+    /// Cache hosts and the origin, with the connections to them.
+    pub upstreams: Rc<Upstreams>,
+    /// The process's one clock.
+    pub clock: Rc<Clock>,
+    /// The log's counters.
+    pub counters: Rc<Counters>,
+    /// The operators' metrics.
+    pub metrics: Rc<Metrics>,
+    /// Descriptors and memory.
+    pub budget: Rc<ResourceBudget>,
+    /// Wakes the task of a request for which something was decided.
+    wakeups: RefCell<BTreeMap<RequestId, Rc<Notify>>>,
+    /// The clients' ids of the requests that are open: hosts drop or refuse a second one under the same id.
+    ids_in_use: RefCell<HashSet<Bytes>>,
+}
+
+impl Shared {
+    /// The state of a process that has no client yet.
+    pub fn new(
+        config: &PolicyConfig,
+        names: NameTable,
+        max_open_requests: usize,
+        upstreams: Rc<Upstreams>,
+        clock: Rc<Clock>,
+        counters: Rc<Counters>,
+        budget: Rc<ResourceBudget>,
+    ) -> Shared {
+        Shared {
+            router: RefCell::new(Router::new(config, max_open_requests)),
+            names: RefCell::new(names),
+            regions: None,
+            metrics: upstreams.metrics.clone(),
+            upstreams,
+            clock,
+            counters,
+            budget,
+            wakeups: RefCell::default(),
+            ids_in_use: RefCell::default(),
+        }
+    }
+
+    /// The endpoint list is filtered by this map of regions from now on.
+    pub fn with_regions(self, map: Option<RegionMap>) -> Shared {
+        Shared { regions: map.map(|map| RefCell::new(Rings::new(map))), ..self }
+    }
+
+    /// Wakes the tasks of requests for which something was decided while another request was reported on.
+    pub fn wake_requests(&self) {
+        for request in self.router.borrow_mut().requests_with_actions() {
+            if let Some(wakeup) = self.wakeups.borrow().get(&request) {
+                wakeup.notify_one();
+            }
+        }
+    }
+
+    /// The wakeup of a request, from its submission until [`Shared::unregister`].
+    pub fn register(&self, request: RequestId) -> Rc<Notify> {
+        let wakeup = Rc::new(Notify::new());
+        self.wakeups.borrow_mut().insert(request, wakeup.clone());
+        wakeup
+    }
+
+    /// The request's task ends.
+    pub fn unregister(&self, request: RequestId) {
+        self.wakeups.borrow_mut().remove(&request);
+    }
+
+    /// Reports to the policy what connections tell of attempts and hosts, for ever.
+    pub async fn forward_upstream_events(self: Rc<Shared>) {
+        loop {
+            self.upstreams.noted.notified().await;
+            self.process_upstream_events();
+        }
+    }
+
+    /// The same for what has been told until now.
+    pub fn process_upstream_events(&self) {
+        for event in self.upstreams.notes() {
+            let now = self.clock.now();
+            let mut router = self.router.borrow_mut();
+            match event {
+                UpstreamEvent::AttemptInDoubt((request, attempt)) => {
+                    router.attempt_in_doubt(now, request, attempt);
+                }
+                UpstreamEvent::NewConnection((request, attempt)) => {
+                    router.attempt_on_new_connection(now, request, attempt);
+                }
+                UpstreamEvent::HostAlive(host) => router.host_alive(now, host),
+                UpstreamEvent::ProcessStalled(span) => router.process_stalled(now, span),
+            }
+        }
+        self.wake_requests();
+    }
+
+    /// Takes a client's id for a request; whether it was free. [`Shared::release_id`] gives it back.
+    pub fn reserve_id(&self, id: &Bytes) -> bool {
+        self.ids_in_use.borrow_mut().insert(id.clone())
+    }
+
+    /// The request under this id has ended, with every attempt.
+    pub fn release_id(&self, id: &Bytes) {
+        self.ids_in_use.borrow_mut().remove(id);
+    }
+}
--- a/balancer/src/upstream/mod.rs
+++ b/balancer/src/upstream/mod.rs
@@ -556,7 +556,7 @@
                     Ok(Ok(1..)) => piece.freeze(),
                     // The client can tell: its connection ends before the length that it was told.
                     _ => {
-                        self.counters.values_torn.add();
+                        self.counters.values_truncated.add();
                         log::debug!("host {}: a value ended {left} bytes before its end", host.0);
                         return;
                     }
--- a/balancer/tests/crossings.rs
+++ b/balancer/tests/crossings.rs
@@ -29,17 +29,17 @@
     let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &patient());
     let mut client = program.client();
     client.get("k", "id", "c=once,d=9000");
-    program.counts("pushes", 1);
+    program.counts("attempts", 1);
     goes.away(client);
-    program.counts("push_called_off", 1);
+    program.counts("attempts_cancelled", 1);
     let (_, wrote) = a.take_all();
     let mut other = program.client();
     other.get("l", "id2", "c=once,d=9000");
     // The one that comes is the other's: its port is not that of the first.
     let ports = [wrote.recv().expect("the other's"), wrote.try_recv().unwrap_or(nowhere())];
     assert_eq!(ports[1], nowhere(), "nobody else wrote");
-    let line = program.counts("pushes", 2);
-    assert!(line.contains(" dropped=1 ") && line.contains(" push_called_off=1 "), "{line}");
+    let line = program.counts("attempts", 2);
+    assert!(line.contains(" abandoned=1 ") && line.contains(" attempts_cancelled=1 "), "{line}");
 }
 
 /// One push is out, and another waits there: for its connection, and for leave to open one beside it.
@@ -55,9 +55,9 @@
     let (mut slow, mut trace) = one_out(&program, &a);
     let mut client = program.client();
     client.get("k", "id2", "c=read,d=9000");
-    program.counts("ops", 3);
+    program.counts("requests", 3);
     goes.away(client);
-    program.counts("push_called_off", 1);
+    program.counts("attempts_cancelled", 1);
     release.send(()).expect("it waits");
     trace.push(slow.answer());
     // The next that comes there is another op's.
@@ -84,7 +84,7 @@
     let mut waits = program.client();
     // The time stands first: stand-ins hide it anywhere else.
     waits.get("k", "id2", "d=9000,c=read");
-    program.counts("ops", 3);
+    program.counts("requests", 3);
     // From here on, since its time counts from when it is heard.
     let began = Instant::now();
     // What has to pass is a part of the op's own time.
@@ -100,7 +100,7 @@
 /// A miss that comes back after its client has gone fetches nothing at the origin, and an error is not tried elsewhere.
 #[test]
 fn what_a_push_brings_after_its_client_has_gone_leads_to_no_other() {
-    let brings = [("*3\r\n$-1\r\n$-1\r\n$-1\r\n", "push_missed"), ("-ERR failed\r\n", "push_error")];
+    let brings = [("*3\r\n$-1\r\n$-1\r\n$-1\r\n", "attempts_missed"), ("-ERR failed\r\n", "attempts_error")];
     for ((text, ended), goes) in brings.into_iter().flat_map(|one| BOTH_WAYS.map(|goes| (one, goes))) {
         let (release, wait) = gate();
         let host = Peer::host(move |asked| {
@@ -115,10 +115,10 @@
         client.get(SLOW_AT_A, "id", "c=read,d=1900");
         host.next();
         goes.away(client);
-        program.counts("dropped", 1);
+        program.counts("abandoned", 1);
         release.send(()).expect("it waits");
         let line = program.counts(ended, 1);
-        assert!(line.contains(" pushes=1 ") && other.quiet() && origin.quiet(), "{ended}: {line}");
+        assert!(line.contains(" attempts=1 ") && other.quiet() && origin.quiet(), "{ended}: {line}");
     }
 }
 
@@ -131,7 +131,7 @@
     let mut client = program.client();
     let began = Instant::now();
     client.get("k", "id", "c=once,d=1500");
-    program.counts("pushes", 1);
+    program.counts("attempts", 1);
     program.signal("STOP");
     let (came, _wrote) = a.take_all();
     came.recv().expect("its handshake ends in the kernel");
@@ -139,8 +139,8 @@
     thread::sleep(Duration::from_millis(1_700).saturating_sub(began.elapsed()));
     program.signal("CONT");
     assert_eq!(client.answer(), "-ERR dead-lettered");
-    let line = program.counts("dead_lettered", 1);
-    assert!(line.contains(" push_timed_out=0 "), "nothing was written: {line}");
+    let line = program.counts("failed", 1);
+    assert!(line.contains(" attempts_timed_out=0 "), "nothing was written: {line}");
 }
 
 /// The same where it waits for a connection in use, which comes free while this process is stopped.
@@ -154,15 +154,15 @@
     let mut late = program.client();
     let began = Instant::now();
     late.get("k", "id2", "c=once,d=300");
-    program.counts("ops", 3);
+    program.counts("requests", 3);
     program.signal("STOP");
     release.send(()).expect("it waits");
     // What has to pass is the op's time itself.
     thread::sleep(Duration::from_millis(500).saturating_sub(began.elapsed()));
     program.signal("CONT");
     assert_eq!([slow.answer(), late.answer()], ["from a", "-ERR dead-lettered"]);
-    let line = program.counts("dead_lettered", 1);
-    assert!(line.contains(" push_timed_out=0 "), "nothing was written: {line}");
+    let line = program.counts("failed", 1);
+    assert!(line.contains(" attempts_timed_out=0 "), "nothing was written: {line}");
     // What else was said there is the end of a connection, if that was taken for it.
     assert_ne!(a.seen(), Some("CACHE.GET k id2 c=once,d=..".to_owned()));
 }
@@ -183,13 +183,13 @@
     let mut asked = 0;
     for client in &mut clients {
         loop {
-            let before = program.counts("ops", asked);
+            let before = program.counts("requests", asked);
             client.get(&format!("slow{asked}"), &format!("id{asked}"), "c=once,d=9000");
             asked += 1;
             // One that found the last descriptor taken is refused, and asks again.
-            let after = program.counts("ops", asked);
+            let after = program.counts("requests", asked);
             let count =
-                |line: &str| line.split(" nacked=").nth(1).map(|rest| rest.split(' ').next() == Some("0"));
+                |line: &str| line.split(" rejected=").nth(1).map(|rest| rest.split(' ').next() == Some("0"));
             if count(&before) == count(&after) {
                 break;
             }
@@ -197,10 +197,10 @@
         }
     }
     let line = program.counts("connections_opened", 8);
-    assert!(line.contains(" lists=1 "), "{line}");
+    assert!(line.contains(" endpoint_lists=1 "), "{line}");
     back.store(true, Ordering::Relaxed);
-    let line = program.counts("lists", 2);
-    assert!(line.contains(" acked=0 ") && line.contains(" dead_lettered=0 "), "all is held still: {line}");
+    let line = program.counts("endpoint_lists", 2);
+    assert!(line.contains(" succeeded=0 ") && line.contains(" failed=0 "), "all is held still: {line}");
 }
 
 /// A host answers a push twice, and the copy comes after the next push is written: answers carry no id. Once hosts were heard to
--- a/balancer/tests/drains.rs
+++ b/balancer/tests/drains.rs
@@ -28,7 +28,7 @@
     let (mut read, mut once) = (program.client(), program.client());
     read.get("k", "id2", "c=read,d=9000");
     once.get("l", "id3", "c=once,d=9000");
-    program.counts("ops", 4);
+    program.counts("requests", 4);
     let mut list = vec![entry("b", b.address, "active")];
     list.extend((!told.is_empty()).then(|| entry("a", a.address, told)));
     discovery.tell(&list);
@@ -37,8 +37,8 @@
     // What was out goes on; its connection is of no use after it.
     trace.extend([slow.answer(), a.next()]);
     assert!(a.quiet(), "nothing came after the drain was told");
-    let line = program.counts("push_never_sent", 2);
-    assert!(line.contains(" push_never_sent=2 "), "each of those that waited says so once: {line}");
+    let line = program.counts("attempts_not_sent", 2);
+    assert!(line.contains(" attempts_not_sent=2 "), "each of those that waited says so once: {line}");
     trace.join("\n")
 }
 
@@ -69,9 +69,9 @@
     let program = Program::start_by(BINARY, discovery.peer.address, &known, [192, 1024], &patient());
     let mut client = program.client();
     client.get("k", "id", "c=once,d=9000");
-    program.counts("pushes", 1);
+    program.counts("attempts", 1);
     discovery.tell(&[told(a.address), entry("b", b.address, "active")]);
-    program.counts("lists", 2);
+    program.counts("endpoint_lists", 2);
     // From here on the handshake can come to its end.
     let (_, wrote) = a.take_all();
     let answer = client.answer();
@@ -114,8 +114,8 @@
         let known = [entry("a", a.address, "active"), entry("b", b.address, "active")];
         let program = Program::start(BINARY, discovery.peer.address, &known, 1024);
         discovery.tell(&[absurd.to_owned(), entry("b", b.address, "active")]);
-        let line = program.counts("lists", 2);
-        assert!(line.contains(" list_entries_refused=0 "), "{line}");
+        let line = program.counts("endpoint_lists", 2);
+        assert!(line.contains(" endpoints_refused=0 "), "{line}");
         only_b_serves(&program, &a, absurd);
     }
 }
@@ -145,7 +145,7 @@
     let mut trace = vec![old.next(), old.next()];
     program.told_anew(&old.address.to_string(), &new.address.to_string());
     trace.extend([new.next(), new.next()]);
-    program.counts("lists", 3);
+    program.counts("endpoint_lists", 3);
     only_b_serves(&program, &a, "nothing goes to the host that leaves");
     expect![[r#"
         GET /v1/servers?from=1&hold_ms=3000
@@ -243,7 +243,7 @@
     assert_eq!(before.iter().filter(|line| *line == "closed").count(), failed as usize, "{before:?}");
     let mut trace = vec![discovery.next()];
     let silent = Instant::now();
-    program.counts("lists", 2);
+    program.counts("endpoint_lists", 2);
     assert!(silent.elapsed() < Duration::from_secs(6), "the news came after {:?}", silent.elapsed());
     trace.extend([discovery.next(), discovery.next(), discovery.next()]);
     only_b_serves(&program, &a, "nothing goes to the host that leaves");
@@ -279,8 +279,8 @@
         let known = if leaves == "a" { vec![entry("a", a.address, "active")] } else { Vec::new() };
         let known = [known, vec![entry("b", b.address, "active")]].concat();
         let program = Program::start(BINARY, discovery.address, &known, 1024);
-        let line = program.counts("lists", 2);
-        assert!(line.contains(" list_senseless=0 "), "{way}: {line}");
+        let line = program.counts("endpoint_lists", 2);
+        assert!(line.contains(" discovery_invalid=0 "), "{way}: {line}");
         only_b_serves(&program, &a, way);
     }
 }
@@ -332,7 +332,7 @@
     });
     let known = [entry("a", at, "active"), entry("c", gone, "active"), entry("b", b.address, "active")];
     let program = Program::start(BINARY, discovery.address, &known, 1024);
-    let line = program.counts("lists", 4);
-    assert!(line.contains(" hosts_forgotten=2"), "each host once, and one that drains is not gone: {line}");
+    let line = program.counts("endpoint_lists", 4);
+    assert!(line.contains(" hosts_released=2"), "each host once, and one that drains is not gone: {line}");
     only_b_serves(&program, &a, "nothing goes to the host that leaves");
 }
--- a/balancer/tests/endings.rs
+++ b/balancer/tests/endings.rs
@@ -72,8 +72,8 @@
     for (nth, client) in inside.iter_mut().enumerate() {
         client.get(&format!("slow{nth}"), &format!("in{nth}"), "c=once,d=9000");
     }
-    let line = program.counts("pushes", 8);
-    assert!(line.contains(" nacked=0 "), "{line}");
+    let line = program.counts("attempts", 8);
+    assert!(line.contains(" rejected=0 "), "{line}");
     let mut outside: Vec<Client> = (0..4).map(|_| program.client()).collect();
     for (nth, client) in outside.iter_mut().enumerate() {
         client.get("k", &format!("out{nth}"), "c=read,d=9000");
@@ -100,16 +100,16 @@
     let program = program(&host, [192, 1024], SETTINGS);
     let mut client = program.client();
     (0..100).for_each(|nth| client.get("slow", &format!("id{nth}"), "c=read,d=1900"));
-    program.counts("pushes", 1);
+    program.counts("attempts", 1);
     goes.away(client);
-    let line = program.counts("dropped", 1);
-    assert!(line.contains(" push_acked=0 "), "nothing was answered yet: {line}");
+    let line = program.counts("abandoned", 1);
+    assert!(line.contains(" attempts_succeeded=0 "), "nothing was answered yet: {line}");
     let_go(&release, 100);
     // What is out runs on, and is answered to nobody.
-    program.counts("push_acked", 1);
+    program.counts("attempts_succeeded", 1);
     assert_eq!(program.client().asks(&["PING"]), "+PONG");
-    let line = program.counts("ops", 32);
-    assert!(line.contains(" ops=32 "), "as many as may wait at a time, and none after: {line}");
+    let line = program.counts("requests", 32);
+    assert!(line.contains(" requests=32 "), "as many as may wait at a time, and none after: {line}");
 }
 
 /// After `QUIT` nothing more is read of a connection; its end is seen all the same.
@@ -126,8 +126,8 @@
     client.raw(b"QUIT\r\n");
     host.next();
     goes.away(client);
-    let line = program.counts("dropped", 1);
-    assert!(line.contains(" push_acked=0 ") && line.contains(" push_timed_out=0 "), "{line}");
+    let line = program.counts("abandoned", 1);
+    assert!(line.contains(" attempts_succeeded=0 ") && line.contains(" attempts_timed_out=0 "), "{line}");
     drop(release);
 }
 
@@ -141,8 +141,8 @@
     host.next();
     client.writing.shutdown(Shutdown::Write).expect("it ends");
     assert_eq!(client.answer(), "closed");
-    let line = program.counts("dropped", 1);
-    assert!(line.contains(" push_acked=0 ") && line.contains(" push_timed_out=0 "), "{line}");
+    let line = program.counts("abandoned", 1);
+    assert!(line.contains(" attempts_succeeded=0 ") && line.contains(" attempts_timed_out=0 "), "{line}");
     drop(release);
 }
 
@@ -218,9 +218,9 @@
     half(&mut leaves, "id3");
     assert_eq!(program.client().asks(&["PING"]), "+PONG");
     goes.away(leaves);
-    let line = program.counts("dropped", 1);
+    let line = program.counts("abandoned", 1);
     // The one that holds the memory has not been given up yet.
-    assert!(line.contains(" malformed=0 ") && line.contains(" push_timed_out=0 "), "{line}");
+    assert!(line.contains(" malformed=0 ") && line.contains(" attempts_timed_out=0 "), "{line}");
     drop((release, holds));
 }
 
@@ -242,8 +242,8 @@
     host.next();
     drop(client);
     // The host's first limit lets six through, and they are dropped while they are out.
-    let line = program.counts("dropped", 6);
-    assert!(line.contains(" push_timed_out=0 ") && line.contains(" ops=32 "), "{line}");
+    let line = program.counts("abandoned", 6);
+    assert!(line.contains(" attempts_timed_out=0 ") && line.contains(" requests=32 "), "{line}");
     drop(release);
 }
 
--- a/balancer/tests/long.rs
+++ b/balancer/tests/long.rs
@@ -82,14 +82,14 @@
     let (all, mut client) = taken.join().expect("it ends");
     assert!(all[..LONG - 5] == rest[..] && all.ends_with(b"\r\n"), "the value came as it was");
     assert!(program.figures("edge_proxy_active 0").contains("ok{kind=\"once\"} 1"));
-    program.counts("push_acked", 1);
+    program.counts("attempts_succeeded", 1);
     client
         .write_all(b"*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk\r\n$3\r\nid2\r\n$12\r\nc=once,d=900\r\n")
         .expect("open");
     let (_, mut host) = asked.recv().expect("it asks");
     host.write_all(b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n").expect("it is read");
     assert_eq!(some(&mut client, 7), b"$1\r\nv\r\n");
-    assert!(program.counts("acked", 2).contains("connections_opened=1 connections_reused=1"));
+    assert!(program.counts("succeeded", 2).contains("connections_opened=1 connections_reused=1"));
 }
 
 #[test]
@@ -109,7 +109,7 @@
         assert!(rest.is_empty(), "it is never filled up");
         let page = program.figures(&format!("edge_proxy_errors{{kind=\"{category}\"}} 1"));
         assert!(page.contains("tries 1") && page.contains("active 0"), "{page}");
-        program.counts("values_torn", 1);
+        program.counts("values_truncated", 1);
     }
     assert!(other.quiet());
 }
@@ -247,7 +247,7 @@
 /// before the whole, and no push goes again.
 #[test]
 fn a_write_cut_midway_never_ran_and_its_host_sees_so() {
-    for (goes, ended) in [(false, "push_unreachable"), (true, "push_called_off")] {
+    for (goes, ended) in [(false, "attempts_unreachable"), (true, "attempts_cancelled")] {
         let (address, begun) = stuck();
         let program = program_at(&[("origin", address)], [64, 192]);
         let mut client = begin(&program, "id", LONG);
@@ -260,7 +260,7 @@
             assert_eq!(client.answer(), "-ERR dead-lettered");
         }
         let line = program.counts(ended, 1);
-        assert!(line.contains(" pushes=1 ") && line.contains(" push_timed_out=0 "), "{line}");
+        assert!(line.contains(" attempts=1 ") && line.contains(" attempts_timed_out=0 "), "{line}");
         let mut rest = Vec::new();
         // It may end as a reset: what it is not is whole.
         let _ = host.read_to_end(&mut rest);
--- a/balancer/tests/mixed.rs
+++ b/balancer/tests/mixed.rs
@@ -77,7 +77,7 @@
     discovery.tell(&[entry("a", a.address, "leaving"), entry("b", b.address, "active")]);
     // Once both were told, neither sends it anything more.
     for program in [&old, &new] {
-        program.counts("lists", 2);
+        program.counts("endpoint_lists", 2);
     }
     let before = at_a[0].load(Ordering::SeqCst);
     for client in &mut clients {
--- a/balancer/tests/regions.rs
+++ b/balancer/tests/regions.rs
@@ -170,7 +170,7 @@
     trace.push(format!("fetched: {fetched}"));
     let figures = program.figures("edge_proxy_regions_hosts_ring 2");
     trace.extend(figures.lines().filter(|line| line.contains("regions_")).map(str::to_owned));
-    let line = program.counts("lists", 2);
+    let line = program.counts("endpoint_lists", 2);
     trace.extend(line.split(' ').filter(|word| word.starts_with("regions_")).map(str::to_owned));
     assert!(outside.iter().all(Untouched::untouched), "a connection was opened to a host outside");
     expect![[r#"
@@ -206,8 +206,8 @@
         assert_eq!(who(&program, &["a", "b"]), "a b");
         discovery.tell(&[absurd.to_owned(), known[1].clone()]);
         read(&discovery.peer, 2);
-        let line = program.counts("lists", 2);
-        assert!(line.contains(" list_entries_refused=0 "), "{line}");
+        let line = program.counts("endpoint_lists", 2);
+        assert!(line.contains(" endpoints_refused=0 "), "{line}");
         assert_eq!(who(&program, &["b"]), "b", "{absurd}");
     }
 }
@@ -224,14 +224,14 @@
     let (mut read, mut once) = (program.client(), program.client());
     read.get("k", "id2", "c=read,d=9000");
     once.get("l", "id3", "c=once,d=9000");
-    program.counts("ops", 4);
+    program.counts("requests", 4);
     let b_up = at("b", "n2", b.address, "active");
     discovery.tell(&[at("a", "s1", a.address, "active"), b_up.clone()]);
     trace.extend([read.answer(), once.answer()]);
     release.send(()).expect("it waits");
     trace.extend([slow.answer(), a.next()]);
-    let line = program.counts("push_never_sent", 2);
-    assert!(line.contains(" push_never_sent=2 ") && line.contains(" regions_hosts_out=1 "), "{line}");
+    let line = program.counts("attempts_not_sent", 2);
+    assert!(line.contains(" attempts_not_sent=2 ") && line.contains(" regions_hosts_out=1 "), "{line}");
     trace.push(who(&program, &["from b"]));
     assert!(a.quiet(), "nothing came after it was moved out");
     expect![[r#"
@@ -302,7 +302,7 @@
         let awaited = if up.len() < least { &SOUTH[..] } else { up };
         trace.push(format!("{}: {}", up.len(), who(&program, awaited)));
     }
-    let line = program.counts("lists", lists.len() as u64 + 1);
+    let line = program.counts("endpoint_lists", lists.len() as u64 + 1);
     trace.extend(line.split(' ').filter(|word| word.starts_with("regions_")).map(str::to_owned));
     trace.join("\n")
 }
@@ -428,8 +428,8 @@
         read(&discovery, round + 2);
         trace.push(who(&program, &[awaited]));
     }
-    let line = program.counts("hosts_forgotten", 6);
-    trace.extend(line.split(' ').filter(|word| word.starts_with("hosts_forgotten")).map(str::to_owned));
+    let line = program.counts("hosts_released", 6);
+    trace.extend(line.split(' ').filter(|word| word.starts_with("hosts_released")).map(str::to_owned));
     expect![[r#"
         a
         b
@@ -441,7 +441,7 @@
         a
         a
         b
-        hosts_forgotten=6"#]]
+        hosts_released=6"#]]
     .assert_eq(&trace.join("\n"));
 }
 
@@ -481,7 +481,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let serve = |folder: &Path, awaited: &[&str]| {
         let program = Program::told_in(BINARY, &text, folder).serving();
-        let line = program.counts("lists", 1);
+        let line = program.counts("endpoint_lists", 1);
         (who(&program, awaited), line.contains(" regions_rings=0 "))
     };
     assert_eq!(serve(folder.path(), &["a", "b"]), ("a b".to_owned(), true));
@@ -526,7 +526,7 @@
     hangs.1.notify_all();
     b.opened("b");
     trace.push(who(&program, &["a", "b"]));
-    let line = program.counts("ops", 24);
+    let line = program.counts("requests", 24);
     trace.extend(line.split(' ').filter(|word| word.starts_with("regions_rings")).map(str::to_owned));
     assert_eq!(taken.load(Ordering::SeqCst), 0, "a connection went to the other region");
     // It was there all the time.
--- a/balancer/tests/replaced.rs
+++ b/balancer/tests/replaced.rs
@@ -37,7 +37,7 @@
         }
     }
     let forgotten = ((LISTS - 1) * AT_A_TIME) as u64;
-    program.counts("hosts_forgotten", forgotten);
+    program.counts("hosts_released", forgotten);
     let (memory, descriptors) = (program.memory_kb(), program.descriptors());
     assert!(memory <= settled.0 + 1_024, "{} kB after {SETTLED} lists, {memory} kB at the end", settled.0);
     assert!(descriptors <= settled.1 + AT_A_TIME, "{} descriptors, then {descriptors}", settled.1);
--- a/balancer/tests/sockets.rs
+++ b/balancer/tests/sockets.rs
@@ -70,14 +70,20 @@
     client.get("slow", "id1", "c=read,d=1500");
     host.next();
     drop(client);
-    program.counts("dropped", 1);
+    program.counts("abandoned", 1);
     release.send(()).expect("it waits");
-    program.counts("push_acked", 1);
+    program.counts("attempts_succeeded", 1);
     assert_eq!(program.client().asks(&["CACHE.GET", "k", "id2", "c=read,d=600"]), "v");
-    let line = program.counts("ops", 2);
-    let names =
-        ["acked", "dropped", "push_acked", "push_called_off", "connections_opened", "connections_reused"];
-    expect!["acked=1 dropped=1 push_acked=2 push_called_off=0 connections_opened=1 connections_reused=1"]
+    let line = program.counts("requests", 2);
+    let names = [
+        "succeeded",
+        "abandoned",
+        "attempts_succeeded",
+        "attempts_cancelled",
+        "connections_opened",
+        "connections_reused",
+    ];
+    expect!["succeeded=1 abandoned=1 attempts_succeeded=2 attempts_cancelled=0 connections_opened=1 connections_reused=1"]
         .assert_eq(&counted(&line, &names));
 }
 
@@ -312,12 +318,15 @@
     }
     program.signal("USR1");
     let line = program.logged("counters");
-    trace.push(counted(&line, &["push_acked", "push_broken", "connections_opened", "connections_reused"]));
+    trace.push(counted(
+        &line,
+        &["attempts_succeeded", "attempts_connection_lost", "connections_opened", "connections_reused"],
+    ));
     expect![[r#"
         v
         v
         v
-        push_acked=3 push_broken=0 connections_opened=3 connections_reused=0"#]]
+        attempts_succeeded=3 attempts_connection_lost=0 connections_opened=3 connections_reused=0"#]]
     .assert_eq(&trace.join("\n"));
 }
 
@@ -426,7 +435,7 @@
     let settings = SETTINGS.replace(r#""groupSize":2"#, r#""groupSize":300"#);
     let program = Program::start_by(BINARY, discovery.peer.address, &known, [192, 1024], &settings);
     let began = Instant::now();
-    program.counts("lists", 2);
+    program.counts("endpoint_lists", 2);
     // Spread over all of them, this one's turn would come after several seconds.
     assert!(began.elapsed() < Duration::from_millis(1_500), "it asked after {:?}", began.elapsed());
     let mut client = program.client();
@@ -443,13 +452,14 @@
     for nth in 0..20 {
         let old = entry(&format!("host-{nth}"), host.address, "left");
         discovery.tell(&[old, entry(&format!("host-{}", nth + 1), host.address, "active")]);
-        program.counts("lists", nth + 2);
+        program.counts("endpoint_lists", nth + 2);
         let id = format!("id{nth}");
         assert_eq!(client.asks(&["CACHE.GET", "k", &id, "c=once,d=600"]), id);
     }
-    let line = program.counts("hosts_forgotten", 20);
-    expect!["acked=20 push_acked=20 push_broken=0 hosts_forgotten=20"]
-        .assert_eq(&counted(&line, &["acked", "push_acked", "push_broken", "hosts_forgotten"]));
+    let line = program.counts("hosts_released", 20);
+    expect!["succeeded=20 attempts_succeeded=20 attempts_connection_lost=0 hosts_released=20"].assert_eq(
+        &counted(&line, &["succeeded", "attempts_succeeded", "attempts_connection_lost", "hosts_released"]),
+    );
 }
 
 #[test]
@@ -581,7 +591,7 @@
     let phases = log.iter().filter_map(|line| line.split_once("process] ")).map(|found| found.1);
     trace.extend(phases.map(|line| {
         if line.contains('=') {
-            counted(line, &["ops", "acked"])
+            counted(line, &["requests", "succeeded"])
         } else {
             line.to_owned()
         }
@@ -596,7 +606,7 @@
         Some(0)
         Closing
         Ended
-        ops=2 acked=2"#]]
+        requests=2 succeeded=2"#]]
     .assert_eq(&trace.join("\n"));
 }
 
@@ -771,9 +781,9 @@
     drop(release);
     let answers: Vec<String> = (0..11).map(|nth| clients[nth % 4].answer()).collect();
     assert_eq!(answers, ["v"; 11]);
-    let line = program.counts("acked", 11);
-    expect!["-BUSY 400; push_never_sent=4 push_unreachable=0"]
-        .assert_eq(&format!("{refused}; {}", counted(&line, &["push_never_sent", "push_unreachable"])));
+    let line = program.counts("succeeded", 11);
+    expect!["-BUSY 400; attempts_not_sent=4 attempts_unreachable=0"]
+        .assert_eq(&format!("{refused}; {}", counted(&line, &["attempts_not_sent", "attempts_unreachable"])));
 }
 
 #[test]
@@ -821,7 +831,7 @@
     for id in ["id4", "id5", "id6"] {
         client.get("k", id, "c=read,d=1500");
     }
-    program.counts("ops", 6);
+    program.counts("requests", 6);
     (0..3).for_each(|_| release.send(()).expect("it waits"));
     (0..6).map(|_| client.answer()).collect()
 }
@@ -839,10 +849,11 @@
         let (key, id) = (format!("k{nth}"), format!("id{nth}"));
         assert_eq!(client.asks(&["CACHE.GET", &key, &id, "c=read,d=1500"]), "v");
     }
-    let line = program.counts("ops", 40);
+    let line = program.counts("requests", 40);
     assert!(
-        counted(&line, &["acked", "push_severed"]) == "acked=40 push_severed=0"
-            && !line.contains(" push_broken=0 "),
+        counted(&line, &["succeeded", "attempts_connection_fault"])
+            == "succeeded=40 attempts_connection_fault=0"
+            && !line.contains(" attempts_connection_lost=0 "),
         "{line}"
     );
 }
--- a/balancer/tests/starts.rs
+++ b/balancer/tests/starts.rs
@@ -64,7 +64,7 @@
     program.counts("clients", 200);
     back.store(true, Ordering::Relaxed);
     let since = Instant::now();
-    program.counts("lists", 2);
+    program.counts("endpoint_lists", 2);
     assert!(since.elapsed() < Duration::from_secs(6), "the list came after {:?}", since.elapsed());
     assert_eq!(program.call("GET /_ready HTTP/1.1\r\n\r\n").0, 200);
     // Idle ones make room for one that asks.
--- a/balancer/tests/unheard.rs
+++ b/balancer/tests/unheard.rs
@@ -24,7 +24,7 @@
     for (nth, client) in inside.iter_mut().enumerate() {
         client.get(&format!("slow{nth}"), &format!("in{nth}"), "c=once,d=1900");
     }
-    program.counts("pushes", 8);
+    program.counts("attempts", 8);
     // One that is accepted and waits for room, and two behind it.
     for nth in 0..3 {
         let mut client = program.client();
@@ -42,8 +42,8 @@
     program.counts("clients", 11);
     // One that comes after them is served after them.
     assert_eq!(program.client().asks(&["CACHE.GET", "after", "after", "c=once,d=1900"]), "v");
-    let line = program.counts("acked", 9);
-    assert!(line.contains(" pushes=9 "), "{goes:?}: {line}");
+    let line = program.counts("succeeded", 9);
+    assert!(line.contains(" attempts=9 "), "{goes:?}: {line}");
     for (_, host) in &hosts {
         while let Some(line) = host.seen() {
             assert!(!line.contains("gone"), "{goes:?}: {line}");
--- a/testbed/tests/pools.rs
+++ b/testbed/tests/pools.rs
@@ -34,7 +34,7 @@
     let run = played(&reads(&fault("stale", "hosts = \"all\"\nfrom_s = 1.0")), &balancer());
     let counters = sound(&run);
     // One push for each connection that was kept, at the most, and a second copy brings its value.
-    assert!(counters["push_timed_out"] <= counters["connections_opened"], "{}", told(&run));
+    assert!(counters["attempts_timed_out"] <= counters["connections_opened"], "{}", told(&run));
     assert!(run.figures.served * 100 >= run.figures.ops * 97, "{}", told(&run));
 }
 
@@ -44,8 +44,8 @@
     let resets = fault("stale-reset", "hosts = \"all\"\nfrom_s = 1.0\nto_s = 1.1\nevery_s = 1.0");
     let run = played(&reads(&resets), &balancer());
     let counters = sound(&run);
-    assert!(counters["push_severed"] > 0 && counters["links_dead_kept"] > 0, "{}", told(&run));
-    assert_eq!(counters["push_broken"], 0, "none of it is a host's: {}", told(&run));
+    assert!(counters["attempts_connection_fault"] > 0 && counters["links_dead_kept"] > 0, "{}", told(&run));
+    assert_eq!(counters["attempts_connection_lost"], 0, "none of it is a host's: {}", told(&run));
     assert!(run.figures.served * 100 >= run.figures.ops * 99, "{}", told(&run));
     assert_eq!(run.figures.nacked, 0, "{}", told(&run));
 }
@@ -81,5 +81,5 @@
     let run = played(&reads(&fault("silent", "hosts = [2]\nfrom_s = 0.8")), &balancer());
     let counters = sound(&run);
     assert!(run.figures.served * 100 >= run.figures.ops * 95, "{}", told(&run));
-    assert!(counters["push_unreachable"] < run.figures.ops / 10, "{}", told(&run));
+    assert!(counters["attempts_unreachable"] < run.figures.ops / 10, "{}", told(&run));
 }
