--- a/balancer/src/budget.rs
+++ b/balancer/src/budget.rs
@@ -1,89 +1,103 @@
-//! What all connections share: one budget of descriptors, and one of the bytes they hold.
+//! What all connections share: one budget of descriptors, and one of the bytes that they hold.
+//!
+//! Every grant is a guard that gives back what it stands for when it is dropped.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
+use std::ops::RangeInclusive;
 use std::rc::Rc;
 use std::sync::Arc;
 
 use basaltwood_wire::resp::MOST_VALUE;
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
 
-/// Descriptors that are no connections of clients or hosts: standard streams, the runtime's, signals, the listener, discovery's, and
-/// a client that is not yet counted. 12 were seen without discovery's.
-const OWN: usize = 16;
-
-/// What room for values is counted in.
-const UNIT: usize = 1024;
-/// Pieces of a stream at a time: one read, one handed over, one written.
-const WINDOW: usize = 3;
-const PIECES: std::ops::RangeInclusive<usize> = 4 * 1024..=64 * 1024;
-
-/// Memory for a value that is read, given back when dropped.
+/// Descriptors that are no connections of clients or hosts: standard streams, the runtime's, signals, the
+/// listener, discovery's, and a client that is not yet counted. 12 were seen without discovery's.
+const RESERVED_DESCRIPTORS: usize = 16;
+/// However small the limit, so many connections are allowed.
+const MIN_CONNECTIONS: usize = 4;
+/// The unit, in bytes, in which memory for values is reserved.
+const RESERVATION_UNIT: usize = 1024;
+/// Chunks of a streamed value held at a time: one read, one handed over, one written.
+const CHUNKS_PER_STREAM: usize = 3;
+/// How large a chunk of a streamed value may be, in bytes.
+const CHUNK_SIZES: RangeInclusive<usize> = 4 * 1024..=64 * 1024;
+
+/// Memory reserved for a value that is being read.
 pub type ValuePermit = OwnedSemaphorePermit;
 
+/// Descriptors and memory of this process.
 pub struct ResourceBudget {
-    used: Cell<usize>,
-    most: Cell<usize>,
+    connections: Cell<usize>,
+    max_connections: Cell<usize>,
     /// Descriptors that are no connections.
-    aside: usize,
-    clients: Cell<usize>,
-    /// Every op needs a connection to a host beside its client's. What hosts use counts into their half: were
-    /// it kept free on top of that, clients would wait unheard while descriptors lie idle.
-    most_clients: Cell<usize>,
-    bytes: Cell<usize>,
-    most_bytes: Cell<usize>,
-    /// For values that are read, each whole before its first byte, the first come first served: long ones, and short ones
-    /// that they must not keep waiting.
-    long: Arc<Semaphore>,
-    short: Arc<Semaphore>,
-    most_long: usize,
+    reserved_descriptors: usize,
+    client_connections: Cell<usize>,
+    /// Every request needs a connection to a host beside its client's. What hosts use counts into their half: were
+    /// it kept free on top of that, clients would wait unserved while descriptors lie idle.
+    max_client_connections: Cell<usize>,
+    held_bytes: Cell<usize>,
+    max_held_bytes: Cell<usize>,
+    /// For values that are read, each reserved whole before its first byte, first come, first served: long ones, and
+    /// short ones, which long ones must not keep waiting.
+    long_values: Arc<Semaphore>,
+    short_values: Arc<Semaphore>,
+    max_long_value_units: usize,
     streams: Cell<usize>,
-    most_windows: usize,
-    /// Something came back.
+    max_stream_bytes: usize,
+    /// Notified whenever something was given back.
     pub freed: Notify,
-    /// Clients that can make room, by when they fell silent: those that stand idle, and those with half a command or none.
-    idle: Standing,
-    halves: Standing,
-    next: Cell<u64>,
+    /// Clients that can make room, by when their silence began: idle ones, and those with part of a command or none.
+    idle_clients: SheddableClients,
+    partial_clients: SheddableClients,
+    next_silence: Cell<u64>,
 }
 
-type Standing = RefCell<BTreeMap<u64, Rc<Notify>>>;
+/// Clients that may be asked to make room, the longest silence first.
+type SheddableClients = RefCell<BTreeMap<u64, Rc<Notify>>>;
 
-/// Takes a client off the books of those that can make room.
-struct Stands<'a>(&'a Standing, u64);
+/// Takes a client out of those that may be asked to make room.
+struct SheddableGuard<'a> {
+    clients: &'a SheddableClients,
+    silence: u64,
+}
 
-impl Drop for Stands<'_> {
+impl Drop for SheddableGuard<'_> {
     fn drop(&mut self) {
-        self.0.borrow_mut().remove(&self.1);
+        self.clients.borrow_mut().remove(&self.silence);
     }
 }
 
-/// One descriptor, given back when dropped.
+/// One descriptor for a connection.
 pub struct DescriptorPermit {
     budget: Rc<ResourceBudget>,
-    client: bool,
+    is_client: bool,
 }
 
 impl Drop for DescriptorPermit {
     fn drop(&mut self) {
         let budget = &self.budget;
-        budget.used.set(budget.used.get() - 1);
-        budget.clients.set(budget.clients.get() - usize::from(self.client));
+        budget.connections.set(budget.connections.get() - 1);
+        budget.client_connections.set(budget.client_connections.get() - usize::from(self.is_client));
         budget.freed.notify_waiters();
     }
 }
 
-/// So many bytes held, given back when dropped.
-pub struct MemoryGuard(Rc<ResourceBudget>, usize);
+/// Bytes that one holder has in memory.
+pub struct MemoryGuard {
+    budget: Rc<ResourceBudget>,
+    bytes: usize,
+}
 
 impl MemoryGuard {
+    /// The holder has so many bytes now.
     pub fn set(&mut self, bytes: usize) {
-        let budget = &self.0;
-        budget.bytes.set(budget.bytes.get() + bytes - self.1);
-        if bytes < self.1 {
+        let budget = &self.budget;
+        budget.held_bytes.set(budget.held_bytes.get() + bytes - self.bytes);
+        if bytes < self.bytes {
             budget.freed.notify_waiters();
         }
-        self.1 = bytes;
+        self.bytes = bytes;
     }
 }
 
@@ -93,13 +107,14 @@
     }
 }
 
-/// A value that streams.
+/// A value that is being streamed.
 pub struct StreamGuard(Rc<ResourceBudget>);
 
 impl StreamGuard {
-    /// How much of it may be read at a time now.
-    pub fn piece(&self) -> usize {
-        (self.0.most_windows / WINDOW / self.0.streams.get()).clamp(*PIECES.start(), *PIECES.end())
+    /// How many bytes of it may be read at a time now: less, the more values stream.
+    pub fn chunk_size(&self) -> usize {
+        let per_stream = self.0.max_stream_bytes / CHUNKS_PER_STREAM / self.0.streams.get();
+        per_stream.clamp(*CHUNK_SIZES.start(), *CHUNK_SIZES.end())
     }
 }
 
@@ -110,112 +125,124 @@
 }
 
 impl ResourceBudget {
-    /// With some of the descriptors set aside for others.
-    pub fn new(descriptors: usize, aside: usize, memory: usize) -> Rc<ResourceBudget> {
+    /// A budget of so many descriptors, of which some are reserved for others, and so many bytes.
+    pub fn new(descriptors: usize, reserved: usize, memory: usize) -> Rc<ResourceBudget> {
+        let max_long_value_units = memory / 3 / RESERVATION_UNIT;
         let budget = ResourceBudget {
-            used: Cell::new(0),
-            most: Cell::default(),
-            aside: OWN + aside,
-            clients: Cell::new(0),
-            most_clients: Cell::default(),
-            bytes: Cell::new(0),
-            most_bytes: Cell::default(),
-            long: Arc::new(Semaphore::new(memory / 3 / UNIT)),
-            short: Arc::new(Semaphore::new(memory / 12 / UNIT)),
-            most_long: memory / 3 / UNIT,
+            connections: Cell::new(0),
+            max_connections: Cell::default(),
+            reserved_descriptors: RESERVED_DESCRIPTORS + reserved,
+            client_connections: Cell::new(0),
+            max_client_connections: Cell::default(),
+            held_bytes: Cell::new(0),
+            max_held_bytes: Cell::default(),
+            long_values: Arc::new(Semaphore::new(max_long_value_units)),
+            short_values: Arc::new(Semaphore::new(memory / 12 / RESERVATION_UNIT)),
+            max_long_value_units,
             streams: Cell::new(0),
-            most_windows: memory / 6,
+            max_stream_bytes: memory / 6,
             freed: Notify::new(),
-            idle: Standing::default(),
-            halves: Standing::default(),
-            next: Cell::new(0),
+            idle_clients: SheddableClients::default(),
+            partial_clients: SheddableClients::default(),
+            next_silence: Cell::new(0),
         };
-        budget.allow(descriptors, memory);
+        budget.set_limits(descriptors, memory);
         Rc::new(budget)
     }
 
-    /// So much is there from now on. What is held past that is given back by and by: see `over`.
-    pub fn allow(&self, descriptors: usize, memory: usize) {
-        let connections = descriptors.saturating_sub(self.aside).max(4);
-        self.most.set(connections);
-        self.most_clients.set(connections / 2);
-        // Values wait twice, as a request and as an answer, and hosts' buffers come on top. Beside this quarter stand a
-        // third for long requests, a twelfth for short ones that come in parts, and a sixth for streams' windows, all
-        // three from the start on; the last sixth is the process's own.
-        self.most_bytes.set(memory / 4);
+    /// The limits from now on. What is held past them is given back by and by: see
+    /// [`ResourceBudget::excess_connections`].
+    pub fn set_limits(&self, descriptors: usize, memory: usize) {
+        let connections = descriptors.saturating_sub(self.reserved_descriptors).max(MIN_CONNECTIONS);
+        self.max_connections.set(connections);
+        self.max_client_connections.set(connections / 2);
+        // Values wait twice, as a request and as an answer, and hosts' buffers come on top. Beside this quarter stand
+        // a third for long requests, a twelfth for short ones that come in parts, and a sixth for streams, all three
+        // from the start on; the last sixth is the process's own.
+        self.max_held_bytes.set(memory / 4);
         self.freed.notify_waiters();
     }
 
     /// How many connections there are more than there may be.
-    pub fn over(&self) -> usize {
-        self.used.get().saturating_sub(self.most.get())
+    pub fn excess_connections(&self) -> usize {
+        self.connections.get().saturating_sub(self.max_connections.get())
     }
 
-    pub fn take(self: &Rc<ResourceBudget>) -> Option<DescriptorPermit> {
-        self.permit(false)
+    /// A descriptor for a connection to a host; none where all are taken.
+    pub fn host_descriptor(self: &Rc<ResourceBudget>) -> Option<DescriptorPermit> {
+        self.descriptor(false)
     }
 
-    pub fn take_for_client(self: &Rc<ResourceBudget>) -> Option<DescriptorPermit> {
-        self.room_for_client().then(|| self.permit(true)).flatten()
+    /// A descriptor for a client's connection; none where all are taken, or the clients' half.
+    pub fn client_descriptor(self: &Rc<ResourceBudget>) -> Option<DescriptorPermit> {
+        if !self.has_client_descriptor() {
+            return None;
+        }
+        self.descriptor(true)
     }
 
-    fn permit(self: &Rc<ResourceBudget>, client: bool) -> Option<DescriptorPermit> {
-        if self.used.get() >= self.most.get() {
+    fn descriptor(self: &Rc<ResourceBudget>, is_client: bool) -> Option<DescriptorPermit> {
+        if self.connections.get() >= self.max_connections.get() {
             return None;
         }
-        self.used.set(self.used.get() + 1);
-        self.clients.set(self.clients.get() + usize::from(client));
-        Some(DescriptorPermit { budget: self.clone(), client })
+        self.connections.set(self.connections.get() + 1);
+        self.client_connections.set(self.client_connections.get() + usize::from(is_client));
+        Some(DescriptorPermit { budget: self.clone(), is_client })
     }
 
-    pub fn room_for_client(&self) -> bool {
-        self.used.get() < self.most.get() && !self.clients_full()
+    /// Whether one more client could have a descriptor.
+    pub fn has_client_descriptor(&self) -> bool {
+        self.connections.get() < self.max_connections.get() && !self.clients_at_limit()
     }
 
-    pub fn clients_full(&self) -> bool {
-        self.clients.get() >= self.most_clients.get()
+    /// Whether clients hold all the descriptors that they may.
+    pub fn clients_at_limit(&self) -> bool {
+        self.client_connections.get() >= self.max_client_connections.get()
     }
 
-    /// Waits until this client is to make room, by its bell. Each wait begins a new silence.
-    pub async fn asked(&self, half: bool, bell: &Rc<Notify>) {
-        let number = self.next.replace(self.next.get() + 1);
-        let standing = if half { &self.halves } else { &self.idle };
-        let _stands = Stands(standing, number);
-        standing.borrow_mut().insert(number, bell.clone());
-        bell.notified().await;
+    /// Waits until this client is asked to make room, by its own wakeup. Each wait begins a new silence.
+    pub async fn shed_requested(&self, is_partial: bool, wakeup: &Rc<Notify>) {
+        let silence = self.next_silence.replace(self.next_silence.get() + 1);
+        let clients = if is_partial { &self.partial_clients } else { &self.idle_clients };
+        let _guard = SheddableGuard { clients, silence };
+        clients.borrow_mut().insert(silence, wakeup.clone());
+        wakeup.notified().await;
     }
 
-    /// Asks one client to make room: the one that stood idle longest, and only where none does one that is owed an end of
-    /// its silence. A crowd of halves must not keep others out.
-    pub fn shed(&self) {
-        let idle = self.idle.borrow_mut().pop_first();
-        if let Some((_, bell)) = idle.or_else(|| self.halves.borrow_mut().pop_first()) {
-            bell.notify_one();
+    /// Asks one client to make room: the one that has been idle longest, and only where none is idle one with part of
+    /// a command or none. A crowd of the latter must not keep others out.
+    pub fn shed_client(&self) {
+        let idle = self.idle_clients.borrow_mut().pop_first();
+        if let Some((_, wakeup)) = idle.or_else(|| self.partial_clients.borrow_mut().pop_first()) {
+            wakeup.notify_one();
         }
     }
 
-    pub fn hold(self: &Rc<ResourceBudget>) -> MemoryGuard {
-        MemoryGuard(self.clone(), 0)
+    /// Accounts for the bytes of one more holder.
+    pub fn memory_guard(self: &Rc<ResourceBudget>) -> MemoryGuard {
+        MemoryGuard { budget: self.clone(), bytes: 0 }
     }
 
     /// Whether a value of this length can ever be read.
-    pub fn bears(&self, length: usize) -> bool {
-        length.div_ceil(UNIT) <= self.most_long
+    pub fn can_hold_value(&self, length: usize) -> bool {
+        length.div_ceil(RESERVATION_UNIT) <= self.max_long_value_units
     }
 
     /// Memory for a value, once it is this one's turn.
-    pub async fn reserve(self: Rc<ResourceBudget>, length: usize) -> Option<ValuePermit> {
-        let part = if length > MOST_VALUE { &self.long } else { &self.short };
-        part.clone().acquire_many_owned(length.div_ceil(UNIT) as u32).await.ok()
+    pub async fn reserve_value(self: Rc<ResourceBudget>, length: usize) -> Option<ValuePermit> {
+        let values = if length > MOST_VALUE { &self.long_values } else { &self.short_values };
+        let units = length.div_ceil(RESERVATION_UNIT) as u32;
+        values.clone().acquire_many_owned(units).await.ok()
     }
 
-    /// One more value streams until this is dropped.
-    pub fn stream(self: &Rc<ResourceBudget>) -> StreamGuard {
+    /// One more value streams until the guard is dropped.
+    pub fn start_stream(self: &Rc<ResourceBudget>) -> StreamGuard {
         self.streams.set(self.streams.get() + 1);
         StreamGuard(self.clone())
     }
 
-    pub fn room_for_bytes(&self) -> bool {
-        self.bytes.get() < self.most_bytes.get()
+    /// Whether any more bytes may be held.
+    pub fn has_memory(&self) -> bool {
+        self.held_bytes.get() < self.max_held_bytes.get()
     }
 }
--- a/balancer/src/downstream/mod.rs
+++ b/balancer/src/downstream/mod.rs
@@ -106,12 +106,12 @@
 /// before others.
 async fn room(shared: &Shared) -> DescriptorPermit {
     loop {
-        if let Some(permit) = shared.budget.take_for_client() {
+        if let Some(permit) = shared.budget.client_descriptor() {
             return permit;
         }
-        if shared.budget.clients_full() || !shared.upstreams.drop_idle() {
+        if shared.budget.clients_at_limit() || !shared.upstreams.drop_idle() {
             let freed = shared.budget.freed.notified();
-            shared.budget.shed();
+            shared.budget.shed_client();
             let _ = timeout(SHORT, freed).await;
         }
     }
@@ -193,7 +193,7 @@
 impl Coming {
     fn new(shared: &Shared, words: Vec<Bytes>, length: usize) -> Coming {
         let room = match length > SMALL {
-            true => Wanted::Awaited(Box::pin(shared.budget.clone().reserve(length))),
+            true => Wanted::Awaited(Box::pin(shared.budget.clone().reserve_value(length))),
             false => Wanted::None,
         };
         Coming { words, body: Body::new(length), room }
@@ -291,7 +291,7 @@
         let bell = Rc::default();
         tokio::select! {
             _ = timeout(linger, discard) => {}
-            () = shared.budget.asked(false, &bell) => {}
+            () = shared.budget.shed_requested(false, &bell) => {}
         }
     }
 }
@@ -310,7 +310,7 @@
 async fn talk(shared: &Rc<Shared>, stream: &mut TcpStream, phase: &mut watch::Receiver<Phase>) -> Close {
     let (mut reading, mut writing) = stream.split();
     let mut buffer = Buffer::new(resp::MOST);
-    let mut held = shared.budget.hold();
+    let mut held = shared.budget.memory_guard();
     let mut waiting: VecDeque<Waiting> = VecDeque::new();
     let mut sending = Sending::default();
     // The value of a command that is not whole yet.
@@ -407,7 +407,7 @@
         let ahead = takes && !more && owes && coming.is_none() && !buffer.full();
         // Short of bytes, one that holds next to none is heard all the same: others must not silence it.
         let apart = coming.as_ref().is_some_and(Coming::apart);
-        let room = apart || shared.budget.room_for_bytes() || (idle && buffer.bytes().len() < SMALL);
+        let room = apart || shared.budget.has_memory() || (idle && buffer.bytes().len() < SMALL);
         // Its end is looked for where something goes on for it; an answer that is there is written, whoever still reads.
         let reads = (more || ahead) && room;
         let hears = reads || owes || sending.long.is_some();
@@ -456,8 +456,8 @@
             }
             _ = phase.changed() => {}
             () = sleep_until(look.unwrap_or(came)), if look.is_some() => {}
-            () = shared.budget.asked(half || !heard, &bell), if idle && (silent || (heard && !half)) => {
-                if !shared.budget.room_for_client() {
+            () = shared.budget.shed_requested(half || !heard, &bell), if idle && (silent || (heard && !half)) => {
+                if !shared.budget.has_client_descriptor() {
                     shared.counters.clients_shed.add();
                     return Close::Now;
                 }
@@ -481,7 +481,7 @@
             Some(Asked::Begun { words, used, length }) => {
                 // What can't be taken is refused before it comes.
                 if length > resp::MOST_VALUE
-                    && !(words[0].eq_ignore_ascii_case(b"CACHE.SET") && shared.budget.bears(length))
+                    && !(words[0].eq_ignore_ascii_case(b"CACHE.SET") && shared.budget.can_hold_value(length))
                 {
                     return Err("too long a value");
                 }
@@ -561,7 +561,7 @@
             match op(shared, words, value) {
                 Ok((request, ask)) => {
                     let (answer, owed) = oneshot::channel();
-                    let mut held = shared.budget.hold();
+                    let mut held = shared.budget.memory_guard();
                     held.set(size);
                     waiting.push_back(Waiting::Owed(owed, shared.metrics.take(ask.class)));
                     spawn_local(serve_request(shared.clone(), request, ask, answer, held));
--- a/balancer/src/process.rs
+++ b/balancer/src/process.rs
@@ -198,12 +198,12 @@
         }
         if before.replace(share) != Some(share) {
             log::info!("of the limits: {share:?}");
-            shared.budget.allow(share.of(sockets), share.of(memory));
+            shared.budget.set_limits(share.of(sockets), share.of(memory));
             shared.upstreams.allow(share.of(sockets));
         }
-        while shared.budget.over() > 0 && shared.upstreams.drop_idle() {}
+        while shared.budget.excess_connections() > 0 && shared.upstreams.drop_idle() {}
         // Clients that stand idle make room for the rest, each for one.
-        (0..shared.budget.over()).for_each(|_| shared.budget.shed());
+        (0..shared.budget.excess_connections()).for_each(|_| shared.budget.shed_client());
         sleep(LOOK).await;
     }
 }
--- a/balancer/src/upstream/mod.rs
+++ b/balancer/src/upstream/mod.rs
@@ -314,7 +314,9 @@
 
     /// A descriptor for a connection, at the cost of an idle one where there is no other.
     fn permit(&self) -> Option<DescriptorPermit> {
-        self.budget.take().or_else(|| self.drop_idle().then(|| self.budget.take()).flatten())
+        self.budget
+            .host_descriptor()
+            .or_else(|| self.drop_idle().then(|| self.budget.host_descriptor()).flatten())
     }
 
     /// A new connection, up by then; `most` bytes may stand in its buffer.
@@ -545,10 +547,10 @@
         let Passing { host, id, link, length, rest } = passing;
         let mut held = CheckedOut { servers: &self, id, link };
         let Some(link) = &mut held.link else { return };
-        let stream = self.budget.stream();
+        let stream = self.budget.start_stream();
         let mut left = length;
         while left > 0 {
-            let most = stream.piece().min(left);
+            let most = stream.chunk_size().min(left);
             let piece = if link.buffer.is_empty() {
                 let mut piece = BytesMut::with_capacity(most);
                 let mut room = (&mut piece).limit(most);
