--- a/balancer/src/budget.rs
+++ b/balancer/src/budget.rs
@@ -11,8 +11,9 @@
 use basaltwood_wire::resp::MOST_VALUE;
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
 
-/// Descriptors that are no connections of clients or hosts: standard streams, the runtime's, signals, the
-/// listener, discovery's, and a client that is not yet counted. 12 were seen without discovery's.
+/// Descriptors that are no connections of clients or hosts: standard streams, the runtime's,
+/// signals, the listener, discovery's, and a client that is not yet counted. 12 were seen without
+/// discovery's.
 const RESERVED_DESCRIPTORS: usize = 16;
 /// However small the limit, so many connections are allowed.
 const MIN_CONNECTIONS: usize = 4;
@@ -33,13 +34,14 @@
     /// Descriptors that are no connections.
     reserved_descriptors: usize,
     client_connections: Cell<usize>,
-    /// Every request needs a connection to a host beside its client's. What hosts use counts into their half: were
-    /// it kept free on top of that, clients would wait unserved while descriptors lie idle.
+    /// Every request needs a connection to a host beside its client's. What hosts use counts into
+    /// their half: were it kept free on top of that, clients would wait unserved while descriptors
+    /// lie idle.
     max_client_connections: Cell<usize>,
     held_bytes: Cell<usize>,
     max_held_bytes: Cell<usize>,
-    /// For values that are read, each reserved whole before its first byte, first come, first served: long ones, and
-    /// short ones, which long ones must not keep waiting.
+    /// For values that are read, each reserved whole before its first byte, first come, first
+    /// served: long ones, and short ones, which long ones must not keep waiting.
     long_values: Arc<Semaphore>,
     short_values: Arc<Semaphore>,
     max_long_value_units: usize,
@@ -47,7 +49,8 @@
     max_stream_bytes: usize,
     /// Notified whenever something was given back.
     pub freed: Notify,
-    /// Clients that can make room, by when their silence began: idle ones, and those with part of a command or none.
+    /// Clients that can make room, by when their silence began: idle ones, and those with part of a
+    /// command or none.
     idle_clients: SheddableClients,
     partial_clients: SheddableClients,
     next_silence: Cell<u64>,
@@ -156,9 +159,10 @@
         let connections = descriptors.saturating_sub(self.reserved_descriptors).max(MIN_CONNECTIONS);
         self.max_connections.set(connections);
         self.max_client_connections.set(connections / 2);
-        // Values wait twice, as a request and as an answer, and hosts' buffers come on top. Beside this quarter stand
-        // a third for long requests, a twelfth for short ones that come in parts, and a sixth for streams, all three
-        // from the start on; the last sixth is the process's own.
+        // Values wait twice, as a request and as an answer, and hosts' buffers come on top. Beside
+        // this quarter stand a third for long requests, a twelfth for short ones that come in
+        // parts, and a sixth for streams, all three from the start on; the last sixth is the
+        // process's own.
         self.max_held_bytes.set(memory / 4);
         self.freed.notify_waiters();
     }
@@ -200,7 +204,8 @@
         self.client_connections.get() >= self.max_client_connections.get()
     }
 
-    /// Waits until this client is asked to make room, by its own wakeup. Each wait begins a new silence.
+    /// Waits until this client is asked to make room, by its own wakeup. Each wait begins a new
+    /// silence.
     pub async fn shed_requested(&self, is_partial: bool, wakeup: &Rc<Notify>) {
         let silence = self.next_silence.replace(self.next_silence.get() + 1);
         let clients = if is_partial { &self.partial_clients } else { &self.idle_clients };
@@ -209,8 +214,8 @@
         wakeup.notified().await;
     }
 
-    /// Asks one client to make room: the one that has been idle longest, and only where none is idle one with part of
-    /// a command or none. A crowd of the latter must not keep others out.
+    /// Asks one client to make room: the one that has been idle longest, and only where none is
+    /// idle one with part of a command or none. A crowd of the latter must not keep others out.
     pub fn shed_client(&self) {
         let idle = self.idle_clients.borrow_mut().pop_first();
         if let Some((_, wakeup)) = idle.or_else(|| self.partial_clients.borrow_mut().pop_first()) {
--- /dev/null
+++ b/balancer/src/downstream/accept.rs
@@ -0,0 +1,108 @@
+//! Accepts clients' connections, each once there is a descriptor for it, and closes them without
+//! losing a reply.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::watch;
+use tokio::task::{spawn_local, yield_now};
+use tokio::time::{sleep, timeout};
+
+use super::connection::{Close, Connection};
+use crate::budget::DescriptorPermit;
+use crate::lifecycle::Phase;
+use crate::shared::Shared;
+
+/// After our side is shut, the client's end is awaited so long: closing at once over bytes that
+/// were not read would reset the connection and could take the last reply with it.
+const LINGER: Duration = Duration::from_millis(200);
+/// The same after a command was refused, of which any amount may still come.
+const LINGER_AFTER_ERROR: Duration = Duration::from_secs(1);
+/// Bytes that are read and discarded at a time meanwhile.
+const DISCARD_BUFFER: usize = 16 * 1024;
+/// Between looks for a free descriptor.
+const DESCRIPTOR_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Accepts for as long as the phase lets it; each connection runs by itself. One is accepted before
+/// there is a descriptor for it, at the cost of one that the budget reserves: so no other
+/// connection is closed for a client that is not there, and none waits unseen.
+pub async fn accept(shared: Rc<Shared>, listener: TcpListener, mut phase: watch::Receiver<Phase>) {
+    let mut draining_backlog = false;
+    loop {
+        // Never cut off between accepting and serving: a client that is let in must be served.
+        let accepted = tokio::select! {
+            biased;
+            now = phase.wait_for(|now| !now.accepts()), if !draining_backlog => match now {
+                // The platform's socket goes on, and another process takes what waits there.
+                Ok(now) if *now == Phase::Takeover => return,
+                _ => {
+                    draining_backlog = true;
+                    continue;
+                }
+            },
+            accepted = listener.accept() => accepted,
+            // Whom the kernel had taken is served: closing over them would reset them with what
+            // they sent.
+            () = yield_now(), if draining_backlog => return,
+        };
+        match accepted {
+            Ok((stream, _)) => {
+                shared.counters.clients.add();
+                let permit = descriptor_for_client(&shared).await;
+                spawn_local(serve(shared.clone(), stream, permit, phase.clone()));
+            }
+            Err(cause) => {
+                log::warn!("accept: {cause}");
+                if *phase.borrow() == Phase::Flushing {
+                    return;
+                }
+                shared.upstreams.drop_idle();
+                sleep(DESCRIPTOR_RETRY_INTERVAL).await;
+            }
+        }
+    }
+}
+
+/// A descriptor for one more client. Where there is none, idle connections go first, the one that
+/// has been idle longest before others.
+async fn descriptor_for_client(shared: &Shared) -> DescriptorPermit {
+    loop {
+        if let Some(permit) = shared.budget.client_descriptor() {
+            return permit;
+        }
+        if shared.budget.clients_at_limit() || !shared.upstreams.drop_idle() {
+            let freed = shared.budget.freed.notified();
+            shared.budget.shed_client();
+            let _ = timeout(DESCRIPTOR_RETRY_INTERVAL, freed).await;
+        }
+    }
+}
+
+/// Serves a connection to its end, and closes it.
+async fn serve(
+    shared: Rc<Shared>,
+    mut stream: TcpStream,
+    permit: DescriptorPermit,
+    phase: watch::Receiver<Phase>,
+) {
+    let _permit = permit;
+    let _ = stream.set_nodelay(true);
+    let close = Connection::new(&shared, &mut stream, phase).run().await;
+    let linger = match close {
+        Close::Immediately => return,
+        Close::AfterReply => LINGER,
+        Close::AfterError => LINGER_AFTER_ERROR,
+    };
+    if stream.shutdown().await.is_err() {
+        return;
+    }
+    let mut rest = vec![0; DISCARD_BUFFER];
+    let discard = async { while matches!(stream.read(&mut rest).await, Ok(1..)) {} };
+    let wakeup = Rc::default();
+    tokio::select! {
+        _ = timeout(linger, discard) => {}
+        () = shared.budget.shed_requested(false, &wakeup) => {}
+    }
+}
--- /dev/null
+++ b/balancer/src/downstream/connection.rs
@@ -0,0 +1,461 @@
+//! One client's connection, from its first byte until it is to be closed.
+
+use std::collections::VecDeque;
+use std::ops::ControlFlow;
+use std::rc::Rc;
+use std::time::Duration;
+
+use basaltwood_wire::resp;
+use bytes::Bytes;
+use tokio::net::tcp::{ReadHalf, WriteHalf};
+use tokio::net::TcpStream;
+use tokio::sync::{oneshot, watch, Notify};
+use tokio::task::{spawn_local, yield_now};
+use tokio::time::{sleep_until, Instant};
+
+use super::command::{parse, Parsed};
+use super::input::{Command, Input, InputEvent, ProtocolError};
+use super::reply::{next_awaited, take_ready, OutgoingReply, OutputEvent, PendingReply};
+use crate::budget::MemoryGuard;
+use crate::lifecycle::Phase;
+use crate::requests;
+use crate::shared::Shared;
+
+/// Commands of one connection that wait for their replies; more are left unread.
+const MAX_PENDING_REPLIES: usize = 32;
+/// The same while a reply is being written: a client that does not read must not fill the memory of
+/// all.
+const MAX_PENDING_WHILE_WRITING: usize = 4;
+/// A client that takes longer over one reply is cut off.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+/// A command is whole by then but for its value, the first counted from when the connection came,
+/// and of a value something comes in every such time: clients that send nothing, or part of
+/// something, must not hold descriptors and memory of others.
+const COMMAND_TIMEOUT: Duration = Duration::from_millis(2_600);
+/// So long a connection that has just come, or of which part of a command has just come, is not
+/// closed: it may be about to send the rest.
+const QUIET_PERIOD: Duration = Duration::from_millis(250);
+/// A connection on which no command ever came is kept so long during a drain: it may be about to
+/// send one.
+const FIRST_COMMAND_GRACE: Duration = Duration::from_secs(1);
+/// Idle connections are closed so long after another process took over: a close before that could
+/// cross a request.
+const KEEP_ALIVE_AFTER_TAKEOVER: Duration = Duration::from_millis(600);
+/// A client that is sent away and goes on sending before it has its replies is served so long; what
+/// it sends then goes unread, and it asks anew elsewhere.
+const MAX_DRAIN_TIME: Duration = Duration::from_secs(3);
+
+/// How this side ends a connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Close {
+    /// Nothing is owed and nothing unread, or the client is not to be waited for.
+    Immediately,
+    /// The client is to have its last reply.
+    AfterReply,
+    /// The same where it sent what was refused, and may go on sending it.
+    AfterError,
+}
+
+/// What the next step of a connection depends on.
+struct Snapshot {
+    phase: Phase,
+    /// No reply is owed or being written.
+    is_idle: bool,
+    /// Part of a command has come.
+    is_partial: bool,
+    /// Nothing came for a while, though nothing kept it from being read.
+    is_quiet: bool,
+    awaits_memory: bool,
+    /// The client was sent away long ago.
+    drain_overdue: bool,
+}
+
+/// What of the input is wanted at a step.
+struct ReadPlan {
+    /// Commands may be taken up.
+    takes_commands: bool,
+    /// Bytes may be held.
+    has_memory: bool,
+    /// Bytes are read.
+    reads: bool,
+    /// The input is polled, if only for the client's end: something goes on for it.
+    watches_client: bool,
+}
+
+/// What ended a step.
+enum Event {
+    Input(InputEvent),
+    MemoryFreed,
+    Reply(Option<OutgoingReply>),
+    Output(OutputEvent),
+    TimedOut,
+    PhaseChanged,
+    Recheck,
+    ShedRequested,
+}
+
+/// A client's connection with its commands and replies.
+pub struct Connection<'a> {
+    shared: &'a Rc<Shared>,
+    phase: watch::Receiver<Phase>,
+    reader: ReadHalf<'a>,
+    writer: WriteHalf<'a>,
+    input: Input,
+    /// The bytes held for this client beside those of its requests.
+    memory: MemoryGuard,
+    /// Replies in the order of their commands.
+    pending: VecDeque<PendingReply>,
+    outgoing: OutgoingReply,
+    /// By when the reply that is being written is to be taken, or the command begun to be whole.
+    step_deadline: Option<Instant>,
+    /// No more is read: the client asked to be let go, or broke the protocol.
+    closing: Option<Close>,
+    had_command: bool,
+    /// When something last came of the client, the connection itself at first.
+    last_input_at: Instant,
+    shed_wakeup: Rc<Notify>,
+    /// The last reply went while another process took over.
+    replied_in_takeover: bool,
+    /// Since when clients are sent away.
+    draining_since: Option<Instant>,
+}
+
+impl<'a> Connection<'a> {
+    /// A connection that has just been accepted.
+    pub fn new(
+        shared: &'a Rc<Shared>,
+        stream: &'a mut TcpStream,
+        phase: watch::Receiver<Phase>,
+    ) -> Connection<'a> {
+        let (reader, writer) = stream.split();
+        Connection {
+            shared,
+            phase,
+            reader,
+            writer,
+            input: Input::new(),
+            memory: shared.budget.memory_guard(),
+            pending: VecDeque::new(),
+            outgoing: OutgoingReply::default(),
+            step_deadline: None,
+            closing: None,
+            had_command: false,
+            last_input_at: Instant::now(),
+            shed_wakeup: Rc::default(),
+            replied_in_takeover: false,
+            draining_since: None,
+        }
+    }
+
+    /// Serves the connection until it is to be closed.
+    pub async fn run(mut self) -> Close {
+        loop {
+            self.take_commands().await;
+            self.begin_ready_reply();
+            self.memory.set(self.input.unreserved_size() + self.outgoing.held_bytes());
+            let is_idle = self.pending.is_empty() && self.outgoing.is_empty();
+            if let Some(close) = self.closing.filter(|_| is_idle) {
+                return close;
+            }
+            let now = self.snapshot(is_idle);
+            if now.is_idle && (now.drain_overdue || self.is_due_to_close(&now)) {
+                if self.confirm_close(&now).await {
+                    return Close::AfterReply;
+                }
+                continue;
+            }
+            self.update_step_deadline(&now);
+            let event = self.next_event(&now).await;
+            if let ControlFlow::Break(close) = self.handle(event) {
+                return close;
+            }
+        }
+    }
+
+    /// Takes up the commands that are whole, as many as may wait for their replies.
+    async fn take_commands(&mut self) {
+        while self.closing.is_none() && self.pending.len() < self.max_pending() {
+            match self.input.next_command(self.shared) {
+                Ok(Some(command)) if command.words.is_empty() => {}
+                Ok(Some(command)) => self.take_command(command).await,
+                Ok(None) => break,
+                Err(cause) => self.refuse(&cause),
+            }
+        }
+    }
+
+    async fn take_command(&mut self, command: Command) {
+        // A new connection is taken to be readable before the kernel was asked, which tells of its
+        // end too. Where its client sent something and went while it waited for a descriptor, that
+        // has to be known before anything begins.
+        if !self.had_command {
+            yield_now().await;
+        }
+        self.had_command = true;
+        let size = command.unreserved_size();
+        let phase = *self.phase.borrow();
+        match parse(self.shared, command, phase) {
+            Parsed::Request(request, new_request) => {
+                let (delivery, awaited) = oneshot::channel();
+                let mut memory = self.shared.budget.memory_guard();
+                memory.set(size);
+                let active = self.shared.metrics.take(new_request.class);
+                self.pending.push_back(PendingReply::Awaited(awaited, active));
+                let task = requests::serve(self.shared.clone(), request, new_request, delivery, memory);
+                spawn_local(task);
+            }
+            Parsed::Reply(text) => self.reply(text),
+            Parsed::ReplyAndQuit(text) => {
+                self.reply(text);
+                self.closing = Some(Close::AfterReply);
+            }
+            Parsed::Malformed(text) => {
+                self.shared.counters.malformed.add();
+                self.reply(text);
+            }
+        }
+    }
+
+    fn reply(&mut self, text: Bytes) {
+        self.pending.push_back(PendingReply::Ready(text));
+    }
+
+    /// The last reply to a client that does not keep to the protocol.
+    fn refuse(&mut self, cause: &ProtocolError) {
+        self.shared.counters.malformed.add();
+        self.reply(resp::error(&format!("Protocol error: {cause}")));
+        self.closing = Some(Close::AfterError);
+    }
+
+    /// How many commands may wait for their replies now.
+    fn max_pending(&self) -> usize {
+        if self.outgoing.is_empty() {
+            MAX_PENDING_REPLIES
+        } else {
+            MAX_PENDING_WHILE_WRITING
+        }
+    }
+
+    fn begin_ready_reply(&mut self) {
+        if !self.outgoing.is_empty() {
+            return;
+        }
+        if let Some(reply) = take_ready(&mut self.pending) {
+            self.begin_reply(reply);
+        }
+    }
+
+    fn begin_reply(&mut self, reply: OutgoingReply) {
+        self.outgoing = reply;
+        self.step_deadline = None;
+    }
+
+    fn snapshot(&mut self, is_idle: bool) -> Snapshot {
+        let awaits_memory = self.input.awaits_memory();
+        let is_quiet = !awaits_memory && Instant::now() >= self.last_input_at + QUIET_PERIOD;
+        let phase = *self.phase.borrow_and_update();
+        if phase.sends_away() {
+            self.draining_since.get_or_insert_with(Instant::now);
+        } else {
+            self.draining_since = None;
+        }
+        let drain_overdue =
+            !self.input.has_incoming_value() && has_passed(self.draining_since, MAX_DRAIN_TIME);
+        let is_partial = self.input.is_partial();
+        Snapshot { phase, is_idle, is_partial, is_quiet, awaits_memory, drain_overdue }
+    }
+
+    /// Whether the phase ends a connection that is idle.
+    fn is_due_to_close(&self, now: &Snapshot) -> bool {
+        match now.phase {
+            Phase::Starting | Phase::Serving => false,
+            // One that has just come must not be sent away unserved.
+            Phase::LameDuck => {
+                !now.is_partial
+                    && (self.had_command || has_passed(Some(self.last_input_at), FIRST_COMMAND_GRACE))
+            }
+            Phase::Draining => !now.is_partial && (self.had_command || now.is_quiet),
+            // Later ones go to the other process. A close that follows a reply crosses no request.
+            Phase::Takeover => {
+                !now.is_partial && (self.replied_in_takeover || self.keep_alive_is_over_after_takeover())
+            }
+            // Part of a command that nothing is added to will not be whole, and a balancer must not
+            // stay away for it.
+            Phase::Closing => now.is_quiet || (!now.is_partial && self.had_command),
+            Phase::Flushing | Phase::Ended => true,
+        }
+    }
+
+    fn keep_alive_is_over_after_takeover(&self) -> bool {
+        self.had_command && has_passed(self.draining_since, KEEP_ALIVE_AFTER_TAKEOVER)
+    }
+
+    /// Whether an idle connection is to be closed now. What came in the meantime is served: a close
+    /// by a timer must cross as few requests as can be.
+    async fn confirm_close(&mut self, now: &Snapshot) -> bool {
+        yield_now().await;
+        if now.drain_overdue || !self.input.try_read(&mut self.reader) {
+            return true;
+        }
+        self.last_input_at = Instant::now();
+        false
+    }
+
+    /// Bounds the step that the client has to take next, from when it was first owed.
+    fn update_step_deadline(&mut self, now: &Snapshot) {
+        self.step_deadline = match self.step_timeout(now) {
+            Some(timeout) => Some(self.step_deadline.unwrap_or_else(|| Instant::now() + timeout)),
+            None => None,
+        };
+    }
+
+    fn step_timeout(&self, now: &Snapshot) -> Option<Duration> {
+        if self.outgoing.has_text() {
+            return Some(WRITE_TIMEOUT);
+        }
+        // It waits for its host, or for memory, and not for its client.
+        if !self.outgoing.is_empty() || now.awaits_memory {
+            return None;
+        }
+        let owes_command = now.is_idle && (now.is_partial || !self.had_command);
+        owes_command.then_some(COMMAND_TIMEOUT)
+    }
+
+    fn read_plan(&self, now: &Snapshot) -> ReadPlan {
+        let may_read = self.closing.is_none()
+            && !now.awaits_memory
+            && !now.drain_overdue
+            && now.phase != Phase::Flushing;
+        let takes_commands = may_read && self.pending.len() < self.max_pending();
+        let awaits_reply = self.pending.iter().any(|reply| matches!(reply, PendingReply::Awaited(..)));
+        let works_for_client = now.awaits_memory || awaits_reply;
+        // What waits for its turn is read all the same while a request goes on: of a client whose
+        // unread bytes fill its window the end can't be seen, and nothing may go on for one that
+        // has gone.
+        let reads_ahead = may_read && !takes_commands && works_for_client && self.input.can_read_ahead();
+        let has_memory = self.shared.budget.has_memory() || self.input.may_exceed_memory(now.is_idle);
+        let reads = (takes_commands || reads_ahead) && has_memory;
+        // The client's end is looked for where something goes on for it; a reply that is there is
+        // written, whoever still reads.
+        let watches_client = reads || works_for_client || self.outgoing.is_streaming();
+        ReadPlan { takes_commands, has_memory, reads, watches_client }
+    }
+
+    /// When one of the times of an idle connection is over that no event tells of.
+    fn next_recheck(&self, now: &Snapshot) -> Option<Instant> {
+        let is_timed = now.is_idle && (now.is_partial || !self.had_command || self.draining_since.is_some());
+        if !is_timed {
+            return None;
+        }
+        let times = [
+            Some(self.last_input_at + QUIET_PERIOD),
+            Some(self.last_input_at + FIRST_COMMAND_GRACE),
+            self.draining_since.map(|since| since + KEEP_ALIVE_AFTER_TAKEOVER),
+            self.draining_since.map(|since| since + MAX_DRAIN_TIME),
+        ];
+        times.into_iter().flatten().filter(|at| *at > Instant::now()).min()
+    }
+
+    async fn next_event(&mut self, now: &Snapshot) -> Event {
+        let plan = self.read_plan(now);
+        let recheck_at = self.next_recheck(now);
+        let can_be_shed = now.is_idle && (now.is_quiet || (self.had_command && !now.is_partial));
+        let has_no_command = now.is_partial || !self.had_command;
+        let budget = &self.shared.budget;
+        tokio::select! {
+            biased;
+            event = self.input.wait(&mut self.reader, plan.reads), if plan.watches_client => Event::Input(event),
+            () = budget.freed.notified(), if plan.takes_commands && !plan.has_memory => Event::MemoryFreed,
+            reply = next_awaited(&mut self.pending), if self.outgoing.is_empty() => Event::Reply(reply),
+            event = self.outgoing.advance(&mut self.writer), if !self.outgoing.is_empty() => Event::Output(event),
+            () = sleep_until_some(self.step_deadline) => Event::TimedOut,
+            _ = self.phase.changed() => Event::PhaseChanged,
+            () = sleep_until_some(recheck_at) => Event::Recheck,
+            () = budget.shed_requested(has_no_command, &self.shed_wakeup), if can_be_shed => Event::ShedRequested,
+        }
+    }
+
+    fn handle(&mut self, event: Event) -> ControlFlow<Close> {
+        match event {
+            Event::Input(event) => return self.handle_input(event),
+            Event::Output(event) => return self.handle_output(event),
+            Event::Reply(Some(reply)) => self.begin_reply(reply),
+            Event::Reply(None) => return ControlFlow::Break(Close::Immediately),
+            Event::TimedOut => return self.handle_timeout(),
+            Event::ShedRequested => return self.handle_shed_request(),
+            Event::MemoryFreed | Event::PhaseChanged | Event::Recheck => {}
+        }
+        ControlFlow::Continue(())
+    }
+
+    fn handle_input(&mut self, event: InputEvent) -> ControlFlow<Close> {
+        match event {
+            InputEvent::Read(Ok(1..)) => {
+                // A value that is being read is bound by its progress.
+                if self.input.has_incoming_value() {
+                    self.step_deadline = None;
+                }
+                self.last_input_at = Instant::now();
+                ControlFlow::Continue(())
+            }
+            InputEvent::Read(_) => ControlFlow::Break(Close::Immediately),
+            InputEvent::MemoryReserved => {
+                self.step_deadline = None;
+                ControlFlow::Continue(())
+            }
+            InputEvent::Disconnected => {
+                let pending = self.pending.len();
+                log::debug!("a client has gone of which nothing was read; {pending} commands wait");
+                ControlFlow::Break(Close::Immediately)
+            }
+        }
+    }
+
+    fn handle_output(&mut self, event: OutputEvent) -> ControlFlow<Close> {
+        match event {
+            OutputEvent::Wrote(Ok(count)) if count > 0 => {
+                self.outgoing.written(count);
+                self.replied_in_takeover = *self.phase.borrow() == Phase::Takeover;
+                if self.outgoing.is_empty() || self.outgoing.is_streaming() {
+                    self.step_deadline = None;
+                }
+                ControlFlow::Continue(())
+            }
+            OutputEvent::ChunkReady => ControlFlow::Continue(()),
+            OutputEvent::Wrote(_) | OutputEvent::StreamBroken => ControlFlow::Break(Close::Immediately),
+        }
+    }
+
+    /// The client did not take the step that it owed. One that is in the midst of a command is told
+    /// so.
+    fn handle_timeout(&mut self) -> ControlFlow<Close> {
+        self.shared.counters.clients_slow.add();
+        if !self.input.is_partial() || !self.outgoing.is_empty() {
+            return ControlFlow::Break(Close::Immediately);
+        }
+        self.input.drop_incoming_value();
+        self.refuse(&ProtocolError::TimedOut);
+        self.step_deadline = None;
+        ControlFlow::Continue(())
+    }
+
+    fn handle_shed_request(&mut self) -> ControlFlow<Close> {
+        if self.shared.budget.has_client_descriptor() {
+            return ControlFlow::Continue(());
+        }
+        self.shared.counters.clients_shed.add();
+        ControlFlow::Break(Close::Immediately)
+    }
+}
+
+/// Whether a span is over since an instant, where there is one.
+fn has_passed(since: Option<Instant>, span: Duration) -> bool {
+    since.is_some_and(|since| Instant::now() >= since + span)
+}
+
+async fn sleep_until_some(at: Option<Instant>) {
+    match at {
+        Some(at) => sleep_until(at).await,
+        None => std::future::pending().await,
+    }
+}
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -1,4 +1,5 @@
-//! What a client asked, and how a push of it ended: the types that ops, cache hosts and origin share.
+//! What a client asked for, and what an attempt of it brought: the types that requests, cache hosts
+//! and origin share.
 
 use basaltwood::types::{AttemptOutcome, Micros};
 use basaltwood_wire::facts;
@@ -8,62 +9,70 @@
 
 use crate::budget::ValuePermit;
 
-/// How a push ended, and the value where it brought one.
+/// How an attempt ended, and the value where it brought one.
 pub type AttemptResult = (AttemptOutcome, Option<Value>);
 
-/// A value that a push brought.
+/// A value that an attempt brought.
 pub enum Value {
+    /// All of it.
     Whole(Bytes),
+    /// One that is too long to be held whole.
     Streamed(StreamedValue),
 }
 
-/// A value past what is held whole: it comes in pieces, as they are taken. Where they end before its length is reached,
+/// A value that comes in chunks, as they are taken. Where they end before its length is reached,
 /// the host did not give the rest.
 pub struct StreamedValue {
+    /// Bytes that are still to come.
     pub length: usize,
+    /// The chunks.
     pub pieces: mpsc::Receiver<Bytes>,
 }
 
-/// What a client asked, in its own bytes.
+/// What a client asked for, in its own bytes.
 pub struct ClientRequest {
+    /// The command's name.
     pub command: Bytes,
+    /// The key.
     pub key: Bytes,
+    /// The client's id of the request.
     pub id: Bytes,
-    /// Names and values: the category, how long the client waits, and more.
+    /// Names and values: the class, how long the client waits, and more.
     pub facts: Bytes,
     /// What is to be written, in segments.
     pub value: Option<Vec<Bytes>>,
-    /// The memory that a long one was given.
-    pub _room: Option<ValuePermit>,
-    /// The op has its final answer, or nobody waits for one: nothing more may be sent.
+    /// The memory that was reserved for a long one.
+    pub _memory: Option<ValuePermit>,
+    /// Set once the request has its final answer, or its client has gone: nothing more may be sent.
     pub finished: watch::Sender<bool>,
 }
 
 impl ClientRequest {
     /// The value where it is too long to be copied into a command: its length and its segments.
-    pub fn long(&self) -> Option<(usize, &[Bytes])> {
+    pub fn long_value(&self) -> Option<(usize, &[Bytes])> {
         let segments = self.value.as_deref()?;
         let length = segments.iter().map(Bytes::len).sum();
         Some((length, segments)).filter(|_| length > MOST_VALUE)
     }
 
-    /// The value in one piece, where it is short.
-    pub fn short(&self) -> Option<Bytes> {
-        let segments = self.value.as_ref().filter(|_| self.long().is_none())?;
+    /// The value in one stretch, where it is short.
+    pub fn short_value(&self) -> Option<Bytes> {
+        let segments = self.value.as_ref().filter(|_| self.long_value().is_none())?;
         Some(match &segments[..] {
             [one] => one.clone(),
             several => Bytes::from(several.concat()),
         })
     }
 
-    /// Waits until the op is over.
-    pub async fn ended(&self) {
+    /// Waits until the request has its final answer or its client has gone.
+    pub async fn wait_finished(&self) {
         // The sender is our own, so this can't fail.
         let _ = self.finished.subscribe().wait_for(|finished| *finished).await;
     }
 
-    /// The names and values as they came, but for how long this push may wait.
-    pub fn facts(&self, within: Micros) -> Bytes {
-        facts::with_wait(&self.facts, (within / 1000).max(1) as u64)
+    /// The facts as they came, but for the time that this attempt may take.
+    pub fn facts_within(&self, time_left: Micros) -> Bytes {
+        let wait_ms = (time_left / 1000).max(1) as u64;
+        facts::with_wait(&self.facts, wait_ms)
     }
 }
--- a/balancer/src/requests.rs
+++ b/balancer/src/requests.rs
@@ -1,4 +1,5 @@
-//! One request from its submission to its final answer: carries out what the policy decides, and reports how attempts end.
+//! One request from its submission to its final answer: carries out what the policy decides, and
+//! reports how attempts end.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -35,7 +36,8 @@
     pub _memory: MemoryGuard,
 }
 
-/// Serves one request whose id was reserved. Its client has gone once the other end of `delivery` is dropped.
+/// Serves one request whose id was reserved. Its client has gone once the other end of `delivery`
+/// is dropped.
 pub async fn serve(
     shared: Rc<Shared>,
     request: ClientRequest,
--- a/balancer/src/shared.rs
+++ b/balancer/src/shared.rs
@@ -38,7 +38,8 @@
     pub budget: Rc<ResourceBudget>,
     /// Wakes the task of a request for which something was decided.
     wakeups: RefCell<BTreeMap<RequestId, Rc<Notify>>>,
-    /// The clients' ids of the requests that are open: hosts drop or refuse a second one under the same id.
+    /// The clients' ids of the requests that are open: hosts drop or refuse a second one under the
+    /// same id.
     ids_in_use: RefCell<HashSet<Bytes>>,
 }
 
@@ -72,7 +73,8 @@
         Shared { regions: map.map(|map| RefCell::new(Rings::new(map))), ..self }
     }
 
-    /// Wakes the tasks of requests for which something was decided while another request was reported on.
+    /// Wakes the tasks of requests for which something was decided while another request was
+    /// reported on.
     pub fn wake_requests(&self) {
         for request in self.router.borrow_mut().requests_with_actions() {
             if let Some(wakeup) = self.wakeups.borrow().get(&request) {
@@ -120,7 +122,8 @@
         self.wake_requests();
     }
 
-    /// Takes a client's id for a request; whether it was free. [`Shared::release_id`] gives it back.
+    /// Takes a client's id for a request; whether it was free. [`Shared::release_id`] gives it
+    /// back.
     pub fn reserve_id(&self, id: &Bytes) -> bool {
         self.ids_in_use.borrow_mut().insert(id.clone())
     }
--- a/balancer/src/upstream/mod.rs
+++ b/balancer/src/upstream/mod.rs
@@ -433,7 +433,7 @@
         // woken, the look at the host comes before the step that has the connection, and the first byte goes in the same turn.
         let granted = tokio::select! {
             biased;
-            () = request.ended() => Err(AttemptOutcome::Cancelled),
+            () = request.wait_finished() => Err(AttemptOutcome::Cancelled),
             () = self.closed(host) => Err(AttemptOutcome::NotSent),
             granted = self.link(host, ticket, until) => granted,
         };
@@ -457,7 +457,7 @@
         };
         let sent = tokio::select! {
             biased;
-            () = request.ended() => Err(AttemptOutcome::Cancelled),
+            () = request.wait_finished() => Err(AttemptOutcome::Cancelled),
             sent = sent => sent,
         };
         if let Err(end) = sent {
@@ -655,10 +655,10 @@
         until: Micros,
     ) -> AttemptResult {
         let text = |left| {
-            let facts = request.facts(left);
+            let facts = request.facts_within(left);
             let mut words: Vec<&[u8]> = vec![&request.command, &request.key, &request.id, &facts];
-            let short = request.short();
-            match request.long() {
+            let short = request.short_value();
+            match request.long_value() {
                 Some((length, segments)) => {
                     let segments = segments.iter().cloned().chain([Bytes::from_static(resp::END)]);
                     Text(resp::begun(&words, length), segments.collect())
--- a/balancer/src/upstream/origin.rs
+++ b/balancer/src/upstream/origin.rs
@@ -21,15 +21,18 @@
 ) -> AttemptResult {
     let path = format!("/{}", http::escaped(&request.key));
     let text = |left| {
-        let facts = request.facts(left);
+        let facts = request.facts_within(left);
         let headers: [(&str, &[u8]); 2] = [("X-Correlation-Id", &request.id), ("X-Facts", &facts)];
         let method = if request.value.is_some() { "PUT" } else { "GET" };
         let to = address.to_string();
-        match request.long() {
+        match request.long_value() {
             Some((length, segments)) => {
                 Text(http::begun(method, &path, &to, &headers, Some(length)).freeze(), segments.to_vec())
             }
-            None => Text(http::request(method, &path, &to, &headers, request.short().as_deref()), Vec::new()),
+            None => Text(
+                http::request(method, &path, &to, &headers, request.short_value().as_deref()),
+                Vec::new(),
+            ),
         }
     };
     servers.exchange(host, ticket, request, text, until, answer).await
