--- /dev/null
+++ b/membership/src/schedule.rs
@@ -0,0 +1,172 @@
+//! The schedule of one balancer's calls to discovery: timeouts, holds and pauses.
+
+use basaltwood::types::{Micros, SeededRng};
+
+use crate::WatchError;
+
+/// From the beginning of a call to the beginning of the next at most, whatever the outcome of the call. A
+/// change counts as delivered 6 s after discovery had it and could be reached, and an answer may take 2 s: so
+/// a call has to begin in the 4 s before that, less 0.1 s for what is not counted here.
+/// Source: the operators' page on real days.
+pub const MAX_CALL_INTERVAL: Micros = 3_900_000;
+
+/// How long a call may take at most, from its dial to the last byte of its answer. The rest of
+/// [`MAX_CALL_INTERVAL`] is for the pause.
+const MAX_CALL_TIMEOUT: Micros = 3_600_000;
+
+/// How long discovery may hold a call while nothing changes.
+const MAX_HOLD: Micros = 3_000_000;
+
+/// The hold is asked for in whole tenths of a second.
+const HOLD_STEP: Micros = 100_000;
+
+/// The first response timeout. It doubles with each failed call, so that many balancers can't keep a slow
+/// discovery busy with calls that they have given up. What is added here is taken from the call's hold.
+const FIRST_RESPONSE_TIMEOUT: Micros = 500_000;
+
+/// The response timeout grows no further than this.
+const MAX_RESPONSE_TIMEOUT: Micros = 3_000_000;
+
+/// How long a call for the full list, which discovery does not hold, may take at first.
+const FIRST_FULL_LIST_TIMEOUT: Micros = 2_000_000;
+
+/// The shortest first pause after a failed call: few balancers may call often.
+const MIN_PAUSE: Micros = 100_000;
+
+/// The longest pause after a call without an answer.
+const MAX_PAUSE_AFTER_TIMEOUT: Micros = 300_000;
+
+/// Added to the first pause after a refusal for each balancer of the group, so that the calls are spread: a
+/// discovery that gets more calls than it serves still works on those that it has refused already, and has to
+/// become idle first.
+const PAUSE_PER_BALANCER: Micros = 60_000;
+
+/// Pauses and timeouts double no more often than this, which keeps the shift in range.
+const MAX_DOUBLINGS: u32 = 16;
+
+/// What a schedule depends on, fixed for the life of the process.
+#[derive(Clone, Copy, Debug)]
+pub struct WatchConfig {
+    /// The seed of the jitter.
+    pub seed: u64,
+    /// The number of balancers that call the same discovery.
+    pub balancers: u32,
+    /// The version of the list that is known at the start.
+    pub known_version: Option<u64>,
+    /// How long a draining host may still get requests.
+    pub drain_grace: Micros,
+}
+
+/// When to call discovery, and with which timeouts. All spans are in microseconds.
+pub struct WatchSchedule {
+    rng: SeededRng,
+    /// The first pause after a call that was answered without a list: a refusal, or an invalid answer.
+    first_pause_after_refusal: Micros,
+    /// The longest pause after a call without an answer.
+    max_pause_after_timeout: Micros,
+    known_version: Option<u64>,
+    consecutive_failures: u32,
+}
+
+impl WatchSchedule {
+    /// A schedule whose first call is due at once.
+    pub fn new(config: WatchConfig) -> WatchSchedule {
+        let spread = PAUSE_PER_BALANCER * Micros::from(config.balancers);
+        WatchSchedule {
+            rng: SeededRng::new(config.seed),
+            first_pause_after_refusal: spread.clamp(MIN_PAUSE, MAX_CALL_INTERVAL),
+            max_pause_after_timeout: (config.drain_grace / 2).clamp(MIN_PAUSE / 2, MAX_PAUSE_AFTER_TIMEOUT),
+            known_version: config.known_version,
+            consecutive_failures: 0,
+        }
+    }
+
+    /// The version after which the next call asks for changes; the full list where there is none.
+    pub fn known_version(&self) -> Option<u64> {
+        self.known_version
+    }
+
+    /// The number of calls that failed since the last success.
+    pub fn consecutive_failures(&self) -> u32 {
+        self.consecutive_failures
+    }
+
+    /// How long the next call may take, from its dial to the last byte of its answer.
+    pub fn call_timeout(&self) -> Micros {
+        if self.known_version.is_some() {
+            MAX_CALL_TIMEOUT
+        } else {
+            self.backed_off(FIRST_FULL_LIST_TIMEOUT).min(MAX_CALL_TIMEOUT)
+        }
+    }
+
+    /// How long the connection may take to come up; also how long the answer may take after the hold.
+    pub fn response_timeout(&self) -> Micros {
+        self.backed_off(FIRST_RESPONSE_TIMEOUT).min(MAX_RESPONSE_TIMEOUT)
+    }
+
+    /// How long discovery may hold a call whose dial took `dial_time`: whole tenths of a second.
+    pub fn hold_for(&self, dial_time: Micros) -> Micros {
+        let time_left = self.call_timeout() - self.response_timeout() - dial_time;
+        let hold = time_left.clamp(0, MAX_HOLD);
+        hold - hold % HOLD_STEP
+    }
+
+    /// The call brought changes up to `version`, or with `full_list` everything there is.
+    ///
+    /// An answer whose version is lower than the known one, which another discovery may give, is incomplete:
+    /// the next call asks for the full list.
+    pub fn succeeded(&mut self, version: u64, full_list: bool) {
+        let incomplete = !full_list && self.known_version.is_some_and(|known| version < known);
+        self.known_version = (!incomplete).then_some(version);
+        self.consecutive_failures = 0;
+    }
+
+    /// The call failed after `call_duration`. Returns the pause before the next call.
+    ///
+    /// The pause doubles with each failure and is drawn from its upper half. The call and its pause together
+    /// take no longer than [`MAX_CALL_INTERVAL`].
+    pub fn failed(&mut self, error: &WatchError, call_duration: Micros) -> Micros {
+        if matches!(error, WatchError::InvalidResponse(_)) {
+            self.known_version = None;
+        }
+        let pause_limit = self.pause_limit(error);
+        self.consecutive_failures += 1;
+        let pause = self.rng.jittered(pause_limit);
+        let pause = match error {
+            WatchError::Unavailable { retry_after: Some(retry_after), .. } => pause.max(*retry_after),
+            _ => pause,
+        };
+        // However late a refusal comes, the next call must not be late.
+        let time_left = MAX_CALL_INTERVAL - call_duration;
+        pause.min(time_left.max(MIN_PAUSE / 2))
+    }
+
+    /// Discovery has another address from now on.
+    ///
+    /// The next call is due at once, since the new address has refused nothing yet. It asks for the full list:
+    /// the new address may number its versions otherwise, and would hold a call from a version that it never
+    /// had, though there is news.
+    pub fn discovery_moved(&mut self) {
+        self.consecutive_failures = 0;
+        self.known_version = None;
+    }
+
+    /// The pause after this failed call before jitter.
+    fn pause_limit(&self, error: &WatchError) -> Micros {
+        match error {
+            // The news that an unanswered call missed counts as delivered by now, and so does what discovery
+            // has to say once it is reachable again. One more call overloads nobody: the pause is not spread
+            // over the balancers, and is no longer than half of the drain grace.
+            WatchError::TimedOut(_) => self.backed_off(MIN_PAUSE).min(self.max_pause_after_timeout),
+            WatchError::Unavailable { .. } | WatchError::InvalidResponse(_) => {
+                self.backed_off(self.first_pause_after_refusal).min(MAX_CALL_INTERVAL)
+            }
+        }
+    }
+
+    /// The span, doubled for each consecutive failure.
+    fn backed_off(&self, span: Micros) -> Micros {
+        span << self.consecutive_failures.min(MAX_DOUBLINGS)
+    }
+}
