--- a/membership/tests/schedule.rs
+++ b/membership/tests/schedule.rs
@@ -10,7 +10,11 @@
 const SECOND: Micros = 1_000_000;
 
 fn schedule(seed: u64, balancers: u32) -> WatchSchedule {
-    WatchSchedule::new(WatchConfig { seed, balancers, known_version: Some(41), drain_grace: 300 * MS })
+    schedule_with_grace(seed, balancers, 300 * MS)
+}
+
+fn schedule_with_grace(seed: u64, balancers: u32, drain_grace: Micros) -> WatchSchedule {
+    WatchSchedule::new(WatchConfig { seed, balancers, known_version: Some(41), drain_grace })
 }
 
 fn refused() -> WatchError {
@@ -22,24 +26,22 @@
     let mut schedule = schedule(3, 2);
     let mut trace = Vec::new();
     let mut failed = |schedule: &mut WatchSchedule, error: WatchError| {
-        let pause = schedule.failed(&error, 10 * MS);
-        trace.push(format!(
-            "{:<10} pause {:>4} ms, known version {:?}",
-            error.cause(),
-            pause / MS,
-            schedule.known_version()
-        ));
+        let pause = schedule.failed(&error, 10 * MS) / MS;
+        let version = schedule.known_version();
+        trace.push(format!("{:<10} pause {pause:>4} ms, known version {version:?}", error.cause()));
     };
-    (0..8).for_each(|_| failed(&mut schedule, refused()));
-    failed(
-        &mut schedule,
-        WatchError::Unavailable { cause: "overloaded".to_owned(), retry_after: Some(90 * SECOND) },
-    );
+
+    for _ in 0..8 {
+        failed(&mut schedule, refused());
+    }
+    let retry_after = Some(90 * SECOND);
+    failed(&mut schedule, WatchError::Unavailable { cause: "overloaded".to_owned(), retry_after });
     schedule.discovery_moved();
     failed(&mut schedule, WatchError::TimedOut("it moved".to_owned()));
     schedule.succeeded(43, false);
     failed(&mut schedule, WatchError::TimedOut("timed out".to_owned()));
     failed(&mut schedule, WatchError::InvalidResponse("no list".to_owned()));
+
     expect![[r#"
         status 503 pause   99 ms, known version Some(41)
         status 503 pause  169 ms, known version Some(41)
@@ -58,33 +60,48 @@
 
 /// How long a refusal takes to come.
 const REFUSED_AFTER: Micros = 30 * MS;
+/// When the simulation ends.
+const END: Micros = 120 * SECOND;
+
+/// What a discovery met that serves one call in 10 ms, and refuses a call that would wait longer than 2 s.
+struct StartResult {
+    /// The calls in the busiest tenth of a second.
+    max_calls_per_100_ms: usize,
+    /// When the last balancer has its first answer; none where one has none at the end.
+    all_served_after: Option<Micros>,
+    /// The longest time that a balancer had no call open.
+    longest_pause: Micros,
+}
 
-/// Calls in the tenth of a second with most, over how long a time all have their first answer, and for how long the one that
-/// waited longest had no call open, where discovery serves one call in 10 ms, and refuses a call that would wait longer than 2 s.
-fn start_together(balancers: u32, pauses: impl Fn(&mut WatchSchedule) -> Micros) -> (usize, Micros, Micros) {
-    let mut all: Vec<WatchSchedule> = (0..balancers).map(|nth| schedule(u64::from(nth), balancers)).collect();
-    // Each asks in the instant of its start.
-    let mut due: BTreeSet<(Micros, usize)> = (0..balancers as usize).map(|nth| (0, nth)).collect();
-    let (mut free_at, mut tenths, mut last, mut longest_pause) = (0, vec![0; 1_200], 0, 0);
-    while let Some((now, nth)) = due.first().copied().filter(|next| next.0 < 120 * SECOND) {
-        due.pop_first();
-        tenths[(now / (100 * MS)) as usize] += 1;
-        // Even a refusal takes it a tenth of what an answer does.
-        if free_at - now > 2 * SECOND {
+/// Balancers that all call in the instant of their start.
+fn start_together(balancers: u32) -> StartResult {
+    let mut schedules: Vec<WatchSchedule> =
+        (0..balancers).map(|nth| schedule(u64::from(nth), balancers)).collect();
+    let mut due_calls: BTreeSet<(Micros, usize)> = (0..schedules.len()).map(|nth| (0, nth)).collect();
+    let mut calls_per_100_ms = vec![0; (END / (100 * MS)) as usize];
+    let mut free_at = 0;
+    let mut last_served_at = 0;
+    let mut longest_pause = 0;
+    while let Some((now, nth)) = due_calls.first().copied().filter(|next| next.0 < END) {
+        due_calls.pop_first();
+        calls_per_100_ms[(now / (100 * MS)) as usize] += 1;
+        let refuses = free_at - now > 2 * SECOND;
+        if refuses {
+            // Even a refusal takes discovery a tenth of what an answer does.
             free_at += MS;
-            let pause = pauses(&mut all[nth]);
+            let pause = schedules[nth].failed(&refused(), REFUSED_AFTER);
             longest_pause = longest_pause.max(pause);
-            due.insert((now + REFUSED_AFTER + pause, nth));
+            due_calls.insert((now + REFUSED_AFTER + pause, nth));
         } else {
             free_at = free_at.max(now) + 10 * MS;
-            last = last.max(free_at);
+            last_served_at = last_served_at.max(free_at);
         }
     }
-    (
-        tenths.iter().copied().max().unwrap_or(0),
-        if due.is_empty() { last } else { Micros::MAX },
+    StartResult {
+        max_calls_per_100_ms: calls_per_100_ms.iter().copied().max().unwrap_or(0),
+        all_served_after: due_calls.is_empty().then_some(last_served_at),
         longest_pause,
-    )
+    }
 }
 
 #[test]
@@ -93,19 +110,20 @@
         vec!["balancers  calls in 100 ms  all served after  longest with no call open".to_owned()];
     // The last: 14,000 before 15 discoveries.
     for balancers in [1, 2, 20, 100, 200, 300, 900, 934] {
-        let (most, after, longest_pause) =
-            start_together(balancers, |schedule| schedule.failed(&refused(), REFUSED_AFTER));
+        let result = start_together(balancers);
+
+        let all_served_after = result.all_served_after.expect("all are served");
+        let longest_pause = result.longest_pause;
         table.push(format!(
-            "{balancers:<9}  {most:<15}  {:<16}  {} ms",
-            format!("{} ms", after / MS),
+            "{balancers:<9}  {:<15}  {:<16}  {} ms",
+            result.max_calls_per_100_ms,
+            format!("{} ms", all_served_after / MS),
             longest_pause / MS
         ));
-        assert!(after < 30 * SECOND, "{table:?}");
-        // What discovery has to tell counts as told after 6 s, and an answer may take 2 s.
-        assert!(
-            REFUSED_AFTER + longest_pause <= MAX_CALL_INTERVAL && MAX_CALL_INTERVAL + 2 * SECOND < 6 * SECOND,
-            "{table:?}"
-        );
+        assert!(all_served_after < 30 * SECOND, "{table:?}");
+        // News from discovery counts as delivered after 6 s, and an answer may take 2 s.
+        assert!(REFUSED_AFTER + longest_pause <= MAX_CALL_INTERVAL, "{table:?}");
+        assert!(MAX_CALL_INTERVAL + 2 * SECOND < 6 * SECOND, "{table:?}");
     }
     expect![[r#"
         balancers  calls in 100 ms  all served after  longest with no call open
@@ -120,18 +138,20 @@
     .assert_eq(&table.join("\n"));
 }
 
+/// The pauses in milliseconds after seven failures in a row.
+fn seven_pauses(mut schedule: WatchSchedule, error: &WatchError) -> String {
+    let pauses: Vec<String> = (0..7).map(|_| (schedule.failed(error, 10 * MS) / MS).to_string()).collect();
+    pauses.join(" ")
+}
+
 #[test]
 fn pauses_after_timeouts_do_not_grow_with_the_number_of_balancers() {
+    let timed_out = WatchError::TimedOut("no answer".to_owned());
     let mut lines = Vec::new();
     for balancers in [1, 2, 20, 100, 300, 900] {
-        let (mut silent, mut refusing) = (schedule(7, balancers), schedule(7, balancers));
-        let pauses = |schedule: &mut WatchSchedule, error: &WatchError| {
-            let pauses: Vec<String> =
-                (0..7).map(|_| (schedule.failed(error, 10 * MS) / MS).to_string()).collect();
-            pauses.join(" ")
-        };
-        let quiet = pauses(&mut silent, &WatchError::TimedOut("it is silent".to_owned()));
-        lines.push(format!("{balancers}: timed out {quiet}; refused {}", pauses(&mut refusing, &refused())));
+        let after_timeouts = seven_pauses(schedule(7, balancers), &timed_out);
+        let after_refusals = seven_pauses(schedule(7, balancers), &refused());
+        lines.push(format!("{balancers}: timed out {after_timeouts}; refused {after_refusals}"));
     }
     expect![[r#"
         1: timed out 58 103 113 142 110 118 89; refused 58 103 213 617 1410 1843 2264
@@ -143,50 +163,43 @@
     .assert_eq(&lines.join("\n"));
 }
 
-/// A watch that falls silent as it begins, of a discovery that then takes so long to answer: when the news are here. They count
-/// as told 6 s after.
+/// A call that gets no answer from its beginning on, to a discovery that then takes 2 s to answer. The news
+/// counts as delivered 6 s after.
 #[test]
 fn news_missed_by_an_unanswered_call_arrives_before_it_counts_as_delivered() {
-    let silent = WatchError::TimedOut("it is silent".to_owned());
+    let timed_out = WatchError::TimedOut("no answer".to_owned());
     for (balancers, grace) in [(1, 250), (6, 300), (300, 1_000), (900, 1_500)] {
         for seed in 0..50 {
-            let known = Some(41);
-            let mut schedule = WatchSchedule::new(WatchConfig {
-                seed,
-                balancers,
-                known_version: known,
-                drain_grace: grace * MS,
-            });
+            let mut schedule = schedule_with_grace(seed, balancers, grace * MS);
+
             let call_timeout = schedule.call_timeout();
-            let answer = call_timeout + schedule.failed(&silent, call_timeout) + 2 * SECOND;
+            let pause = schedule.failed(&timed_out, call_timeout);
+
             // The grace is not used.
-            assert!(answer <= 6 * SECOND, "{balancers} balancers: {answer} us");
+            let answered_after = call_timeout + pause + 2 * SECOND;
+            assert!(answered_after <= 6 * SECOND, "{balancers} balancers: {answered_after} us");
         }
     }
 }
 
-/// What discovery has to tell in the instant in which it is back counts at once: however long it was down, no pause outlasts the
-/// grace, and a call that is open then is waited for.
+/// News that discovery has when it is reachable again counts at once: however long it was down, no pause
+/// outlasts the grace, and a call that is open then is waited for.
 #[test]
 fn pauses_while_discovery_is_down_never_outlast_the_grace() {
-    let silent = WatchError::TimedOut("it closed the connection".to_owned());
+    let closed = WatchError::TimedOut("it closed the connection".to_owned());
     let mut lines = Vec::new();
     for grace in [250, 300, 1_000, 8_000] {
-        let mut schedule = WatchSchedule::new(WatchConfig {
-            seed: 5,
-            balancers: 300,
-            known_version: Some(41),
-            drain_grace: grace * MS,
-        });
-        let failed = (0..60).map(|_| {
-            let call_timeout = schedule.call_timeout();
-            (schedule.failed(&silent, 10 * MS), call_timeout)
-        });
-        let failed: Vec<(Micros, Micros)> = failed.collect();
-        let longest = failed.iter().map(|one| one.0).max().unwrap_or(0);
+        let mut schedule = schedule_with_grace(5, 300, grace * MS);
+        let mut pauses = Vec::new();
+        let mut call_timeouts = Vec::new();
+        for _ in 0..60 {
+            call_timeouts.push((schedule.call_timeout() / MS).to_string());
+            pauses.push(schedule.failed(&closed, 10 * MS));
+        }
+        let longest = pauses.iter().copied().max().unwrap_or(0);
         assert!(longest <= grace / 2 * MS, "{longest} us of {grace} ms");
-        let waits: Vec<String> = failed.iter().take(6).map(|one| (one.1 / MS).to_string()).collect();
-        lines.push(format!("{grace}: pauses up to {} ms, calls open for {}", longest / MS, waits.join(" ")));
+        let first_timeouts = call_timeouts[..6].join(" ");
+        lines.push(format!("{grace}: pauses up to {} ms, calls open for {first_timeouts}", longest / MS));
     }
     expect![[r#"
         250: pauses up to 123 ms, calls open for 3600 3600 3600 3600 3600 3600
