--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -84,7 +84,7 @@
         };
         self.policy.handle(now, policy_event, &mut self.actions);
         for action in self.actions.drain(..) {
-            outbox.push(written(action, &self.tickets.open, &self.names.hosts.texts));
+            outbox.push(written(action, &self.tickets.open, &self.names.hosts.names));
             match action {
                 PolicyAction::StartAttempt { request, .. } => {
                     self.tickets.note(request, |ticket| ticket.out += 1)
@@ -135,7 +135,7 @@
                 // It ends twice: here for the module, and for the wire when it is finished.
                 self.tickets
                     .note(request, |ticket| (ticket.streams, ticket.out) = (Some(hop), ticket.out + 1));
-                let host = HostId(self.names.hosts.known(&host, "host")?);
+                let host = HostId(self.names.hosts.lookup(&host, "host")?);
                 let elapsed = micros(wait_time_ms);
                 PolicyEvent::AttemptEnded {
                     request,
@@ -152,7 +152,7 @@
                     self.tickets.note(request, |ticket| ticket.out -= 1);
                     return Ok(None);
                 }
-                let host = HostId(self.names.hosts.known(&host, "host")?);
+                let host = HostId(self.names.hosts.lookup(&host, "host")?);
                 let elapsed = micros(wait_time_ms);
                 PolicyEvent::AttemptEnded {
                     request,
--- a/admin/src/lib.rs
+++ b/admin/src/lib.rs
@@ -3,7 +3,7 @@
 
 use std::fmt::Write;
 
-use basaltwood_wire::http::{self, Refused};
+use basaltwood_wire::http::{self, RequestError};
 use bytes::Bytes;
 
 /// The largest body that a call may bring; none of them needs one.
@@ -41,13 +41,13 @@
 /// What is to be answered where it can become none any more.
 pub fn call(bytes: &[u8]) -> Result<Option<Call>, Refusal> {
     let refused = |status, allow| Err(Refusal { status, allow });
-    let request = match http::asked(bytes, MOST_BODY) {
+    let request = match http::parse_request(bytes, MOST_BODY) {
         Ok(Some(request)) => request,
         Ok(None) => return Ok(None),
-        Err(Refused::Senseless(_)) => return refused(400, None),
-        Err(Refused::NoLength) => return refused(411, None),
-        Err(Refused::BodyTooLong) => return refused(413, None),
-        Err(Refused::HeadTooLong) => return refused(431, None),
+        Err(RequestError::Malformed(_)) => return refused(400, None),
+        Err(RequestError::LengthRequired) => return refused(411, None),
+        Err(RequestError::BodyTooLong) => return refused(413, None),
+        Err(RequestError::HeadTooLong) => return refused(431, None),
     };
     let path = request.path.split('?').next().unwrap_or_default();
     match CALLS.iter().find(|known| known.0 == path) {
@@ -69,7 +69,7 @@
 fn worded(status: u16, allow: Option<&str>, text: &str) -> Bytes {
     let mut headers = vec![("Content-Type", "text/plain; version=0.0.4"), ("Connection", "close")];
     headers.extend(allow.map(|method| ("Allow", method)));
-    http::answered(status, &headers, text.as_bytes())
+    http::encode_response(status, &headers, text.as_bytes())
 }
 
 /// Figures in Prometheus' text format.
--- a/balancer/src/budget.rs
+++ b/balancer/src/budget.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use basaltwood_wire::resp::MOST_VALUE;
+use basaltwood_wire::resp::MAX_BUFFERED_VALUE;
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
 
 /// Descriptors that are no connections of clients or hosts: standard streams, the runtime's, signals, the
@@ -230,7 +230,7 @@
 
     /// Memory for a value, once it is this one's turn.
     pub async fn reserve_value(self: Rc<ResourceBudget>, length: usize) -> Option<ValuePermit> {
-        let values = if length > MOST_VALUE { &self.long_values } else { &self.short_values };
+        let values = if length > MAX_BUFFERED_VALUE { &self.long_values } else { &self.short_values };
         let units = length.div_ceil(RESERVATION_UNIT) as u32;
         values.clone().acquire_many_owned(units).await.ok()
     }
--- a/balancer/src/discovery/mod.rs
+++ b/balancer/src/discovery/mod.rs
@@ -97,9 +97,9 @@
     for host in shared.router.borrow().released_hosts() {
         let mut names = shared.names.borrow_mut();
         // The module names those that it has free, whether or not their numbers were forgotten before.
-        if names.hosts.forget(host.0) {
+        if names.hosts.release(host.0) {
             if let Some(regions) = &shared.regions {
-                regions.borrow_mut().forget(&names.hosts.texts[host.0 as usize]);
+                regions.borrow_mut().forget(&names.hosts.names[host.0 as usize]);
             }
             shared.upstreams.forget(host);
             shared.counters.hosts_released.add();
@@ -285,7 +285,7 @@
         Some(from) => format!("/v1/servers?from={from}&hold_ms={}", schedule.hold_for(took(began)) / 1000),
         None => "/v1/servers".to_owned(),
     };
-    let request = http::request("GET", &path, &discovery.to_string(), &[], None);
+    let request = http::encode_request("GET", &path, &discovery.to_string(), &[], None);
     let answer = timeout_at(began + span(schedule.call_timeout()), async {
         stream.write_all(&request).await.map_err(silent)?;
         loop {
@@ -295,15 +295,15 @@
                 Err(cause) => return Err(silent(cause)),
             }
             if let Some(answer) =
-                http::answer(buffer.bytes(), MOST_BODY).map_err(WatchError::InvalidResponse)?
+                http::parse_response(buffer.bytes(), MOST_BODY).map_err(WatchError::InvalidResponse)?
             {
                 return Ok(answer);
             }
         }
     });
     let answer = answer.await.map_err(|_| mute("it is silent"))??;
-    buffer.consume(answer.used);
-    if !answer.keep {
+    buffer.consume(answer.consumed);
+    if !answer.keep_alive {
         *connection = None;
     }
     match answer.status {
--- a/balancer/src/downstream/mod.rs
+++ b/balancer/src/downstream/mod.rs
@@ -12,7 +12,7 @@
 use basaltwood_wire::body::Body;
 use basaltwood_wire::buffer::Buffer;
 use basaltwood_wire::facts::fact;
-use basaltwood_wire::resp::{self, Asked};
+use basaltwood_wire::resp::{self, ParsedCommand};
 use bytes::{Buf, Bytes};
 use tokio::io::{AsyncReadExt, AsyncWrite, AsyncWriteExt, Interest};
 use tokio::net::tcp::ReadHalf;
@@ -156,7 +156,7 @@
     async fn next(&mut self) -> bool {
         let Some(long) = &mut self.long else { return std::future::pending().await };
         if long.length == 0 {
-            (self.text, self.long) = (Bytes::from_static(resp::END), None);
+            (self.text, self.long) = (Bytes::from_static(resp::CRLF), None);
             return true;
         }
         let piece = long.pieces.recv().await;
@@ -250,9 +250,9 @@
             left(from).await;
             Input::Left
         }
-        Some(Coming { body, .. }) if body.left() > 0 => {
-            let read = from.read_buf(&mut body.room()).await;
-            Input::Read(read.inspect(|&count| body.filled(count)))
+        Some(Coming { body, .. }) if body.remaining() > 0 => {
+            let read = from.read_buf(&mut body.unfilled()).await;
+            Input::Read(read.inspect(|&count| body.advance(count)))
         }
         _ => Input::Read(read(from, buffer).await),
     }
@@ -309,7 +309,7 @@
 /// Serves a connection until it is to be closed.
 async fn talk(shared: &Rc<Shared>, stream: &mut TcpStream, phase: &mut watch::Receiver<Phase>) -> Close {
     let (mut reading, mut writing) = stream.split();
-    let mut buffer = Buffer::new(resp::MOST);
+    let mut buffer = Buffer::new(resp::MAX_BUFFERED_MESSAGE);
     let mut held = shared.budget.memory_guard();
     let mut waiting: VecDeque<Waiting> = VecDeque::new();
     let mut sending = Sending::default();
@@ -342,7 +342,7 @@
                     last = (!goes).then_some(Close::Answered);
                     heard = true;
                 }
-                Ok(None) if coming.is_some() || !buffer.full() => break,
+                Ok(None) if coming.is_some() || !buffer.is_full() => break,
                 broken => {
                     last = Some(refuse(shared, &mut waiting, broken.err().unwrap_or("too long a command")));
                 }
@@ -357,7 +357,7 @@
         }
         let short = coming.as_ref().filter(|coming| !coming.apart()).map_or(0, |coming| coming.body.length());
         let piece = if sending.long.is_some() { 0 } else { sending.text.len() };
-        held.set(buffer.size() + short + piece);
+        held.set(buffer.capacity() + short + piece);
         let idle = waiting.is_empty() && sending.is_empty();
         if idle {
             if let Some(close) = last {
@@ -385,7 +385,7 @@
         if idle && (ends || late) {
             // What came in the meantime is served: a close by a timer must cross as few requests as can be.
             yield_now().await;
-            if late || !matches!(buffer.room().map(|room| reading.try_read_buf(room)), Ok(Ok(1..))) {
+            if late || !matches!(buffer.unfilled().map(|room| reading.try_read_buf(room)), Ok(Ok(1..))) {
                 return Close::Answered;
             }
             came = Instant::now();
@@ -404,7 +404,7 @@
         let owes = awaits_room || waiting.iter().any(|one| matches!(one, Waiting::Owed(..)));
         // What waits for its turn is read all the same while an op goes on: of a client whose unread bytes fill its window the
         // end can't be seen, and nothing may go on for one that has gone.
-        let ahead = takes && !more && owes && coming.is_none() && !buffer.full();
+        let ahead = takes && !more && owes && coming.is_none() && !buffer.is_full();
         // Short of bytes, one that holds next to none is heard all the same: others must not silence it.
         let apart = coming.as_ref().is_some_and(Coming::apart);
         let room = apart || shared.budget.has_memory() || (idle && buffer.bytes().len() < SMALL);
@@ -472,15 +472,15 @@
 /// Takes the next command from what was read; `None` while it is not whole. A value that is not there yet is read by itself.
 fn next(shared: &Shared, buffer: &mut Buffer, coming: &mut Option<Coming>) -> Result<Next, &'static str> {
     if coming.is_none() {
-        match resp::asked(buffer.bytes())? {
+        match resp::parse_command(buffer.bytes())? {
             None => return Ok(None),
-            Some(Asked::Whole(words, used)) => {
+            Some(ParsedCommand::Complete(words, used)) => {
                 buffer.consume(used);
                 return Ok(Some((words, None)));
             }
-            Some(Asked::Begun { words, used, length }) => {
+            Some(ParsedCommand::ValuePending { words, consumed: used, value_length: length }) => {
                 // What can't be taken is refused before it comes.
-                if length > resp::MOST_VALUE
+                if length > resp::MAX_BUFFERED_VALUE
                     && !(words[0].eq_ignore_ascii_case(b"CACHE.SET") && shared.budget.can_hold_value(length))
                 {
                     return Err("too long a value");
@@ -491,23 +491,23 @@
         }
     }
     let Some(value) = coming.as_mut().filter(|coming| !coming.awaits_room()) else { return Ok(None) };
-    let taken = value.body.take(buffer.bytes());
+    let taken = value.body.copy_from(buffer.bytes());
     buffer.consume(taken);
-    if value.body.left() > 0 {
+    if value.body.remaining() > 0 {
         return Ok(None);
     }
-    match buffer.bytes().get(..resp::END.len()) {
+    match buffer.bytes().get(..resp::CRLF.len()) {
         None => return Ok(None),
-        Some(resp::END) => buffer.consume(resp::END.len()),
+        Some(resp::CRLF) => buffer.consume(resp::CRLF.len()),
         Some(_) => return Err("a bulk string without its end"),
     }
-    Ok(coming.take().map(|Coming { words, body, room }| (words, Some((body.segments(), room)))))
+    Ok(coming.take().map(|Coming { words, body, room }| (words, Some((body.into_segments(), room)))))
 }
 
 /// The last answer to a client that does not keep to the protocol.
 fn refuse(shared: &Shared, waiting: &mut VecDeque<Waiting>, cause: &str) -> Close {
     shared.counters.malformed.add();
-    waiting.push_back(Waiting::There(resp::error(&format!("Protocol error: {cause}"))));
+    waiting.push_back(Waiting::There(resp::encode_error(&format!("Protocol error: {cause}"))));
     Close::Refused
 }
 
@@ -569,18 +569,18 @@
                 }
                 Err(cause) => {
                     shared.counters.malformed.add();
-                    resp::error(&cause)
+                    resp::encode_error(&cause)
                 }
             }
         }
         // By this the front learns that clients are to go elsewhere.
-        b"PING" if phase == Phase::LameDuck => resp::error("draining"),
-        b"PING" if words.len() == 2 => resp::value(&words[1]),
+        b"PING" if phase == Phase::LameDuck => resp::encode_error("draining"),
+        b"PING" if words.len() == 2 => resp::encode_bulk(&words[1]),
         b"PING" => Bytes::from_static(b"+PONG\r\n"),
         b"CLIENT" | b"SELECT" | b"QUIT" => Bytes::from_static(b"+OK\r\n"),
         _ => {
             shared.counters.malformed.add();
-            resp::error("unknown command")
+            resp::encode_error("unknown command")
         }
     };
     waiting.push_back(Waiting::There(text));
@@ -640,12 +640,12 @@
 /// A final answer in the protocol's words; of a long value its head.
 fn written(answer: &FinalAnswer) -> Bytes {
     match answer {
-        FinalAnswer::Succeeded(Value::Whole(value)) => resp::value(value),
-        FinalAnswer::Succeeded(Value::Streamed(long)) => resp::head(long.length),
+        FinalAnswer::Succeeded(Value::Whole(value)) => resp::encode_bulk(value),
+        FinalAnswer::Succeeded(Value::Streamed(long)) => resp::encode_bulk_head(long.length),
         FinalAnswer::Rejected { retry_after: Some(span) } => {
             Bytes::from(format!("-BUSY {}\r\n", span / 1000))
         }
         FinalAnswer::Rejected { retry_after: None } => Bytes::from_static(b"-BUSY\r\n"),
-        FinalAnswer::Failed => resp::error("dead-lettered"),
+        FinalAnswer::Failed => resp::encode_error("dead-lettered"),
     }
 }
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -41,5 +41,5 @@
 
 /// Reads once into a connection's buffer; 0 at the end of the stream. Nothing is lost where this is cut off.
 async fn read(from: &mut (impl AsyncRead + Unpin), buffer: &mut Buffer) -> io::Result<usize> {
-    from.read_buf(buffer.room()?).await
+    from.read_buf(buffer.unfilled()?).await
 }
--- a/balancer/src/metrics.rs
+++ b/balancer/src/metrics.rs
@@ -122,10 +122,14 @@
             let help = "1 for the region whose hosts are this balancer's ring.";
             page.figure("edge_proxy_regions_ring", "gauge", help, rings);
             for (name, help, number) in [
-                ("edge_proxy_regions_hosts_ring", "Listed cache hosts of the ring's region.", counts.ring),
-                ("edge_proxy_regions_hosts_outside", "Listed cache hosts of no use here.", counts.outside),
-                ("edge_proxy_regions_hosts_unnamed", "Of those, in no region's zone.", counts.unnamed),
-                ("edge_proxy_regions_zones_unnamed", "Zones seen in no region.", counts.zones_unnamed),
+                ("edge_proxy_regions_hosts_ring", "Listed cache hosts of the ring's region.", counts.in_ring),
+                (
+                    "edge_proxy_regions_hosts_outside",
+                    "Listed cache hosts of no use here.",
+                    counts.outside_ring,
+                ),
+                ("edge_proxy_regions_hosts_unnamed", "Of those, in no region's zone.", counts.unmapped_hosts),
+                ("edge_proxy_regions_zones_unnamed", "Zones seen in no region.", counts.unmapped_zones),
             ] {
                 page.figure(name, "gauge", help, [(None, number as u64)]);
             }
--- a/balancer/src/process.rs
+++ b/balancer/src/process.rs
@@ -192,7 +192,7 @@
         // Of two it is the old one that has learnt, and its last record stands for as long as it is of use.
         if share == LimitShare::Alone && left.elapsed() >= LEAVE {
             left = Instant::now();
-            let record = knowledge::written(&shared.router.borrow().learned_limits());
+            let record = knowledge::encode(&shared.router.borrow().learned_limits());
             // Without it the next process learns anew; a full folder must not end this one.
             slots.leave(&record).unwrap_or_else(|cause| log::debug!("what was learnt is not left: {cause}"));
         }
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -2,7 +2,7 @@
 
 use basaltwood::types::{AttemptOutcome, Micros};
 use basaltwood_wire::facts;
-use basaltwood_wire::resp::MOST_VALUE;
+use basaltwood_wire::resp::MAX_BUFFERED_VALUE;
 use bytes::Bytes;
 use tokio::sync::{mpsc, watch};
 
@@ -44,7 +44,7 @@
     pub fn long(&self) -> Option<(usize, &[Bytes])> {
         let segments = self.value.as_deref()?;
         let length = segments.iter().map(Bytes::len).sum();
-        Some((length, segments)).filter(|_| length > MOST_VALUE)
+        Some((length, segments)).filter(|_| length > MAX_BUFFERED_VALUE)
     }
 
     /// The value in one piece, where it is short.
@@ -64,6 +64,6 @@
 
     /// The names and values as they came, but for how long this push may wait.
     pub fn facts(&self, within: Micros) -> Bytes {
-        facts::with_wait(&self.facts, (within / 1000).max(1) as u64)
+        facts::with_timeout(&self.facts, (within / 1000).max(1) as u64)
     }
 }
--- a/balancer/src/takeover.rs
+++ b/balancer/src/takeover.rs
@@ -94,11 +94,11 @@
         if age.map_err(|cause| named(&cause))? > FRESH {
             return Err(named(&"too old to be of use"));
         }
-        if file.len() > knowledge::LONGEST as u64 {
+        if file.len() > knowledge::MAX_RECORD_BYTES as u64 {
             return Err(named(&"too long a record"));
         }
         let bytes = std::fs::read(&self.learnt).map_err(|cause| named(&cause))?;
-        knowledge::read(&bytes).map_err(|cause| named(&cause))
+        knowledge::decode(&bytes).map_err(|cause| named(&cause))
     }
 
     pub fn share(&self) -> LimitShare {
--- a/balancer/src/upstream/mod.rs
+++ b/balancer/src/upstream/mod.rs
@@ -18,7 +18,7 @@
 };
 use basaltwood_settings::RuntimeLimits;
 use basaltwood_wire::buffer::Buffer;
-use basaltwood_wire::resp::{self, LongReply, Reply, MOST};
+use basaltwood_wire::resp::{self, LongReply, Reply, MAX_BUFFERED_MESSAGE};
 use bytes::{BufMut, Bytes, BytesMut};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -390,7 +390,7 @@
             self.hosts.borrow().get(&host).map(|place| place.address).ok_or(AttemptOutcome::NotSent)?;
         let permit = self.permit().ok_or(AttemptOutcome::NotSent)?;
         let bound = Instant::now() + span(self.bounds.connect_timeout);
-        let outcome = self.open(Some(permit), address, until.min(bound), MOST).await;
+        let outcome = self.open(Some(permit), address, until.min(bound), MAX_BUFFERED_MESSAGE).await;
         opening.1 = None;
         let now = self.clock.now();
         match outcome {
@@ -660,12 +660,12 @@
             let short = request.short();
             match request.long() {
                 Some((length, segments)) => {
-                    let segments = segments.iter().cloned().chain([Bytes::from_static(resp::END)]);
-                    Text(resp::begun(&words, length), segments.collect())
+                    let segments = segments.iter().cloned().chain([Bytes::from_static(resp::CRLF)]);
+                    Text(resp::encode_command_head(&words, length), segments.collect())
                 }
                 None => {
                     words.extend(short.as_deref());
-                    Text(resp::written(&words), Vec::new())
+                    Text(resp::encode_command(&words), Vec::new())
                 }
             }
         };
@@ -683,11 +683,11 @@
 }
 
 fn reply(bytes: &[u8]) -> Result<Option<Found>, String> {
-    if let Some(LongReply { start, length, more }) = resp::long_reply(bytes) {
-        let rest: Rest = Box::new(move |bytes| Ok(resp::rest(bytes, more)?));
+    if let Some(LongReply { start, length, trailing_elements }) = resp::parse_long_reply_head(bytes) {
+        let rest: Rest = Box::new(move |bytes| Ok(resp::parse_after_long_value(bytes, trailing_elements)?));
         return Ok(Some(Found::Streamed { start, length, rest }));
     }
-    let Some((reply, used, keep)) = resp::reply(bytes)? else { return Ok(None) };
+    let Some((reply, used, keep)) = resp::parse_reply(bytes)? else { return Ok(None) };
     let outcome = match reply {
         Reply::Value(place) => {
             (AttemptOutcome::Succeeded, Some(Value::Whole(Bytes::copy_from_slice(&bytes[place]))))
--- a/balancer/src/upstream/origin.rs
+++ b/balancer/src/upstream/origin.rs
@@ -5,7 +5,7 @@
 
 use basaltwood::types::{AttemptOutcome, HostId, Micros};
 use basaltwood_wire::http;
-use basaltwood_wire::resp::{LONGEST, MOST_VALUE};
+use basaltwood_wire::resp::{MAX_BUFFERED_VALUE, MAX_VALUE};
 
 use crate::request::{AttemptResult, ClientRequest, Value};
 use crate::upstream::{AttemptKey, Found, Rest, Text, Upstreams};
@@ -19,34 +19,39 @@
     request: &ClientRequest,
     until: Micros,
 ) -> AttemptResult {
-    let path = format!("/{}", http::escaped(&request.key));
+    let path = format!("/{}", http::percent_encode(&request.key));
     let text = |left| {
         let facts = request.facts(left);
         let headers: [(&str, &[u8]); 2] = [("X-Correlation-Id", &request.id), ("X-Facts", &facts)];
         let method = if request.value.is_some() { "PUT" } else { "GET" };
         let to = address.to_string();
         match request.long() {
-            Some((length, segments)) => {
-                Text(http::begun(method, &path, &to, &headers, Some(length)).freeze(), segments.to_vec())
-            }
-            None => Text(http::request(method, &path, &to, &headers, request.short().as_deref()), Vec::new()),
+            Some((length, segments)) => Text(
+                http::encode_request_head(method, &path, &to, &headers, Some(length)).freeze(),
+                segments.to_vec(),
+            ),
+            None => Text(
+                http::encode_request(method, &path, &to, &headers, request.short().as_deref()),
+                Vec::new(),
+            ),
         }
     };
     servers.exchange(host, ticket, request, text, until, answer).await
 }
 
 fn answer(bytes: &[u8]) -> Result<Option<Found>, String> {
-    if let Some((answer, length)) = http::long(bytes, MOST_VALUE, LONGEST) {
+    if let Some((answer, length)) = http::parse_long_response_head(bytes, MAX_BUFFERED_VALUE, MAX_VALUE) {
         if answer.status == 200 {
-            let (start, rest): (usize, Rest) = (answer.used, Box::new(move |_| Ok(Some((0, answer.keep)))));
+            let (start, rest): (usize, Rest) =
+                (answer.consumed, Box::new(move |_| Ok(Some((0, answer.keep_alive)))));
             return Ok(Some(Found::Streamed { start, length, rest }));
         }
     }
-    let Some(answer) = http::answer(bytes, MOST_VALUE)? else { return Ok(None) };
+    let Some(answer) = http::parse_response(bytes, MAX_BUFFERED_VALUE)? else { return Ok(None) };
     let outcome = match answer.status {
         200 => (AttemptOutcome::Succeeded, Some(Value::Whole(answer.body))),
         503 | 504 if answer.unprocessed => (AttemptOutcome::Rejected, None),
         _ => (AttemptOutcome::Error, None),
     };
-    Ok(Some(Found::Whole(outcome, answer.used, answer.keep)))
+    Ok(Some(Found::Whole(outcome, answer.consumed, answer.keep_alive)))
 }
--- a/balancer/tests/operators.rs
+++ b/balancer/tests/operators.rs
@@ -432,7 +432,7 @@
         assert!(began.elapsed() < Duration::from_secs(15), "nothing was left");
         std::thread::yield_now();
     }
-    let learnt = basaltwood_handover::read(&std::fs::read(&record).expect("a record")).expect("sense");
+    let learnt = basaltwood_handover::decode(&std::fs::read(&record).expect("a record")).expect("sense");
     assert_eq!(learnt.len(), 1);
     assert!(learnt[0].limit > 1.0, "{learnt:?}");
 }
--- a/handover/tests/records.rs
+++ b/handover/tests/records.rs
@@ -1,7 +1,7 @@
 //! Records read as they were written, and nothing else is taken for one.
 
 use basaltwood::types::{LearnedLimit, RingPosition};
-use basaltwood_handover::{read, written, LONGEST};
+use basaltwood_handover::{decode, encode, MAX_RECORD_BYTES};
 use proptest::prelude::*;
 
 proptest! {
@@ -15,29 +15,29 @@
             .iter()
             .map(|&(position, parts)| LearnedLimit { position: RingPosition(position), limit: f64::from(parts) / 1_000.0 })
             .collect();
-        let mut bytes = written(&learnt);
-        let back = read(&bytes).expect("a record");
+        let mut bytes = encode(&learnt);
+        let back = decode(&bytes).expect("a record");
         prop_assert!(back.len() == learnt.len());
         for (one, other) in back.iter().zip(&learnt) {
             prop_assert!(one.position == other.position && (one.limit - other.limit).abs() < 0.002);
         }
         let at = at.index(bytes.len());
-        prop_assert!(read(&bytes[..at]).is_err(), "cut off at {}", at);
+        prop_assert!(decode(&bytes[..at]).is_err(), "cut off at {}", at);
         bytes[at] ^= flip;
-        prop_assert!(read(&bytes).is_err(), "spoilt at {}", at);
+        prop_assert!(decode(&bytes).is_err(), "spoilt at {}", at);
     }
 }
 
 #[test]
 fn what_is_no_record_is_named() {
-    let mut other = written(&[]);
+    let mut other = encode(&[]);
     other[0] = 2;
     let check = crc32fast::hash(&other[..2]).to_le_bytes();
     other[2..].copy_from_slice(&check);
     let hosts = vec![LearnedLimit { position: RingPosition(u64::MAX), limit: 256.0 }; 5_000];
-    assert_eq!(read(&written(&hosts)).map(|hosts| hosts.len()), Ok(4_096));
-    assert!(written(&hosts).len() <= LONGEST);
-    let errors = [read(b""), read(&other), read(&vec![0; LONGEST + 1])].map(|read| read.err());
+    assert_eq!(decode(&encode(&hosts)).map(|hosts| hosts.len()), Ok(4_096));
+    assert!(encode(&hosts).len() <= MAX_RECORD_BYTES);
+    let errors = [decode(b""), decode(&other), decode(&vec![0; MAX_RECORD_BYTES + 1])].map(|read| read.err());
     assert_eq!(errors, [Some("no record"), Some("a record of another version"), Some("too long a record")]);
 }
 
@@ -59,7 +59,7 @@
     .into_iter()
     .map(|(position, limit)| LearnedLimit { position, limit })
     .collect();
-    assert_eq!(read(&RECORD_OF_VERSION_1).expect("a record"), expected);
-    assert_eq!(written(&expected), RECORD_OF_VERSION_1);
-    assert_eq!(written(&[]), [0x01, 0x00, 0xbe, 0x23, 0xc2, 0x58]);
+    assert_eq!(decode(&RECORD_OF_VERSION_1).expect("a record"), expected);
+    assert_eq!(encode(&expected), RECORD_OF_VERSION_1);
+    assert_eq!(encode(&[]), [0x01, 0x00, 0xbe, 0x23, 0xc2, 0x58]);
 }
--- a/regions/src/hosts.rs
+++ b/regions/src/hosts.rs
@@ -43,12 +43,12 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RegionCounts {
     /// In the ring's region, those that drain too.
-    pub ring: usize,
-    pub outside: usize,
+    pub in_ring: usize,
+    pub outside_ring: usize,
     /// Those outside that no region's zone holds.
-    pub unnamed: usize,
+    pub unmapped_hosts: usize,
     /// Zones without a region that the list named so far.
-    pub zones_unnamed: usize,
+    pub unmapped_zones: usize,
 }
 
 /// What is kept of a host.
@@ -170,13 +170,13 @@
     }
 
     pub fn counts(&self) -> RegionCounts {
-        let mut counts = RegionCounts { zones_unnamed: self.said.len(), ..RegionCounts::default() };
+        let mut counts = RegionCounts { unmapped_zones: self.said.len(), ..RegionCounts::default() };
         let listed = |host: &&Host<T>| host.lifecycle != Lifecycle::Gone && !host.origin;
         for host in self.hosts.values().filter(listed) {
             let region = host.region(&self.map);
-            counts.ring += usize::from(region == Some(self.ring));
-            counts.outside += usize::from(region != Some(self.ring));
-            counts.unnamed += usize::from(region.is_none());
+            counts.in_ring += usize::from(region == Some(self.ring));
+            counts.outside_ring += usize::from(region != Some(self.ring));
+            counts.unmapped_hosts += usize::from(region.is_none());
         }
         counts
     }
--- a/regions/tests/bytes.rs
+++ b/regions/tests/bytes.rs
@@ -31,5 +31,5 @@
     let each = (held() - before) / MANY;
     println!("{each} bytes a host outside");
     assert!((100..256).contains(&each), "{each} bytes a host outside");
-    assert_eq!(regions.counts().outside, MANY);
+    assert_eq!(regions.counts().outside_ring, MANY);
 }
--- a/regions/tests/rings.rs
+++ b/regions/tests/rings.rs
@@ -276,10 +276,10 @@
 fn hosts_are_counted_by_where_they_lie() {
     let mut regions = regions();
     regions.apply(true, entries("a n1, b n2 leaving, c s1, d x1, e -, origin x9"));
-    let counted = RegionCounts { ring: 2, outside: 3, unnamed: 2, zones_unnamed: 2 };
+    let counted = RegionCounts { in_ring: 2, outside_ring: 3, unmapped_hosts: 2, unmapped_zones: 2 };
     assert_eq!((regions.counts(), regions.ring()), (counted, "north"));
     regions.apply(false, entries("a n1 left, b n2 left"));
-    let counted = RegionCounts { ring: 1, outside: 2, ..counted };
+    let counted = RegionCounts { in_ring: 1, outside_ring: 2, ..counted };
     assert_eq!((regions.counts(), regions.ring()), (counted, "south"));
 }
 
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -15,29 +15,29 @@
 #[derive(Default)]
 pub struct IdTable {
     numbers: HashMap<String, u32>,
-    pub texts: Vec<String>,
+    pub names: Vec<String>,
     /// Numbers that stand for nothing at the moment.
     free: Vec<u32>,
 }
 
 impl IdTable {
-    pub fn number(&mut self, text: &str) -> u32 {
+    pub fn intern(&mut self, text: &str) -> u32 {
         if let Some(&number) = self.numbers.get(text) {
             return number;
         }
-        let number = self.free.pop().unwrap_or(self.texts.len() as u32);
+        let number = self.free.pop().unwrap_or(self.names.len() as u32);
         self.numbers.insert(text.to_owned(), number);
-        match self.texts.get_mut(number as usize) {
+        match self.names.get_mut(number as usize) {
             Some(place) => text.clone_into(place),
-            None => self.texts.push(text.to_owned()),
+            None => self.names.push(text.to_owned()),
         }
         number
     }
 
     /// The number stands for nothing from now on, until a new text gets it; whether it stood for one until
     /// now. The text that it stood for last may have another number since.
-    pub fn forget(&mut self, number: u32) -> bool {
-        let text = &self.texts[number as usize];
+    pub fn release(&mut self, number: u32) -> bool {
+        let text = &self.names[number as usize];
         let stands = self.numbers.get(text) == Some(&number);
         if stands {
             self.numbers.remove(text);
@@ -46,7 +46,7 @@
         stands
     }
 
-    pub fn known(&self, text: &str, what: &str) -> Result<u32, String> {
+    pub fn lookup(&self, text: &str, what: &str) -> Result<u32, String> {
         self.numbers.get(text).copied().ok_or_else(|| format!("unknown {what} {text}"))
     }
 }
@@ -54,7 +54,7 @@
 fn names(texts: impl IntoIterator<Item = String>) -> IdTable {
     let mut names = IdTable::default();
     texts.into_iter().for_each(|text| {
-        names.number(&text);
+        names.intern(&text);
     });
     names
 }
@@ -93,15 +93,15 @@
 
     /// The classes' names, in the order of their ids.
     pub fn class_names(&self) -> Vec<String> {
-        self.categories.texts.clone()
+        self.categories.names.clone()
     }
 
     pub fn class_id(&self, name: &str) -> Result<RequestClassId, String> {
-        self.categories.known(name, "category").map(|number| RequestClassId(number as u16))
+        self.categories.lookup(name, "category").map(|number| RequestClassId(number as u16))
     }
 
     pub fn tenant_id(&self, name: &str) -> Option<TenantId> {
-        self.customers.known(name, "customer").ok().map(|number| TenantId(number as u16))
+        self.customers.lookup(name, "customer").ok().map(|number| TenantId(number as u16))
     }
 
     /// Whether machines of this kind are the origin's.
@@ -111,10 +111,10 @@
 
     pub fn endpoint(&mut self, entry: &EndpointRecord) -> Endpoint {
         Endpoint {
-            host: HostId(self.hosts.number(entry.host)),
+            host: HostId(self.hosts.intern(entry.host)),
             position: RingPosition::of(entry.host),
             origin: self.is_origin(entry.kind),
-            zone: ZoneId(entry.zone.map_or(0, |zone| self.zones.number(zone))),
+            zone: ZoneId(entry.zone.map_or(0, |zone| self.zones.intern(zone))),
             cell: CellId(entry.cell.unwrap_or(0)),
             lifecycle: entry.lifecycle,
             weight: entry.weight.unwrap_or(1.0),
--- a/settings/tests/names.rs
+++ b/settings/tests/names.rs
@@ -6,12 +6,12 @@
 #[test]
 fn a_text_that_came_back_under_another_number_keeps_it() {
     let mut names = IdTable::default();
-    let (a, b) = (names.number("a"), names.number("b"));
-    assert!(names.forget(a) && names.forget(b));
-    let again = names.number("a");
+    let (a, b) = (names.intern("a"), names.intern("b"));
+    assert!(names.release(a) && names.release(b));
+    let again = names.intern("a");
     assert_eq!(again, b, "the number that was forgotten last goes first");
-    assert!(!names.forget(a), "that number stands for nothing");
-    assert_eq!(names.number("a"), again);
-    let others = [names.number("c"), names.number("d")];
+    assert!(!names.release(a), "that number stands for nothing");
+    assert_eq!(names.intern("a"), again);
+    let others = [names.intern("c"), names.intern("d")];
     assert_eq!(others, [a, 2], "no number stands for two");
 }
--- a/testbed/src/load/player.rs
+++ b/testbed/src/load/player.rs
@@ -443,9 +443,9 @@
         let id = id.to_string();
         if category.write {
             let value = vec![b'v'; planned.size as usize];
-            resp::written(&[b"CACHE.SET", key.as_bytes(), id.as_bytes(), facts.as_bytes(), &value])
+            resp::encode_command(&[b"CACHE.SET", key.as_bytes(), id.as_bytes(), facts.as_bytes(), &value])
         } else {
-            resp::written(&[b"CACHE.GET", key.as_bytes(), id.as_bytes(), facts.as_bytes()])
+            resp::encode_command(&[b"CACHE.GET", key.as_bytes(), id.as_bytes(), facts.as_bytes()])
         }
     }
 
@@ -494,7 +494,7 @@
 
 /// One connection until either side ends it.
 async fn talk(link: Rc<Link>, mut stream: TcpStream, balancer: usize, ledger: Ledger, target: Rc<Target>) {
-    let mut buffer = Buffer::new(resp::MOST + 16 * 1024);
+    let mut buffer = Buffer::new(resp::MAX_BUFFERED_MESSAGE + 16 * 1024);
     let (mut reading, mut writing) = stream.split();
     'open: while !link.closed.get() {
         let out = link.out.borrow_mut().split().freeze();
@@ -508,20 +508,20 @@
             unsent.into_iter().for_each(|(asked, _)| ledger.note(asked));
             continue;
         }
-        let Ok(room) = buffer.room() else { break };
+        let Ok(room) = buffer.unfilled() else { break };
         tokio::select! {
             biased;
             read = reading.read_buf(room) => if !matches!(read, Ok(1..)) { break },
             () = link.kick.notified() => continue,
         }
         loop {
-            let (reply, used, own) = match resp::answer(buffer.bytes()) {
-                Ok(Some((resp::Answer::Value(place), used))) => {
+            let (reply, used, own) = match resp::parse_balancer_reply(buffer.bytes()) {
+                Ok(Some((resp::BalancerReply::Value(place), used))) => {
                     let id = buffer.bytes().get(place).and_then(|value| Id::read(value.get(..16)?));
                     (Reply::Served { own: true }, used, id)
                 }
-                Ok(Some((resp::Answer::Busy(ms), used))) => (Reply::Busy(ms), used, None),
-                Ok(Some((resp::Answer::Failed, used))) => (Reply::Failed, used, None),
+                Ok(Some((resp::BalancerReply::Busy(ms), used))) => (Reply::Busy(ms), used, None),
+                Ok(Some((resp::BalancerReply::Failed, used))) => (Reply::Failed, used, None),
                 Ok(None) => break,
                 Err(_) => break 'open,
             };
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -74,11 +74,11 @@
 
 async fn attend(mut stream: Stream) {
     let _ = stream.set_nodelay(true);
-    let mut buffer = Buffer::new(resp::MOST + 64 * 1024);
+    let mut buffer = Buffer::new(resp::MAX_BUFFERED_MESSAGE + 64 * 1024);
     let mut out = BytesMut::new();
     loop {
         loop {
-            match resp::command(buffer.bytes()) {
+            match resp::parse_complete_command(buffer.bytes()) {
                 Ok(Some((words, used))) => {
                     buffer.consume(used);
                     if words.len() < 4 {
@@ -87,7 +87,7 @@
                     }
                     let mut value = words[2].to_vec();
                     value.resize(128, b'.');
-                    out.put_slice(&resp::stored(Some(&value), None));
+                    out.put_slice(&resp::encode_reply(Some(&value), None));
                 }
                 Ok(None) => break,
                 Err(_) => return,
@@ -96,7 +96,7 @@
         if !out.is_empty() && stream.write_all(&out.split()).await.is_err() {
             return;
         }
-        let Ok(room) = buffer.room() else { return };
+        let Ok(room) = buffer.unfilled() else { return };
         if !matches!(stream.read_buf(room).await, Ok(1..)) {
             return;
         }
--- a/testbed/src/router.rs
+++ b/testbed/src/router.rs
@@ -193,14 +193,14 @@
     async fn listen_to(&self, discovery: SocketAddr, generation: u64) -> Option<Page> {
         let mut stream = TcpStream::connect(discovery).await.ok()?;
         let path = format!("/v1/servers?from={generation}&hold_ms=20000");
-        let request = http::request("GET", &path, &discovery.to_string(), &[], None);
+        let request = http::encode_request("GET", &path, &discovery.to_string(), &[], None);
         stream.write_all(&request).await.ok()?;
         let mut buffer = Buffer::new(MOST_BODY);
         loop {
-            if stream.read_buf(buffer.room().ok()?).await.ok()? == 0 {
+            if stream.read_buf(buffer.unfilled().ok()?).await.ok()? == 0 {
                 return None;
             }
-            if let Some(answer) = http::answer(buffer.bytes(), MOST_BODY).ok()? {
+            if let Some(answer) = http::parse_response(buffer.bytes(), MOST_BODY).ok()? {
                 return serde_json::from_slice(&answer.body).ok();
             }
         }
@@ -212,9 +212,9 @@
 
     async fn client(self: Rc<Router>, mut stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let mut buffer = Buffer::new(resp::MOST);
+        let mut buffer = Buffer::new(resp::MAX_BUFFERED_MESSAGE);
         loop {
-            match resp::command(buffer.bytes()) {
+            match resp::parse_complete_command(buffer.bytes()) {
                 Ok(Some((words, used))) => {
                     buffer.consume(used);
                     if words.is_empty() {
@@ -226,7 +226,7 @@
                     }
                 }
                 Ok(None) => {
-                    let Ok(room) = buffer.room() else { return };
+                    let Ok(room) = buffer.unfilled() else { return };
                     if !matches!(stream.read_buf(room).await, Ok(1..)) {
                         return;
                     }
@@ -278,7 +278,7 @@
                     Some(Misdeed::Forge) => Bytes::from([&words[2][..], b":nobody:"].concat()),
                     _ => value,
                 };
-                let text = resp::value(&value);
+                let text = resp::encode_bulk(&value);
                 if self.chance(Misdeed::Twice) {
                     [&text[..], &text[..]].concat().into()
                 } else {
@@ -286,7 +286,7 @@
                 }
             }
             End::Never | End::Unreached => Bytes::from_static(b"-BUSY\r\n"),
-            End::Miss | End::Failed => resp::error("dead-lettered"),
+            End::Miss | End::Failed => resp::encode_error("dead-lettered"),
         })
     }
 
@@ -347,11 +347,11 @@
 }
 
 async fn push(node: &Node, words: &[Bytes], until: Instant) -> End {
-    let facts = facts::with_wait(&words[3], left(until));
+    let facts = facts::with_timeout(&words[3], left(until));
     let mut sent: Vec<&[u8]> = words.iter().map(|word| &word[..]).collect();
     sent[3] = &facts;
-    exchange(node, resp::written(&sent), until, |bytes| {
-        let (reply, used, keep) = resp::reply(bytes)?.unwrap_or((resp::Reply::Failed, 0, true));
+    exchange(node, resp::encode_command(&sent), until, |bytes| {
+        let (reply, used, keep) = resp::parse_reply(bytes)?.unwrap_or((resp::Reply::Failed, 0, true));
         if used == 0 {
             return Ok(None);
         }
@@ -367,20 +367,20 @@
 }
 
 async fn fetch(node: &Node, words: &[Bytes], until: Instant) -> End {
-    let facts = facts::with_wait(&words[3], left(until));
-    let path = format!("/{}", http::escaped(&words[1]));
+    let facts = facts::with_timeout(&words[3], left(until));
+    let path = format!("/{}", http::percent_encode(&words[1]));
     let headers: [(&str, &[u8]); 2] = [("X-Correlation-Id", &words[2]), ("X-Facts", &facts)];
     let value = words.get(4).map(|value| &value[..]);
     let method = if value.is_some() { "PUT" } else { "GET" };
-    let request = http::request(method, &path, &node.address.to_string(), &headers, value);
+    let request = http::encode_request(method, &path, &node.address.to_string(), &headers, value);
     exchange(node, request, until, |bytes| {
-        let Some(answer) = http::answer(bytes, resp::MOST_VALUE)? else { return Ok(None) };
+        let Some(answer) = http::parse_response(bytes, resp::MAX_BUFFERED_VALUE)? else { return Ok(None) };
         let end = match answer.status {
             200 => End::Value(answer.body),
             503 | 504 if answer.unprocessed => End::Never,
             _ => End::Failed,
         };
-        Ok(Some((end, answer.used, answer.keep)))
+        Ok(Some((end, answer.consumed, answer.keep_alive)))
     })
     .await
 }
@@ -408,9 +408,9 @@
     if !matches!(timeout_at(until, stream.write_all(&text)).await, Ok(Ok(()))) {
         return End::Unreached;
     }
-    let mut buffer = Buffer::new(resp::MOST + 16 * 1024);
+    let mut buffer = Buffer::new(resp::MAX_BUFFERED_MESSAGE + 16 * 1024);
     loop {
-        let Ok(room) = buffer.room() else { return End::Failed };
+        let Ok(room) = buffer.unfilled() else { return End::Failed };
         if !matches!(timeout_at(until, stream.read_buf(room)).await, Ok(Ok(1..))) {
             return End::Failed;
         }
--- a/testbed/src/scale/discovery.rs
+++ b/testbed/src/scale/discovery.rs
@@ -132,10 +132,10 @@
         let mut buffer = Buffer::new(16 * 1024);
         let mut silent = self.silent.subscribe();
         loop {
-            let request = match http::asked(buffer.bytes(), 0) {
+            let request = match http::parse_request(buffer.bytes(), 0) {
                 Ok(Some(request)) => request,
                 Ok(None) => {
-                    let Ok(room) = buffer.room() else { return };
+                    let Ok(room) = buffer.unfilled() else { return };
                     match stream.read_buf(room).await {
                         Ok(1..) => continue,
                         _ => return,
@@ -143,11 +143,11 @@
                 }
                 Err(_) => return,
             };
-            buffer.consume(request.used);
+            buffer.consume(request.consumed);
             {
                 let mut mark = self.mark.borrow_mut();
                 mark.calls += 1;
-                mark.bytes_in += request.used as u64;
+                mark.bytes_in += request.consumed as u64;
             }
             let asked = changes_asked(&request.path);
             if !held(&mut stream, &self.generation, asked).await {
@@ -178,7 +178,7 @@
         let instances: Vec<&Value> = newer.map(|entry| &entry.1).collect();
         let page = json!({"generation": generation, "reset": from.is_none(), "instances": instances});
         let body = page.to_string();
-        let text = http::answered(200, &[("Content-Type", "application/json")], body.as_bytes());
+        let text = http::encode_response(200, &[("Content-Type", "application/json")], body.as_bytes());
         self.page.replace(Some((from, generation, text.clone())));
         text
     }
--- a/testbed/src/scale/fleet.rs
+++ b/testbed/src/scale/fleet.rs
@@ -116,11 +116,11 @@
     }
 
     async fn serve(&self, host: &Host, mut stream: TcpStream) {
-        let mut buffer = Buffer::new(resp::MOST);
+        let mut buffer = Buffer::new(resp::MAX_BUFFERED_MESSAGE);
         let idle = Duration::from_secs_f64(self.spec.idle_ms / 1e3);
         let service = Duration::from_secs_f64(self.spec.service_ms / 1e3);
         loop {
-            match resp::command(buffer.bytes()) {
+            match resp::parse_complete_command(buffer.bytes()) {
                 Ok(Some((words, used))) => {
                     buffer.consume(used);
                     more(&host.requests);
@@ -133,7 +133,7 @@
                     }
                 }
                 Ok(None) => {
-                    let Ok(room) = buffer.room() else { return };
+                    let Ok(room) = buffer.unfilled() else { return };
                     if !matches!(timeout(idle, stream.read_buf(room)).await, Ok(Ok(1..))) {
                         return;
                     }
@@ -149,7 +149,7 @@
     fn value(&self, words: &[Bytes]) -> Bytes {
         let mut value = words.get(2).map_or_else(Vec::new, |id| id.to_vec());
         value.resize(value.len().max(self.spec.value_bytes), b'.');
-        resp::stored(Some(&value), None)
+        resp::encode_reply(Some(&value), None)
     }
 }
 
--- a/testbed/src/scale/hollow.rs
+++ b/testbed/src/scale/hollow.rs
@@ -289,7 +289,7 @@
         self.carry_out();
         self.ring();
         for host in self.router.borrow().released_hosts() {
-            self.words.borrow_mut().hosts.forget(host.0);
+            self.words.borrow_mut().hosts.release(host.0);
             self.hosts.borrow_mut().remove(&host);
             self.pools.borrow_mut().forget_host(host);
         }
@@ -358,26 +358,26 @@
             ),
             None => "/v1/servers".to_owned(),
         };
-        let request = http::request("GET", &path, &discovery.to_string(), &[], None);
+        let request = http::encode_request("GET", &path, &discovery.to_string(), &[], None);
         let answer = timeout_at(until, async {
             stream.write_all(&request).await.map_err(silent)?;
             self.shared.count(|mark| mark.control_out += request.len() as u64);
             loop {
-                let room = buffer.room().map_err(silent)?;
+                let room = buffer.unfilled().map_err(silent)?;
                 match stream.read_buf(room).await.map_err(silent)? {
                     0 => return Err(WatchError::TimedOut("it closed the connection".to_owned())),
                     read => self.shared.count(|mark| mark.control_in += read as u64),
                 }
                 if let Some(answer) =
-                    http::answer(buffer.bytes(), MOST_BODY).map_err(WatchError::InvalidResponse)?
+                    http::parse_response(buffer.bytes(), MOST_BODY).map_err(WatchError::InvalidResponse)?
                 {
                     return Ok(answer);
                 }
             }
         });
         let answer = answer.await.map_err(|_| WatchError::TimedOut("it is silent".to_owned()))??;
-        buffer.consume(answer.used);
-        if !answer.keep {
+        buffer.consume(answer.consumed);
+        if !answer.keep_alive {
             *connection = None;
         }
         match answer.status {
@@ -446,7 +446,7 @@
         let text = format!("c=read,d={},size=128", (due + self.ttl - self.clock.now()).max(0) / MS);
         let id = RingPosition(u64::from(op.0)).mixed(u64::from(self.no)).0;
         let id = format!("{id:016x}");
-        let text = resp::written(&[b"CACHE.GET", key.as_bytes(), id.as_bytes(), text.as_bytes()]);
+        let text = resp::encode_command(&[b"CACHE.GET", key.as_bytes(), id.as_bytes(), text.as_bytes()]);
         let mut tasks: JoinSet<(AttemptNumber, AttemptOutcome)> = JoinSet::new();
         let mut out: BTreeMap<AttemptNumber, AbortHandle> = BTreeMap::new();
         let mut over = false;
@@ -534,7 +534,7 @@
         self.carrying.borrow_mut().insert(id, ticket);
         loop {
             let Some(link) = &mut held.link else { return AttemptOutcome::NotSent };
-            let Ok(room) = link.buffer.room() else { return AttemptOutcome::Error };
+            let Ok(room) = link.buffer.unfilled() else { return AttemptOutcome::Error };
             let read = timeout_at(until, link.stream.read_buf(room)).await;
             let now = self.clock.now();
             match read {
@@ -555,7 +555,7 @@
                 }
                 Ok(Ok(read)) => self.shared.count(|mark| mark.host_in += read as u64),
             }
-            match resp::reply(link.buffer.bytes()) {
+            match resp::parse_reply(link.buffer.bytes()) {
                 Ok(None) => {}
                 Ok(Some((reply, used, keep))) => {
                     link.buffer.consume(used);
@@ -638,7 +638,11 @@
                 let _ = stream.set_nodelay(true);
                 self.shared.count(|mark| mark.opened += 1);
                 self.pools.borrow_mut().connected(now, id);
-                Ok(Held { of: self, id, link: Some(Link { stream, buffer: Buffer::new(resp::MOST) }) })
+                Ok(Held {
+                    of: self,
+                    id,
+                    link: Some(Link { stream, buffer: Buffer::new(resp::MAX_BUFFERED_MESSAGE) }),
+                })
             }
             failed => {
                 let own = failed.is_err() && until < bound;
--- a/testbed/src/world/discovery.rs
+++ b/testbed/src/world/discovery.rs
@@ -195,10 +195,10 @@
     async fn serve(self: Rc<Agent>, mut stream: TcpStream) {
         let mut buffer = Buffer::new(16 * 1024);
         loop {
-            let request = match http::asked(buffer.bytes(), 0) {
+            let request = match http::parse_request(buffer.bytes(), 0) {
                 Ok(Some(request)) => request,
                 Ok(None) => {
-                    let Ok(room) = buffer.room() else { return };
+                    let Ok(room) = buffer.unfilled() else { return };
                     match stream.read_buf(room).await {
                         Ok(1..) => continue,
                         _ => return,
@@ -206,7 +206,7 @@
                 }
                 Err(_) => return,
             };
-            buffer.consume(request.used);
+            buffer.consume(request.consumed);
             let asked = changes_asked(&request.path);
             if !held(&mut stream, &self.generation, asked).await {
                 return;
@@ -239,7 +239,8 @@
             "reset": from.is_none(),
             "instances": instances,
         });
-        let text = http::answered(200, &[("Content-Type", "application/json")], page.to_string().as_bytes());
+        let text =
+            http::encode_response(200, &[("Content-Type", "application/json")], page.to_string().as_bytes());
         (text, newer.iter().map(|entry| (entry.no, entry.standing)).collect())
     }
 }
--- a/testbed/src/world/host.rs
+++ b/testbed/src/world/host.rs
@@ -525,7 +525,7 @@
     }
 
     async fn serve(self: &Rc<Host>, balancer: usize, stream: &mut TcpStream) -> Fate {
-        let mut buffer = Buffer::new(resp::MOST + MOST_BODY);
+        let mut buffer = Buffer::new(resp::MAX_BUFFERED_MESSAGE + MOST_BODY);
         let mut fresh = true;
         // When the first byte of what stands in the buffer came.
         let mut began = 0;
@@ -536,7 +536,7 @@
                     asked
                 }
                 Ok(None) => {
-                    let Ok(room) = buffer.room() else { return Fate::Reset };
+                    let Ok(room) = buffer.unfilled() else { return Fate::Reset };
                     let idle = crate::time::span(self.terms.idle);
                     match timeout(idle, stream.read_buf(room)).await {
                         Ok(Ok(1..)) => {}
@@ -575,17 +575,17 @@
 
     fn asked(&self, bytes: &[u8]) -> Result<Option<(Asked, usize)>, String> {
         if self.terms.no == HostNo::ORIGIN {
-            let Some(request) = http::asked(bytes, MOST_BODY)? else { return Ok(None) };
+            let Some(request) = http::parse_request(bytes, MOST_BODY)? else { return Ok(None) };
             let id = request.header("x-correlation-id").and_then(|id| Id::read(id.as_bytes()));
             let command = Command {
                 id: id.ok_or("no id")?,
                 write: request.method == "PUT",
                 facts: request.header("x-facts").unwrap_or("").to_owned(),
-                key: http::unescaped(&request.path).into(),
+                key: http::percent_decode(&request.path).into(),
             };
-            return Ok(Some((Asked::Op(command), request.used)));
+            return Ok(Some((Asked::Op(command), request.consumed)));
         }
-        let Some((words, used)) = resp::command(bytes)? else { return Ok(None) };
+        let Some((words, used)) = resp::parse_complete_command(bytes)? else { return Ok(None) };
         let name = words.first().map(|word| word.to_ascii_uppercase()).unwrap_or_default();
         let asked = match &name[..] {
             b"CACHE.GET" | b"CACHE.SET" if words.len() >= 4 => Asked::Op(Command {
@@ -596,7 +596,7 @@
             }),
             b"PING" => Asked::Plain(Bytes::from_static(b"+PONG\r\n")),
             b"CLIENT" | b"SELECT" => Asked::Plain(Bytes::from_static(b"+OK\r\n")),
-            b"INFO" => Asked::Plain(resp::value(self.load().as_bytes())),
+            b"INFO" => Asked::Plain(resp::encode_bulk(self.load().as_bytes())),
             _ => return Err("no command of ours".to_owned()),
         };
         Ok(Some((asked, used)))
@@ -732,19 +732,19 @@
     fn value(&self, asked: &Command) -> Vec<u8> {
         let mut value = format!("{}:{}:", asked.id, self.terms.name).into_bytes();
         let size = fact(&asked.facts, "size").and_then(|size| size.parse::<usize>().ok()).unwrap_or(0);
-        value.resize(value.len().max(size.min(resp::MOST_VALUE)), b'.');
+        value.resize(value.len().max(size.min(resp::MAX_BUFFERED_VALUE)), b'.');
         value
     }
 
     /// An answer in this machine's protocol.
     fn says(&self, value: Option<Vec<u8>>, line: &str) -> Bytes {
         match (self.terms.no == HostNo::ORIGIN, line) {
-            (true, "") => http::answered(200, &[], &value.unwrap_or_default()),
-            (true, "-BUSY") => http::answered(503, &[("X-Unprocessed", "1")], b""),
-            (true, _) => http::answered(500, &[], b""),
+            (true, "") => http::encode_response(200, &[], &value.unwrap_or_default()),
+            (true, "-BUSY") => http::encode_response(503, &[("X-Unprocessed", "1")], b""),
+            (true, _) => http::encode_response(500, &[], b""),
             (false, "") => {
                 let report = (self.terms.report_every > 0).then(|| self.load());
-                resp::stored(value.as_deref(), report.as_deref())
+                resp::encode_reply(value.as_deref(), report.as_deref())
             }
             (false, line) => Bytes::from(format!("{line}\r\n")),
         }
--- a/wire/src/body.rs
+++ b/wire/src/body.rs
@@ -23,25 +23,25 @@
     }
 
     /// Bytes that are still to come.
-    pub fn left(&self) -> usize {
+    pub fn remaining(&self) -> usize {
         self.left
     }
 
     /// Takes from the front of what was read already; how much.
-    pub fn take(&mut self, bytes: &[u8]) -> usize {
+    pub fn copy_from(&mut self, bytes: &[u8]) -> usize {
         let mut taken = 0;
         while taken < bytes.len() && self.left > 0 {
-            let mut room = self.room();
+            let mut room = self.unfilled();
             let count = room.remaining_mut().min(bytes.len() - taken);
             room.put_slice(&bytes[taken..taken + count]);
-            self.filled(count);
+            self.advance(count);
             taken += count;
         }
         taken
     }
 
-    /// Where the next bytes may be read to, no more than are to come; [`Body::filled`] tells how many came.
-    pub fn room(&mut self) -> bytes::buf::Limit<&mut BytesMut> {
+    /// Where the next bytes may be read to, no more than are to come; [`Body::advance`] tells how many came.
+    pub fn unfilled(&mut self) -> bytes::buf::Limit<&mut BytesMut> {
         if self.filling.capacity() == self.filling.len() {
             self.seal();
             self.filling.reserve(self.left.min(SEGMENT));
@@ -50,7 +50,7 @@
         (&mut self.filling).limit(room)
     }
 
-    pub fn filled(&mut self, count: usize) {
+    pub fn advance(&mut self, count: usize) {
         self.left -= count;
         if self.left == 0 {
             self.seal();
@@ -64,7 +64,7 @@
     }
 
     /// The value, once nothing is left to come.
-    pub fn segments(self) -> Vec<Bytes> {
+    pub fn into_segments(self) -> Vec<Bytes> {
         self.whole
     }
 }
--- a/wire/src/buffer.rs
+++ b/wire/src/buffer.rs
@@ -27,11 +27,11 @@
     }
 
     /// What it takes of memory.
-    pub fn size(&self) -> usize {
+    pub fn capacity(&self) -> usize {
         self.bytes.capacity()
     }
 
-    pub fn full(&self) -> bool {
+    pub fn is_full(&self) -> bool {
         self.bytes.len() >= self.most
     }
 
@@ -39,8 +39,8 @@
     ///
     /// # Errors
     /// `InvalidData` where it holds as much as may come at a time.
-    pub fn room(&mut self) -> io::Result<&mut BytesMut> {
-        if self.full() {
+    pub fn unfilled(&mut self) -> io::Result<&mut BytesMut> {
+        if self.is_full() {
             return Err(io::Error::new(io::ErrorKind::InvalidData, "more than may come at a time"));
         }
         // Nothing else holds a part of these bytes, so this moves them to the front before it grows.
--- a/wire/src/facts.rs
+++ b/wire/src/facts.rs
@@ -8,7 +8,7 @@
 }
 
 /// The list as it came, but for how long this push may wait (`d`, in milliseconds, at least one).
-pub fn with_wait(facts: &[u8], ms: u64) -> Bytes {
+pub fn with_timeout(facts: &[u8], ms: u64) -> Bytes {
     let mut out = BytesMut::with_capacity(facts.len() + 8);
     for (nth, fact) in facts.split(|&byte| byte == b',').enumerate() {
         out.put_slice(if nth > 0 { b"," } else { b"" });
--- a/wire/src/http.rs
+++ b/wire/src/http.rs
@@ -4,48 +4,48 @@
 
 use bytes::{BufMut, Bytes, BytesMut};
 
-const MOST_HEAD: usize = 16 * 1024;
-const MOST_HEADERS: usize = 64;
-const MOST_INTERIM: usize = 16;
+const MAX_HEAD: usize = 16 * 1024;
+const MAX_HEADERS: usize = 64;
+const MAX_INTERIM: usize = 16;
 
 /// The head of an answer, and where its body stands.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     /// It says itself that what was asked never ran.
     pub unprocessed: bool,
     /// Seconds after which to come again, where it says so.
     pub retry_after: Option<u32>,
     /// The connection may carry another request.
-    pub keep: bool,
+    pub keep_alive: bool,
     pub body: Bytes,
     /// How many bytes it all took.
-    pub used: usize,
+    pub consumed: usize,
 }
 
 /// A whole answer at the front; `None` while it is not whole. An answer whose end only the connection's end
 /// would tell is refused: it could not be known to be whole.
-pub fn answer(bytes: &[u8], most_body: usize) -> Result<Option<Answer>, String> {
+pub fn parse_response(bytes: &[u8], max_body: usize) -> Result<Option<Response>, String> {
     let mut from = 0;
-    for _ in 0..MOST_INTERIM {
-        match one(&bytes[from..], most_body)? {
-            Some(interim) if interim.status / 100 == 1 && interim.status != 101 => from += interim.used,
-            found => return Ok(found.map(|answer| Answer { used: from + answer.used, ..answer })),
+    for _ in 0..MAX_INTERIM {
+        match one(&bytes[from..], max_body)? {
+            Some(interim) if interim.status / 100 == 1 && interim.status != 101 => from += interim.consumed,
+            found => return Ok(found.map(|answer| Response { consumed: from + answer.consumed, ..answer })),
         }
     }
     Err("too many interim answers".to_owned())
 }
 
 /// The head of an answer whose body of one told length is past `held`, too long to be held whole, and up to `most`: the
-/// answer without its body, `used` where that begins, and its length. `None` for any other, or while no head is whole.
-pub fn long(bytes: &[u8], held: usize, most: usize) -> Option<(Answer, usize)> {
+/// answer without its body, `consumed` where that begins, and its length. `None` for any other, or while no head is whole.
+pub fn parse_long_response_head(bytes: &[u8], held: usize, most: usize) -> Option<(Response, usize)> {
     let mut from = 0;
-    for _ in 0..MOST_INTERIM {
+    for _ in 0..MAX_INTERIM {
         let (answer, framing) = head(&bytes[from..]).ok()??;
         match framing {
-            Framing::None if answer.status / 100 == 1 && answer.status != 101 => from += answer.used,
+            Framing::None if answer.status / 100 == 1 && answer.status != 101 => from += answer.consumed,
             Framing::Length(length) if (held + 1..=most).contains(&length) => {
-                return Some((Answer { used: from + answer.used, ..answer }, length));
+                return Some((Response { consumed: from + answer.consumed, ..answer }, length));
             }
             _ => return None,
         }
@@ -61,28 +61,28 @@
 }
 
 /// The first answer, perhaps an interim one (1xx) that stands ahead of the one that counts.
-fn one(bytes: &[u8], most_body: usize) -> Result<Option<Answer>, String> {
+fn one(bytes: &[u8], max_body: usize) -> Result<Option<Response>, String> {
     let Some((answer, framing)) = head(bytes)? else { return Ok(None) };
-    let start = answer.used;
+    let start = answer.consumed;
     let found = match framing {
         Framing::None => Some((Bytes::new(), start)),
-        Framing::Chunks => chunks(bytes, start, most_body)?,
-        Framing::Length(length) if length > most_body => return Err("too long a body".to_owned()),
+        Framing::Chunks => chunks(bytes, start, max_body)?,
+        Framing::Length(length) if length > max_body => return Err("too long a body".to_owned()),
         Framing::Length(length) => {
             let place = start..start + length;
             bytes.get(place.clone()).map(|body| (Bytes::copy_from_slice(body), place.end))
         }
     };
-    Ok(found.map(|(body, used)| Answer { body, used, ..answer }))
+    Ok(found.map(|(body, used)| Response { body, consumed: used, ..answer }))
 }
 
-/// An answer's head, `used` where its body begins; `None` while it is not whole.
-fn head(bytes: &[u8]) -> Result<Option<(Answer, Framing)>, String> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+/// An answer's head, `consumed` where its body begins; `None` while it is not whole.
+fn head(bytes: &[u8]) -> Result<Option<(Response, Framing)>, String> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
     let start = match head.parse(bytes).map_err(|cause| cause.to_string())? {
         httparse::Status::Complete(start) => start,
-        httparse::Status::Partial if bytes.len() > MOST_HEAD => return Err("too long a head".to_owned()),
+        httparse::Status::Partial if bytes.len() > MAX_HEAD => return Err("too long a head".to_owned()),
         httparse::Status::Partial => return Ok(None),
     };
     let status = head.code.ok_or("no status")?;
@@ -115,7 +115,10 @@
         [length, ..] if lengths.iter().all(|other| *other == length) => Framing::Length(length),
         _ => return Err("no one length".to_owned()),
     };
-    Ok(Some((Answer { status, unprocessed, retry_after, keep, body: Bytes::new(), used: start }, framing)))
+    Ok(Some((
+        Response { status, unprocessed, retry_after, keep_alive: keep, body: Bytes::new(), consumed: start },
+        framing,
+    )))
 }
 
 fn chunks(bytes: &[u8], mut at: usize, most: usize) -> Result<Option<(Bytes, usize)>, String> {
@@ -151,7 +154,7 @@
     pub headers: Vec<(String, String)>,
     pub body: Bytes,
     /// How many bytes it all took.
-    pub used: usize,
+    pub consumed: usize,
 }
 
 impl Request {
@@ -163,34 +166,34 @@
 
 /// Why a server takes no request from what came.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Refused {
-    Senseless(String),
+pub enum RequestError {
+    Malformed(String),
     HeadTooLong,
     BodyTooLong,
     /// A body of which nothing tells the length beforehand.
-    NoLength,
+    LengthRequired,
 }
 
-impl From<Refused> for String {
-    fn from(refused: Refused) -> String {
+impl From<RequestError> for String {
+    fn from(refused: RequestError) -> String {
         match refused {
-            Refused::Senseless(cause) => cause,
-            Refused::HeadTooLong => "too long a head".to_owned(),
-            Refused::BodyTooLong => "too long a body".to_owned(),
-            Refused::NoLength => "no length".to_owned(),
+            RequestError::Malformed(cause) => cause,
+            RequestError::HeadTooLong => "too long a head".to_owned(),
+            RequestError::BodyTooLong => "too long a body".to_owned(),
+            RequestError::LengthRequired => "no length".to_owned(),
         }
     }
 }
 
 /// A whole request at the front; `None` while it is not whole. Only bodies whose length is told are read.
-pub fn asked(bytes: &[u8], most_body: usize) -> Result<Option<Request>, Refused> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+pub fn parse_request(bytes: &[u8], max_body: usize) -> Result<Option<Request>, RequestError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let start = match head.parse(bytes) {
-        Err(httparse::Error::TooManyHeaders) => return Err(Refused::HeadTooLong),
-        Err(cause) => return Err(Refused::Senseless(cause.to_string())),
+        Err(httparse::Error::TooManyHeaders) => return Err(RequestError::HeadTooLong),
+        Err(cause) => return Err(RequestError::Malformed(cause.to_string())),
         Ok(httparse::Status::Complete(start)) => start,
-        Ok(httparse::Status::Partial) if bytes.len() > MOST_HEAD => return Err(Refused::HeadTooLong),
+        Ok(httparse::Status::Partial) if bytes.len() > MAX_HEAD => return Err(RequestError::HeadTooLong),
         Ok(httparse::Status::Partial) => return Ok(None),
     };
     let headers: Vec<(String, String)> = head
@@ -202,19 +205,19 @@
         .collect();
     let length = headers.iter().find(|header| header.0 == "content-length").map_or("0", |header| &header.1);
     if headers.iter().any(|header| header.0 == "transfer-encoding") {
-        return Err(Refused::NoLength);
+        return Err(RequestError::LengthRequired);
     }
-    let length: usize = length.parse().map_err(|_| Refused::Senseless("no length".to_owned()))?;
-    if length > most_body {
-        return Err(Refused::BodyTooLong);
+    let length: usize = length.parse().map_err(|_| RequestError::Malformed("no length".to_owned()))?;
+    if length > max_body {
+        return Err(RequestError::BodyTooLong);
     }
     let Some(body) = bytes.get(start..start + length).map(Bytes::copy_from_slice) else { return Ok(None) };
     let (method, path) = (head.method.unwrap_or("").to_owned(), head.path.unwrap_or("").to_owned());
-    Ok(Some(Request { method, path, headers, body, used: start + length }))
+    Ok(Some(Request { method, path, headers, body, consumed: start + length }))
 }
 
 /// An answer as a server writes it, its body's length told.
-pub fn answered(status: u16, headers: &[(&str, &str)], body: &[u8]) -> Bytes {
+pub fn encode_response(status: u16, headers: &[(&str, &str)], body: &[u8]) -> Bytes {
     let mut out = BytesMut::with_capacity(128 + body.len());
     out.put_slice(format!("HTTP/1.1 {status} -\r\nContent-Length: {}\r\n", body.len()).as_bytes());
     for (name, value) in headers {
@@ -226,7 +229,7 @@
 }
 
 /// The bytes that an escaped path stands for, without its first slash; what is no escape stays as it is.
-pub fn unescaped(path: &str) -> Vec<u8> {
+pub fn percent_decode(path: &str) -> Vec<u8> {
     let bytes = path.strip_prefix('/').unwrap_or(path).as_bytes();
     let mut out = Vec::with_capacity(bytes.len());
     let mut at = 0;
@@ -247,20 +250,20 @@
 }
 
 /// A request; the path's parts are to be escaped before.
-pub fn request(
+pub fn encode_request(
     method: &str,
     path: &str,
     host: &str,
     headers: &[(&str, &[u8])],
     body: Option<&[u8]>,
 ) -> Bytes {
-    let mut out = begun(method, path, host, headers, body.map(<[u8]>::len));
+    let mut out = encode_request_head(method, path, host, headers, body.map(<[u8]>::len));
     out.put_slice(body.unwrap_or_default());
     out.freeze()
 }
 
 /// The same without its body, of so many bytes, which is to follow.
-pub fn begun(
+pub fn encode_request_head(
     method: &str,
     path: &str,
     host: &str,
@@ -283,7 +286,7 @@
 }
 
 /// A key as a path: all but unreserved characters are escaped.
-pub fn escaped(key: &[u8]) -> String {
+pub fn percent_encode(key: &[u8]) -> String {
     let mut path = String::with_capacity(key.len() + 1);
     for &byte in key {
         if byte.is_ascii_alphanumeric() || b"-._~".contains(&byte) {
--- a/wire/src/resp.rs
+++ b/wire/src/resp.rs
@@ -5,23 +5,23 @@
 use bytes::{BufMut, Bytes, BytesMut};
 
 /// The largest value that is held whole before any of it goes on.
-pub const MOST_VALUE: usize = 64 * 1024;
-/// The largest value that may pass at all; past `MOST_VALUE` it goes on in pieces.
-pub const LONGEST: usize = 4 * 1024 * 1024;
+pub const MAX_BUFFERED_VALUE: usize = 64 * 1024;
+/// The largest value that may pass at all; past `MAX_BUFFERED_VALUE` it goes on in pieces.
+pub const MAX_VALUE: usize = 4 * 1024 * 1024;
 /// The largest command or reply that is held whole.
-pub const MOST: usize = MOST_VALUE + 16 * 1024;
-const MOST_WORD: usize = 8 * 1024;
-const MOST_WORDS: i64 = 16;
-const MOST_LINE: usize = 1024;
-const MOST_DEPTH: u32 = 4;
+pub const MAX_BUFFERED_MESSAGE: usize = MAX_BUFFERED_VALUE + 16 * 1024;
+const MAX_WORD: usize = 8 * 1024;
+const MAX_ELEMENTS: i64 = 16;
+const MAX_LINE: usize = 1024;
+const MAX_DEPTH: u32 = 4;
 
 /// What stands before a line's end, and where the next line begins; `None` while there is no end yet.
 fn line(bytes: &[u8], from: usize) -> Result<Option<(&[u8], usize)>, &'static str> {
     let rest = &bytes[from..];
-    match rest.iter().take(MOST_LINE).position(|&byte| byte == b'\n') {
+    match rest.iter().take(MAX_LINE).position(|&byte| byte == b'\n') {
         Some(end) if end > 0 && rest[end - 1] == b'\r' => Ok(Some((&rest[..end - 1], from + end + 1))),
         Some(_) => Err("a line without a carriage return"),
-        None if rest.len() >= MOST_LINE => Err("too long a line"),
+        None if rest.len() >= MAX_LINE => Err("too long a line"),
         None => Ok(None),
     }
 }
@@ -62,35 +62,37 @@
 }
 
 /// A whole command at the front: its words, and how many bytes it took. `None` while it is not whole.
-pub fn command(bytes: &[u8]) -> Result<Option<(Vec<Bytes>, usize)>, &'static str> {
-    match asked(bytes)? {
-        Some(Asked::Whole(words, used)) => Ok(Some((words, used))),
-        Some(Asked::Begun { length, .. }) if length > MOST_VALUE => Err("too long a bulk string"),
-        Some(Asked::Begun { .. }) | None => Ok(None),
+pub fn parse_complete_command(bytes: &[u8]) -> Result<Option<(Vec<Bytes>, usize)>, &'static str> {
+    match parse_command(bytes)? {
+        Some(ParsedCommand::Complete(words, used)) => Ok(Some((words, used))),
+        Some(ParsedCommand::ValuePending { value_length, .. }) if value_length > MAX_BUFFERED_VALUE => {
+            Err("too long a bulk string")
+        }
+        Some(ParsedCommand::ValuePending { .. }) | None => Ok(None),
     }
 }
 
 /// What stands of a command at the front.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum ParsedCommand {
     /// Its words, and how many bytes it took.
-    Whole(Vec<Bytes>, usize),
+    Complete(Vec<Bytes>, usize),
     /// All words but its value, of so many bytes, which begins after `used`. A line's end follows the value.
-    Begun { words: Vec<Bytes>, used: usize, length: usize },
+    ValuePending { words: Vec<Bytes>, consumed: usize, value_length: usize },
 }
 
 /// A command at the front, also one of which the value is not there yet; `None` while less is.
-pub fn asked(bytes: &[u8]) -> Result<Option<Asked>, &'static str> {
+pub fn parse_command(bytes: &[u8]) -> Result<Option<ParsedCommand>, &'static str> {
     let Some(first) = bytes.first() else { return Ok(None) };
     if *first != b'*' {
         // A person at a terminal may write a command as a plain line.
         let Some((text, used)) = line(bytes, 0)? else { return Ok(None) };
         let words = text.split(u8::is_ascii_whitespace).filter(|word| !word.is_empty());
-        return Ok(Some(Asked::Whole(words.map(Bytes::copy_from_slice).collect(), used)));
+        return Ok(Some(ParsedCommand::Complete(words.map(Bytes::copy_from_slice).collect(), used)));
     }
     let Some((head, mut at)) = line(bytes, 0)? else { return Ok(None) };
     let count = number(&head[1..])?;
-    if !(0..=MOST_WORDS).contains(&count) {
+    if !(0..=MAX_ELEMENTS).contains(&count) {
         return Err("no such number of words");
     }
     let mut places = Vec::with_capacity(count as usize);
@@ -102,20 +104,22 @@
     for nth in 0..count {
         // Only the fifth word of a command is a value, and only as the last one may it be long.
         let value = nth == 4 && count == 5;
-        let most = if value { LONGEST } else { MOST_WORD };
+        let most = if value { MAX_VALUE } else { MAX_WORD };
         if let Some((place, next)) = bulk(bytes, at, most)? {
             places.push(place.ok_or("a null word")?);
             at = next;
             continue;
         }
         // Its length was just looked at, so it is one.
-        return Ok(bulk_length(bytes, at)?.filter(|_| value).map(|(length, used)| Asked::Begun {
-            words: words(places, used),
-            used,
-            length: length as usize,
+        return Ok(bulk_length(bytes, at)?.filter(|_| value).map(|(length, used)| {
+            ParsedCommand::ValuePending {
+                words: words(places, used),
+                consumed: used,
+                value_length: length as usize,
+            }
         }));
     }
-    Ok(Some(Asked::Whole(words(places, at), at)))
+    Ok(Some(ParsedCommand::Complete(words(places, at), at)))
 }
 
 /// What a cache host answered.
@@ -130,28 +134,33 @@
 }
 
 /// A reply of which the value is too long to be held whole: so many bytes that begin at `start`, then a line's end and so
-/// many more elements, which [`rest`] reads.
+/// many more elements, which [`parse_after_long_value`] reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LongReply {
     pub start: usize,
     pub length: usize,
-    pub more: i64,
+    pub trailing_elements: i64,
 }
 
 /// The head of a reply with a long value; `None` where the reply is another, or no head is whole yet.
-pub fn long_reply(bytes: &[u8]) -> Option<LongReply> {
+pub fn parse_long_reply_head(bytes: &[u8]) -> Option<LongReply> {
     let (head, start) = line(bytes, 0).ok()??;
-    let more = elements(head.strip_prefix(b"*").map(|_| head)?).ok()? - 1;
+    let trailing_elements = elements(head.strip_prefix(b"*").map(|_| head)?).ok()? - 1;
     let (length, start) = bulk_length(bytes, start).ok()??;
-    let length = usize::try_from(length).ok().filter(|length| (MOST_VALUE + 1..=LONGEST).contains(length))?;
-    Some(LongReply { start, length, more })
+    let length = usize::try_from(length)
+        .ok()
+        .filter(|length| (MAX_BUFFERED_VALUE + 1..=MAX_VALUE).contains(length))?;
+    Some(LongReply { start, length, trailing_elements })
 }
 
 /// What follows a long value, from its line's end on: how many bytes it took, and whether the connection may carry
 /// another. `None` while it is not whole.
-pub fn rest(bytes: &[u8], more: i64) -> Result<Option<(usize, bool)>, &'static str> {
+pub fn parse_after_long_value(
+    bytes: &[u8],
+    trailing_elements: i64,
+) -> Result<Option<(usize, bool)>, &'static str> {
     match bytes.get(..2) {
-        Some(b"\r\n") => elements_after(bytes, 2, 1..more + 1),
+        Some(b"\r\n") => elements_after(bytes, 2, 1..trailing_elements + 1),
         Some(_) => Err("a bulk string without its end"),
         None => Ok(None),
     }
@@ -177,7 +186,7 @@
 
 /// A whole reply at the front, how many bytes it took, and whether the connection may carry another. `None`
 /// while it is not whole.
-pub fn reply(bytes: &[u8]) -> Result<Option<(Reply, usize, bool)>, &'static str> {
+pub fn parse_reply(bytes: &[u8]) -> Result<Option<(Reply, usize, bool)>, &'static str> {
     if !matches!(bytes.first(), None | Some(b'*' | b'-')) {
         return Err("no reply to a command of ours");
     }
@@ -191,7 +200,7 @@
     if count == 0 {
         return Err("an array of nothing");
     }
-    let Some((value, at)) = bulk(bytes, start, MOST_VALUE)? else { return Ok(None) };
+    let Some((value, at)) = bulk(bytes, start, MAX_BUFFERED_VALUE)? else { return Ok(None) };
     let reply = value.map_or(Reply::Miss, Reply::Value);
     Ok(elements_after(bytes, at, 1..count)?.map(|(used, keep)| (reply, used, keep)))
 }
@@ -199,7 +208,7 @@
 /// How many elements an array's head announces. More than a few are no reply, and must not be waited for.
 fn elements(head: &[u8]) -> Result<i64, &'static str> {
     let count = number(&head[1..])?;
-    if (0..=MOST_WORDS).contains(&count) {
+    if (0..=MAX_ELEMENTS).contains(&count) {
         Ok(count)
     } else {
         Err("no such number of elements")
@@ -209,9 +218,9 @@
 /// Where the element at `from` ends.
 fn skip(bytes: &[u8], from: usize, depth: u32) -> Result<Option<usize>, &'static str> {
     match bytes.get(from) {
-        Some(b'$') => Ok(bulk(bytes, from, MOST_VALUE)?.map(|(_, end)| end)),
+        Some(b'$') => Ok(bulk(bytes, from, MAX_BUFFERED_VALUE)?.map(|(_, end)| end)),
         Some(b'+' | b'-' | b':') => Ok(line(bytes, from)?.map(|(_, end)| end)),
-        Some(b'*') if depth < MOST_DEPTH => {
+        Some(b'*') if depth < MAX_DEPTH => {
             let Some((head, mut at)) = line(bytes, from)? else { return Ok(None) };
             for _ in 0..elements(head)? {
                 let Some(next) = skip(bytes, at, depth + 1)? else { return Ok(None) };
@@ -225,7 +234,7 @@
 }
 
 /// A cache host's reply with a value or, with `None`, a miss; nothing on how it went, and its load where it tells that.
-pub fn stored(value: Option<&[u8]>, load: Option<&str>) -> Bytes {
+pub fn encode_reply(value: Option<&[u8]>, load: Option<&str>) -> Bytes {
     let mut out = BytesMut::with_capacity(value.map_or(0, <[u8]>::len) + 32);
     out.put_slice(b"*3\r\n");
     match value {
@@ -242,7 +251,7 @@
 
 /// What a balancer answered to an op.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum BalancerReply {
     Value(Range<usize>),
     /// Turned away, with the milliseconds after which to come again where it said so.
     Busy(Option<u64>),
@@ -251,50 +260,52 @@
 }
 
 /// A balancer's whole answer at the front, and how many bytes it took; `None` while it is not whole.
-pub fn answer(bytes: &[u8]) -> Result<Option<(Answer, usize)>, &'static str> {
+pub fn parse_balancer_reply(bytes: &[u8]) -> Result<Option<(BalancerReply, usize)>, &'static str> {
     match bytes.first() {
         None => Ok(None),
         Some(b'$') => {
-            let Some((value, end)) = bulk(bytes, 0, MOST_VALUE)? else { return Ok(None) };
-            Ok(Some((value.map_or(Answer::Failed, Answer::Value), end)))
+            let Some((value, end)) = bulk(bytes, 0, MAX_BUFFERED_VALUE)? else { return Ok(None) };
+            Ok(Some((value.map_or(BalancerReply::Failed, BalancerReply::Value), end)))
         }
         Some(b'+' | b'-' | b':') => {
             let Some((head, end)) = line(bytes, 0)? else { return Ok(None) };
             let answer = match head.strip_prefix(b"-BUSY") {
-                Some([]) => Answer::Busy(None),
-                Some([b' ', ms @ ..]) => Answer::Busy(number(ms).ok().and_then(|ms| ms.try_into().ok())),
-                _ => Answer::Failed,
+                Some([]) => BalancerReply::Busy(None),
+                Some([b' ', ms @ ..]) => {
+                    BalancerReply::Busy(number(ms).ok().and_then(|ms| ms.try_into().ok()))
+                }
+                _ => BalancerReply::Failed,
             };
             Ok(Some((answer, end)))
         }
         // As a cache host answers: what is asked of one directly.
-        Some(b'*') => Ok(reply(bytes)?.map(|(reply, used, _)| match reply {
-            Reply::Value(value) => (Answer::Value(value), used),
-            Reply::Miss | Reply::Busy | Reply::Failed => (Answer::Failed, used),
+        Some(b'*') => Ok(parse_reply(bytes)?.map(|(reply, used, _)| match reply {
+            Reply::Value(value) => (BalancerReply::Value(value), used),
+            Reply::Miss | Reply::Busy | Reply::Failed => (BalancerReply::Failed, used),
         })),
         Some(_) => Err("no answer to a command of ours"),
     }
 }
 
 /// A command of these words, and of a value of so many bytes of which only the head stands at its end: value and
-/// [`END`] are to follow.
-pub fn begun(words: &[&[u8]], value: usize) -> Bytes {
+/// [`CRLF`] are to follow.
+pub fn encode_command_head(words: &[&[u8]], value: usize) -> Bytes {
     let mut out = BytesMut::with_capacity(words.iter().map(|word| word.len() + 16).sum::<usize>() + 32);
     out.put_slice(format!("*{}\r\n", words.len() + 1).as_bytes());
     words.iter().for_each(|word| put_bulk(&mut out, word));
-    out.put_slice(&head(value));
+    out.put_slice(&encode_bulk_head(value));
     out.freeze()
 }
 
-/// The head of a value of so many bytes; value and [`END`] are to follow.
-pub fn head(length: usize) -> Bytes {
+/// The head of a value of so many bytes; value and [`CRLF`] are to follow.
+pub fn encode_bulk_head(length: usize) -> Bytes {
     Bytes::from(format!("${length}\r\n"))
 }
 
-pub const END: &[u8] = b"\r\n";
+pub const CRLF: &[u8] = b"\r\n";
 
 /// A command of these words.
-pub fn written(words: &[&[u8]]) -> Bytes {
+pub fn encode_command(words: &[&[u8]]) -> Bytes {
     let length = words.iter().map(|word| word.len() + 16).sum::<usize>() + 16;
     let mut out = BytesMut::with_capacity(length);
     out.put_slice(format!("*{}\r\n", words.len()).as_bytes());
@@ -302,13 +313,13 @@
     out.freeze()
 }
 
-pub fn value(value: &[u8]) -> Bytes {
+pub fn encode_bulk(value: &[u8]) -> Bytes {
     let mut out = BytesMut::with_capacity(value.len() + 16);
     put_bulk(&mut out, value);
     out.freeze()
 }
 
-pub fn error(text: &str) -> Bytes {
+pub fn encode_error(text: &str) -> Bytes {
     Bytes::from(format!("-ERR {text}\r\n"))
 }
 
--- a/wire/tests/codecs.rs
+++ b/wire/tests/codecs.rs
@@ -1,7 +1,7 @@
 //! What is written reads as the same, whole or in parts, and no bytes make a panic.
 
 use basaltwood_wire::body::Body;
-use basaltwood_wire::facts::{fact, with_wait};
+use basaltwood_wire::facts::{fact, with_timeout};
 use basaltwood_wire::{http, resp};
 use proptest::prelude::*;
 
@@ -10,13 +10,13 @@
 
     #[test]
     fn no_bytes_make_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        let _ = resp::command(&bytes);
-        let _ = resp::reply(&bytes);
-        let _ = (resp::long_reply(&bytes), resp::rest(&bytes, 2), http::long(&bytes, 10, 100));
-        let _ = resp::answer(&bytes);
-        let _ = http::answer(&bytes, 100);
-        let _ = http::asked(&bytes, 100);
-        let _ = http::unescaped(&String::from_utf8_lossy(&bytes));
+        let _ = resp::parse_complete_command(&bytes);
+        let _ = resp::parse_reply(&bytes);
+        let _ = (resp::parse_long_reply_head(&bytes), resp::parse_after_long_value(&bytes, 2), http::parse_long_response_head(&bytes, 10, 100));
+        let _ = resp::parse_balancer_reply(&bytes);
+        let _ = http::parse_response(&bytes, 100);
+        let _ = http::parse_request(&bytes, 100);
+        let _ = http::percent_decode(&String::from_utf8_lossy(&bytes));
     }
 
     #[test]
@@ -24,12 +24,12 @@
         words in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..40), 1..6),
         more in proptest::collection::vec(any::<u8>(), 0..10),
     ) {
-        let text = resp::written(&words.iter().map(Vec::as_slice).collect::<Vec<_>>());
+        let text = resp::encode_command(&words.iter().map(Vec::as_slice).collect::<Vec<_>>());
         for end in 0..text.len() {
-            prop_assert!(matches!(resp::command(&text[..end]), Ok(None)));
+            prop_assert!(matches!(resp::parse_complete_command(&text[..end]), Ok(None)));
         }
         let all = [&text[..], &more].concat();
-        let (read, used) = resp::command(&all).expect("sense").expect("whole");
+        let (read, used) = resp::parse_complete_command(&all).expect("sense").expect("whole");
         prop_assert_eq!(used, text.len());
         prop_assert!(read.iter().zip(&words).all(|(read, word)| read[..] == word[..]) && read.len() == words.len());
     }
@@ -40,8 +40,8 @@
         load in proptest::option::of("[a-z=0-9,]{0,20}"),
         ms in any::<u64>(),
     ) {
-        let text = resp::stored(value.as_deref(), load.as_deref());
-        let (reply, used, keep) = resp::reply(&text).expect("sense").expect("whole");
+        let text = resp::encode_reply(value.as_deref(), load.as_deref());
+        let (reply, used, keep) = resp::parse_reply(&text).expect("sense").expect("whole");
         prop_assert!(used == text.len() && keep);
         match (reply, &value) {
             (resp::Reply::Value(place), Some(value)) => prop_assert_eq!(&text[place], &value[..]),
@@ -50,10 +50,10 @@
         }
         let ms = ms % 1_000_000;
         let busy = format!("-BUSY {ms}\r\n");
-        prop_assert_eq!(resp::answer(busy.as_bytes()), Ok(Some((resp::Answer::Busy(Some(ms)), busy.len()))));
+        prop_assert_eq!(resp::parse_balancer_reply(busy.as_bytes()), Ok(Some((resp::BalancerReply::Busy(Some(ms)), busy.len()))));
         let value = value.unwrap_or_default();
-        let text = resp::value(&value);
-        let Ok(Some((resp::Answer::Value(place), used))) = resp::answer(&text) else { panic!("a value") };
+        let text = resp::encode_bulk(&value);
+        let Ok(Some((resp::BalancerReply::Value(place), used))) = resp::parse_balancer_reply(&text) else { panic!("a value") };
         prop_assert!(used == text.len() && text[place] == value[..]);
     }
 
@@ -63,26 +63,26 @@
         body in proptest::option::of(proptest::collection::vec(any::<u8>(), 1..90)),
         status in 200_u16..600,
     ) {
-        let path = format!("/{}", http::escaped(&key));
-        let text = http::request("PUT", &path, "h:1", &[("X-Facts", b"c=read,d=5")], body.as_deref());
+        let path = format!("/{}", http::percent_encode(&key));
+        let text = http::encode_request("PUT", &path, "h:1", &[("X-Facts", b"c=read,d=5")], body.as_deref());
         for end in 0..text.len() {
-            prop_assert!(matches!(http::asked(&text[..end], 100), Ok(None)));
+            prop_assert!(matches!(http::parse_request(&text[..end], 100), Ok(None)));
         }
-        let request = http::asked(&text, 100).expect("sense").expect("whole");
-        prop_assert_eq!(http::unescaped(&request.path), key);
+        let request = http::parse_request(&text, 100).expect("sense").expect("whole");
+        prop_assert_eq!(http::percent_decode(&request.path), key);
         prop_assert_eq!(request.header("x-facts"), Some("c=read,d=5"));
         prop_assert_eq!(&request.body[..], &body.clone().unwrap_or_default()[..]);
         let body = body.unwrap_or_default();
-        let text = http::answered(status, &[("X-Unprocessed", "1")], &body);
-        let answer = http::answer(&text, 100).expect("sense").expect("whole");
-        prop_assert!(answer.unprocessed && answer.status == status && answer.used == text.len());
+        let text = http::encode_response(status, &[("X-Unprocessed", "1")], &body);
+        let answer = http::parse_response(&text, 100).expect("sense").expect("whole");
+        prop_assert!(answer.unprocessed && answer.status == status && answer.consumed == text.len());
         prop_assert_eq!(&answer.body[..], &body[..]);
     }
 
     #[test]
     fn only_the_time_to_wait_changes_among_the_facts(ms in 1_u64..100_000, name in "[a-z]{1,8}") {
         let facts = format!("c={name},d=480,k=5c0f,d2=7");
-        let text = String::from_utf8(with_wait(facts.as_bytes(), ms).to_vec()).expect("text");
+        let text = String::from_utf8(with_timeout(facts.as_bytes(), ms).to_vec()).expect("text");
         prop_assert_eq!(fact(&text, "d").map(str::to_owned), Some(ms.to_string()));
         prop_assert_eq!(text, format!("c={name},d={ms},k=5c0f,d2=7"));
     }
@@ -93,48 +93,48 @@
         pieces in proptest::collection::vec(1_usize..70_000, 1..20),
         cut in any::<prop::sample::Index>(),
     ) {
-        let text = resp::written(&[b"CACHE.SET", b"k", b"id", b"c=put", &value]);
+        let text = resp::encode_command(&[b"CACHE.SET", b"k", b"id", b"c=put", &value]);
         let at = cut.index(text.len());
-        let (used, length) = match resp::asked(&text[..at]).expect("sense") {
+        let (used, length) = match resp::parse_command(&text[..at]).expect("sense") {
             // Less than the value's head is there.
             None => return Ok(()),
-            Some(resp::Asked::Begun { words, used, length }) => {
+            Some(resp::ParsedCommand::ValuePending { words, consumed: used, value_length: length }) => {
                 prop_assert_eq!(&words[3][..], b"c=put");
                 (used, length)
             }
-            Some(resp::Asked::Whole(..)) => panic!("not whole at {at} of {}", text.len()),
+            Some(resp::ParsedCommand::Complete(..)) => panic!("not whole at {at} of {}", text.len()),
         };
         prop_assert_eq!(length, value.len());
         let mut body = Body::new(length);
-        let mut from = used + body.take(&text[used..at]);
+        let mut from = used + body.copy_from(&text[used..at]);
         for piece in pieces.into_iter().cycle() {
-            if body.left() == 0 {
+            if body.remaining() == 0 {
                 break;
             }
-            from += body.take(&text[from..text.len().min(from + piece)]);
+            from += body.copy_from(&text[from..text.len().min(from + piece)]);
         }
-        prop_assert_eq!(&text[from..], resp::END);
-        prop_assert_eq!(body.segments().concat(), value);
+        prop_assert_eq!(&text[from..], resp::CRLF);
+        prop_assert_eq!(body.into_segments().concat(), value);
     }
 
     #[test]
     fn a_long_answer_is_known_by_its_head_and_what_follows_it_by_its_end(
-        length in resp::MOST_VALUE + 1..=resp::LONGEST,
+        length in resp::MAX_BUFFERED_VALUE + 1..=resp::MAX_VALUE,
         load in "[a-z=0-9,]{0,20}",
         cut in any::<prop::sample::Index>(),
     ) {
         let head = format!("*3\r\n${length}\r\n");
         for end in 0..head.len() {
-            prop_assert_eq!(resp::long_reply(&head.as_bytes()[..end]), None);
+            prop_assert_eq!(resp::parse_long_reply_head(&head.as_bytes()[..end]), None);
         }
-        let wanted = resp::LongReply { start: head.len(), length, more: 2 };
-        prop_assert_eq!(resp::long_reply(format!("{head}v").as_bytes()), Some(wanted));
+        let wanted = resp::LongReply { start: head.len(), length, trailing_elements: 2 };
+        prop_assert_eq!(resp::parse_long_reply_head(format!("{head}v").as_bytes()), Some(wanted));
         let rest = format!("\r\n$3\r\nhit\r\n${}\r\n{load}\r\n", load.len());
-        prop_assert_eq!(resp::rest(rest.as_bytes(), 2), Ok(Some((rest.len(), true))));
+        prop_assert_eq!(resp::parse_after_long_value(rest.as_bytes(), 2), Ok(Some((rest.len(), true))));
         let part = &rest.as_bytes()[..cut.index(rest.len())];
-        prop_assert_eq!(resp::rest(part, 2), Ok(None));
+        prop_assert_eq!(resp::parse_after_long_value(part, 2), Ok(None));
         let head = format!("HTTP/1.1 102 so\r\n\r\nHTTP/1.1 200 so\r\nContent-Length: {length}\r\n\r\n");
-        let (answer, told) = http::long(head.as_bytes(), 10, resp::LONGEST).expect("a long one");
-        prop_assert!(answer.used == head.len() && answer.status == 200 && told == length);
+        let (answer, told) = http::parse_long_response_head(head.as_bytes(), 10, resp::MAX_VALUE).expect("a long one");
+        prop_assert!(answer.consumed == head.len() && answer.status == 200 && told == length);
     }
 }
