--- a/handover/tests/records.rs
+++ b/handover/tests/records.rs
@@ -1,47 +1,66 @@
 //! Records read as they were written, and nothing else is taken for one.
 
 use basaltwood::types::{LearnedLimit, RingPosition};
-use basaltwood_handover::{decode, encode, MAX_RECORD_BYTES};
+use basaltwood_handover::{decode, encode, RecordError, MAX_RECORD_BYTES};
 use proptest::prelude::*;
 
 proptest! {
     #[test]
-    fn a_record_reads_as_it_was_written_and_no_other_does(
+    fn record_decodes_as_encoded_and_cut_or_damaged_is_refused(
         hosts in proptest::collection::vec((any::<u64>(), 0_u32..300_000), 0..40),
         at in any::<prop::sample::Index>(),
         flip in 1_u8..,
     ) {
-        let learnt: Vec<LearnedLimit> = hosts
+        let limits: Vec<LearnedLimit> = hosts
             .iter()
-            .map(|&(position, parts)| LearnedLimit { position: RingPosition(position), limit: f64::from(parts) / 1_000.0 })
+            .map(|&(position, thousandths)| LearnedLimit {
+                position: RingPosition(position),
+                limit: f64::from(thousandths) / 1_000.0,
+            })
             .collect();
-        let mut bytes = encode(&learnt);
-        let back = decode(&bytes).expect("a record");
-        prop_assert!(back.len() == learnt.len());
-        for (one, other) in back.iter().zip(&learnt) {
+
+        let mut bytes = encode(&limits);
+        let decoded = decode(&bytes).expect("a record");
+
+        prop_assert!(decoded.len() == limits.len());
+        for (one, other) in decoded.iter().zip(&limits) {
             prop_assert!(one.position == other.position && (one.limit - other.limit).abs() < 0.002);
         }
         let at = at.index(bytes.len());
         prop_assert!(decode(&bytes[..at]).is_err(), "cut off at {}", at);
         bytes[at] ^= flip;
-        prop_assert!(decode(&bytes).is_err(), "spoilt at {}", at);
+        prop_assert!(decode(&bytes).is_err(), "damaged at {}", at);
     }
 }
 
 #[test]
-fn what_is_no_record_is_named() {
-    let mut other = encode(&[]);
-    other[0] = 2;
-    let check = crc32fast::hash(&other[..2]).to_le_bytes();
-    other[2..].copy_from_slice(&check);
-    let hosts = vec![LearnedLimit { position: RingPosition(u64::MAX), limit: 256.0 }; 5_000];
-    assert_eq!(decode(&encode(&hosts)).map(|hosts| hosts.len()), Ok(4_096));
-    assert!(encode(&hosts).len() <= MAX_RECORD_BYTES);
-    let errors = [decode(b""), decode(&other), decode(&vec![0; MAX_RECORD_BYTES + 1])].map(|read| read.err());
-    assert_eq!(errors, [Some("no record"), Some("a record of another version"), Some("too long a record")]);
+fn hosts_past_the_maximum_are_left_out() {
+    let limits = vec![LearnedLimit { position: RingPosition(u64::MAX), limit: 256.0 }; 5_000];
+
+    let bytes = encode(&limits);
+
+    assert!(bytes.len() <= MAX_RECORD_BYTES);
+    assert_eq!(decode(&bytes).map(|hosts| hosts.len()), Ok(4_096));
+}
+
+#[test]
+fn bytes_that_are_no_record_are_refused_with_the_cause() {
+    let mut other_version = encode(&[]);
+    other_version[0] = 2;
+    let checksum = crc32fast::hash(&other_version[..2]).to_le_bytes();
+    other_version[2..].copy_from_slice(&checksum);
+    let too_long = vec![0; MAX_RECORD_BYTES + 1];
+
+    let errors = [&b""[..], &other_version, &too_long].map(|bytes| decode(bytes).err());
+
+    let expected = [RecordError::TooShort, RecordError::UnknownVersion, RecordError::TooLong];
+    assert_eq!(errors, expected.map(Some));
+    let texts = expected.map(|error| error.to_string());
+    assert_eq!(texts, ["no record", "a record of another version", "too long a record"]);
 }
 
-/// Written by the program at commit f154ff4: a balancer of that version may be the one that is replaced.
+/// Written by the program at commit f154ff4: a balancer of that version may be the one that is
+/// replaced.
 const RECORD_OF_VERSION_1: [u8; 45] = [
     0x01, 0x04, 0xae, 0xab, 0x82, 0xad, 0xcc, 0xcd, 0x8f, 0xe7, 0xb4, 0x01, 0xf0, 0x2e, 0x00, 0xac, 0x02,
     0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01, 0x80, 0xd0, 0x0f, 0xef, 0x9b, 0xaf, 0xcd,
@@ -49,7 +68,7 @@
 ];
 
 #[test]
-fn a_record_of_version_1_reads_as_it_was_meant_and_is_written_so_still() {
+fn a_record_of_version_1_decodes_as_meant_and_is_still_encoded_so() {
     let expected: Vec<LearnedLimit> = [
         (RingPosition::of("10.0.0.1:6379"), 6.0),
         (RingPosition(0), 0.3),
