--- a/regions/src/hosts.rs
+++ b/regions/src/hosts.rs
@@ -4,10 +4,10 @@
 
 use basaltwood::types::Lifecycle;
 
-use crate::map::{RegionMap, Zone};
+use crate::map::{RegionMap, ZoneNumber};
 
 /// Zones without a region that are said and counted; a list of absurd zones must not fill memory or the log.
-const MOST_SAID: usize = 1_024;
+const MAX_REPORTED_ZONES: usize = 1_024;
 
 /// A host as a list words it. `rest` is whatever else the shell wants to know of it again.
 #[derive(Clone, Debug, PartialEq)]
@@ -54,15 +54,15 @@
 /// What is kept of a host.
 struct Host<T> {
     /// None where no region names its zone.
-    zone: Option<Zone>,
+    zone: Option<ZoneNumber>,
     /// The zone that the module last heard of it: what went there ran there, and repeats are told apart by
     /// zone.
-    heard: Option<Zone>,
+    announced_zone: Option<ZoneNumber>,
     lifecycle: Lifecycle,
     origin: bool,
     /// The module has heard of it, and the shell has not forgotten it since. One that no list names any more
     /// is `Gone` and stays for as long: the module may go on using it, and then has to hear its drain.
-    told: bool,
+    announced: bool,
     details: T,
 }
 
@@ -72,7 +72,13 @@
     }
 
     /// As the module is to hear of it, in that zone.
-    fn entry(&self, name: &str, zone: Option<Zone>, lifecycle: Lifecycle, map: &RegionMap) -> ListedHost<T> {
+    fn entry(
+        &self,
+        name: &str,
+        zone: Option<ZoneNumber>,
+        lifecycle: Lifecycle,
+        map: &RegionMap,
+    ) -> ListedHost<T> {
         let (zone, details) = (zone.map(|zone| map.zone_name(zone).into()), self.details.clone());
         ListedHost { host: name.into(), zone, origin: self.origin, lifecycle, details }
     }
@@ -84,40 +90,40 @@
     hosts: BTreeMap<Box<str>, Host<T>>,
     /// The region whose hosts are the ring.
     ring: u16,
-    said: BTreeSet<Option<Box<str>>>,
+    reported_zones: BTreeSet<Option<Box<str>>>,
 }
 
 impl<T: Clone> Regions<T> {
     pub fn new(map: RegionMap) -> Regions<T> {
-        let ring = map.own_number();
-        Regions { map, hosts: BTreeMap::new(), ring, said: BTreeSet::new() }
+        let ring = map.own_index();
+        Regions { map, hosts: BTreeMap::new(), ring, reported_zones: BTreeSet::new() }
     }
 
     /// Takes the whole list, or only the entries that changed; what the module is to hear of it.
     ///
     /// A host that leaves the ring is told as draining and then as gone: where only draining binds, a host
     /// that just goes would be sent to for as long as it answers.
-    pub fn apply(&mut self, whole: bool, entries: Vec<ListedHost<T>>) -> RingUpdate<T> {
-        if whole {
+    pub fn apply(&mut self, full_list: bool, entries: Vec<ListedHost<T>>) -> RingUpdate<T> {
+        if full_list {
             let named: BTreeSet<&str> = entries.iter().map(|entry| &*entry.host).collect();
             self.hosts.retain(|name, host| {
                 let stays = named.contains(&**name);
                 if !stays {
                     host.lifecycle = Lifecycle::Gone;
                 }
-                stays || host.told
+                stays || host.announced
             });
         }
         let mut events = Vec::new();
-        entries.iter().for_each(|entry| self.note(entry, &mut events));
+        entries.iter().for_each(|entry| self.record(entry, &mut events));
         let before = self.ring;
-        self.ring = self.by_the_list();
+        self.ring = self.ring_by_list();
         if before != self.ring {
             let name = |region: u16| self.map.names()[usize::from(region)].clone();
             events.push(RegionEvent::RingChanged { before: name(before), now: name(self.ring) });
         }
         let (map, ring) = (&self.map, Some(self.ring));
-        let mut passed = RingUpdate { entries: Vec::new(), events, hosts_added: 0, hosts_removed: 0 };
+        let mut update = RingUpdate { entries: Vec::new(), events, hosts_added: 0, hosts_removed: 0 };
         for entry in entries {
             let Some(host) = self.hosts.get_mut(&entry.host) else { continue };
             let ends = entry.lifecycle != Lifecycle::Up;
@@ -126,31 +132,31 @@
             let here = host.region(map) == ring && (ends || zone.map(|zone| map.region_of(zone)) == ring);
             if host.origin || here {
                 // What ends its use leaves its place as it was, whatever that says.
-                let kept = host.heard.filter(|_| host.told && ends);
-                passed.hosts_added += usize::from(!host.told && !ends && !host.origin);
-                (host.told, host.heard) = (true, kept.or(zone));
+                let kept = host.announced_zone.filter(|_| host.announced && ends);
+                update.hosts_added += usize::from(!host.announced && !ends && !host.origin);
+                (host.announced, host.announced_zone) = (true, kept.or(zone));
                 let kept = kept.map(|zone| map.zone_name(zone).into());
-                passed.entries.push(ListedHost { zone: kept.or(entry.zone), ..entry });
+                update.entries.push(ListedHost { zone: kept.or(entry.zone), ..entry });
             }
         }
         self.hosts.retain(|name, host| {
             let region = host.region(map);
-            if host.told && !host.origin && region != ring {
-                host.told = false;
-                passed.hosts_removed += usize::from(host.lifecycle == Lifecycle::Up);
+            if host.announced && !host.origin && region != ring {
+                host.announced = false;
+                update.hosts_removed += usize::from(host.lifecycle == Lifecycle::Up);
                 for lifecycle in [Lifecycle::Draining, Lifecycle::Gone] {
-                    passed.entries.push(host.entry(name, host.heard, lifecycle, map));
+                    update.entries.push(host.entry(name, host.announced_zone, lifecycle, map));
                 }
                 return host.lifecycle != Lifecycle::Gone;
             }
-            if !host.told && region == ring {
-                (host.told, host.heard) = (true, host.zone);
-                passed.hosts_added += usize::from(host.lifecycle == Lifecycle::Up);
-                passed.entries.push(host.entry(name, host.zone, host.lifecycle, map));
+            if !host.announced && region == ring {
+                (host.announced, host.announced_zone) = (true, host.zone);
+                update.hosts_added += usize::from(host.lifecycle == Lifecycle::Up);
+                update.entries.push(host.entry(name, host.zone, host.lifecycle, map));
             }
             true
         });
-        passed
+        update
     }
 
     /// The shell knows this host no more: nothing that it does can reach it. Only one that is gone goes so.
@@ -170,7 +176,8 @@
     }
 
     pub fn counts(&self) -> RegionCounts {
-        let mut counts = RegionCounts { unmapped_zones: self.said.len(), ..RegionCounts::default() };
+        let mut counts =
+            RegionCounts { unmapped_zones: self.reported_zones.len(), ..RegionCounts::default() };
         let listed = |host: &&Host<T>| host.lifecycle != Lifecycle::Gone && !host.origin;
         for host in self.hosts.values().filter(listed) {
             let region = host.region(&self.map);
@@ -183,11 +190,11 @@
 
     /// What an entry says, into the books. One that ends a host's use may leave its place out, or name an
     /// absurd one: that is as it was.
-    fn note(&mut self, entry: &ListedHost<T>, events: &mut Vec<RegionEvent>) {
+    fn record(&mut self, entry: &ListedHost<T>, events: &mut Vec<RegionEvent>) {
         let up = entry.lifecycle == Lifecycle::Up;
         let zone = entry.zone.as_deref().and_then(|zone| self.map.zone(zone));
-        let unnamed = up && zone.is_none() && !entry.origin && self.said.len() < MOST_SAID;
-        if unnamed && self.said.insert(entry.zone.clone()) {
+        let unnamed = up && zone.is_none() && !entry.origin && self.reported_zones.len() < MAX_REPORTED_ZONES;
+        if unnamed && self.reported_zones.insert(entry.zone.clone()) {
             events.push(RegionEvent::UnknownZone(entry.zone.clone()));
         }
         match self.hosts.get_mut(&entry.host) {
@@ -196,14 +203,20 @@
                 host.origin = entry.origin || host.origin && !up;
                 host.lifecycle = entry.lifecycle;
                 host.details = entry.details.clone();
-                if !host.told && entry.lifecycle == Lifecycle::Gone {
+                if !host.announced && entry.lifecycle == Lifecycle::Gone {
                     self.hosts.remove(&entry.host);
                 }
             }
             None if entry.lifecycle != Lifecycle::Gone => {
                 let ListedHost { origin, lifecycle, ref details, .. } = *entry;
-                let host =
-                    Host { zone, heard: None, lifecycle, origin, told: false, details: details.clone() };
+                let host = Host {
+                    zone,
+                    announced_zone: None,
+                    lifecycle,
+                    origin,
+                    announced: false,
+                    details: details.clone(),
+                };
                 self.hosts.insert(entry.host.clone(), host);
             }
             None => {}
@@ -213,7 +226,7 @@
     /// The region that the ring is of: the first with its least number of hosts up, from the own one on in
     /// the file's order and round; where none has that, the first with any. Where none has any it stays: an
     /// empty list may be wrong, and the module may go on using what it has.
-    fn by_the_list(&self) -> u16 {
+    fn ring_by_list(&self) -> u16 {
         let count = self.map.names().len() as u16;
         let mut up = vec![0_u32; usize::from(count)];
         for host in self.hosts.values().filter(|host| host.lifecycle == Lifecycle::Up && !host.origin) {
@@ -221,9 +234,9 @@
                 up[usize::from(region)] += 1;
             }
         }
-        let own = self.map.own_number();
+        let own = self.map.own_index();
         let first = |has: &dyn Fn(u16) -> bool| (own..count).chain(0..own).find(|&region| has(region));
-        first(&|region| up[usize::from(region)] >= self.map.least(region))
+        first(&|region| up[usize::from(region)] >= self.map.min_hosts(region))
             .or_else(|| first(&|region| up[usize::from(region)] > 0))
             .unwrap_or(self.ring)
     }
--- a/regions/src/map.rs
+++ b/regions/src/map.rs
@@ -8,20 +8,20 @@
 use toml::Spanned;
 
 /// The number of a zone that a region names, in two bytes with the lack of one.
-pub(crate) type Zone = NonZeroU16;
+pub(crate) type ZoneNumber = NonZeroU16;
 
 /// The file as it is written; what it says is checked by `RegionMap::parse`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct File {
+struct RegionFile {
     own: Spanned<String>,
     #[serde(default)]
-    region: Vec<Table>,
+    region: Vec<RegionTable>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Table {
+struct RegionTable {
     name: Spanned<String>,
     zones: Spanned<Vec<Spanned<String>>>,
     #[serde(default)]
@@ -31,8 +31,8 @@
 }
 
 /// A number of the file that may be used: 1 or more.
-fn number(told: &Spanned<i64>) -> Option<u32> {
-    u32::try_from(*told.get_ref()).ok().filter(|&number| number > 0)
+fn positive(value: &Spanned<i64>) -> Option<u32> {
+    u32::try_from(*value.get_ref()).ok().filter(|&number| number > 0)
 }
 
 /// Zones and the regions that they are in, in the file's order, and which region is this balancer's.
@@ -41,7 +41,7 @@
     own: u16,
     names: Vec<String>,
     /// By region, the least number of hosts that are up with which its ring can stand.
-    leasts: Vec<u32>,
+    min_hosts: Vec<u32>,
     /// Balancers of the own region, where the file says.
     balancers: Option<u32>,
     /// Sorted, each with its region.
@@ -58,7 +58,7 @@
         let line =
             |span: Range<usize>| text.bytes().take(span.start).filter(|&byte| byte == b'\n').count() + 1;
         let refusal = |span: Range<usize>, what: String| format!("{file} line {}: {what}", line(span));
-        let read: File = toml::from_str(text).map_err(|cause| {
+        let read: RegionFile = toml::from_str(text).map_err(|cause| {
             let what = cause.message().split_whitespace().collect::<Vec<_>>().join(" ");
             refusal(
                 cause.span().unwrap_or(0..0),
@@ -106,7 +106,7 @@
                 ("balancers", &region.balancers, "say how many there are, 1 or more, or leave it out"),
                 ("hosts", &region.hosts, "say how many must be up, 1 or more, or leave it out"),
             ] {
-                let Some(told) = told.as_ref().filter(|told| number(told).is_none()) else { continue };
+                let Some(told) = told.as_ref().filter(|told| positive(told).is_none()) else { continue };
                 let what = format!("region {name:?} has {what} = {}: {way}", told.get_ref());
                 return Err(refusal(told.span(), what));
             }
@@ -120,17 +120,17 @@
             let known = regions.keys().map(|name| format!("{name:?}")).collect::<Vec<_>>().join(", ");
             return Err(refusal(read.own.span(), format!("no region {own:?}: own is to be one of {known}")));
         };
-        let least = |region: &Table| region.hosts.as_ref().and_then(number).unwrap_or(1);
+        let min_hosts = |region: &RegionTable| region.hosts.as_ref().and_then(positive).unwrap_or(1);
         let mut map = RegionMap {
             own: at as u16,
-            balancers: read.region[at].balancers.as_ref().and_then(number),
-            leasts: read.region.iter().map(least).collect(),
+            balancers: read.region[at].balancers.as_ref().and_then(positive),
+            min_hosts: read.region.iter().map(min_hosts).collect(),
             zones: zones.into_iter().map(|(zone, (region, _))| (zone.into(), region as u16)).collect(),
             names: read.region.iter().map(|region| region.name.get_ref().clone()).collect(),
             version: 0,
         };
         map.version =
-            map.checksum(read.region.iter().map(|region| region.balancers.as_ref().and_then(number)));
+            map.checksum(read.region.iter().map(|region| region.balancers.as_ref().and_then(positive)));
         Ok(map)
     }
 
@@ -147,14 +147,14 @@
         for (zone, region) in &self.zones {
             zones[usize::from(*region)].push(&**zone);
         }
-        for (((name, zones), balancers), least) in
-            self.names.iter().zip(zones).zip(balancers).zip(&self.leasts)
+        for (((name, zones), balancers), min_hosts) in
+            self.names.iter().zip(zones).zip(balancers).zip(&self.min_hosts)
         {
             text(&mut sum, name);
             number(&mut sum, zones.len() as u32);
             zones.into_iter().for_each(|zone| text(&mut sum, zone));
             number(&mut sum, balancers.unwrap_or(0));
-            number(&mut sum, *least);
+            number(&mut sum, *min_hosts);
         }
         sum.finalize()
     }
@@ -182,25 +182,25 @@
     }
 
     /// The least number of hosts that are up with which a region's ring can stand; 1 where none is said.
-    pub(crate) fn least(&self, region: u16) -> u32 {
-        self.leasts[usize::from(region)]
+    pub(crate) fn min_hosts(&self, region: u16) -> u32 {
+        self.min_hosts[usize::from(region)]
     }
 
-    pub(crate) fn own_number(&self) -> u16 {
+    pub(crate) fn own_index(&self) -> u16 {
         self.own
     }
 
     /// The number of a zone, none where no region names it.
-    pub(crate) fn zone(&self, name: &str) -> Option<Zone> {
+    pub(crate) fn zone(&self, name: &str) -> Option<ZoneNumber> {
         let at = self.zones.binary_search_by(|zone| (*zone.0).cmp(name)).ok()?;
-        Zone::new(at as u16 + 1)
+        ZoneNumber::new(at as u16 + 1)
     }
 
-    pub(crate) fn zone_name(&self, zone: Zone) -> &str {
+    pub(crate) fn zone_name(&self, zone: ZoneNumber) -> &str {
         &self.zones[usize::from(zone.get()) - 1].0
     }
 
-    pub(crate) fn region_of(&self, zone: Zone) -> u16 {
+    pub(crate) fn region_of(&self, zone: ZoneNumber) -> u16 {
         self.zones[usize::from(zone.get()) - 1].1
     }
 }
--- a/regions/tests/common/mod.rs
+++ b/regions/tests/common/mod.rs
@@ -22,18 +22,18 @@
 pub type Listed = ListedHost<u32>;
 
 pub fn regions() -> Regions<u32> {
-    Regions::new(RegionMap::parse("regions.toml", MAP).expect("it makes sense"))
+    Regions::new(RegionMap::parse("regions.toml", MAP).expect("it is valid"))
 }
 
 /// The same map with these least numbers of hosts, where they are said; west, north, south.
-pub fn regions_with(leasts: [Option<u32>; 3]) -> Regions<u32> {
+pub fn regions_with(min_hosts: [Option<u32>; 3]) -> Regions<u32> {
     let mut map = MAP.to_owned();
-    for (zones, least) in [r#"["w1"]"#, r#"["n1", "n2"]"#, r#"["s1", "s2"]"#].iter().zip(leasts) {
+    for (zones, least) in [r#"["w1"]"#, r#"["n1", "n2"]"#, r#"["s1", "s2"]"#].iter().zip(min_hosts) {
         if let Some(least) = least {
             map = map.replace(zones, &format!("{zones}\nhosts = {least}"));
         }
     }
-    Regions::new(RegionMap::parse("regions.toml", &map).expect("it makes sense"))
+    Regions::new(RegionMap::parse("regions.toml", &map).expect("it is valid"))
 }
 
 /// `name zone lifecycle`: `-` is no zone, and a name that begins with `origin` is of an origin.
@@ -60,8 +60,8 @@
     text.split(", ").filter(|words| !words.is_empty()).map(entry).collect()
 }
 
-/// What is passed on, in a line.
-pub fn shown(passed: &RingUpdate<u32>) -> String {
+/// An update, in a line.
+pub fn shown(update: &RingUpdate<u32>) -> String {
     let word = |lifecycle| match lifecycle {
         Lifecycle::Up => "",
         Lifecycle::Draining => " drains",
@@ -71,11 +71,11 @@
         let zone = entry.zone.as_deref().unwrap_or("-");
         format!("{} {zone}{}", entry.host, word(entry.lifecycle))
     };
-    let note = |note: &RegionEvent| match note {
+    let event = |event: &RegionEvent| match event {
         RegionEvent::UnknownZone(zone) => format!("[no region for {}]", zone.as_deref().unwrap_or("-")),
         RegionEvent::RingChanged { before, now } => format!("[ring {before} to {now}]"),
     };
-    let words = passed.events.iter().map(note).chain(passed.entries.iter().map(entry)).collect::<Vec<_>>();
+    let words = update.events.iter().map(event).chain(update.entries.iter().map(entry)).collect::<Vec<_>>();
     match words.is_empty() {
         true => "nothing".to_owned(),
         false => words.chunks(6).map(|words| words.join(", ")).collect::<Vec<_>>().join(",\n     "),
@@ -85,7 +85,7 @@
 /// What the module makes of what it hears. Where only draining binds it keeps hosts that a list drops without
 /// that, until they fall silent.
 #[derive(Default)]
-pub struct Module {
+pub struct StandInPolicy {
     pub dropped_stay: bool,
     pub hosts: BTreeMap<Box<str>, Known>,
 }
@@ -98,9 +98,9 @@
     pub dropped: bool,
 }
 
-impl Module {
-    pub fn apply(&mut self, whole: bool, passed: &RingUpdate<u32>) {
-        let named: Vec<&str> = passed.entries.iter().map(|entry| &*entry.host).collect();
+impl StandInPolicy {
+    pub fn apply(&mut self, whole: bool, update: &RingUpdate<u32>) {
+        let named: Vec<&str> = update.entries.iter().map(|entry| &*entry.host).collect();
         for (name, known) in &mut self.hosts {
             if whole && !named.contains(&&**name) {
                 known.apply(
@@ -109,7 +109,7 @@
                 );
             }
         }
-        for entry in &passed.entries {
+        for entry in &update.entries {
             let known = self.hosts.entry(entry.host.clone()).or_insert_with(|| Known {
                 entry: ListedHost { lifecycle: Lifecycle::Gone, ..entry.clone() },
                 drained: false,
--- a/regions/tests/map.rs
+++ b/regions/tests/map.rs
@@ -17,19 +17,19 @@
 "#;
 
 #[test]
-fn a_file_tells_its_regions() {
-    let map = RegionMap::parse("regions.toml", GOOD).expect("it makes sense");
+fn file_gives_region_names_and_balancers_of_the_own_region() {
+    let map = RegionMap::parse("regions.toml", GOOD).expect("it is valid");
     assert_eq!(
         (map.own(), map.names(), map.balancers()),
         ("north", &["north".into(), "south".into()][..], Some(519))
     );
     let other = GOOD.replace("own = \"north\"", "own = \"south\"");
-    let map = RegionMap::parse("regions.toml", &other).expect("it makes sense");
+    let map = RegionMap::parse("regions.toml", &other).expect("it is valid");
     assert_eq!((map.own(), map.balancers()), ("south", None), "only the own region's number counts");
 }
 
 #[test]
-fn a_file_without_sense_is_refused_in_one_line_that_tells_the_way_out() {
+fn invalid_file_is_refused_in_one_line_with_the_way_out() {
     let mut lines = Vec::new();
     for (part, by) in [
         ("\"z03\"", "\"z02\""),
@@ -59,7 +59,7 @@
     ] {
         let text = GOOD.replacen(part, by, 1);
         assert_ne!(text, GOOD);
-        let refusal = RegionMap::parse("regions.toml", &text).expect_err("it makes no sense");
+        let refusal = RegionMap::parse("regions.toml", &text).expect_err("it is invalid");
         assert!(!refusal.contains('\n'), "{refusal:?}");
         lines.push(refusal.replace("; ", ";\n    ").replace(": ", ":\n    "));
     }
@@ -144,10 +144,10 @@
 
 /// By what the map says, whoever's copy it is and however that is written.
 #[test]
-fn a_version_tells_maps_apart_by_all_they_say_but_the_own_region() {
+fn version_differs_by_all_a_map_says_but_the_own_region() {
     let version =
         |text: &str| RegionMap::parse("regions.toml", text).map(|map| format!("{:08x}", map.version()));
-    let mut lines = vec![version(GOOD).expect("it makes sense")];
+    let mut lines = vec![version(GOOD).expect("it is valid")];
     for (part, by) in [
         ("own = \"north\"", "own = \"south\""),
         ("own = \"north\"", "# The southern copy.\nown = 'south'   # here"),
@@ -166,13 +166,13 @@
     ] {
         let text = GOOD.replacen(part, by, 1);
         assert_ne!(text, GOOD);
-        let (version, same) = (version(&text).expect("it makes sense"), &lines[0]);
+        let (version, same) = (version(&text).expect("it is valid"), &lines[0]);
         let word = if version == *same { "the same" } else { "another" };
         lines.push(format!("{word}: {part:?} now {by:?}"));
     }
     let (north, south) = GOOD.split_at(GOOD.rfind("[[region]]").expect("it is there"));
     let (own, north) = north.split_once("\n\n").expect("an empty line");
-    let turned = version(&format!("{own}\n{south}{north}")).expect("it makes sense");
+    let turned = version(&format!("{own}\n{south}{north}")).expect("it is valid");
     lines.push(format!("{}: turned round", if turned == lines[0] { "the same" } else { "another" }));
     expect![[r##"
         7a4aced4
@@ -195,8 +195,8 @@
 }
 
 #[test]
-fn the_example_makes_sense() {
+fn example_file_parses() {
     let text = include_str!("../../deploy/regions.example.toml");
-    let map = RegionMap::parse("regions.example.toml", text).expect("it makes sense");
+    let map = RegionMap::parse("regions.example.toml", text).expect("it is valid");
     assert_eq!((map.own(), map.names().len(), map.balancers()), ("north", 2, Some(519)));
 }
--- a/regions/tests/bytes.rs
+++ b/regions/tests/memory.rs
@@ -4,7 +4,7 @@
 use basaltwood_regions::{ListedHost, RegionMap, Regions};
 
 /// So many bytes this process holds.
-fn held() -> usize {
+fn resident_bytes() -> usize {
     let text = std::fs::read_to_string("/proc/self/smaps_rollup").expect("it runs");
     let line = text.lines().find_map(|line| line.strip_prefix("Rss:")).expect("a figure");
     line.trim().trim_end_matches(" kB").parse::<usize>().expect("a number") * 1024
@@ -13,22 +13,22 @@
 /// With 64 bytes that the shell wants kept: an address, a weight, a cell, a start. Names are of 19 letters,
 /// and come sorted, which leaves the most room unused.
 #[test]
-fn a_host_outside_takes_under_256_bytes() {
+fn host_outside_the_ring_takes_under_256_bytes() {
     const MANY: usize = 20_000;
     const MAP: &str =
         "own = \"n\"\nregion = [{ name = \"n\", zones = [\"n1\"] }, { name = \"s\", zones = [\"s1\"] }]";
-    let mut regions = Regions::new(RegionMap::parse("regions.toml", MAP).expect("it makes sense"));
+    let mut regions = Regions::new(RegionMap::parse("regions.toml", MAP).expect("it is valid"));
     let entry = |nth: usize, zone: &str| {
         let (host, zone) = (format!("cache-host-{nth:08}").into_boxed_str(), Some(zone.into()));
         ListedHost { host, zone, origin: false, lifecycle: Lifecycle::Up, details: [nth; 8] }
     };
     assert_eq!(regions.apply(false, vec![entry(MANY, "n1")]).entries.len(), 1);
-    let before = held();
+    let before = resident_bytes();
     for nth in 0..MANY / 100 {
-        let passed = regions.apply(false, (0..100).map(|at| entry(nth * 100 + at, "s1")).collect());
-        assert!(passed.entries.is_empty());
+        let update = regions.apply(false, (0..100).map(|at| entry(nth * 100 + at, "s1")).collect());
+        assert!(update.entries.is_empty());
     }
-    let each = (held() - before) / MANY;
+    let each = (resident_bytes() - before) / MANY;
     println!("{each} bytes a host outside");
     assert!((100..256).contains(&each), "{each} bytes a host outside");
     assert_eq!(regions.counts().outside_ring, MANY);
--- a/regions/tests/rings.rs
+++ b/regions/tests/rings.rs
@@ -1,4 +1,4 @@
-//! Which hosts the module hears of: traces of lists in and entries out, and properties over series of lists.
+//! Which hosts the policy hears of: traces of lists in and entries out, and properties over series of lists.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use expect_test::expect;
 use proptest::prelude::*;
 
-/// Lists, a line each, `all` before one that holds all there is, and what the module hears of each.
+/// Lists, a line each, `all` before one that holds all there is, and what the policy hears of each.
 fn trace(lists: &[&str]) -> String {
     trace_of(regions(), lists)
 }
@@ -18,14 +18,14 @@
 fn trace_of(mut regions: Regions<u32>, lists: &[&str]) -> String {
     let lines = lists.iter().map(|list| {
         let (whole, text) = list.strip_prefix("all: ").map_or((false, *list), |text| (true, text));
-        let passed = regions.apply(whole, entries(text));
-        format!("{}\n  => {}\n", list.trim(), shown(&passed))
+        let update = regions.apply(whole, entries(text));
+        format!("{}\n  => {}\n", list.trim(), shown(&update))
     });
     lines.collect()
 }
 
 #[test]
-fn the_ring_holds_the_own_region_and_the_origin_is_always_passed_on() {
+fn ring_holds_own_region_and_origin_hosts_are_always_passed_on() {
     let trace = trace(&[
         "all: a n1, b s1, c w1, origin s1, origin2 -",
         "d n2, e s2",
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_zone_that_no_region_names_is_outside_and_said_once() {
+fn zone_without_region_is_outside_and_reported_once() {
     let trace = trace(&["all: a n1, b x1, c -, d x1", "b x1, c -, e x2, f x3 leaving, g - leaving", "a x1"]);
     expect![[r#"
         all: a n1, b x1, c -, d x1
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_host_that_moves_out_is_gone_and_one_that_moves_in_is_up() {
+fn host_that_leaves_the_ring_is_gone_and_one_that_enters_is_up() {
     let trace = trace(&[
         "all: a n1, b n2, c s1",
         "b s1",
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn what_ends_the_use_of_a_ring_host_is_passed_on_whatever_zone_it_names() {
+fn entry_that_ends_use_of_a_ring_host_is_passed_on_whatever_its_zone() {
     let trace = trace(&[
         "all: a n1, b n1, c n1, d n1, e n1, f n1, keep n1",
         "a - leaving, b absurd leaving, c s1 leaving",
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_region_of_six_loses_one_four_all_and_comes_back_host_by_host() {
+fn region_that_loses_all_hosts_hands_over_the_ring_and_regains_it_with_the_first() {
     let trace = trace(&[
         "all: a n1, b n1, c n1, d n2, e n2, f n2, s s1, t s2 leaving, u s2",
         "a n1 left",
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_ring_stands_from_its_least_number_of_hosts_on() {
+fn ring_with_fewer_hosts_than_its_minimum_moves_to_the_next_region() {
     let lists = [
         "all: a n1, b n1, c n2, s s1, w w1",
         "b n1 leaving, c n2 left",
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn the_next_region_is_the_one_after_the_own_in_the_files_order_and_round() {
+fn next_region_is_the_one_after_the_own_in_file_order_wrapping_round() {
     let trace = trace(&[
         "all: a n1, s s1, w w1",
         "a n1 leaving",
@@ -249,16 +249,16 @@
 /// After a restart some have the new map and others the old one, of one list: a zone that moves is used by
 /// both regions, one that is in no region between by neither.
 #[test]
-fn each_balancer_goes_by_its_own_version_of_the_map() {
+fn balancers_with_different_maps_each_follow_their_own() {
     let moved = MAP.replace(r#""n1", "n2""#, r#""n1""#).replace(r#""s1", "s2""#, r#""s1", "s2", "n2""#);
     let taken = MAP.replace(r#""n1", "n2""#, r#""n1""#);
     let mut lines = String::new();
     for (version, map) in [("old", MAP), ("in no region", &taken), ("moved", &moved)] {
         for own in ["north", "south"] {
             let map = map.replace("own = \"north\"", &format!("own = \"{own}\""));
-            let mut regions = Regions::new(RegionMap::parse("regions.toml", &map).expect("it makes sense"));
-            let passed = regions.apply(true, entries("a n1, b n2, c s1, d s2"));
-            lines += &format!("{version}, {own}: {}\n", shown(&passed));
+            let mut regions = Regions::new(RegionMap::parse("regions.toml", &map).expect("it is valid"));
+            let update = regions.apply(true, entries("a n1, b n2, c s1, d s2"));
+            lines += &format!("{version}, {own}: {}\n", shown(&update));
         }
     }
     expect![[r#"
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn hosts_are_counted_by_where_they_lie() {
+fn hosts_are_counted_by_region() {
     let mut regions = regions();
     regions.apply(true, entries("a n1, b n2 leaving, c s1, d x1, e -, origin x9"));
     let counted = RegionCounts { in_ring: 2, outside_ring: 3, unmapped_hosts: 2, unmapped_zones: 2 };
@@ -286,26 +286,26 @@
 /// A host that a list drops while only draining binds is used on, and its drain is heard though no list names
 /// it any more.
 #[test]
-fn a_host_that_the_list_dropped_hears_its_drain_until_it_is_forgotten() {
+fn drain_of_an_unlisted_host_is_passed_on_until_the_host_is_forgotten() {
     let mut regions = regions();
-    let mut module = Module { dropped_stay: true, ..Module::default() };
-    let mut hear = |whole, text: &str, module: &mut Module| {
-        let passed = regions.apply(whole, entries(text));
-        module.apply(whole, &passed);
-        module.free().iter().for_each(|name| regions.forget(name));
-        let up: Vec<_> = module.up().into_keys().collect();
-        format!("{text}\n  => {}; up: {}\n", shown(&passed), up.join(" ")).replace(": \n", ": none\n")
+    let mut policy = StandInPolicy { dropped_stay: true, ..StandInPolicy::default() };
+    let mut apply = |whole, text: &str, policy: &mut StandInPolicy| {
+        let update = regions.apply(whole, entries(text));
+        policy.apply(whole, &update);
+        policy.free().iter().for_each(|name| regions.forget(name));
+        let up: Vec<_> = policy.up().into_keys().collect();
+        format!("{text}\n  => {}; up: {}\n", shown(&update), up.join(" ")).replace(": \n", ": none\n")
     };
     let lines = [
-        hear(true, "a n1, b n1, c n1", &mut module),
-        hear(true, "c n1", &mut module),
-        hear(false, "a - leaving", &mut module),
-        hear(false, "b s1", &mut module),
-        hear(false, "b - leaving", &mut module),
-        hear(true, "", &mut module),
-        hear(false, "c absurd leaving", &mut module),
-        hear(false, "c - left", &mut module),
-        hear(false, "c - leaving", &mut module),
+        apply(true, "a n1, b n1, c n1", &mut policy),
+        apply(true, "c n1", &mut policy),
+        apply(false, "a - leaving", &mut policy),
+        apply(false, "b s1", &mut policy),
+        apply(false, "b - leaving", &mut policy),
+        apply(true, "", &mut policy),
+        apply(false, "c absurd leaving", &mut policy),
+        apply(false, "c - left", &mut policy),
+        apply(false, "c - leaving", &mut policy),
     ];
     expect![[r#"
         a n1, b n1, c n1
@@ -331,9 +331,9 @@
 }
 
 /// What a map says of its regions' least numbers of hosts: west, north, south.
-type Leasts = [Option<u32>; 3];
+type MinHosts = [Option<u32>; 3];
 
-fn leasts() -> impl Strategy<Value = Leasts> {
+fn any_min_hosts() -> impl Strategy<Value = MinHosts> {
     proptest::array::uniform3(proptest::option::of(1..4_u32))
 }
 
@@ -378,7 +378,7 @@
 }
 
 /// Hosts that are up in the first region that has its least, or in the first that has any, and origins.
-fn ring_of(list: &BTreeMap<Box<str>, Listed>, leasts: Leasts) -> BTreeMap<Box<str>, Listed> {
+fn ring_of(list: &BTreeMap<Box<str>, Listed>, min_hosts: MinHosts) -> BTreeMap<Box<str>, Listed> {
     let up = |entry: &&Listed| entry.lifecycle == Lifecycle::Up;
     let of = |zones: &[&str]| -> BTreeMap<Box<str>, Listed> {
         let here = |entry: &&Listed| entry.zone.as_deref().is_some_and(|zone| zones.contains(&zone));
@@ -387,7 +387,7 @@
     };
     let regions = [&["n1", "n2"][..], &["s1", "s2"], &["w1"]];
     let rings = regions.map(of);
-    let [west, north, south] = leasts.map(|least| least.unwrap_or(1) as usize);
+    let [west, north, south] = min_hosts.map(|least| least.unwrap_or(1) as usize);
     let stands = rings.iter().zip([north, south, west]).find(|(ring, least)| ring.len() >= *least);
     let any = rings.iter().find(|ring| !ring.is_empty());
     let mut ring = stands.map(|found| found.0).or(any).cloned().unwrap_or_default();
@@ -409,46 +409,46 @@
     /// Alike at all balancers of the region: whatever lists and changes a balancer heard, what it sends to is
     /// what the list says now, and one that starts with that list whole, in any order, has the same.
     #[test]
-    fn the_ring_is_the_lists_whatever_way_it_came(
-        leasts in leasts(),
+    fn ring_after_any_lists_equals_the_ring_of_the_final_list(
+        min_hosts in any_min_hosts(),
         steps in proptest::collection::vec(step(), 1..24),
         order in any::<u64>(),
     ) {
-        let (mut regions, mut module, mut list) = (regions_with(leasts), Module::default(), BTreeMap::new());
+        let (mut regions, mut policy, mut list) = (regions_with(min_hosts), StandInPolicy::default(), BTreeMap::new());
         for step in steps {
-            let passed = regions.apply(step.whole, step.entries.clone());
-            module.apply(step.whole, &passed);
+            let update = regions.apply(step.whole, step.entries.clone());
+            policy.apply(step.whole, &update);
             listed(&mut list, &step);
-            let mut other = Module::default();
-            other.apply(true, &regions_with(leasts).apply(true, shuffled(&list, order)));
-            prop_assert_eq!(module.up(), ring_of(&list, leasts));
-            prop_assert_eq!(other.up(), ring_of(&list, leasts));
+            let mut other = StandInPolicy::default();
+            other.apply(true, &regions_with(min_hosts).apply(true, shuffled(&list, order)));
+            prop_assert_eq!(policy.up(), ring_of(&list, min_hosts));
+            prop_assert_eq!(other.up(), ring_of(&list, min_hosts));
             if step.frees {
-                module.free().iter().for_each(|name| regions.forget(name));
+                policy.free().iter().for_each(|name| regions.forget(name));
             }
         }
     }
 
     /// Rule 3, where only draining binds too: whatever a drain's entry says, and whether or not a list names
-    /// the host still, the module sends nothing there; and it uses no host outside, listed or not.
+    /// the host still, the policy sends nothing there; and it uses no host outside, listed or not.
     #[test]
-    fn a_drain_binds_whatever_was_heard_before(
-        leasts in leasts(),
+    fn draining_host_is_never_used_whatever_came_before(
+        min_hosts in any_min_hosts(),
         steps in proptest::collection::vec(step(), 1..24),
     ) {
-        let mut regions = regions_with(leasts);
-        let mut module = Module { dropped_stay: true, ..Module::default() };
+        let mut regions = regions_with(min_hosts);
+        let mut policy = StandInPolicy { dropped_stay: true, ..StandInPolicy::default() };
         // The list, and where a host was when an entry last told of its place.
         let (mut list, mut places) = (BTreeMap::new(), BTreeMap::new());
         for step in steps {
-            let passed = regions.apply(step.whole, step.entries.clone());
-            module.apply(step.whole, &passed);
+            let update = regions.apply(step.whole, step.entries.clone());
+            policy.apply(step.whole, &update);
             listed(&mut list, &step);
-            let up = module.up();
+            let up = policy.up();
             for entry in list.values().filter(|entry| entry.lifecycle == Lifecycle::Draining) {
                 prop_assert!(!up.contains_key(&entry.host), "{} drains", entry.host);
             }
-            for (name, entry) in ring_of(&list, leasts) {
+            for (name, entry) in ring_of(&list, min_hosts) {
                 prop_assert_eq!(up.get(&name), Some(&entry));
             }
             for entry in &step.entries {
@@ -458,15 +458,15 @@
                 }
             }
             for name in up.iter().filter(|(_, entry)| !entry.origin).map(|(name, _)| name) {
-                let listed = ring_of(&list, leasts).contains_key(name);
-                prop_assert!(listed || module.hosts[name].dropped, "{name} is not listed");
+                let listed = ring_of(&list, min_hosts).contains_key(name);
+                prop_assert!(listed || policy.hosts[name].dropped, "{name} is not listed");
                 // Regions' names begin as their zones do.
                 let zone = places[name].as_deref().and_then(|zone| zone.chars().next());
                 prop_assert_eq!(zone, regions.ring().chars().next(), "{} lies outside", name);
             }
-            module.silent(HOSTS[step.silent]);
+            policy.silent(HOSTS[step.silent]);
             if step.frees {
-                module.free().iter().for_each(|name| regions.forget(name));
+                policy.free().iter().for_each(|name| regions.forget(name));
             }
         }
     }
