--- a/balancer/src/downstream/command.rs
+++ b/balancer/src/downstream/command.rs
@@ -65,15 +65,15 @@
     match &name[..] {
         b"CACHE.GET" | b"CACHE.SET" => match request(shared, command) {
             Ok((request, new_request)) => Parsed::Request(request, new_request),
-            Err(cause) => Parsed::Malformed(resp::error(&cause.to_string())),
+            Err(cause) => Parsed::Malformed(resp::encode_error(&cause.to_string())),
         },
         // By this the load balancer in front learns that clients are to go elsewhere.
-        b"PING" if phase == Phase::LameDuck => Parsed::Reply(resp::error("draining")),
-        b"PING" if words.len() == 2 => Parsed::Reply(resp::value(&words[1])),
+        b"PING" if phase == Phase::LameDuck => Parsed::Reply(resp::encode_error("draining")),
+        b"PING" if words.len() == 2 => Parsed::Reply(resp::encode_bulk(&words[1])),
         b"PING" => Parsed::Reply(Bytes::from_static(b"+PONG\r\n")),
         b"CLIENT" | b"SELECT" => Parsed::Reply(Bytes::from_static(b"+OK\r\n")),
         b"QUIT" => Parsed::ReplyAndQuit(Bytes::from_static(b"+OK\r\n")),
-        _ => Parsed::Malformed(resp::error("unknown command")),
+        _ => Parsed::Malformed(resp::encode_error("unknown command")),
     }
 }
 
--- a/balancer/src/downstream/connection.rs
+++ b/balancer/src/downstream/connection.rs
@@ -223,7 +223,7 @@
     /// The last reply to a client that does not keep to the protocol.
     fn refuse(&mut self, cause: &ProtocolError) {
         self.shared.counters.malformed.add();
-        self.reply(resp::error(&format!("Protocol error: {cause}")));
+        self.reply(resp::encode_error(&format!("Protocol error: {cause}")));
         self.closing = Some(Close::AfterError);
     }
 
--- a/balancer/src/downstream/input.rs
+++ b/balancer/src/downstream/input.rs
@@ -7,7 +7,7 @@
 
 use basaltwood_wire::body::Body;
 use basaltwood_wire::buffer::Buffer;
-use basaltwood_wire::resp::{self, Asked};
+use basaltwood_wire::resp::{self, ParsedCommand};
 use bytes::Bytes;
 use thiserror::Error;
 use tokio::io::{AsyncReadExt, Interest};
@@ -109,7 +109,7 @@
 
     fn into_command(self) -> Command {
         let IncomingValue { words, body, memory } = self;
-        Command { words, value: Some(SeparateValue { segments: body.segments(), memory }) }
+        Command { words, value: Some(SeparateValue { segments: body.into_segments(), memory }) }
     }
 }
 
@@ -132,7 +132,7 @@
 impl Input {
     /// An empty one.
     pub fn new() -> Input {
-        Input { buffer: Buffer::new(resp::MOST), incoming: None }
+        Input { buffer: Buffer::new(resp::MAX_BUFFERED_MESSAGE), incoming: None }
     }
 
     /// Whether part of a command has come.
@@ -159,13 +159,13 @@
 
     /// Whether the buffer can take more bytes of commands, and no value is being read.
     pub fn can_read_ahead(&self) -> bool {
-        self.incoming.is_none() && !self.buffer.full()
+        self.incoming.is_none() && !self.buffer.is_full()
     }
 
     /// The bytes that no [`ValuePermit`] accounts for.
     pub fn unreserved_size(&self) -> usize {
         let unreserved = self.incoming.as_ref().filter(|incoming| !incoming.has_own_memory());
-        self.buffer.size() + unreserved.map_or(0, |incoming| incoming.body.length())
+        self.buffer.capacity() + unreserved.map_or(0, |incoming| incoming.body.length())
     }
 
     /// Gives up the value that is being read.
@@ -179,16 +179,16 @@
     /// Where the bytes can become no command any more.
     pub fn next_command(&mut self, shared: &Shared) -> Result<Option<Command>, ProtocolError> {
         if self.incoming.is_none() {
-            match resp::asked(self.buffer.bytes()).map_err(malformed)? {
-                None if self.buffer.full() => return Err(ProtocolError::CommandTooLong),
+            match resp::parse_command(self.buffer.bytes()).map_err(malformed)? {
+                None if self.buffer.is_full() => return Err(ProtocolError::CommandTooLong),
                 None => return Ok(None),
-                Some(Asked::Whole(words, used)) => {
+                Some(ParsedCommand::Complete(words, used)) => {
                     self.buffer.consume(used);
                     return Ok(Some(Command { words, value: None }));
                 }
-                Some(Asked::Begun { words, used, length }) => {
+                Some(ParsedCommand::ValuePending { words, consumed: used, value_length: length }) => {
                     // What can't be taken is refused before it comes.
-                    if length > resp::MOST_VALUE && !can_take_value(shared, &words[0], length) {
+                    if length > resp::MAX_BUFFERED_VALUE && !can_take_value(shared, &words[0], length) {
                         return Err(ProtocolError::ValueTooLong);
                     }
                     self.buffer.consume(used);
@@ -204,14 +204,14 @@
         let Some(incoming) = self.incoming.as_mut().filter(|incoming| !incoming.awaits_memory()) else {
             return Ok(None);
         };
-        let taken = incoming.body.take(self.buffer.bytes());
+        let taken = incoming.body.copy_from(self.buffer.bytes());
         self.buffer.consume(taken);
-        if incoming.body.left() > 0 {
+        if incoming.body.remaining() > 0 {
             return Ok(None);
         }
-        match self.buffer.bytes().get(..resp::END.len()) {
+        match self.buffer.bytes().get(..resp::CRLF.len()) {
             None => return Ok(None),
-            Some(resp::END) => self.buffer.consume(resp::END.len()),
+            Some(resp::CRLF) => self.buffer.consume(resp::CRLF.len()),
             Some(_) => return Err(ProtocolError::MissingTerminator),
         }
         Ok(self.incoming.take().map(IncomingValue::into_command))
@@ -238,9 +238,9 @@
                 disconnected(reader).await;
                 InputEvent::Disconnected
             }
-            Some(IncomingValue { body, .. }) if body.left() > 0 => {
-                let read = reader.read_buf(&mut body.room()).await;
-                InputEvent::Read(read.inspect(|&count| body.filled(count)))
+            Some(IncomingValue { body, .. }) if body.remaining() > 0 => {
+                let read = reader.read_buf(&mut body.unfilled()).await;
+                InputEvent::Read(read.inspect(|&count| body.advance(count)))
             }
             _ => InputEvent::Read(read(reader, &mut self.buffer).await),
         }
@@ -248,7 +248,7 @@
 
     /// Reads what is there already; whether there was anything.
     pub fn try_read(&mut self, reader: &mut ReadHalf<'_>) -> bool {
-        matches!(self.buffer.room().map(|room| reader.try_read_buf(room)), Ok(Ok(1..)))
+        matches!(self.buffer.unfilled().map(|room| reader.try_read_buf(room)), Ok(Ok(1..)))
     }
 }
 
--- a/balancer/src/downstream/reply.rs
+++ b/balancer/src/downstream/reply.rs
@@ -111,7 +111,7 @@
     async fn next_chunk(&mut self) -> OutputEvent {
         let Some(stream) = &mut self.stream else { return std::future::pending().await };
         if stream.length == 0 {
-            self.text = Bytes::from_static(resp::END);
+            self.text = Bytes::from_static(resp::CRLF);
             self.stream = None;
             return OutputEvent::ChunkReady;
         }
@@ -156,12 +156,12 @@
 /// A final answer as RESP2; of a long value its head.
 fn encode(answer: &FinalAnswer) -> Bytes {
     match answer {
-        FinalAnswer::Succeeded(Value::Whole(value)) => resp::value(value),
-        FinalAnswer::Succeeded(Value::Streamed(stream)) => resp::head(stream.length),
+        FinalAnswer::Succeeded(Value::Whole(value)) => resp::encode_bulk(value),
+        FinalAnswer::Succeeded(Value::Streamed(stream)) => resp::encode_bulk_head(stream.length),
         FinalAnswer::Rejected { retry_after: Some(span) } => {
             Bytes::from(format!("-BUSY {}\r\n", span / 1000))
         }
         FinalAnswer::Rejected { retry_after: None } => Bytes::from_static(b"-BUSY\r\n"),
-        FinalAnswer::Failed => resp::error("dead-lettered"),
+        FinalAnswer::Failed => resp::encode_error("dead-lettered"),
     }
 }
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -3,7 +3,7 @@
 
 use basaltwood::types::{AttemptOutcome, Micros};
 use basaltwood_wire::facts;
-use basaltwood_wire::resp::MOST_VALUE;
+use basaltwood_wire::resp::MAX_BUFFERED_VALUE;
 use bytes::Bytes;
 use tokio::sync::{mpsc, watch};
 
@@ -52,7 +52,7 @@
     pub fn long_value(&self) -> Option<(usize, &[Bytes])> {
         let segments = self.value.as_deref()?;
         let length = segments.iter().map(Bytes::len).sum();
-        Some((length, segments)).filter(|_| length > MOST_VALUE)
+        Some((length, segments)).filter(|_| length > MAX_BUFFERED_VALUE)
     }
 
     /// The value in one stretch, where it is short.
@@ -73,6 +73,6 @@
     /// The facts as they came, but for the time that this attempt may take.
     pub fn facts_within(&self, time_left: Micros) -> Bytes {
         let wait_ms = (time_left / 1000).max(1) as u64;
-        facts::with_wait(&self.facts, wait_ms)
+        facts::with_timeout(&self.facts, wait_ms)
     }
 }
