--- a/balancer/tests/sockets.rs
+++ b/balancer/tests/sockets.rs
@@ -816,7 +816,7 @@
     program.signal("STOP");
     std::thread::sleep(Duration::from_millis(450));
     program.signal("CONT");
-    program.counts("own_stops", 1);
+    program.counts("process_stalls", 1);
     // A host that was left for silent would get one push at a time, and the others were nacked.
     for id in ["id4", "id5", "id6"] {
         client.get("k", id, "c=read,d=1500");
--- a/connection_pool/src/lib.rs
+++ b/connection_pool/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! For a push: [`ConnectionPools::grant`]; then [`ConnectionPools::opened`] or [`ConnectionPools::failed`] where that said to open; [`ConnectionPools::sent`] once
 //! its last byte is written; and at its end one of [`ConnectionPools::answered`], [`ConnectionPools::silent`], [`ConnectionPools::broke`] or
-//! [`ConnectionPools::abandoned`]. [`ConnectionPools::tick`] every now and then; [`ConnectionPools::orders`] after any of these.
+//! [`ConnectionPools::abandoned`]. [`ConnectionPools::tick`] every now and then; [`ConnectionPools::actions`] after any of these.
 //!
 //! It never decides which host an op goes to or whether it goes again: it says of a fault whose it was ([`Fault`]), tells of
 //! pushes in doubt and of hosts that are surely alive, and the module decides. It opens, closes and reads nothing itself.
@@ -19,7 +19,7 @@
 use basaltwood::types::{HostId, Micros, SeededRng};
 
 use opening::TokenBucket;
-pub use pool::State;
+pub use pool::ConnectionState;
 use pool::{Connection, HostPool};
 
 /// A connection, never used again for another.
@@ -85,44 +85,44 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PoolStats {
     /// Kept connections that were not trusted any more for their age, or for a fellow's end.
-    pub distrusted: u64,
+    pub presumed_stale: u64,
     /// More than were needed of late.
-    pub surplus: u64,
+    pub surplus_closed: u64,
     /// Kept connections that turned out dead under a push.
-    pub dead_kept: u64,
+    pub connection_faults: u64,
     /// Pushes in doubt.
-    pub doubts: u64,
+    pub attempts_in_doubt: u64,
     /// Connections that were listened to after their push had given up, and that answered then.
-    pub late: u64,
+    pub late_responses: u64,
     /// Grants put off, and refused.
-    pub put_off: u64,
-    pub closed: u64,
-    pub full: u64,
+    pub connects_throttled: u64,
+    pub connects_circuit_open: u64,
+    pub connects_exhausted: u64,
     /// Times that this process itself stood still.
-    pub stopped: u64,
+    pub process_stalls: u64,
 }
 
 /// A stretch without a tick that is taken for a stop of our own.
-const STOPPED: Micros = 400_000;
+const STALL_THRESHOLD: Micros = 400_000;
 /// Hosts that must have learnt of an age before others believe it.
-const SAY_SO: usize = 2;
+const HOSTS_IN_AGREEMENT: usize = 2;
 /// Kept connections of so many hosts that turn out dead within this, with none that is good: what stands between forgot
 /// them all.
-const FORGOT: usize = 3;
-const FORGOT_WITHIN: Micros = 500_000;
+const OUTBREAK_HOSTS: usize = 3;
+const OUTBREAK_WINDOW: Micros = 500_000;
 
 pub struct ConnectionPools {
-    terms: PoolConfig,
-    chance: SeededRng,
+    config: PoolConfig,
+    rng: SeededRng,
     hosts: BTreeMap<HostId, HostPool>,
-    links: BTreeMap<ConnectionId, HostId>,
+    connections: BTreeMap<ConnectionId, HostId>,
     next: u64,
-    pace: TokenBucket,
-    orders: Vec<PoolAction>,
-    counted: PoolStats,
-    ticked: Option<Micros>,
+    connect_bucket: TokenBucket,
+    actions: Vec<PoolAction>,
+    stats: PoolStats,
+    last_tick: Option<Micros>,
     /// The age that several hosts' connections have proved good up to, as of the last tick.
-    others: Micros,
+    fleet_idle_limit: Micros,
     /// When kept connections of a host last turned out dead, by host.
     dead: Vec<(Micros, HostId)>,
 }
@@ -131,70 +131,71 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
             f,
-            "links_distrusted={} links_surplus={} links_dead_kept={} pushes_doubted={} links_late={} opens_put_off={} \
-             opens_closed={} opens_full={} own_stops={}",
-            self.distrusted,
-            self.surplus,
-            self.dead_kept,
-            self.doubts,
-            self.late,
-            self.put_off,
-            self.closed,
-            self.full,
-            self.stopped
+            "connections_presumed_stale={} connections_surplus_closed={} connection_faults={} attempts_in_doubt={} late_responses={} connects_throttled={} \
+             connects_circuit_open={} connects_exhausted={} process_stalls={}",
+            self.presumed_stale,
+            self.surplus_closed,
+            self.connection_faults,
+            self.attempts_in_doubt,
+            self.late_responses,
+            self.connects_throttled,
+            self.connects_circuit_open,
+            self.connects_exhausted,
+            self.process_stalls
         )
     }
 }
 
 impl ConnectionPools {
-    pub fn new(terms: PoolConfig) -> ConnectionPools {
+    pub fn new(config: PoolConfig) -> ConnectionPools {
         ConnectionPools {
-            chance: SeededRng::new(terms.seed),
-            pace: TokenBucket::of_all(terms.balancers),
-            terms,
+            rng: SeededRng::new(config.seed),
+            connect_bucket: TokenBucket::for_all_hosts(config.balancers),
+            config,
             hosts: BTreeMap::new(),
-            links: BTreeMap::new(),
+            connections: BTreeMap::new(),
             next: 0,
-            orders: Vec::new(),
-            counted: PoolStats::default(),
-            ticked: None,
-            others: pool::by_settings(terms.idle_timeout),
+            actions: Vec::new(),
+            stats: PoolStats::default(),
+            last_tick: None,
+            fleet_idle_limit: pool::configured_idle_limit(config.idle_timeout),
             dead: Vec::new(),
         }
     }
 
     /// So many descriptors may be taken from now on.
     pub fn set_max_connections(&mut self, max_connections: usize) {
-        self.terms.max_connections = max_connections;
+        self.config.max_connections = max_connections;
     }
 
     pub fn stats(&self) -> PoolStats {
-        self.counted
+        self.stats
     }
 
     /// What is to be done by now.
     pub fn take_actions(&mut self) -> Vec<PoolAction> {
-        std::mem::take(&mut self.orders)
+        std::mem::take(&mut self.actions)
     }
 
     /// Where a connection stands, for traces.
-    pub fn state(&self, link: ConnectionId) -> State {
-        let pool = self.links.get(&link).and_then(|host| self.hosts.get(host));
-        pool.and_then(|pool| pool.links.get(&link)).map_or(State::Closed, |link| link.state)
+    pub fn state(&self, connection: ConnectionId) -> ConnectionState {
+        let pool = self.connections.get(&connection).and_then(|host| self.hosts.get(host));
+        pool.and_then(|pool| pool.connections.get(&connection))
+            .map_or(ConnectionState::Closed, |connection| connection.state)
     }
 
     pub fn open_connections(&self) -> usize {
-        self.links.len()
+        self.connections.len()
     }
 
     /// Another machine stands at the host's address now, or another address is the host's: nothing open goes there.
     pub fn host_moved(&mut self, host: HostId) {
         let Some(pool) = self.hosts.remove(&host) else { return };
-        let idle = pool.links.iter().filter(|(_, link)| !link.busy()).map(|(id, _)| *id);
-        self.orders.extend(idle.map(PoolAction::Close));
+        let idle = pool.connections.iter().filter(|(_, connection)| !connection.busy()).map(|(id, _)| *id);
+        self.actions.extend(idle.map(PoolAction::Close));
         // What carries a push goes on, and is closed at its end: nobody knows it here any more.
-        for id in pool.links.keys() {
-            self.links.remove(id);
+        for id in pool.connections.keys() {
+            self.connections.remove(id);
         }
     }
 
@@ -202,143 +203,152 @@
     pub fn host_draining(&mut self, host: HostId) {
         let Some(pool) = self.hosts.get(&host) else { return };
         let idle: Vec<ConnectionId> =
-            pool.links.iter().filter(|(_, link)| !link.busy()).map(|(id, _)| *id).collect();
+            pool.connections.iter().filter(|(_, connection)| !connection.busy()).map(|(id, _)| *id).collect();
         idle.into_iter().for_each(|id| self.close(id));
     }
 
     /// What a push to this host gets now.
     pub fn checkout(&mut self, now: Micros, host: HostId) -> Checkout {
-        let trust = self.trust(host);
-        let short = self.links.len() * 8 >= self.terms.max_connections * 7;
-        let fair = (2 * self.terms.max_connections / self.hosts.len().max(1)).max(4);
-        let pool = self.hosts.entry(host).or_insert_with(|| HostPool::new(self.terms.idle_timeout));
+        let trust = self.idle_limit(host);
+        let short = self.connections.len() * 8 >= self.config.max_connections * 7;
+        let fair = (2 * self.config.max_connections / self.hosts.len().max(1)).max(4);
+        let pool = self.hosts.entry(host).or_insert_with(|| HostPool::new(self.config.idle_timeout));
         // The one used last is used first, so that those not needed grow old.
-        while let Some(id) = pool.youngest() {
-            let link = pool.links.get_mut(&id).expect("it is there");
-            if now - link.idle_since < trust {
-                link.reused_at_age = Some(now - link.idle_since);
-                link.state = State::Carrying;
-                pool.carrying_peaks(now);
+        while let Some(id) = pool.most_recently_used() {
+            let connection = pool.connections.get_mut(&id).expect("it is there");
+            if now - connection.idle_since < trust {
+                connection.reused_at_age = Some(now - connection.idle_since);
+                connection.state = ConnectionState::Active;
+                pool.note_peak_use(now);
                 return Checkout::Reuse(id);
             }
             // Older than is known to be good: one is opened beside it rather than that it is trusted with a push.
-            self.counted.distrusted += 1;
-            pool.links.remove(&id);
-            self.links.remove(&id);
-            self.orders.push(PoolAction::Close(id));
+            self.stats.presumed_stale += 1;
+            pool.connections.remove(&id);
+            self.connections.remove(&id);
+            self.actions.push(PoolAction::Close(id));
         }
-        let busy = pool.links.len();
+        let busy = pool.connections.len();
         if short && busy >= fair {
-            self.counted.full += 1;
+            self.stats.connects_exhausted += 1;
             return Checkout::Exhausted;
         }
-        if let Some(until) = pool.circuit.until(now) {
-            self.counted.closed += 1;
+        if let Some(until) = pool.circuit_breaker.until(now) {
+            self.stats.connects_circuit_open += 1;
             // One at a time goes out to see, once the pause is over.
             return if until > now { Checkout::CircuitOpen } else { Checkout::RetryAt(now + 10_000) };
         }
-        let free_at = pool.pace.free_at(now).max(self.pace.free_at(now));
-        if free_at > now {
-            self.counted.put_off += 1;
-            return Checkout::RetryAt(free_at);
+        let next_token_at =
+            pool.connect_bucket.next_token_at(now).max(self.connect_bucket.next_token_at(now));
+        if next_token_at > now {
+            self.stats.connects_throttled += 1;
+            return Checkout::RetryAt(next_token_at);
         }
-        pool.pace.take(now);
-        self.pace.take(now);
-        pool.circuit.asks();
+        pool.connect_bucket.take(now);
+        self.connect_bucket.take(now);
+        pool.circuit_breaker.connect_started();
         let id = ConnectionId(self.next);
         self.next += 1;
-        pool.links.insert(id, Connection::new(now));
-        self.links.insert(id, host);
-        pool.carrying_peaks(now);
+        pool.connections.insert(id, Connection::new(now));
+        self.connections.insert(id, host);
+        pool.note_peak_use(now);
         Checkout::Open(id)
     }
 
     /// How old an idle connection of this host may be: what was learnt there, or what several others have learnt.
-    fn trust(&self, host: HostId) -> Micros {
-        let own = self.hosts.get(&host).map_or(Micros::MAX, |pool| pool.age.trusted());
-        own.min(self.others)
+    fn idle_limit(&self, host: HostId) -> Micros {
+        let own = self.hosts.get(&host).map_or(Micros::MAX, |pool| pool.idle_limit.limit());
+        own.min(self.fleet_idle_limit)
     }
 
     /// What several hosts have learnt of ages.
-    fn say_so(&self) -> Micros {
-        let mut learnt: Vec<Micros> = self.hosts.values().filter_map(|pool| pool.age.learnt()).collect();
+    fn agreed_idle_limit(&self) -> Micros {
+        let mut learnt: Vec<Micros> =
+            self.hosts.values().filter_map(|pool| pool.idle_limit.learned()).collect();
         learnt.sort_unstable();
-        learnt.get(SAY_SO - 1).copied().unwrap_or(Micros::MAX).min(pool::by_settings(self.terms.idle_timeout))
+        learnt
+            .get(HOSTS_IN_AGREEMENT - 1)
+            .copied()
+            .unwrap_or(Micros::MAX)
+            .min(pool::configured_idle_limit(self.config.idle_timeout))
     }
 
-    fn with<T>(
+    fn with_pool_of<T>(
         &mut self,
-        link: ConnectionId,
+        connection: ConnectionId,
         act: impl FnOnce(&mut HostPool, ConnectionId) -> T,
     ) -> Option<T> {
-        let host = self.links.get(&link)?;
-        let pool = self.hosts.get_mut(host).filter(|pool| pool.links.contains_key(&link))?;
-        Some(act(pool, link))
+        let host = self.connections.get(&connection)?;
+        let pool = self.hosts.get_mut(host).filter(|pool| pool.connections.contains_key(&connection))?;
+        Some(act(pool, connection))
     }
 
-    fn close(&mut self, link: ConnectionId) {
-        if let Some(host) = self.links.remove(&link) {
+    fn close(&mut self, connection: ConnectionId) {
+        if let Some(host) = self.connections.remove(&connection) {
             if let Some(pool) = self.hosts.get_mut(&host) {
-                pool.links.remove(&link);
+                pool.connections.remove(&connection);
             }
-            self.orders.push(PoolAction::Close(link));
+            self.actions.push(PoolAction::Close(connection));
         }
     }
 
-    fn drop_link(&mut self, link: ConnectionId) {
-        if let Some(host) = self.links.remove(&link) {
+    fn forget_connection(&mut self, connection: ConnectionId) {
+        if let Some(host) = self.connections.remove(&connection) {
             if let Some(pool) = self.hosts.get_mut(&host) {
-                pool.links.remove(&link);
+                pool.connections.remove(&connection);
             }
         }
     }
 
     /// A connection is up.
-    pub fn connected(&mut self, now: Micros, link: ConnectionId) {
-        self.with(link, |pool, id| {
-            pool.circuit.came_up();
-            if let Some(link) = pool.links.get_mut(&id) {
-                link.opened_at = now;
-                link.state = State::Warming;
+    pub fn connected(&mut self, now: Micros, connection: ConnectionId) {
+        self.with_pool_of(connection, |pool, id| {
+            pool.circuit_breaker.reset();
+            if let Some(connection) = pool.connections.get_mut(&id) {
+                connection.opened_at = now;
+                connection.state = ConnectionState::Warming;
             }
         });
     }
 
     /// It did not come up.
-    pub fn connect_failed(&mut self, now: Micros, link: ConnectionId, why: ConnectFailure) {
-        let (balancers, draw) = (self.terms.balancers, self.chance.draw());
-        self.with(link, |pool, _| match why {
+    pub fn connect_failed(&mut self, now: Micros, connection: ConnectionId, why: ConnectFailure) {
+        let (balancers, draw) = (self.config.balancers, self.rng.draw());
+        self.with_pool_of(connection, |pool, _| match why {
             ConnectFailure::Host => {
-                pool.circuit.failed(now, draw);
-                pool.pace.recover(now, balancers);
+                pool.circuit_breaker.connect_failed(now, draw);
+                pool.connect_bucket.throttle_recovery(now, balancers);
             }
-            ConnectFailure::Local => pool.circuit.unknown(),
+            ConnectFailure::Local => pool.circuit_breaker.connect_abandoned(),
         });
-        self.drop_link(link);
+        self.forget_connection(connection);
     }
 
     /// A push's last byte is written on it.
-    pub fn request_sent(&mut self, now: Micros, link: ConnectionId) {
-        self.with(link, |pool, id| {
-            if let Some(link) = pool.links.get_mut(&id) {
-                link.sent_at = Some(now);
-                link.doubted = false;
+    pub fn request_sent(&mut self, now: Micros, connection: ConnectionId) {
+        self.with_pool_of(connection, |pool, id| {
+            if let Some(connection) = pool.connections.get_mut(&id) {
+                connection.sent_at = Some(now);
+                connection.doubted = false;
             }
         });
     }
 
     /// A kept connection was found ended before its use. Its host said so in time: nothing is lost, and nothing learnt.
-    pub fn found_closed(&mut self, link: ConnectionId) {
-        self.drop_link(link);
+    pub fn found_closed(&mut self, connection: ConnectionId) {
+        self.forget_connection(connection);
     }
 
     /// An answer came, whatever it said; `keep` where the connection can carry another push. Whether it is kept.
-    pub fn answered(&mut self, now: Micros, link: ConnectionId, keep: bool) -> bool {
-        let known = self.with(link, |pool, id| {
-            let stood = pool.links.get(&id).and_then(|link| Some((link.sent_at?, link.reused_at_age?)));
+    pub fn answered(&mut self, now: Micros, connection: ConnectionId, keep: bool) -> bool {
+        let known = self.with_pool_of(connection, |pool, id| {
+            let stood = pool
+                .connections
+                .get(&id)
+                .and_then(|connection| Some((connection.sent_at?, connection.reused_at_age?)));
             pool.answered(id, now);
             if keep {
-                pool.rests(id, now);
+                pool.became_idle(id, now);
             }
             stood
         });
@@ -348,114 +358,122 @@
             self.dead.clear();
         }
         if !keep {
-            self.drop_link(link);
+            self.forget_connection(connection);
         }
         keep && known.is_some()
     }
 
     /// The head of a long answer came: its host is well and has answered in this time. Pools hear of its end with
     /// [`ConnectionPools::answered`] or [`ConnectionPools::abandoned`], and however long that takes it tells nothing of the host.
-    pub fn response_begun(&mut self, now: Micros, link: ConnectionId) {
-        self.with(link, |pool, id| {
+    pub fn response_begun(&mut self, now: Micros, connection: ConnectionId) {
+        self.with_pool_of(connection, |pool, id| {
             pool.answered(id, now);
-            if let Some(link) = pool.links.get_mut(&id) {
-                (link.sent_at, link.reused_at_age) = (None, None);
+            if let Some(connection) = pool.connections.get_mut(&id) {
+                (connection.sent_at, connection.reused_at_age) = (None, None);
             }
         });
     }
 
     /// Its push was called off, or what came on it made no sense: it is closed, and nothing was learnt of its host.
-    pub fn abandoned(&mut self, link: ConnectionId) {
-        self.with(link, |pool, id| {
-            if pool.links.get(&id).is_some_and(|link| link.state == State::Opening) {
-                pool.circuit.unknown();
+    pub fn abandoned(&mut self, connection: ConnectionId) {
+        self.with_pool_of(connection, |pool, id| {
+            if pool
+                .connections
+                .get(&id)
+                .is_some_and(|connection| connection.state == ConnectionState::Connecting)
+            {
+                pool.circuit_breaker.connect_abandoned();
             }
         });
-        self.drop_link(link);
+        self.forget_connection(connection);
     }
 
     /// The push on it waits no longer. The connection is listened to from now on where that may tell something: keep it,
     /// and tell of what comes with [`ConnectionPools::late`]; an order closes it. Whose fault it was, and whether to listen.
-    pub fn attempt_timed_out(&mut self, now: Micros, link: ConnectionId) -> (Fault, bool) {
-        let found = self.with(link, |pool, id| {
-            let fault = pool.silence(id);
-            (fault, pool.listens(id, now))
+    pub fn attempt_timed_out(&mut self, now: Micros, connection: ConnectionId) -> (Fault, bool) {
+        let found = self.with_pool_of(connection, |pool, id| {
+            let fault = pool.timeout_fault(id);
+            (fault, pool.awaits_late_response(id, now))
         });
         let (fault, listens) = found.unwrap_or((Fault::Host, false));
         if !listens {
-            self.drop_link(link);
+            self.forget_connection(connection);
         }
         (fault, listens)
     }
 
     /// Something came on a connection that is listened to: a whole answer after which it can carry pushes again, or its
     /// end, or bytes of no sense. Whether it is kept.
-    pub fn late_response(&mut self, now: Micros, link: ConnectionId, whole: bool) -> bool {
-        let Some(&host) = self.links.get(&link) else { return false };
+    pub fn late_response(&mut self, now: Micros, connection: ConnectionId, whole: bool) -> bool {
+        let Some(&host) = self.connections.get(&connection) else { return false };
         if whole {
-            self.counted.late += 1;
-            let silent = self.with(link, |pool, id| {
-                let silent = pool.silent_since(id);
+            self.stats.late_responses += 1;
+            let silent = self.with_pool_of(connection, |pool, id| {
+                let silent = pool.silent_since_sent(id);
                 pool.answered(id, now);
-                pool.rests(id, now);
+                pool.became_idle(id, now);
                 silent
             });
             // One that answers others all along is not told to be back.
             if silent == Some(true) {
-                self.orders.push(PoolAction::HostAlive(host));
+                self.actions.push(PoolAction::HostAlive(host));
             }
             return true;
         }
-        self.drop_link(link);
+        self.forget_connection(connection);
         false
     }
 
     /// It ended over a push: whose fault that was.
-    pub fn connection_lost(&mut self, now: Micros, link: ConnectionId) -> Fault {
-        let Some(&host) = self.links.get(&link) else { return Fault::Host };
-        let balancers = self.terms.balancers;
-        let found = self.with(link, |pool, id| {
-            let (fault, fellows) = pool.broke(id, now);
+    pub fn connection_lost(&mut self, now: Micros, connection: ConnectionId) -> Fault {
+        let Some(&host) = self.connections.get(&connection) else { return Fault::Host };
+        let balancers = self.config.balancers;
+        let found = self.with_pool_of(connection, |pool, id| {
+            let (fault, fellows) = pool.lost(id, now);
             if fault == Fault::Host {
-                pool.pace.recover(now, balancers);
+                pool.connect_bucket.throttle_recovery(now, balancers);
             }
             (fault, fellows)
         });
         let (fault, fellows) = found.unwrap_or((Fault::Host, Vec::new()));
-        self.drop_link(link);
+        self.forget_connection(connection);
         if fault == Fault::Connection {
-            self.counted.dead_kept += 1;
-            self.counted.distrusted += fellows.len() as u64;
+            self.stats.connection_faults += 1;
+            self.stats.presumed_stale += fellows.len() as u64;
             fellows.into_iter().for_each(|fellow| self.close(fellow));
-            self.forgotten(now, host);
+            self.note_connection_fault(now, host);
         }
         fault
     }
 
     /// Kept connections of several hosts that turn out dead at about one time: what stands between has forgotten them all,
     /// and no other is trusted that was idle then.
-    fn forgotten(&mut self, now: Micros, host: HostId) {
-        self.dead.retain(|&(at, other)| now - at < FORGOT_WITHIN && other != host);
+    fn note_connection_fault(&mut self, now: Micros, host: HostId) {
+        self.dead.retain(|&(at, other)| now - at < OUTBREAK_WINDOW && other != host);
         self.dead.push((now, host));
-        if self.dead.len() < FORGOT {
+        if self.dead.len() < OUTBREAK_HOSTS {
             return;
         }
         let since = self.dead.iter().map(|dead| dead.0).min().unwrap_or(now);
-        let idle = |link: &Connection| link.state == State::Ready && link.idle_since < since;
-        let all = self.hosts.values().flat_map(|pool| pool.links.iter());
-        let stale: Vec<ConnectionId> = all.filter(|(_, link)| idle(link)).map(|(id, _)| *id).collect();
-        self.counted.distrusted += stale.len() as u64;
+        let idle = |connection: &Connection| {
+            connection.state == ConnectionState::Idle && connection.idle_since < since
+        };
+        let all = self.hosts.values().flat_map(|pool| pool.connections.iter());
+        let stale: Vec<ConnectionId> =
+            all.filter(|(_, connection)| idle(connection)).map(|(id, _)| *id).collect();
+        self.stats.presumed_stale += stale.len() as u64;
         stale.into_iter().for_each(|id| self.close(id));
     }
 
     /// Descriptors are short: the connection that stood idle longest, or was only listened to, is to be closed.
     pub fn evict_idle(&mut self) -> Option<ConnectionId> {
-        let all = self.hosts.values().flat_map(|pool| pool.links.iter());
-        let idle = all.filter(|(_, link)| !link.busy());
-        let oldest =
-            idle.min_by_key(|(_, link)| (link.state == State::Ready, link.idle_since)).map(|(id, _)| *id);
+        let all = self.hosts.values().flat_map(|pool| pool.connections.iter());
+        let idle = all.filter(|(_, connection)| !connection.busy());
+        let oldest = idle
+            .min_by_key(|(_, connection)| (connection.state == ConnectionState::Idle, connection.idle_since))
+            .map(|(id, _)| *id);
         if let Some(id) = oldest {
-            self.drop_link(id);
+            self.forget_connection(id);
         }
         oldest
     }
@@ -463,24 +481,25 @@
     /// Looks after all that stands or waits. To be called several times a second; a gap says that this process itself
     /// stood still, and then nobody's silence counts. How long it did, if so.
     pub fn tick(&mut self, now: Micros) -> Micros {
-        let gap = self.ticked.replace(now).map_or(0, |before| now - before);
-        let stopped = if gap > STOPPED { gap } else { 0 };
+        let gap = self.last_tick.replace(now).map_or(0, |before| now - before);
+        let stopped = if gap > STALL_THRESHOLD { gap } else { 0 };
         if stopped > 0 {
-            self.counted.stopped += 1;
-            for link in self.hosts.values_mut().flat_map(|pool| pool.links.values_mut()) {
-                link.sent_at = link.sent_at.map(|sent| sent + stopped);
+            self.stats.process_stalls += 1;
+            for connection in self.hosts.values_mut().flat_map(|pool| pool.connections.values_mut()) {
+                connection.sent_at = connection.sent_at.map(|sent| sent + stopped);
             }
         }
-        self.others = self.say_so();
+        self.fleet_idle_limit = self.agreed_idle_limit();
         let mut closed = Vec::new();
         for pool in self.hosts.values_mut() {
-            let trust = self.others.min(pool.age.trusted());
-            let (old, surplus, doubted) = (pool.old(now, trust), pool.surplus(now), pool.doubts(now));
-            pool.fade(now);
-            self.counted.distrusted += old.len() as u64;
-            self.counted.surplus += surplus.len() as u64;
-            self.counted.doubts += doubted.len() as u64;
-            self.orders.extend(doubted.into_iter().map(PoolAction::AttemptInDoubt));
+            let trust = self.fleet_idle_limit.min(pool.idle_limit.limit());
+            let (old, surplus, doubted) =
+                (pool.expired(now, trust), pool.surplus(now), pool.attempts_in_doubt(now));
+            pool.decay(now);
+            self.stats.presumed_stale += old.len() as u64;
+            self.stats.surplus_closed += surplus.len() as u64;
+            self.stats.attempts_in_doubt += doubted.len() as u64;
+            self.actions.extend(doubted.into_iter().map(PoolAction::AttemptInDoubt));
             closed.extend(old.into_iter().chain(surplus));
         }
         closed.into_iter().for_each(|id| self.close(id));
--- a/connection_pool/src/opening.rs
+++ b/connection_pool/src/opening.rs
@@ -11,7 +11,7 @@
     most: f64,
     rate: f64,
     at: Micros,
-    /// A pace that was cut down grows back to these.
+    /// A connect_bucket that was cut down grows back to these.
     whole: (f64, f64),
 }
 
@@ -29,11 +29,11 @@
         TokenBucket { store: whole.0, most: whole.0, rate: whole.1, at: 0, whole }
     }
 
-    pub fn of_host() -> TokenBucket {
+    pub fn for_host() -> TokenBucket {
         TokenBucket::new(HOST)
     }
 
-    pub fn of_all(balancers: u32) -> TokenBucket {
+    pub fn for_all_hosts(balancers: u32) -> TokenBucket {
         // Hundreds of balancers that meet the same trouble open so many times as much.
         let part = (8.0 / f64::from(balancers.max(1))).min(1.0);
         TokenBucket::new(((ALL.0 * part).max(16.0), (ALL.1 * part).max(20.0)))
@@ -49,7 +49,7 @@
     }
 
     /// When one more may be opened.
-    pub fn free_at(&mut self, now: Micros) -> Micros {
+    pub fn next_token_at(&mut self, now: Micros) -> Micros {
         self.fill(now);
         if self.store >= 1.0 {
             now
@@ -64,7 +64,7 @@
     }
 
     /// The host lost connections or lets none come up: it comes back at a bounded rate, over all balancers together.
-    pub fn recover(&mut self, now: Micros, balancers: u32) {
+    pub fn throttle_recovery(&mut self, now: Micros, balancers: u32) {
         self.fill(now);
         let balancers = f64::from(balancers.max(1));
         self.most = self.most.min((RETURN.0 / balancers).max(LEAST.0));
@@ -84,7 +84,7 @@
     failures: u32,
     until: Micros,
     /// One is out to see.
-    asking: bool,
+    probe_in_flight: bool,
 }
 
 impl CircuitBreaker {
@@ -93,24 +93,24 @@
         match self.failures {
             ..IN_A_ROW => None,
             _ if self.until > now => Some(self.until),
-            _ => self.asking.then_some(now),
+            _ => self.probe_in_flight.then_some(now),
         }
     }
 
-    pub fn asks(&mut self) {
-        self.asking = self.failures >= IN_A_ROW;
+    pub fn connect_started(&mut self) {
+        self.probe_in_flight = self.failures >= IN_A_ROW;
     }
 
-    pub fn came_up(&mut self) {
+    pub fn reset(&mut self) {
         *self = CircuitBreaker::default();
     }
 
-    pub fn unknown(&mut self) {
-        self.asking = false;
+    pub fn connect_abandoned(&mut self) {
+        self.probe_in_flight = false;
     }
 
-    pub fn failed(&mut self, now: Micros, draw: u64) {
-        self.asking = false;
+    pub fn connect_failed(&mut self, now: Micros, draw: u64) {
+        self.probe_in_flight = false;
         // Those that were under way together tell one thing.
         if now < self.until {
             return;
--- a/connection_pool/src/pool.rs
+++ b/connection_pool/src/pool.rs
@@ -9,15 +9,15 @@
 
 /// Where a connection stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
-    Opening,
+pub enum ConnectionState {
+    Connecting,
     /// Up, and its first push under way: that one takes longer.
     Warming,
     /// Up, and carries nothing.
-    Ready,
-    Carrying,
+    Idle,
+    Active,
     /// Its push has given up waiting; it is listened to.
-    Doubtful,
+    AwaitingLateResponse,
     Closed,
 }
 
@@ -55,13 +55,13 @@
 /// What is left of the slowest answer after each further one.
 const FADES: f64 = 0.995;
 
-pub fn by_settings(idle_timeout: Micros) -> Micros {
+pub fn configured_idle_limit(idle_timeout: Micros) -> Micros {
     (idle_timeout as f64 * FRESH) as Micros
 }
 
 #[derive(Clone, Copy, Debug)]
 pub struct Connection {
-    pub state: State,
+    pub state: ConnectionState,
     pub opened_at: Micros,
     pub idle_since: Micros,
     /// Its push under way was sent then.
@@ -74,7 +74,7 @@
 impl Connection {
     pub fn new(now: Micros) -> Connection {
         Connection {
-            state: State::Opening,
+            state: ConnectionState::Connecting,
             opened_at: now,
             idle_since: now,
             sent_at: None,
@@ -85,22 +85,22 @@
 
     /// A push has it.
     pub fn busy(&self) -> bool {
-        matches!(self.state, State::Opening | State::Warming | State::Carrying)
+        matches!(self.state, ConnectionState::Connecting | ConnectionState::Warming | ConnectionState::Active)
     }
 }
 
 /// How kept connections of each age fared of late: the age from which on too many were dead is not trusted. One that dies by
 /// itself at any age, as a reset that comes by chance, teaches next to nothing: a new connection has its price too.
 #[derive(Clone, Copy, Debug)]
-pub struct IdleAge {
+pub struct IdleLimit {
     /// By age, each step twice the one before: good, and dead.
     fared: [(f64, f64); STEPS],
     most: Micros,
 }
 
-impl IdleAge {
-    fn new(most: Micros) -> IdleAge {
-        IdleAge { fared: [(0.0, 0.0); STEPS], most }
+impl IdleLimit {
+    fn new(most: Micros) -> IdleLimit {
+        IdleLimit { fared: [(0.0, 0.0); STEPS], most }
     }
 
     fn step(age: Micros) -> usize {
@@ -111,34 +111,34 @@
         FIRST_STEP * ((1 << step) - 1)
     }
 
-    pub fn trusted(&self) -> Micros {
+    pub fn limit(&self) -> Micros {
         let bad = |&(good, dead): &(f64, f64)| dead >= SEVERAL && dead > TOO_MANY * (good + dead);
         let first = self.fared.iter().position(bad);
-        first.map_or(self.most, |step| IdleAge::begins(step).max(FIRST_STEP).min(self.most))
+        first.map_or(self.most, |step| IdleLimit::begins(step).max(FIRST_STEP).min(self.most))
     }
 
     /// Shorter than the settings say, where it is.
-    pub fn learnt(&self) -> Option<Micros> {
-        Some(self.trusted()).filter(|&trusted| trusted < self.most)
+    pub fn learned(&self) -> Option<Micros> {
+        Some(self.limit()).filter(|&trusted| trusted < self.most)
     }
 
     fn fared(&mut self, age: Micros, well: bool) {
-        let step = &mut self.fared[IdleAge::step(age)];
+        let step = &mut self.fared[IdleLimit::step(age)];
         *step = (step.0 * FADES_AGE, step.1 * FADES_AGE);
         *(if well { &mut step.0 } else { &mut step.1 }) += 1.0;
     }
 
     /// What was learnt is forgotten by and by: an age that is not trusted is not tried either.
-    fn fade(&mut self, by: f64) {
+    fn decay(&mut self, by: f64) {
         self.fared.iter_mut().for_each(|step| *step = (step.0 * by, step.1 * by));
     }
 }
 
 pub struct HostPool {
-    pub links: BTreeMap<ConnectionId, Connection>,
-    pub age: IdleAge,
-    pub circuit: CircuitBreaker,
-    pub pace: TokenBucket,
+    pub connections: BTreeMap<ConnectionId, Connection>,
+    pub idle_limit: IdleLimit,
+    pub circuit_breaker: CircuitBreaker,
+    pub connect_bucket: TokenBucket,
     /// Most in use at a time of late, and when that was.
     peak: (usize, Micros),
     /// When the last answers' pushes were sent, newest last.
@@ -147,7 +147,7 @@
     slowest: f64,
     /// Kept connections that were dead, since one was good.
     dead: u32,
-    faded_at: Micros,
+    decayed_at: Micros,
     /// When the last answer came.
     answered_at: Option<Micros>,
     /// Pushes that gave up since then.
@@ -156,57 +156,58 @@
 
 impl HostPool {
     pub fn new(idle_timeout: Micros) -> HostPool {
-        let most = by_settings(idle_timeout);
+        let most = configured_idle_limit(idle_timeout);
         HostPool {
-            links: BTreeMap::new(),
-            age: IdleAge::new(most),
-            circuit: CircuitBreaker::default(),
-            pace: TokenBucket::of_host(),
+            connections: BTreeMap::new(),
+            idle_limit: IdleLimit::new(most),
+            circuit_breaker: CircuitBreaker::default(),
+            connect_bucket: TokenBucket::for_host(),
             peak: (0, 0),
             answered: Vec::new(),
             slowest: 0.0,
             dead: 0,
-            faded_at: 0,
+            decayed_at: 0,
             silent: 0,
             answered_at: None,
         }
     }
 
-    pub fn youngest(&self) -> Option<ConnectionId> {
-        let ready = self.links.iter().filter(|(_, link)| link.state == State::Ready);
-        ready.max_by_key(|(id, link)| (link.idle_since, **id)).map(|(id, _)| *id)
+    pub fn most_recently_used(&self) -> Option<ConnectionId> {
+        let ready =
+            self.connections.iter().filter(|(_, connection)| connection.state == ConnectionState::Idle);
+        ready.max_by_key(|(id, connection)| (connection.idle_since, **id)).map(|(id, _)| *id)
     }
 
     fn busy(&self) -> usize {
-        self.links.values().filter(|link| link.busy()).count()
+        self.connections.values().filter(|connection| connection.busy()).count()
     }
 
-    pub fn carrying_peaks(&mut self, now: Micros) {
+    pub fn note_peak_use(&mut self, now: Micros) {
         let busy = self.busy();
         if busy >= self.peak.0 || now - self.peak.1 > REMEMBER {
             self.peak = (busy, now);
         }
     }
 
-    pub fn rests(&mut self, id: ConnectionId, now: Micros) {
-        if let Some(link) = self.links.get_mut(&id) {
-            link.state = State::Ready;
-            (link.idle_since, link.sent_at, link.reused_at_age) = (now, None, None);
+    pub fn became_idle(&mut self, id: ConnectionId, now: Micros) {
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.state = ConnectionState::Idle;
+            (connection.idle_since, connection.sent_at, connection.reused_at_age) = (now, None, None);
         }
     }
 
     pub fn answered(&mut self, id: ConnectionId, now: Micros) {
-        let Some(link) = self.links.get(&id) else { return };
+        let Some(connection) = self.connections.get(&id) else { return };
         self.answered_at = Some(now);
         self.silent = 0;
-        self.circuit.came_up();
-        if let Some(age) = link.reused_at_age {
-            self.age.fared(age, true);
+        self.circuit_breaker.reset();
+        if let Some(age) = connection.reused_at_age {
+            self.idle_limit.fared(age, true);
             self.dead = 0;
         }
-        if let Some(sent) = link.sent_at {
+        if let Some(sent) = connection.sent_at {
             // One that was only listened to says how long its host was silent, not how long answers take.
-            if link.state != State::Doubtful {
+            if connection.state != ConnectionState::AwaitingLateResponse {
                 self.slowest = (self.slowest * FADES).max((now - sent) as f64);
             }
             self.answered.push(sent);
@@ -217,78 +218,80 @@
     }
 
     /// Pushes that were sent after this one and have their answers.
-    fn overtakes(&self, sent: Micros) -> usize {
+    fn later_requests_answered(&self, sent: Micros) -> usize {
         self.answered.iter().filter(|&&other| other > sent).count()
     }
 
     /// A push gave up: the connection's fault where others that went after it were answered.
-    pub fn silence(&self, id: ConnectionId) -> Fault {
-        let sent = self.links.get(&id).and_then(|link| link.sent_at);
+    pub fn timeout_fault(&self, id: ConnectionId) -> Fault {
+        let sent = self.connections.get(&id).and_then(|connection| connection.sent_at);
         match sent {
-            Some(sent) if self.overtakes(sent) > 0 => Fault::Connection,
+            Some(sent) if self.later_requests_answered(sent) > 0 => Fault::Connection,
             _ => Fault::Host,
         }
     }
 
     /// Nothing was answered since the push on this one was sent.
-    pub fn silent_since(&self, id: ConnectionId) -> bool {
-        let sent = self.links.get(&id).and_then(|link| link.sent_at);
+    pub fn silent_since_sent(&self, id: ConnectionId) -> bool {
+        let sent = self.connections.get(&id).and_then(|connection| connection.sent_at);
         sent.is_some_and(|sent| self.answered_at.is_none_or(|at| at < sent))
     }
 
     /// Whether a connection is listened to after its push gave up: where the whole host is silent it tells of its return.
-    pub fn listens(&mut self, id: ConnectionId, now: Micros) -> bool {
+    pub fn awaits_late_response(&mut self, id: ConnectionId, now: Micros) -> bool {
         // A slow host that still answers is not listened to: it would work on what nobody waits for.
-        let nothing = self.silent_since(id);
+        let nothing = self.silent_since_sent(id);
         self.silent = if nothing { self.silent + 1 } else { 0 };
         let silent = self.silent >= SILENT;
-        let silent_too = |(id, link): &(&ConnectionId, &Connection)| {
-            link.state == State::Doubtful && self.silent_since(**id)
+        let silent_too = |(id, connection): &(&ConnectionId, &Connection)| {
+            connection.state == ConnectionState::AwaitingLateResponse && self.silent_since_sent(**id)
         };
-        let listening = self.links.iter().filter(silent_too).count();
-        let Some(link) = self.links.get_mut(&id) else { return false };
+        let listening = self.connections.iter().filter(silent_too).count();
+        let Some(connection) = self.connections.get_mut(&id) else { return false };
         // A new one whose first push gave up is warm once it answers: in its place another would be opened, and be late alike.
-        let warm = link.state == State::Warming && !nothing;
+        let warm = connection.state == ConnectionState::Warming && !nothing;
         if !warm && (!silent || listening >= LISTEN) {
             return false;
         }
-        (link.state, link.idle_since) = (State::Doubtful, now);
+        (connection.state, connection.idle_since) = (ConnectionState::AwaitingLateResponse, now);
         true
     }
 
     /// One ended over its push. A kept one may have been dead before; then its fellows that stood idle as long are in doubt.
-    pub fn broke(&mut self, id: ConnectionId, now: Micros) -> (Fault, Vec<ConnectionId>) {
-        let Some(link) = self.links.get(&id).copied() else { return (Fault::Host, Vec::new()) };
-        let Some(age) = link.reused_at_age else {
+    pub fn lost(&mut self, id: ConnectionId, now: Micros) -> (Fault, Vec<ConnectionId>) {
+        let Some(connection) = self.connections.get(&id).copied() else { return (Fault::Host, Vec::new()) };
+        let Some(age) = connection.reused_at_age else {
             // A new one says something of its host, unless that answers on others at the same time.
             let lively = self.answered_at.is_some_and(|at| now - at < LIVELY);
             return (if lively { Fault::Connection } else { Fault::Host }, Vec::new());
         };
-        self.age.fared(age, false);
+        self.idle_limit.fared(age, false);
         self.dead += 1;
         if self.dead < IN_A_ROW {
             return (Fault::Connection, Vec::new());
         }
-        let stood_since = link.sent_at.unwrap_or(link.idle_since) - age;
-        let as_long = |other: &Connection| other.state == State::Ready && other.idle_since <= stood_since;
-        let fellows = self.links.iter().filter(|(other, link)| **other != id && as_long(link));
+        let stood_since = connection.sent_at.unwrap_or(connection.idle_since) - age;
+        let as_long =
+            |other: &Connection| other.state == ConnectionState::Idle && other.idle_since <= stood_since;
+        let fellows =
+            self.connections.iter().filter(|(other, connection)| **other != id && as_long(connection));
         (Fault::Connection, fellows.map(|(id, _)| *id).collect())
     }
 
     /// Idle for longer than is trusted, or listened to for long enough.
-    pub fn old(&self, now: Micros, trust: Micros) -> Vec<ConnectionId> {
-        let old = |link: &Connection| match link.state {
-            State::Ready => now - link.idle_since >= trust,
-            State::Doubtful => now - link.idle_since >= LISTEN_FOR,
+    pub fn expired(&self, now: Micros, trust: Micros) -> Vec<ConnectionId> {
+        let old = |connection: &Connection| match connection.state {
+            ConnectionState::Idle => now - connection.idle_since >= trust,
+            ConnectionState::AwaitingLateResponse => now - connection.idle_since >= LISTEN_FOR,
             _ => false,
         };
-        self.links.iter().filter(|(_, link)| old(link)).map(|(id, _)| *id).collect()
+        self.connections.iter().filter(|(_, connection)| old(connection)).map(|(id, _)| *id).collect()
     }
 
-    pub fn fade(&mut self, now: Micros) {
-        if now - self.faded_at >= FADES_EVERY {
-            self.faded_at = now;
-            self.age.fade(FADES_TIME);
+    pub fn decay(&mut self, now: Micros) {
+        if now - self.decayed_at >= FADES_EVERY {
+            self.decayed_at = now;
+            self.idle_limit.decay(FADES_TIME);
         }
     }
 
@@ -298,10 +301,10 @@
             self.peak = (self.busy(), now);
         }
         let mut idle: Vec<(Micros, ConnectionId)> = self
-            .links
+            .connections
             .iter()
-            .filter(|(_, link)| link.state == State::Ready)
-            .map(|(id, link)| (link.idle_since, *id))
+            .filter(|(_, connection)| connection.state == ConnectionState::Idle)
+            .map(|(id, connection)| (connection.idle_since, *id))
             .collect();
         idle.sort_unstable();
         let spare = (self.busy() + idle.len()).saturating_sub(self.peak.0 + 1);
@@ -310,18 +313,18 @@
     }
 
     /// Connections whose push is in doubt from now on.
-    pub fn doubts(&mut self, now: Micros) -> Vec<ConnectionId> {
+    pub fn attempts_in_doubt(&mut self, now: Micros) -> Vec<ConnectionId> {
         let bound = ((self.slowest * SLOWEST) as Micros).max(LEAST_DOUBT);
-        let waits = |link: &Connection| {
-            link.sent_at.filter(|&sent| link.busy() && !link.doubted && now - sent > bound)
+        let waits = |connection: &Connection| {
+            connection.sent_at.filter(|&sent| connection.busy() && !connection.doubted && now - sent > bound)
         };
         let late: Vec<(ConnectionId, Micros)> =
-            self.links.iter().filter_map(|(id, link)| Some((*id, waits(link)?))).collect();
+            self.connections.iter().filter_map(|(id, connection)| Some((*id, waits(connection)?))).collect();
         let mut doubted = Vec::new();
         for (id, sent) in late {
-            if self.overtakes(sent) >= OVERTAKEN {
-                if let Some(link) = self.links.get_mut(&id) {
-                    link.doubted = true;
+            if self.later_requests_answered(sent) >= OVERTAKEN {
+                if let Some(connection) = self.connections.get_mut(&id) {
+                    connection.doubted = true;
                 }
                 doubted.push(id);
             }
