--- a/balancer/src/upstream/mod.rs
+++ b/balancer/src/upstream/mod.rs
@@ -399,7 +399,7 @@
             }
             Ok(link) => {
                 self.counters.connections_opened.add();
-                self.pools.borrow_mut().connected(now, id);
+                self.pools.borrow_mut().connected(id);
                 Ok(CheckedOut { servers: self, id, link: Some(link) })
             }
             Err(cause) => {
@@ -472,8 +472,8 @@
             match filled {
                 Err(_) => {
                     let link = held.link.take();
-                    let (_, listens) = self.pools.borrow_mut().attempt_timed_out(now, id);
-                    if let Some(link) = link.filter(|_| listens) {
+                    let verdict = self.pools.borrow_mut().attempt_timed_out(now, id);
+                    if let Some(link) = link.filter(|_| verdict.await_late_response) {
                         self.listen(host, id, link, find);
                     }
                     return (AttemptOutcome::TimedOut, None);
--- a/connection_pool/tests/traces.rs
+++ b/connection_pool/tests/traces.rs
@@ -55,7 +55,7 @@
         let connection = match checkout {
             Checkout::Reuse(connection) => connection,
             Checkout::Open(connection) => {
-                self.pools.connected(self.now, connection);
+                self.pools.connected(connection);
                 connection
             }
             other => panic!("{other:?}"),
@@ -76,7 +76,7 @@
     fn end(&mut self, what: &str, connection: ConnectionId) -> Fault {
         let fault = match what {
             "lost" => self.pools.connection_lost(self.now, connection),
-            "timed out" => self.pools.attempt_timed_out(self.now, connection).0,
+            "timed out" => self.pools.attempt_timed_out(self.now, connection).fault,
             other => panic!("{other}"),
         };
         let state = self.pools.state(connection);
@@ -315,7 +315,7 @@
     let refused = loop {
         match scenario.pools.checkout(scenario.now, HostId(0)) {
             Checkout::Open(connection) => {
-                scenario.pools.connected(scenario.now, connection);
+                scenario.pools.connected(connection);
                 scenario.pools.request_sent(scenario.now, connection);
                 open += 1;
             }
@@ -444,7 +444,7 @@
                 while up[host as usize] < EACH {
                     match pools.checkout(now, HostId(host)) {
                         Checkout::Open(connection) if there => {
-                            pools.connected(now, connection);
+                            pools.connected(connection);
                             pools.request_sent(now, connection);
                             up[host as usize] += 1;
                             by_tenth[(now / (100 * MS)) as usize] += 1;
--- a/testbed/src/scale/hollow.rs
+++ b/testbed/src/scale/hollow.rs
@@ -637,7 +637,7 @@
             Ok(Ok(stream)) => {
                 let _ = stream.set_nodelay(true);
                 self.shared.count(|mark| mark.opened += 1);
-                self.pools.borrow_mut().connected(now, id);
+                self.pools.borrow_mut().connected(id);
                 Ok(Held { of: self, id, link: Some(Link { stream, buffer: Buffer::new(resp::MOST) }) })
             }
             failed => {
