--- a/balancer/src/downstream/mod.rs
+++ b/balancer/src/downstream/mod.rs
@@ -26,7 +26,8 @@
 use crate::metrics::{ActiveRequest, RequestOutcome};
 use crate::read;
 use crate::request::{ClientRequest, StreamedValue, Value};
-use crate::requests::{Final, FinalAnswer, Shared};
+use crate::requests::{serve as serve_request, Delivery, FinalAnswer};
+use crate::shared::Shared;
 
 /// Commands of one connection that wait for their answers; more are left unread.
 const PIPELINE: usize = 32;
@@ -105,12 +106,12 @@
 /// before others.
 async fn room(shared: &Shared) -> DescriptorPermit {
     loop {
-        if let Some(permit) = shared.budget.take_for_client() {
+        if let Some(permit) = shared.budget.client_descriptor() {
             return permit;
         }
-        if shared.budget.clients_full() || !shared.upstreams.drop_idle() {
+        if shared.budget.clients_at_limit() || !shared.upstreams.drop_idle() {
             let freed = shared.budget.freed.notified();
-            shared.budget.shed();
+            shared.budget.shed_client();
             let _ = timeout(SHORT, freed).await;
         }
     }
@@ -119,7 +120,7 @@
 /// An answer that is there, or that an op still owes.
 enum Waiting {
     There(Bytes),
-    Owed(oneshot::Receiver<Final>, ActiveRequest),
+    Owed(oneshot::Receiver<Delivery>, ActiveRequest),
 }
 
 /// An answer on its way to the client, and what it means for the op that owed it.
@@ -192,7 +193,7 @@
 impl Coming {
     fn new(shared: &Shared, words: Vec<Bytes>, length: usize) -> Coming {
         let room = match length > SMALL {
-            true => Wanted::Awaited(Box::pin(shared.budget.clone().reserve(length))),
+            true => Wanted::Awaited(Box::pin(shared.budget.clone().reserve_value(length))),
             false => Wanted::None,
         };
         Coming { words, body: Body::new(length), room }
@@ -290,7 +291,7 @@
         let bell = Rc::default();
         tokio::select! {
             _ = timeout(linger, discard) => {}
-            () = shared.budget.asked(false, &bell) => {}
+            () = shared.budget.shed_requested(false, &bell) => {}
         }
     }
 }
@@ -309,7 +310,7 @@
 async fn talk(shared: &Rc<Shared>, stream: &mut TcpStream, phase: &mut watch::Receiver<Phase>) -> Close {
     let (mut reading, mut writing) = stream.split();
     let mut buffer = Buffer::new(resp::MOST);
-    let mut held = shared.budget.hold();
+    let mut held = shared.budget.memory_guard();
     let mut waiting: VecDeque<Waiting> = VecDeque::new();
     let mut sending = Sending::default();
     // The value of a command that is not whole yet.
@@ -406,7 +407,7 @@
         let ahead = takes && !more && owes && coming.is_none() && !buffer.full();
         // Short of bytes, one that holds next to none is heard all the same: others must not silence it.
         let apart = coming.as_ref().is_some_and(Coming::apart);
-        let room = apart || shared.budget.room_for_bytes() || (idle && buffer.bytes().len() < SMALL);
+        let room = apart || shared.budget.has_memory() || (idle && buffer.bytes().len() < SMALL);
         // Its end is looked for where something goes on for it; an answer that is there is written, whoever still reads.
         let reads = (more || ahead) && room;
         let hears = reads || owes || sending.long.is_some();
@@ -455,8 +456,8 @@
             }
             _ = phase.changed() => {}
             () = sleep_until(look.unwrap_or(came)), if look.is_some() => {}
-            () = shared.budget.asked(half || !heard, &bell), if idle && (silent || (heard && !half)) => {
-                if !shared.budget.room_for_client() {
+            () = shared.budget.shed_requested(half || !heard, &bell), if idle && (silent || (heard && !half)) => {
+                if !shared.budget.has_client_descriptor() {
                     shared.counters.clients_shed.add();
                     return Close::Now;
                 }
@@ -480,7 +481,7 @@
             Some(Asked::Begun { words, used, length }) => {
                 // What can't be taken is refused before it comes.
                 if length > resp::MOST_VALUE
-                    && !(words[0].eq_ignore_ascii_case(b"CACHE.SET") && shared.budget.bears(length))
+                    && !(words[0].eq_ignore_ascii_case(b"CACHE.SET") && shared.budget.can_hold_value(length))
                 {
                     return Err("too long a value");
                 }
@@ -526,7 +527,7 @@
         _ => std::future::pending().await,
     };
     match (waiting.pop_front(), last) {
-        (Some(Waiting::Owed(_, taken)), Ok((answer, _))) => {
+        (Some(Waiting::Owed(_, taken)), Ok(Delivery { answer, .. })) => {
             let outcome = match &answer {
                 FinalAnswer::Succeeded(_) => RequestOutcome::Ok,
                 FinalAnswer::Rejected { .. } => RequestOutcome::Shed,
@@ -560,10 +561,10 @@
             match op(shared, words, value) {
                 Ok((request, ask)) => {
                     let (answer, owed) = oneshot::channel();
-                    let mut held = shared.budget.hold();
+                    let mut held = shared.budget.memory_guard();
                     held.set(size);
                     waiting.push_back(Waiting::Owed(owed, shared.metrics.take(ask.class)));
-                    spawn_local(shared.clone().serve(request, ask, answer, held));
+                    spawn_local(serve_request(shared.clone(), request, ask, answer, held));
                     return true;
                 }
                 Err(cause) => {
@@ -627,10 +628,13 @@
         deadline: shared.clock.now() + (wait * 1000.0) as Micros,
     };
     drop(text);
-    if !shared.admit(&id) {
+    if !shared.reserve_id(&id) {
         return Err("an op with this id is open".to_owned());
     }
-    Ok((ClientRequest { command, key, id, facts, value, _room: room, over: watch::Sender::new(false) }, ask))
+    Ok((
+        ClientRequest { command, key, id, facts, value, _room: room, finished: watch::Sender::new(false) },
+        ask,
+    ))
 }
 
 /// A final answer in the protocol's words; of a long value its head.
