--- a/balancer/src/discovery/mod.rs
+++ b/balancer/src/discovery/mod.rs
@@ -91,7 +91,7 @@
     log::debug!("list {}: {} entries{}", page.generation, heard, if whole { ", all there are" } else { "" });
     shared.router.borrow_mut().update_endpoints(now, whole, entries);
     // Before any op is told, and for hosts that a whole list does not name too.
-    shared.upstreams.settle(|host| shared.router.borrow().accepts_attempts(host));
+    shared.upstreams.update_accepting_hosts(|host| shared.router.borrow().accepts_attempts(host));
     shared.wake_requests();
     // Hosts come and go all day: what is known of one that has gone goes too.
     for host in shared.router.borrow().released_hosts() {
@@ -101,7 +101,7 @@
             if let Some(regions) = &shared.regions {
                 regions.borrow_mut().forget(&names.hosts.texts[host.0 as usize]);
             }
-            shared.upstreams.forget(host);
+            shared.upstreams.forget_host(host);
             shared.counters.hosts_released.add();
         }
     }
@@ -151,7 +151,7 @@
     });
     let listed = Endpoint { origin, ..listed };
     if let Some(address) = details.address {
-        shared.upstreams.place(listed.host, address, origin);
+        shared.upstreams.update_host(listed.host, address, origin);
     }
     if lifecycle != Lifecycle::Up {
         let ends = if lifecycle == Lifecycle::Draining { "leaving" } else { "left" };
@@ -277,7 +277,7 @@
         None => {
             let until = began + span(schedule.response_timeout().min(schedule.call_timeout()));
             // Its descriptor is set aside: where clients and hosts hold all others, a drain must be heard still.
-            let opening = shared.upstreams.open(None, discovery, until, MOST_BODY + 64 * 1024);
+            let opening = shared.upstreams.connect(None, discovery, until, MOST_BODY + 64 * 1024);
             connection.insert(opening.await.map_err(silent)?)
         }
     };
--- a/balancer/src/downstream/mod.rs
+++ b/balancer/src/downstream/mod.rs
@@ -95,7 +95,7 @@
                 if *phase.borrow() == Phase::Flushing {
                     return;
                 }
-                shared.upstreams.drop_idle();
+                shared.upstreams.close_idle_connection();
                 sleep(SHORT).await;
             }
         }
@@ -109,7 +109,7 @@
         if let Some(permit) = shared.budget.client_descriptor() {
             return permit;
         }
-        if shared.budget.clients_at_limit() || !shared.upstreams.drop_idle() {
+        if shared.budget.clients_at_limit() || !shared.upstreams.close_idle_connection() {
             let freed = shared.budget.freed.notified();
             shared.budget.shed_client();
             let _ = timeout(SHORT, freed).await;
--- a/balancer/src/process.rs
+++ b/balancer/src/process.rs
@@ -178,7 +178,7 @@
             phase.closed().await;
         }
         enter(Phase::Ended);
-        log::info!("{} {}", shared.counters, shared.upstreams.counted());
+        log::info!("{} {}", shared.counters, shared.upstreams.pool_stats());
         outcome
     }
 }
@@ -199,9 +199,9 @@
         if before.replace(share) != Some(share) {
             log::info!("of the limits: {share:?}");
             shared.budget.set_limits(share.of(sockets), share.of(memory));
-            shared.upstreams.allow(share.of(sockets));
+            shared.upstreams.set_max_connections(share.of(sockets));
         }
-        while shared.budget.excess_connections() > 0 && shared.upstreams.drop_idle() {}
+        while shared.budget.excess_connections() > 0 && shared.upstreams.close_idle_connection() {}
         // Clients that stand idle make room for the rest, each for one.
         (0..shared.budget.excess_connections()).for_each(|_| shared.budget.shed_client());
         sleep(LOOK).await;
@@ -211,7 +211,7 @@
 /// Prints the counters whenever it is asked to.
 async fn print(shared: Rc<Shared>, mut asked: Signal) {
     while asked.recv().await.is_some() {
-        log::info!("{} {}", shared.counters, shared.upstreams.counted());
+        log::info!("{} {}", shared.counters, shared.upstreams.pool_stats());
     }
 }
 
--- a/balancer/src/requests.rs
+++ b/balancer/src/requests.rs
@@ -130,9 +130,9 @@
         let key = (self.id, attempt);
         let task = async move {
             let upstreams = &shared.upstreams;
-            let result = match upstreams.origin(host) {
-                Some(address) => origin::push(upstreams, host, address, key, &request, deadline).await,
-                None => upstreams.push(host, key, &request, deadline).await,
+            let result = match upstreams.origin_address(host) {
+                Some(address) => origin::attempt(upstreams, host, address, key, &request, deadline).await,
+                None => upstreams.attempt(host, key, &request, deadline).await,
             };
             (attempt, result)
         };
--- a/balancer/src/shared.rs
+++ b/balancer/src/shared.rs
@@ -96,14 +96,14 @@
     /// Reports to the policy what connections tell of attempts and hosts, for ever.
     pub async fn forward_upstream_events(self: Rc<Shared>) {
         loop {
-            self.upstreams.noted.notified().await;
+            self.upstreams.events_ready.notified().await;
             self.process_upstream_events();
         }
     }
 
     /// The same for what has been told until now.
     pub fn process_upstream_events(&self) {
-        for event in self.upstreams.notes() {
+        for event in self.upstreams.take_events() {
             let now = self.clock.now();
             let mut router = self.router.borrow_mut();
             match event {
--- a/balancer/src/upstream/mod.rs
+++ b/balancer/src/upstream/mod.rs
@@ -40,50 +40,50 @@
     /// None where its descriptor is set aside.
     _permit: Option<DescriptorPermit>,
     /// The last answer that came on it.
-    last: Option<Stamp>,
+    last: Option<ResponseFingerprint>,
 }
 
-const STAMPED: usize = 4 * 1024;
+const FINGERPRINTED_BYTES: usize = 4 * 1024;
 
 /// An answer as it came, and the key that it was for. Hashes of both: a connection that stands idle must not hold a request.
 #[derive(Clone, Copy)]
-struct Stamp(u64, u64);
+struct ResponseFingerprint(u64, u64);
 
-impl Stamp {
+impl ResponseFingerprint {
     /// By its length and its last bytes: all of a long one would cost more than it tells.
-    fn of(answer: &[u8], request: &ClientRequest) -> Stamp {
+    fn of(answer: &[u8], request: &ClientRequest) -> ResponseFingerprint {
         let of = |what: (usize, &[u8])| {
             let mut hasher = DefaultHasher::new();
             what.hash(&mut hasher);
             hasher.finish()
         };
-        let end = &answer[answer.len().saturating_sub(STAMPED)..];
-        Stamp(of((answer.len(), end)), of((0, &request.key)))
+        let end = &answer[answer.len().saturating_sub(FINGERPRINTED_BYTES)..];
+        ResponseFingerprint(of((answer.len(), end)), of((0, &request.key)))
     }
 
     /// The same bytes for another key, or for a write, which has a receipt of its own.
-    fn repeated(self, next: Stamp, write: bool) -> bool {
+    fn repeated(self, next: ResponseFingerprint, write: bool) -> bool {
         self.0 == next.0 && (self.1 != next.1 || write)
     }
 }
 
 /// What stands of an answer at the front of a buffer.
-pub enum Found {
+pub enum ParsedResponse {
     /// All of it: the outcome, how many bytes it took, and whether the connection may carry another.
     Whole(AttemptResult, usize, bool),
     /// The head of one with a value of so many bytes that is too long to be held whole.
-    Streamed { start: usize, length: usize, rest: Rest },
+    Streamed { start: usize, length: usize, rest: ParseTrailer },
 }
 
-pub type Read = fn(&[u8]) -> Result<Option<Found>, String>;
+pub type ParseResponse = fn(&[u8]) -> Result<Option<ParsedResponse>, String>;
 
 /// Takes what follows a long value: how many bytes it took, and whether the connection may carry another answer.
-pub type Rest = Box<dyn Fn(&[u8]) -> Result<Option<(usize, bool)>, String>>;
+pub type ParseTrailer = Box<dyn Fn(&[u8]) -> Result<Option<(usize, bool)>, String>>;
 
 /// A request as it is written: its text, and the segments of a long value that follow it.
-pub struct Text(pub Bytes, pub Vec<Bytes>);
+pub struct RequestBytes(pub Bytes, pub Vec<Bytes>);
 
-impl Text {
+impl RequestBytes {
     async fn write(self, stream: &mut TcpStream) -> io::Result<()> {
         stream.write_all(&self.0).await?;
         for segment in self.1 {
@@ -94,11 +94,11 @@
 }
 
 /// A host that gives nothing of a long value for so long will not give the rest.
-const STALLED: Duration = Duration::from_secs(5);
+const VALUE_READ_TIMEOUT: Duration = Duration::from_secs(5);
 /// Hosts that were heard to say more than they were asked for are taken to answer twice for so long.
-const TWICE_FOR: Duration = Duration::from_secs(10);
+const DUPLICATES_SUSPECTED_FOR: Duration = Duration::from_secs(10);
 /// What follows a long value is awaited so long: the client has its value already.
-const REST: Duration = Duration::from_millis(500);
+const TRAILER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The push of an op, as the facade numbers it.
 pub type AttemptKey = (RequestId, AttemptNumber);
@@ -114,57 +114,57 @@
 }
 
 pub struct Upstreams {
-    hosts: RefCell<BTreeMap<HostId, Place>>,
+    hosts: RefCell<BTreeMap<HostId, HostEntry>>,
     pools: RefCell<ConnectionPools>,
     /// Connections that carry nothing.
     idle: RefCell<BTreeMap<ConnectionId, UpstreamConnection>>,
     /// Those whose push has given up, read for what may come late.
-    listening: RefCell<BTreeMap<ConnectionId, AbortHandle>>,
-    carrying: RefCell<BTreeMap<ConnectionId, AttemptKey>>,
-    notes: RefCell<Vec<UpstreamEvent>>,
+    late_readers: RefCell<BTreeMap<ConnectionId, AbortHandle>>,
+    attempts: RefCell<BTreeMap<ConnectionId, AttemptKey>>,
+    events: RefCell<Vec<UpstreamEvent>>,
     /// When a host last said more than it was asked for.
-    twice: Cell<Option<Instant>>,
+    duplicate_seen_at: Cell<Option<Instant>>,
     /// There are notes.
-    pub noted: Notify,
-    bounds: RuntimeLimits,
+    pub events_ready: Notify,
+    limits: RuntimeLimits,
     budget: Rc<ResourceBudget>,
     counters: Rc<Counters>,
     pub metrics: Rc<Metrics>,
     pub clock: Rc<Clock>,
 }
 
-struct Place {
+struct HostEntry {
     address: SocketAddr,
-    origin: bool,
+    is_origin: bool,
     /// Whether it takes anything new, by the module's rule on drains as the list was last read.
-    takes: bool,
+    accepts_attempts: bool,
     /// A connection came free there.
-    freed: Rc<Notify>,
+    connection_freed: Rc<Notify>,
     /// It takes nothing new any more.
-    closed: Rc<Notify>,
+    stopped_accepting: Rc<Notify>,
 }
 
 /// A connection that a push has; where that is called off, or fails, the pools learn of it.
 struct CheckedOut<'a> {
-    servers: &'a Upstreams,
+    upstreams: &'a Upstreams,
     id: ConnectionId,
-    link: Option<UpstreamConnection>,
+    connection: Option<UpstreamConnection>,
 }
 
 impl Drop for CheckedOut<'_> {
     fn drop(&mut self) {
-        self.servers.carrying.borrow_mut().remove(&self.id);
-        if self.link.take().is_some() {
-            self.servers.pools.borrow_mut().abandoned(self.id);
-            self.servers.carry_out();
+        self.upstreams.attempts.borrow_mut().remove(&self.id);
+        if self.connection.take().is_some() {
+            self.upstreams.pools.borrow_mut().abandoned(self.id);
+            self.upstreams.perform_pool_actions();
         }
     }
 }
 
 /// One that is being opened; the same.
-struct Opening<'a>(&'a Upstreams, Option<ConnectionId>);
+struct ConnectGuard<'a>(&'a Upstreams, Option<ConnectionId>);
 
-impl Drop for Opening<'_> {
+impl Drop for ConnectGuard<'_> {
     fn drop(&mut self) {
         if let Some(id) = self.1.take() {
             self.0.pools.borrow_mut().abandoned(id);
@@ -174,7 +174,7 @@
 
 impl Upstreams {
     pub fn new(
-        bounds: RuntimeLimits,
+        limits: RuntimeLimits,
         pools: ConnectionPools,
         budget: Rc<ResourceBudget>,
         counters: Rc<Counters>,
@@ -185,12 +185,12 @@
             hosts: RefCell::default(),
             pools: RefCell::new(pools),
             idle: RefCell::default(),
-            listening: RefCell::default(),
-            carrying: RefCell::default(),
-            notes: RefCell::default(),
-            twice: Cell::default(),
-            noted: Notify::new(),
-            bounds,
+            late_readers: RefCell::default(),
+            attempts: RefCell::default(),
+            events: RefCell::default(),
+            duplicate_seen_at: Cell::default(),
+            events_ready: Notify::new(),
+            limits,
             budget,
             counters,
             metrics,
@@ -199,174 +199,183 @@
     }
 
     /// Where a host is to be found; connections to another address are closed.
-    pub fn place(&self, host: HostId, address: SocketAddr, origin: bool) {
+    pub fn update_host(&self, host: HostId, address: SocketAddr, is_origin: bool) {
         let mut hosts = self.hosts.borrow_mut();
-        let fresh = || Place { address, origin, takes: true, freed: Rc::default(), closed: Rc::default() };
-        let place = hosts.entry(host).or_insert_with(fresh);
-        place.origin = origin;
-        if std::mem::replace(&mut place.address, address) != address {
+        let fresh = || HostEntry {
+            address,
+            is_origin,
+            accepts_attempts: true,
+            connection_freed: Rc::default(),
+            stopped_accepting: Rc::default(),
+        };
+        let entry = hosts.entry(host).or_insert_with(fresh);
+        entry.is_origin = is_origin;
+        if std::mem::replace(&mut entry.address, address) != address {
             self.pools.borrow_mut().host_moved(host);
         }
         drop(hosts);
-        self.carry_out();
+        self.perform_pool_actions();
     }
 
     /// Which hosts take anything new, asked whenever the list was read. One that does not needs no idle connections, and
     /// pushes that wait for one of its connections are let go.
-    pub fn settle(&self, takes: impl Fn(HostId) -> bool) {
-        for (&host, place) in self.hosts.borrow_mut().iter_mut() {
-            place.takes = takes(host);
-            if !place.takes {
+    pub fn update_accepting_hosts(&self, accepts_attempts: impl Fn(HostId) -> bool) {
+        for (&host, entry) in self.hosts.borrow_mut().iter_mut() {
+            entry.accepts_attempts = accepts_attempts(host);
+            if !entry.accepts_attempts {
                 self.pools.borrow_mut().host_draining(host);
-                place.closed.notify_waiters();
+                entry.stopped_accepting.notify_waiters();
             }
         }
-        self.carry_out();
+        self.perform_pool_actions();
     }
 
     /// Ends once the host takes nothing new.
-    async fn closed(&self, host: HostId) {
+    async fn stopped_accepting(&self, host: HostId) {
         loop {
-            let closed = match self.hosts.borrow().get(&host) {
-                Some(place) if place.takes => place.closed.clone(),
+            let stopped_accepting = match self.hosts.borrow().get(&host) {
+                Some(entry) if entry.accepts_attempts => entry.stopped_accepting.clone(),
                 _ => return,
             };
-            closed.notified().await;
+            stopped_accepting.notified().await;
         }
     }
 
     /// A host that is gone, with nothing open there.
-    pub fn forget(&self, host: HostId) {
+    pub fn forget_host(&self, host: HostId) {
         self.hosts.borrow_mut().remove(&host);
         self.pools.borrow_mut().forget_host(host);
-        self.carry_out();
+        self.perform_pool_actions();
     }
 
-    pub fn origin(&self, host: HostId) -> Option<SocketAddr> {
-        self.hosts.borrow().get(&host).filter(|place| place.origin).map(|place| place.address)
+    pub fn origin_address(&self, host: HostId) -> Option<SocketAddr> {
+        self.hosts.borrow().get(&host).filter(|entry| entry.is_origin).map(|entry| entry.address)
     }
 
     /// So many descriptors are this process's from now on.
-    pub fn allow(&self, most: usize) {
-        self.pools.borrow_mut().set_max_connections(most);
+    pub fn set_max_connections(&self, max_connections: usize) {
+        self.pools.borrow_mut().set_max_connections(max_connections);
     }
 
-    pub fn counted(&self) -> PoolStats {
+    pub fn pool_stats(&self) -> PoolStats {
         self.pools.borrow().stats()
     }
 
     /// What was noted since this was last asked.
-    pub fn notes(&self) -> Vec<UpstreamEvent> {
-        self.notes.take()
+    pub fn take_events(&self) -> Vec<UpstreamEvent> {
+        self.events.take()
     }
 
     /// Has the pools look after all connections.
     pub fn tick(&self) {
         let stopped = self.pools.borrow_mut().tick(self.clock.now());
         if stopped > 0 {
-            log::warn!("stood still for {} ms; nobody's silence counts for that time", stopped / 1000);
-            self.note(UpstreamEvent::ProcessStalled(stopped));
+            log::warn!(
+                "this process stalled for {} ms; no host's silence counts for that time",
+                stopped / 1000
+            );
+            self.record_event(UpstreamEvent::ProcessStalled(stopped));
         }
-        self.carry_out();
+        self.perform_pool_actions();
     }
 
-    fn note(&self, note: UpstreamEvent) {
-        self.notes.borrow_mut().push(note);
-        self.noted.notify_one();
+    fn record_event(&self, event: UpstreamEvent) {
+        self.events.borrow_mut().push(event);
+        self.events_ready.notify_one();
     }
 
-    fn carry_out(&self) {
-        let orders = self.pools.borrow_mut().take_actions();
-        for order in orders {
-            match order {
-                PoolAction::Close(id) => self.shut(id),
+    fn perform_pool_actions(&self) {
+        let actions = self.pools.borrow_mut().take_actions();
+        for action in actions {
+            match action {
+                PoolAction::Close(id) => self.close(id),
                 PoolAction::AttemptInDoubt(id) => {
-                    let ticket = self.carrying.borrow().get(&id).copied();
-                    if let Some(ticket) = ticket {
+                    let attempt = self.attempts.borrow().get(&id).copied();
+                    if let Some(attempt) = attempt {
                         log::debug!(
-                            "push {} of op {} is in doubt: later ones are answered",
-                            ticket.1 .0,
-                            ticket.0 .0
+                            "attempt {} of request {} is in doubt: later ones are answered",
+                            attempt.1 .0,
+                            attempt.0 .0
                         );
-                        self.note(UpstreamEvent::AttemptInDoubt(ticket));
+                        self.record_event(UpstreamEvent::AttemptInDoubt(attempt));
                     }
                 }
                 PoolAction::HostAlive(host) => {
                     log::debug!("host {} answers again on a connection from before its silence", host.0);
-                    self.note(UpstreamEvent::HostAlive(host));
+                    self.record_event(UpstreamEvent::HostAlive(host));
                 }
             }
         }
     }
 
-    fn shut(&self, id: ConnectionId) {
+    fn close(&self, id: ConnectionId) {
         self.idle.borrow_mut().remove(&id);
-        if let Some(listening) = self.listening.borrow_mut().remove(&id) {
+        if let Some(listening) = self.late_readers.borrow_mut().remove(&id) {
             listening.abort();
         }
     }
 
     /// Closes a connection that is needed least; whether there was one.
-    pub fn drop_idle(&self) -> bool {
+    pub fn close_idle_connection(&self) -> bool {
         let oldest = self.pools.borrow_mut().evict_idle();
-        oldest.map(|id| self.shut(id)).is_some()
+        oldest.map(|id| self.close(id)).is_some()
     }
 
     /// A descriptor for a connection, at the cost of an idle one where there is no other.
     fn permit(&self) -> Option<DescriptorPermit> {
         self.budget
             .host_descriptor()
-            .or_else(|| self.drop_idle().then(|| self.budget.host_descriptor()).flatten())
+            .or_else(|| self.close_idle_connection().then(|| self.budget.host_descriptor()).flatten())
     }
 
     /// A new connection, up by then; `most` bytes may stand in its buffer.
-    pub async fn open(
+    pub async fn connect(
         &self,
         permit: Option<DescriptorPermit>,
         address: SocketAddr,
         until: Instant,
-        most: usize,
+        max_bytes: usize,
     ) -> io::Result<UpstreamConnection> {
         let stream = timeout_at(until, TcpStream::connect(address)).await??;
         stream.set_nodelay(true)?;
-        Ok(UpstreamConnection { stream, buffer: Buffer::new(most), _permit: permit, last: None })
+        Ok(UpstreamConnection { stream, buffer: Buffer::new(max_bytes), _permit: permit, last: None })
     }
 
     /// A connection for a push: one that is kept, or a new one. A push that gets none never ran; what is this balancer's
     /// own want must not be held against the host.
-    async fn link(
+    async fn checkout(
         &self,
         host: HostId,
-        ticket: AttemptKey,
+        attempt: AttemptKey,
         until: Instant,
     ) -> Result<CheckedOut<'_>, AttemptOutcome> {
         loop {
             let grant = self.pools.borrow_mut().checkout(self.clock.now(), host);
-            self.carry_out();
+            self.perform_pool_actions();
             match grant {
                 Checkout::Reuse(id) => {
-                    let Some(link) = self.idle.borrow_mut().remove(&id) else {
+                    let Some(connection) = self.idle.borrow_mut().remove(&id) else {
                         self.pools.borrow_mut().abandoned(id);
                         continue;
                     };
                     // Whatever can be read now, its end above all, means that it can't carry a push.
-                    let read = link.stream.try_read(&mut [0]);
+                    let read = connection.stream.try_read(&mut [0]);
                     if matches!(&read, Err(cause) if cause.kind() == ErrorKind::WouldBlock) {
                         self.counters.connections_reused.add();
-                        return Ok(CheckedOut { servers: self, id, link: Some(link) });
+                        return Ok(CheckedOut { upstreams: self, id, connection: Some(connection) });
                     }
                     if matches!(read, Ok(1..)) {
-                        self.twice.set(Some(Instant::now()));
+                        self.duplicate_seen_at.set(Some(Instant::now()));
                     }
                     self.counters.connections_stale.add();
                     self.pools.borrow_mut().found_closed(id);
                 }
                 Checkout::Open(id) => {
-                    self.note(UpstreamEvent::NewConnection(ticket));
-                    return self.opened(host, id, until).await;
+                    self.record_event(UpstreamEvent::NewConnection(attempt));
+                    return self.open_connection(host, id, until).await;
                 }
                 Checkout::RetryAt(at) => {
-                    let freed = self.hosts.borrow().get(&host).map(|place| place.freed.clone());
+                    let freed = self.hosts.borrow().get(&host).map(|entry| entry.connection_freed.clone());
                     let freed = freed.ok_or(AttemptOutcome::NotSent)?;
                     if Instant::now() >= until {
                         return Err(AttemptOutcome::NotSent);
@@ -379,30 +388,30 @@
         }
     }
 
-    async fn opened(
+    async fn open_connection(
         &self,
         host: HostId,
         id: ConnectionId,
         until: Instant,
     ) -> Result<CheckedOut<'_>, AttemptOutcome> {
-        let mut opening = Opening(self, Some(id));
+        let mut opening = ConnectGuard(self, Some(id));
         let address =
-            self.hosts.borrow().get(&host).map(|place| place.address).ok_or(AttemptOutcome::NotSent)?;
+            self.hosts.borrow().get(&host).map(|entry| entry.address).ok_or(AttemptOutcome::NotSent)?;
         let permit = self.permit().ok_or(AttemptOutcome::NotSent)?;
-        let bound = Instant::now() + span(self.bounds.connect_timeout);
-        let outcome = self.open(Some(permit), address, until.min(bound), MOST).await;
+        let bound = Instant::now() + span(self.limits.connect_timeout);
+        let outcome = self.connect(Some(permit), address, until.min(bound), MOST).await;
         opening.1 = None;
         let now = self.clock.now();
         match outcome {
             // Its host has moved meanwhile: what stands at the old address may be another, or one that drains.
-            Ok(_) if self.hosts.borrow().get(&host).map(|place| place.address) != Some(address) => {
+            Ok(_) if self.hosts.borrow().get(&host).map(|entry| entry.address) != Some(address) => {
                 self.pools.borrow_mut().abandoned(id);
                 Err(AttemptOutcome::NotSent)
             }
-            Ok(link) => {
+            Ok(connection) => {
                 self.counters.connections_opened.add();
                 self.pools.borrow_mut().connected(id);
-                Ok(CheckedOut { servers: self, id, link: Some(link) })
+                Ok(CheckedOut { upstreams: self, id, connection: Some(connection) })
             }
             Err(cause) => {
                 log::debug!("host {} at {address} does not come up: {cause}", host.0);
@@ -420,28 +429,28 @@
     pub async fn exchange(
         self: &Rc<Upstreams>,
         host: HostId,
-        ticket: AttemptKey,
+        attempt: AttemptKey,
         request: &ClientRequest,
-        text: impl FnOnce(Micros) -> Text,
+        text: impl FnOnce(Micros) -> RequestBytes,
         until: Micros,
-        find: Read,
+        parse: ParseResponse,
     ) -> AttemptResult {
         let (ends, until) = (until, self.clock.at(until));
         // Rule 3 again, at the one place that every push passes before its first byte: the module judged when it decided, and
         // leave to open, a handshake or a connection in use may have taken longer than the grace since. A host that was
         // announced as leaving meanwhile gets nothing, and the op hears so at once. Whatever the order in which its parts are
         // woken, the look at the host comes before the step that has the connection, and the first byte goes in the same turn.
-        let granted = tokio::select! {
+        let checkout = tokio::select! {
             biased;
             () = request.ended() => Err(AttemptOutcome::Cancelled),
-            () = self.closed(host) => Err(AttemptOutcome::NotSent),
-            granted = self.link(host, ticket, until) => granted,
+            () = self.stopped_accepting(host) => Err(AttemptOutcome::NotSent),
+            checkout = self.checkout(host, attempt, until) => checkout,
         };
-        let mut held = match granted {
+        let mut checked_out = match checkout {
             // Rule 1 again: a connection may come up in the very turn in which the time is over, after a stop of this process
             // long after it. Nothing is begun then.
             Ok(_) if Instant::now() >= until => return (AttemptOutcome::NotSent, None),
-            Ok(held) => held,
+            Ok(checked_out) => checked_out,
             Err(end) => return (end, None),
         };
         // The host begins with the last byte: until that is written the push never ran. An op that is over
@@ -449,8 +458,8 @@
         // A long value whose first byte went in time goes on.
         let text = text(ends - self.clock.now());
         let sent = async {
-            let Some(link) = &mut held.link else { return Err(AttemptOutcome::NotSent) };
-            match timeout_at(until, text.write(&mut link.stream)).await {
+            let Some(connection) = &mut checked_out.connection else { return Err(AttemptOutcome::NotSent) };
+            match timeout_at(until, text.write(&mut connection.stream)).await {
                 Ok(Ok(())) => Ok(()),
                 _ => Err(AttemptOutcome::Unreachable),
             }
@@ -463,28 +472,30 @@
         if let Err(end) = sent {
             return (end, None);
         }
-        let id = held.id;
+        let id = checked_out.id;
         self.pools.borrow_mut().request_sent(self.clock.now(), id);
         self.metrics.tried();
-        self.carrying.borrow_mut().insert(id, ticket);
+        self.attempts.borrow_mut().insert(id, attempt);
         loop {
-            let Some(link) = &mut held.link else { return (AttemptOutcome::NotSent, None) };
-            let filled = timeout_at(until, read(&mut link.stream, &mut link.buffer)).await;
+            let Some(connection) = &mut checked_out.connection else {
+                return (AttemptOutcome::NotSent, None);
+            };
+            let filled = timeout_at(until, read(&mut connection.stream, &mut connection.buffer)).await;
             let now = self.clock.now();
             match filled {
                 Err(_) => {
-                    let link = held.link.take();
+                    let connection = checked_out.connection.take();
                     let verdict = self.pools.borrow_mut().attempt_timed_out(now, id);
-                    if let Some(link) = link.filter(|_| verdict.await_late_response) {
-                        self.listen(host, id, link, find);
+                    if let Some(connection) = connection.filter(|_| verdict.await_late_response) {
+                        self.await_late_response(host, id, connection, parse);
                     }
                     return (AttemptOutcome::TimedOut, None);
                 }
                 Ok(Ok(0) | Err(_)) => {
-                    held.link = None;
+                    checked_out.connection = None;
                     let fault = self.pools.borrow_mut().connection_lost(now, id);
-                    self.carry_out();
-                    log::debug!("host {}: a connection ended over a push, {fault:?} at fault", host.0);
+                    self.perform_pool_actions();
+                    log::debug!("host {}: a connection ended under a request, {fault:?} at fault", host.0);
                     return (
                         if fault == Fault::Connection {
                             AttemptOutcome::ConnectionFault
@@ -496,40 +507,45 @@
                 }
                 Ok(Ok(_)) => {}
             }
-            match find(link.buffer.bytes()) {
+            match parse(connection.buffer.bytes()) {
                 Ok(None) => {}
-                Ok(Some(Found::Streamed { start, length, rest })) => {
-                    link.buffer.consume(start);
+                Ok(Some(ParsedResponse::Streamed { start, length, rest })) => {
+                    connection.buffer.consume(start);
                     self.pools.borrow_mut().response_begun(now, id);
-                    let (give, pieces) = mpsc::channel(1);
-                    let passing = Passing { host, id, link: held.link.take(), length, rest };
-                    spawn_local(self.clone().pass(passing, give));
+                    let (sender, pieces) = mpsc::channel(1);
+                    let value_stream =
+                        ValueStream { host, id, connection: checked_out.connection.take(), length, rest };
+                    spawn_local(self.clone().stream_value(value_stream, sender));
                     return (
                         AttemptOutcome::Succeeded,
                         Some(Value::Streamed(StreamedValue { length, pieces })),
                     );
                 }
-                Ok(Some(Found::Whole(outcome, used, keep))) => {
-                    let stamp = Stamp::of(&link.buffer.bytes()[..used], request);
-                    link.buffer.consume(used);
-                    let more = !link.buffer.is_empty();
+                Ok(Some(ParsedResponse::Whole(outcome, used, keep))) => {
+                    let fingerprint = ResponseFingerprint::of(&connection.buffer.bytes()[..used], request);
+                    connection.buffer.consume(used);
+                    let more = !connection.buffer.is_empty();
                     if more {
-                        self.twice.set(Some(Instant::now()));
+                        self.duplicate_seen_at.set(Some(Instant::now()));
                     }
                     // Answers carry no id: of hosts that answer twice a copy may come after the look before the write, and be
                     // taken for the next one's. The same value as before is not served then. A copy of a refusal would say
                     // of the next push that it never ran: that is the last on its connection.
-                    let twice = self.twice.get().is_some_and(|at| at.elapsed() < TWICE_FOR);
-                    let last = link.last.take().filter(|_| twice && outcome.1.is_some());
-                    if last.is_some_and(|last| last.repeated(stamp, request.value.is_some())) {
-                        log::debug!("host {}: the same answer as to the push before", host.0);
+                    let duplicates_suspected = self
+                        .duplicate_seen_at
+                        .get()
+                        .is_some_and(|at| at.elapsed() < DUPLICATES_SUSPECTED_FOR);
+                    let last = connection.last.take().filter(|_| duplicates_suspected && outcome.1.is_some());
+                    if last.is_some_and(|last| last.repeated(fingerprint, request.value.is_some())) {
+                        log::debug!("host {}: the same response as to the request before", host.0);
                         return (AttemptOutcome::ConnectionFault, None);
                     }
-                    link.last = Some(stamp);
-                    let keep = keep && !more && !(twice && outcome.0 == AttemptOutcome::Rejected);
-                    let link = held.link.take();
+                    connection.last = Some(fingerprint);
+                    let keep =
+                        keep && !more && !(duplicates_suspected && outcome.0 == AttemptOutcome::Rejected);
+                    let connection = checked_out.connection.take();
                     if self.pools.borrow_mut().answered(now, id, keep) {
-                        self.give_back(host, id, link);
+                        self.return_connection(host, id, connection);
                     }
                     return outcome;
                 }
@@ -543,18 +559,18 @@
 
     /// Passes a long value on, read only as its pieces are taken. Its op has ended for the module: what becomes of it tells
     /// of the connection alone.
-    async fn pass(self: Rc<Upstreams>, passing: Passing, give: mpsc::Sender<Bytes>) {
-        let Passing { host, id, link, length, rest } = passing;
-        let mut held = CheckedOut { servers: &self, id, link };
-        let Some(link) = &mut held.link else { return };
+    async fn stream_value(self: Rc<Upstreams>, value_stream: ValueStream, pieces: mpsc::Sender<Bytes>) {
+        let ValueStream { host, id, connection, length, rest } = value_stream;
+        let mut checked_out = CheckedOut { upstreams: &self, id, connection };
+        let Some(connection) = &mut checked_out.connection else { return };
         let stream = self.budget.start_stream();
         let mut left = length;
         while left > 0 {
-            let most = stream.chunk_size().min(left);
-            let piece = if link.buffer.is_empty() {
-                let mut piece = BytesMut::with_capacity(most);
-                let mut room = (&mut piece).limit(most);
-                match timeout(STALLED, link.stream.read_buf(&mut room)).await {
+            let max_bytes = stream.chunk_size().min(left);
+            let piece = if connection.buffer.is_empty() {
+                let mut piece = BytesMut::with_capacity(max_bytes);
+                let mut room = (&mut piece).limit(max_bytes);
+                match timeout(VALUE_READ_TIMEOUT, connection.stream.read_buf(&mut room)).await {
                     Ok(Ok(1..)) => piece.freeze(),
                     // The client can tell: its connection ends before the length that it was told.
                     _ => {
@@ -564,93 +580,94 @@
                     }
                 }
             } else {
-                let there = link.buffer.bytes();
-                let piece = Bytes::copy_from_slice(&there[..most.min(there.len())]);
-                link.buffer.consume(piece.len());
+                let there = connection.buffer.bytes();
+                let piece = Bytes::copy_from_slice(&there[..max_bytes.min(there.len())]);
+                connection.buffer.consume(piece.len());
                 piece
             };
             left -= piece.len();
-            if give.send(piece).await.is_err() {
+            if pieces.send(piece).await.is_err() {
                 return;
             }
         }
-        drop((give, stream));
+        drop((pieces, stream));
         let after = async {
             loop {
-                match rest(link.buffer.bytes()) {
+                match rest(connection.buffer.bytes()) {
                     Ok(Some(found)) => return Some(found),
-                    Ok(None) if matches!(read(&mut link.stream, &mut link.buffer).await, Ok(1..)) => {}
+                    Ok(None)
+                        if matches!(read(&mut connection.stream, &mut connection.buffer).await, Ok(1..)) => {}
                     _ => return None,
                 }
             }
         };
-        let Ok(Some((used, keep))) = timeout(REST, after).await else { return };
-        link.buffer.consume(used);
-        let keep = keep && link.buffer.is_empty();
-        let link = held.link.take();
+        let Ok(Some((used, keep))) = timeout(TRAILER_TIMEOUT, after).await else { return };
+        connection.buffer.consume(used);
+        let keep = keep && connection.buffer.is_empty();
+        let connection = checked_out.connection.take();
         if self.pools.borrow_mut().answered(self.clock.now(), id, keep) {
-            self.give_back(host, id, link);
+            self.return_connection(host, id, connection);
         }
     }
 
-    fn give_back(&self, host: HostId, id: ConnectionId, link: Option<UpstreamConnection>) {
-        if let Some(link) = link {
-            self.idle.borrow_mut().insert(id, link);
+    fn return_connection(&self, host: HostId, id: ConnectionId, connection: Option<UpstreamConnection>) {
+        if let Some(connection) = connection {
+            self.idle.borrow_mut().insert(id, connection);
         }
         match self.hosts.borrow().get(&host) {
-            Some(place) if place.takes => place.freed.notify_one(),
+            Some(entry) if entry.accepts_attempts => entry.connection_freed.notify_one(),
             // It drained under its last push: places there are scarce.
             _ => {
                 self.pools.borrow_mut().host_draining(host);
-                self.carry_out();
+                self.perform_pool_actions();
             }
         }
     }
 
     /// Reads on for what may come late: that tells that the host is there again, and the connection can carry pushes.
-    fn listen(
+    fn await_late_response(
         self: &Rc<Upstreams>,
         host: HostId,
         id: ConnectionId,
-        mut link: UpstreamConnection,
-        find: Read,
+        mut connection: UpstreamConnection,
+        parse: ParseResponse,
     ) {
         const LONGEST: Duration = Duration::from_secs(60);
-        let servers = self.clone();
+        let upstreams = self.clone();
         let listening = async move {
             let answer = async {
                 loop {
-                    if !matches!(read(&mut link.stream, &mut link.buffer).await, Ok(1..)) {
+                    if !matches!(read(&mut connection.stream, &mut connection.buffer).await, Ok(1..)) {
                         return false;
                     }
-                    match find(link.buffer.bytes()) {
+                    match parse(connection.buffer.bytes()) {
                         Ok(None) => {}
-                        Ok(Some(Found::Whole(_, used, keep))) => {
-                            link.buffer.consume(used);
-                            return keep && link.buffer.is_empty();
+                        Ok(Some(ParsedResponse::Whole(_, used, keep))) => {
+                            connection.buffer.consume(used);
+                            return keep && connection.buffer.is_empty();
                         }
                         // Nobody waits for a long value any more.
-                        Ok(Some(Found::Streamed { .. })) | Err(_) => return false,
+                        Ok(Some(ParsedResponse::Streamed { .. })) | Err(_) => return false,
                     }
                 }
             };
             let good = timeout(LONGEST, answer).await.unwrap_or(false);
-            servers.listening.borrow_mut().remove(&id);
-            let kept = servers.pools.borrow_mut().late_response(servers.clock.now(), id, good);
+            upstreams.late_readers.borrow_mut().remove(&id);
+            let kept = upstreams.pools.borrow_mut().late_response(upstreams.clock.now(), id, good);
             if kept {
-                servers.give_back(host, id, Some(link));
+                upstreams.return_connection(host, id, Some(connection));
             }
-            servers.carry_out();
+            upstreams.perform_pool_actions();
         };
         let task = spawn_local(listening);
-        self.listening.borrow_mut().insert(id, task.abort_handle());
+        self.late_readers.borrow_mut().insert(id, task.abort_handle());
     }
 
     /// One push of an op to a cache host.
-    pub async fn push(
+    pub async fn attempt(
         self: &Rc<Upstreams>,
         host: HostId,
-        ticket: AttemptKey,
+        attempt: AttemptKey,
         request: &ClientRequest,
         until: Micros,
     ) -> AttemptResult {
@@ -661,40 +678,40 @@
             match request.long() {
                 Some((length, segments)) => {
                     let segments = segments.iter().cloned().chain([Bytes::from_static(resp::END)]);
-                    Text(resp::begun(&words, length), segments.collect())
+                    RequestBytes(resp::begun(&words, length), segments.collect())
                 }
                 None => {
                     words.extend(short.as_deref());
-                    Text(resp::written(&words), Vec::new())
+                    RequestBytes(resp::written(&words), Vec::new())
                 }
             }
         };
-        self.exchange(host, ticket, request, text, until, reply).await
+        self.exchange(host, attempt, request, text, until, reply).await
     }
 }
 
 /// A long value on its way from a host.
-struct Passing {
+struct ValueStream {
     host: HostId,
     id: ConnectionId,
-    link: Option<UpstreamConnection>,
+    connection: Option<UpstreamConnection>,
     length: usize,
-    rest: Rest,
+    rest: ParseTrailer,
 }
 
-fn reply(bytes: &[u8]) -> Result<Option<Found>, String> {
+fn reply(bytes: &[u8]) -> Result<Option<ParsedResponse>, String> {
     if let Some(LongReply { start, length, more }) = resp::long_reply(bytes) {
-        let rest: Rest = Box::new(move |bytes| Ok(resp::rest(bytes, more)?));
-        return Ok(Some(Found::Streamed { start, length, rest }));
+        let rest: ParseTrailer = Box::new(move |bytes| Ok(resp::rest(bytes, more)?));
+        return Ok(Some(ParsedResponse::Streamed { start, length, rest }));
     }
     let Some((reply, used, keep)) = resp::reply(bytes)? else { return Ok(None) };
     let outcome = match reply {
-        Reply::Value(place) => {
-            (AttemptOutcome::Succeeded, Some(Value::Whole(Bytes::copy_from_slice(&bytes[place]))))
+        Reply::Value(range) => {
+            (AttemptOutcome::Succeeded, Some(Value::Whole(Bytes::copy_from_slice(&bytes[range]))))
         }
         Reply::Miss => (AttemptOutcome::Miss, None),
         Reply::Busy => (AttemptOutcome::Rejected, None),
         Reply::Failed => (AttemptOutcome::Error, None),
     };
-    Ok(Some(Found::Whole(outcome, used, keep)))
+    Ok(Some(ParsedResponse::Whole(outcome, used, keep)))
 }
--- a/balancer/src/upstream/origin.rs
+++ b/balancer/src/upstream/origin.rs
@@ -8,14 +8,14 @@
 use basaltwood_wire::resp::{LONGEST, MOST_VALUE};
 
 use crate::request::{AttemptResult, ClientRequest, Value};
-use crate::upstream::{AttemptKey, Found, Rest, Text, Upstreams};
+use crate::upstream::{AttemptKey, ParseTrailer, ParsedResponse, RequestBytes, Upstreams};
 
 /// One push of an op to the origin.
-pub async fn push(
-    servers: &Rc<Upstreams>,
+pub async fn attempt(
+    upstreams: &Rc<Upstreams>,
     host: HostId,
     address: SocketAddr,
-    ticket: AttemptKey,
+    attempt: AttemptKey,
     request: &ClientRequest,
     until: Micros,
 ) -> AttemptResult {
@@ -26,20 +26,25 @@
         let method = if request.value.is_some() { "PUT" } else { "GET" };
         let to = address.to_string();
         match request.long() {
-            Some((length, segments)) => {
-                Text(http::begun(method, &path, &to, &headers, Some(length)).freeze(), segments.to_vec())
-            }
-            None => Text(http::request(method, &path, &to, &headers, request.short().as_deref()), Vec::new()),
+            Some((length, segments)) => RequestBytes(
+                http::begun(method, &path, &to, &headers, Some(length)).freeze(),
+                segments.to_vec(),
+            ),
+            None => RequestBytes(
+                http::request(method, &path, &to, &headers, request.short().as_deref()),
+                Vec::new(),
+            ),
         }
     };
-    servers.exchange(host, ticket, request, text, until, answer).await
+    upstreams.exchange(host, attempt, request, text, until, answer).await
 }
 
-fn answer(bytes: &[u8]) -> Result<Option<Found>, String> {
+fn answer(bytes: &[u8]) -> Result<Option<ParsedResponse>, String> {
     if let Some((answer, length)) = http::long(bytes, MOST_VALUE, LONGEST) {
         if answer.status == 200 {
-            let (start, rest): (usize, Rest) = (answer.used, Box::new(move |_| Ok(Some((0, answer.keep)))));
-            return Ok(Some(Found::Streamed { start, length, rest }));
+            let (start, rest): (usize, ParseTrailer) =
+                (answer.used, Box::new(move |_| Ok(Some((0, answer.keep)))));
+            return Ok(Some(ParsedResponse::Streamed { start, length, rest }));
         }
     }
     let Some(answer) = http::answer(bytes, MOST_VALUE)? else { return Ok(None) };
@@ -48,5 +53,5 @@
         503 | 504 if answer.unprocessed => (AttemptOutcome::Rejected, None),
         _ => (AttemptOutcome::Error, None),
     };
-    Ok(Some(Found::Whole(outcome, answer.used, answer.keep)))
+    Ok(Some(ParsedResponse::Whole(outcome, answer.used, answer.keep)))
 }
