--- a/balancer/src/downstream/accept.rs
+++ b/balancer/src/downstream/accept.rs
@@ -58,7 +58,7 @@
                 if *phase.borrow() == Phase::Flushing {
                     return;
                 }
-                shared.upstreams.drop_idle();
+                shared.upstreams.close_idle_connection();
                 sleep(DESCRIPTOR_RETRY_INTERVAL).await;
             }
         }
@@ -72,7 +72,7 @@
         if let Some(permit) = shared.budget.client_descriptor() {
             return permit;
         }
-        if shared.budget.clients_at_limit() || !shared.upstreams.drop_idle() {
+        if shared.budget.clients_at_limit() || !shared.upstreams.close_idle_connection() {
             let freed = shared.budget.freed.notified();
             shared.budget.shed_client();
             let _ = timeout(DESCRIPTOR_RETRY_INTERVAL, freed).await;
