--- a/balancer/src/config.rs
+++ b/balancer/src/config.rs
@@ -72,7 +72,7 @@
 fn regions(named: Option<String>) -> Result<Option<RegionMap>, String> {
     let file = named.as_deref().unwrap_or(REGIONS);
     match std::fs::read_to_string(file) {
-        Ok(text) => RegionMap::parse(file, &text).map(Some),
+        Ok(text) => RegionMap::parse(file, &text).map(Some).map_err(|error| error.to_string()),
         Err(cause) if named.is_none() && cause.kind() == ErrorKind::NotFound => Ok(None),
         Err(cause) => Err(format!("{file}: {cause}: mend $BASALTWOOD_REGIONS or the file, or remove both")),
     }
--- /dev/null
+++ b/regions/src/file.rs
@@ -0,0 +1,226 @@
+//! The operators' file of regions: reading it and checking it.
+
+use std::collections::BTreeMap;
+use std::ops::Range;
+
+use serde::Deserialize;
+use toml::Spanned;
+
+use crate::error::{RegionMapError, RegionMapProblem};
+
+/// The file as it is written.
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+struct RawFile {
+    own: Spanned<String>,
+    #[serde(default, rename = "region")]
+    regions: Vec<RawRegion>,
+}
+
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+struct RawRegion {
+    name: Spanned<String>,
+    zones: Spanned<Vec<Spanned<String>>>,
+    #[serde(default)]
+    balancers: Option<Spanned<i64>>,
+    #[serde(default, rename = "hosts")]
+    min_hosts: Option<Spanned<i64>>,
+}
+
+/// The content of a file that has passed all checks.
+pub(crate) struct RegionFile {
+    /// The own region's place in `regions`.
+    pub(crate) own: usize,
+    /// In the file's order.
+    pub(crate) regions: Vec<RegionEntry>,
+}
+
+/// A region as the file describes it.
+pub(crate) struct RegionEntry {
+    pub(crate) name: String,
+    pub(crate) zones: Vec<String>,
+    /// How many balancers it has, where the file says.
+    pub(crate) balancers: Option<u32>,
+    /// How many of its hosts must be up for a ring of its own, where the file says.
+    pub(crate) min_hosts: Option<u32>,
+}
+
+impl RegionFile {
+    /// Reads and checks the text of a file; errors call it `file`.
+    pub(crate) fn parse(file: &str, text: &str) -> Result<RegionFile, RegionMapError> {
+        let source = Source { file, text };
+        let raw = source.read()?;
+        let own = Checker::new(&source, &raw).check()?;
+        let regions = raw.regions.into_iter().map(RegionEntry::from).collect();
+        Ok(RegionFile { own, regions })
+    }
+}
+
+impl From<RawRegion> for RegionEntry {
+    fn from(raw: RawRegion) -> RegionEntry {
+        RegionEntry {
+            name: raw.name.into_inner(),
+            zones: raw.zones.into_inner().into_iter().map(Spanned::into_inner).collect(),
+            balancers: raw.balancers.as_ref().and_then(positive),
+            min_hosts: raw.min_hosts.as_ref().and_then(positive),
+        }
+    }
+}
+
+/// A count of the file that may be used: 1 or more.
+fn positive(value: &Spanned<i64>) -> Option<u32> {
+    u32::try_from(*value.get_ref()).ok().filter(|&count| count > 0)
+}
+
+/// A file's text, for the places of errors.
+struct Source<'a> {
+    file: &'a str,
+    text: &'a str,
+}
+
+impl Source<'_> {
+    fn read(&self) -> Result<RawFile, RegionMapError> {
+        toml::from_str(self.text).map_err(|error| {
+            let words: Vec<&str> = error.message().split_whitespace().collect();
+            let problem = RegionMapProblem::Form { cause: words.join(" ") };
+            self.error(error.span().unwrap_or(0..0), problem)
+        })
+    }
+
+    fn line(&self, span: &Range<usize>) -> usize {
+        let before = self.text.bytes().take(span.start);
+        before.filter(|&byte| byte == b'\n').count() + 1
+    }
+
+    fn error(&self, span: Range<usize>, problem: RegionMapProblem) -> RegionMapError {
+        RegionMapError { file: self.file.to_owned(), line: self.line(&span), problem }
+    }
+}
+
+/// Where a zone was named first.
+struct ZonePlace {
+    region: usize,
+    line: usize,
+}
+
+/// Goes through a file once, region by region, and stops at the first problem.
+struct Checker<'a> {
+    source: &'a Source<'a>,
+    raw: &'a RawFile,
+    /// The lines of the regions so far, by name.
+    regions: BTreeMap<&'a str, usize>,
+    zones: BTreeMap<&'a str, ZonePlace>,
+}
+
+impl<'a> Checker<'a> {
+    fn new(source: &'a Source<'a>, raw: &'a RawFile) -> Checker<'a> {
+        Checker { source, raw, regions: BTreeMap::new(), zones: BTreeMap::new() }
+    }
+
+    /// The own region's place among the regions.
+    fn check(mut self) -> Result<usize, RegionMapError> {
+        if self.raw.regions.is_empty() {
+            return Err(self.error(&self.raw.own, RegionMapProblem::NoRegion));
+        }
+        self.check_name(&self.raw.own, "own")?;
+        for (index, region) in self.raw.regions.iter().enumerate() {
+            self.check_region_name(region)?;
+            self.check_zones(index, region)?;
+            self.check_counts(region)?;
+        }
+        // One number is left for hosts without a zone.
+        let too_many = usize::from(u16::MAX);
+        if self.zones.len() >= too_many || self.raw.regions.len() >= too_many {
+            return Err(self.error(&self.raw.own, RegionMapProblem::TooMany));
+        }
+        self.own_region()
+    }
+
+    fn check_name(&self, name: &Spanned<String>, what: &'static str) -> Result<(), RegionMapError> {
+        if name.get_ref().trim().is_empty() {
+            return Err(self.error(name, RegionMapProblem::EmptyName { what }));
+        }
+        Ok(())
+    }
+
+    fn check_region_name(&mut self, region: &'a RawRegion) -> Result<(), RegionMapError> {
+        self.check_name(&region.name, "the name of a region")?;
+        let name = region.name.get_ref();
+        let line = self.source.line(&region.name.span());
+        if let Some(first_line) = self.regions.insert(name, line) {
+            let problem = RegionMapProblem::DuplicateRegion { region: name.clone(), first_line };
+            return Err(self.error(&region.name, problem));
+        }
+        Ok(())
+    }
+
+    fn check_zones(&mut self, index: usize, region: &'a RawRegion) -> Result<(), RegionMapError> {
+        let region_name = region.name.get_ref();
+        if region.zones.get_ref().is_empty() {
+            let problem = RegionMapProblem::NoZone { region: region_name.clone() };
+            return Err(self.error(&region.zones, problem));
+        }
+        for zone in region.zones.get_ref() {
+            self.check_name(zone, "the name of a zone")?;
+            let place = ZonePlace { region: index, line: self.source.line(&zone.span()) };
+            let Some(first) = self.zones.insert(zone.get_ref(), place) else { continue };
+            let zone_name = zone.get_ref().clone();
+            let region = region_name.clone();
+            let problem = if first.region == index {
+                RegionMapProblem::RepeatedZone { zone: zone_name, region }
+            } else {
+                RegionMapProblem::SharedZone {
+                    zone: zone_name,
+                    first_region: self.raw.regions[first.region].name.get_ref().clone(),
+                    first_line: first.line,
+                    region,
+                }
+            };
+            return Err(self.error(zone, problem));
+        }
+        Ok(())
+    }
+
+    fn check_counts(&self, region: &RawRegion) -> Result<(), RegionMapError> {
+        self.check_count(
+            region,
+            "balancers",
+            region.balancers.as_ref(),
+            "say how many there are, 1 or more, or leave it out",
+        )?;
+        self.check_count(
+            region,
+            "hosts",
+            region.min_hosts.as_ref(),
+            "say how many must be up, 1 or more, or leave it out",
+        )
+    }
+
+    fn check_count(
+        &self,
+        region: &RawRegion,
+        field: &'static str,
+        value: Option<&Spanned<i64>>,
+        way_out: &'static str,
+    ) -> Result<(), RegionMapError> {
+        let Some(invalid) = value.filter(|value| positive(value).is_none()) else { return Ok(()) };
+        let region = region.name.get_ref().clone();
+        let problem = RegionMapProblem::CountOutOfRange { region, field, value: *invalid.get_ref(), way_out };
+        Err(self.error(invalid, problem))
+    }
+
+    fn own_region(&self) -> Result<usize, RegionMapError> {
+        let own = self.raw.own.get_ref();
+        let place = self.raw.regions.iter().position(|region| region.name.get_ref() == own);
+        place.ok_or_else(|| {
+            let known: Vec<String> = self.regions.keys().map(|name| format!("{name:?}")).collect();
+            let problem = RegionMapProblem::UnknownOwnRegion { own: own.clone(), known: known.join(", ") };
+            self.error(&self.raw.own, problem)
+        })
+    }
+
+    fn error<T>(&self, place: &Spanned<T>, problem: RegionMapProblem) -> RegionMapError {
+        self.source.error(place.span(), problem)
+    }
+}
--- a/regions/src/hosts.rs
+++ b/regions/src/hosts.rs
@@ -1,77 +1,38 @@
-//! Hosts of the list, and which of them the module is to hear of.
+//! The hosts of the list, and which of them the policy is to see.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use basaltwood::types::Lifecycle;
 
-use crate::map::{RegionMap, ZoneNumber};
+use crate::map::{RegionIndex, RegionMap, ZoneNumber};
+use crate::update::{ListedHost, RegionCounts, RegionEvent, RingUpdate};
 
-/// Zones without a region that are said and counted; a list of absurd zones must not fill memory or the log.
+/// Zones without a region that are reported and counted at most: a list of absurd zones must not
+/// fill memory or the log.
 const MAX_REPORTED_ZONES: usize = 1_024;
 
-/// A host as a list words it. `rest` is whatever else the shell wants to know of it again.
-#[derive(Clone, Debug, PartialEq)]
-pub struct ListedHost<T> {
-    pub host: Box<str>,
-    pub zone: Option<Box<str>>,
-    pub origin: bool,
-    pub lifecycle: Lifecycle,
-    pub details: T,
-}
-
-/// Something that is worth a line of the log.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum RegionEvent {
-    /// No region names this zone, or an entry names none; told once.
-    UnknownZone(Option<Box<str>>),
-    /// The ring is another region's hosts from now on.
-    RingChanged { before: String, now: String },
-}
-
-/// What the module is to hear, in this order, as whole a list as the one that came.
-#[derive(Debug, PartialEq)]
-pub struct RingUpdate<T> {
-    pub entries: Vec<ListedHost<T>>,
-    pub events: Vec<RegionEvent>,
-    /// Hosts that are up and came into the ring, those of the first list too.
-    pub hosts_added: usize,
-    /// Hosts that are up and were taken out of it: they moved, or the ring did.
-    pub hosts_removed: usize,
-}
-
-/// How many hosts of the list lie where; the origin's are in none of these.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct RegionCounts {
-    /// In the ring's region, those that drain too.
-    pub in_ring: usize,
-    pub outside_ring: usize,
-    /// Those outside that no region's zone holds.
-    pub unmapped_hosts: usize,
-    /// Zones without a region that the list named so far.
-    pub unmapped_zones: usize,
-}
-
-/// What is kept of a host.
+/// What is kept of a host. The layout counts: hosts outside the ring are many (tests/memory.rs).
 struct Host<T> {
     /// None where no region names its zone.
     zone: Option<ZoneNumber>,
-    /// The zone that the module last heard of it: what went there ran there, and repeats are told apart by
-    /// zone.
+    /// The zone under which the policy knows the host: requests that were sent there ran there, and
+    /// duplicates are told apart by zone.
     announced_zone: Option<ZoneNumber>,
     lifecycle: Lifecycle,
     origin: bool,
-    /// The module has heard of it, and the shell has not forgotten it since. One that no list names any more
-    /// is `Gone` and stays for as long: the module may go on using it, and then has to hear its drain.
+    /// The policy knows the host, and the caller has not forgotten it since. One that no list names
+    /// any more is `Gone` and stays as long: the policy may go on using it, and then has to see its
+    /// drain.
     announced: bool,
     details: T,
 }
 
 impl<T: Clone> Host<T> {
-    fn region(&self, map: &RegionMap) -> Option<u16> {
+    fn region(&self, map: &RegionMap) -> Option<RegionIndex> {
         self.zone.map(|zone| map.region_of(zone))
     }
 
-    /// As the module is to hear of it, in that zone.
+    /// Its entry for the policy, with this zone and lifecycle.
     fn entry(
         &self,
         name: &str,
@@ -79,8 +40,30 @@
         lifecycle: Lifecycle,
         map: &RegionMap,
     ) -> ListedHost<T> {
-        let (zone, details) = (zone.map(|zone| map.zone_name(zone).into()), self.details.clone());
-        ListedHost { host: name.into(), zone, origin: self.origin, lifecycle, details }
+        ListedHost {
+            host: name.into(),
+            zone: zone.map(|zone| map.zone_name(zone).into()),
+            origin: self.origin,
+            lifecycle,
+            details: self.details.clone(),
+        }
+    }
+
+    /// Takes the host out of what the policy uses. A host that just goes would be sent to for as
+    /// long as it answers, where only draining binds: so it drains first.
+    fn withdraw(&mut self, name: &str, map: &RegionMap, update: &mut RingUpdate<T>) {
+        self.announced = false;
+        update.hosts_removed += usize::from(self.lifecycle == Lifecycle::Up);
+        for lifecycle in [Lifecycle::Draining, Lifecycle::Gone] {
+            update.entries.push(self.entry(name, self.announced_zone, lifecycle, map));
+        }
+    }
+
+    fn announce(&mut self, name: &str, map: &RegionMap, update: &mut RingUpdate<T>) {
+        self.announced = true;
+        self.announced_zone = self.zone;
+        update.hosts_added += usize::from(self.lifecycle == Lifecycle::Up);
+        update.entries.push(self.entry(name, self.zone, self.lifecycle, map));
     }
 }
 
@@ -89,77 +72,40 @@
     map: RegionMap,
     hosts: BTreeMap<Box<str>, Host<T>>,
     /// The region whose hosts are the ring.
-    ring: u16,
+    ring: RegionIndex,
+    /// The zones without a region that were reported.
     reported_zones: BTreeSet<Option<Box<str>>>,
 }
 
 impl<T: Clone> Regions<T> {
+    /// No host yet; the ring is the own region's.
     pub fn new(map: RegionMap) -> Regions<T> {
         let ring = map.own_index();
         Regions { map, hosts: BTreeMap::new(), ring, reported_zones: BTreeSet::new() }
     }
 
-    /// Takes the whole list, or only the entries that changed; what the module is to hear of it.
+    /// Takes the full list, or only the entries that changed. Returns what the policy is to see.
     ///
-    /// A host that leaves the ring is told as draining and then as gone: where only draining binds, a host
-    /// that just goes would be sent to for as long as it answers.
+    /// A host that leaves the ring is returned as draining and then as gone.
     pub fn apply(&mut self, full_list: bool, entries: Vec<ListedHost<T>>) -> RingUpdate<T> {
+        let mut update = RingUpdate::default();
         if full_list {
-            let named: BTreeSet<&str> = entries.iter().map(|entry| &*entry.host).collect();
-            self.hosts.retain(|name, host| {
-                let stays = named.contains(&**name);
-                if !stays {
-                    host.lifecycle = Lifecycle::Gone;
-                }
-                stays || host.announced
-            });
+            self.drop_unlisted(&entries);
         }
-        let mut events = Vec::new();
-        entries.iter().for_each(|entry| self.record(entry, &mut events));
-        let before = self.ring;
-        self.ring = self.ring_by_list();
-        if before != self.ring {
-            let name = |region: u16| self.map.names()[usize::from(region)].clone();
-            events.push(RegionEvent::RingChanged { before: name(before), now: name(self.ring) });
+        for entry in &entries {
+            self.report_unknown_zone(entry, &mut update.events);
+            self.record(entry);
         }
-        let (map, ring) = (&self.map, Some(self.ring));
-        let mut update = RingUpdate { entries: Vec::new(), events, hosts_added: 0, hosts_removed: 0 };
+        self.choose_ring(&mut update.events);
         for entry in entries {
-            let Some(host) = self.hosts.get_mut(&entry.host) else { continue };
-            let ends = entry.lifecycle != Lifecycle::Up;
-            let zone = entry.zone.as_deref().and_then(|zone| map.zone(zone));
-            // A list may name a host twice, in two places: it is where the last entry has it.
-            let here = host.region(map) == ring && (ends || zone.map(|zone| map.region_of(zone)) == ring);
-            if host.origin || here {
-                // What ends its use leaves its place as it was, whatever that says.
-                let kept = host.announced_zone.filter(|_| host.announced && ends);
-                update.hosts_added += usize::from(!host.announced && !ends && !host.origin);
-                (host.announced, host.announced_zone) = (true, kept.or(zone));
-                let kept = kept.map(|zone| map.zone_name(zone).into());
-                update.entries.push(ListedHost { zone: kept.or(entry.zone), ..entry });
-            }
+            self.pass_on(entry, &mut update);
         }
-        self.hosts.retain(|name, host| {
-            let region = host.region(map);
-            if host.announced && !host.origin && region != ring {
-                host.announced = false;
-                update.hosts_removed += usize::from(host.lifecycle == Lifecycle::Up);
-                for lifecycle in [Lifecycle::Draining, Lifecycle::Gone] {
-                    update.entries.push(host.entry(name, host.announced_zone, lifecycle, map));
-                }
-                return host.lifecycle != Lifecycle::Gone;
-            }
-            if !host.announced && region == ring {
-                (host.announced, host.announced_zone) = (true, host.zone);
-                update.hosts_added += usize::from(host.lifecycle == Lifecycle::Up);
-                update.entries.push(host.entry(name, host.zone, host.lifecycle, map));
-            }
-            true
-        });
+        self.reconcile(&mut update);
         update
     }
 
-    /// The shell knows this host no more: nothing that it does can reach it. Only one that is gone goes so.
+    /// The caller knows this host no more: nothing that it does can reach it. Only a host that is
+    /// gone is forgotten.
     pub fn forget(&mut self, host: &str) {
         if self.hosts.get(host).is_some_and(|host| host.lifecycle == Lifecycle::Gone) {
             self.hosts.remove(host);
@@ -168,13 +114,15 @@
 
     /// The name of the region whose hosts are the ring.
     pub fn ring(&self) -> &str {
-        &self.map.names()[usize::from(self.ring)]
+        self.map.name_of(self.ring)
     }
 
+    /// The map that places the hosts.
     pub fn map(&self) -> &RegionMap {
         &self.map
     }
 
+    /// How many hosts of the list are where.
     pub fn counts(&self) -> RegionCounts {
         let mut counts =
             RegionCounts { unmapped_zones: self.reported_zones.len(), ..RegionCounts::default() };
@@ -188,56 +136,132 @@
         counts
     }
 
-    /// What an entry says, into the books. One that ends a host's use may leave its place out, or name an
-    /// absurd one: that is as it was.
-    fn record(&mut self, entry: &ListedHost<T>, events: &mut Vec<RegionEvent>) {
-        let up = entry.lifecycle == Lifecycle::Up;
-        let zone = entry.zone.as_deref().and_then(|zone| self.map.zone(zone));
-        let unnamed = up && zone.is_none() && !entry.origin && self.reported_zones.len() < MAX_REPORTED_ZONES;
-        if unnamed && self.reported_zones.insert(entry.zone.clone()) {
+    /// Hosts that the full list leaves out are gone; of those only what the policy knows is kept.
+    fn drop_unlisted(&mut self, entries: &[ListedHost<T>]) {
+        let listed: BTreeSet<&str> = entries.iter().map(|entry| &*entry.host).collect();
+        self.hosts.retain(|name, host| {
+            let stays = listed.contains(&**name);
+            if !stays {
+                host.lifecycle = Lifecycle::Gone;
+            }
+            stays || host.announced
+        });
+    }
+
+    fn report_unknown_zone(&mut self, entry: &ListedHost<T>, events: &mut Vec<RegionEvent>) {
+        let concerns_us = entry.lifecycle == Lifecycle::Up && !entry.origin;
+        let unknown = concerns_us && self.zone_of(entry).is_none();
+        if unknown
+            && self.reported_zones.len() < MAX_REPORTED_ZONES
+            && self.reported_zones.insert(entry.zone.clone())
+        {
             events.push(RegionEvent::UnknownZone(entry.zone.clone()));
         }
+    }
+
+    /// Keeps what an entry says. One that ends a host's use may leave its zone out, or name an
+    /// absurd one: the zone then stays as it was.
+    fn record(&mut self, entry: &ListedHost<T>) {
+        let is_up = entry.lifecycle == Lifecycle::Up;
+        let is_gone = entry.lifecycle == Lifecycle::Gone;
+        let zone = self.zone_of(entry);
         match self.hosts.get_mut(&entry.host) {
+            Some(host) if is_gone && !host.announced => {
+                self.hosts.remove(&entry.host);
+            }
             Some(host) => {
-                host.zone = zone.or(host.zone.filter(|_| !up));
-                host.origin = entry.origin || host.origin && !up;
+                host.zone = zone.or(host.zone.filter(|_| !is_up));
+                host.origin = entry.origin || host.origin && !is_up;
                 host.lifecycle = entry.lifecycle;
                 host.details = entry.details.clone();
-                if !host.announced && entry.lifecycle == Lifecycle::Gone {
-                    self.hosts.remove(&entry.host);
-                }
             }
-            None if entry.lifecycle != Lifecycle::Gone => {
-                let ListedHost { origin, lifecycle, ref details, .. } = *entry;
+            None if is_gone => {}
+            None => {
                 let host = Host {
                     zone,
                     announced_zone: None,
-                    lifecycle,
-                    origin,
+                    lifecycle: entry.lifecycle,
+                    origin: entry.origin,
                     announced: false,
-                    details: details.clone(),
+                    details: entry.details.clone(),
                 };
                 self.hosts.insert(entry.host.clone(), host);
             }
-            None => {}
         }
     }
 
-    /// The region that the ring is of: the first with its least number of hosts up, from the own one on in
-    /// the file's order and round; where none has that, the first with any. Where none has any it stays: an
-    /// empty list may be wrong, and the module may go on using what it has.
-    fn ring_by_list(&self) -> u16 {
-        let count = self.map.names().len() as u16;
-        let mut up = vec![0_u32; usize::from(count)];
-        for host in self.hosts.values().filter(|host| host.lifecycle == Lifecycle::Up && !host.origin) {
+    /// Passes an entry on where its host is an origin's or of the ring.
+    fn pass_on(&mut self, entry: ListedHost<T>, update: &mut RingUpdate<T>) {
+        let zone = self.zone_of(&entry);
+        let Some(host) = self.hosts.get_mut(&entry.host) else { return };
+        let in_ring = |region: Option<RegionIndex>| region == Some(self.ring);
+        let ends_use = entry.lifecycle != Lifecycle::Up;
+        // A list may name a host twice, in two zones: it is where the last entry has it.
+        let entry_region = zone.map(|zone| self.map.region_of(zone));
+        let in_use = in_ring(host.region(&self.map)) && (ends_use || in_ring(entry_region));
+        if !host.origin && !in_use {
+            return;
+        }
+        // What ends its use leaves its zone as it was, whatever the entry says.
+        let kept_zone = host.announced_zone.filter(|_| host.announced && ends_use);
+        update.hosts_added += usize::from(!host.announced && !ends_use && !host.origin);
+        host.announced = true;
+        host.announced_zone = kept_zone.or(zone);
+        let kept_name = kept_zone.map(|zone| self.map.zone_name(zone).into());
+        update.entries.push(ListedHost { zone: kept_name.or(entry.zone), ..entry });
+    }
+
+    /// Withdraws the hosts that left the ring, and announces those that came into it without an
+    /// entry of their own: where the ring is another region's now.
+    fn reconcile(&mut self, update: &mut RingUpdate<T>) {
+        let (map, ring) = (&self.map, Some(self.ring));
+        self.hosts.retain(|name, host| {
+            let in_ring = host.region(map) == ring;
+            if host.announced && !host.origin && !in_ring {
+                host.withdraw(name, map, update);
+                return host.lifecycle != Lifecycle::Gone;
+            }
+            if !host.announced && in_ring {
+                host.announce(name, map, update);
+            }
+            true
+        });
+    }
+
+    /// The zone that an entry names, where a region has it.
+    fn zone_of(&self, entry: &ListedHost<T>) -> Option<ZoneNumber> {
+        entry.zone.as_deref().and_then(|zone| self.map.zone(zone))
+    }
+
+    /// The ring is the first region with its minimum of hosts up, from the own one on in the file's
+    /// order and round; where none has that, the first with any. Where none has any it stays: an
+    /// empty list may be wrong, and the policy may go on using what it has.
+    fn choose_ring(&mut self, events: &mut Vec<RegionEvent>) {
+        let hosts_up = self.hosts_up();
+        let count = hosts_up.len() as RegionIndex;
+        let own = self.map.own_index();
+        let by_preference = || (own..count).chain(0..own);
+        let has_minimum = |&region: &RegionIndex| hosts_up[usize::from(region)] >= self.map.min_hosts(region);
+        let has_any = |&region: &RegionIndex| hosts_up[usize::from(region)] > 0;
+        let chosen = by_preference().find(has_minimum).or_else(|| by_preference().find(has_any));
+
+        let before = self.ring;
+        self.ring = chosen.unwrap_or(before);
+        if self.ring != before {
+            let name = |region: RegionIndex| self.map.name_of(region).to_owned();
+            events.push(RegionEvent::RingChanged { before: name(before), now: name(self.ring) });
+        }
+    }
+
+    /// By region, the number of its cache hosts that are up.
+    fn hosts_up(&self) -> Vec<u32> {
+        let mut hosts_up = vec![0; self.map.names().len()];
+        let is_up = |host: &&Host<T>| host.lifecycle == Lifecycle::Up && !host.origin;
+        for host in self.hosts.values().filter(is_up) {
             if let Some(region) = host.region(&self.map) {
-                up[usize::from(region)] += 1;
+                hosts_up[usize::from(region)] += 1;
             }
         }
-        let own = self.map.own_index();
-        let first = |has: &dyn Fn(u16) -> bool| (own..count).chain(0..own).find(|&region| has(region));
-        first(&|region| up[usize::from(region)] >= self.map.min_hosts(region))
-            .or_else(|| first(&|region| up[usize::from(region)] > 0))
-            .unwrap_or(self.ring)
+        hosts_up
     }
 }
--- a/regions/src/map.rs
+++ b/regions/src/map.rs
@@ -1,167 +1,44 @@
-//! The operators' file: zones to regions, and the own region.
+//! Zones, the regions that they are in, and the own region.
 
-use std::collections::BTreeMap;
 use std::num::NonZeroU16;
-use std::ops::Range;
 
-use serde::Deserialize;
-use toml::Spanned;
+use crate::error::RegionMapError;
+use crate::file::{RegionEntry, RegionFile};
 
-/// The number of a zone that a region names, in two bytes with the lack of one.
+/// The number of a zone that a region names, from 1 on: two bytes, also where there may be none.
 pub(crate) type ZoneNumber = NonZeroU16;
 
-/// The file as it is written; what it says is checked by `RegionMap::parse`.
-#[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-struct RegionFile {
-    own: Spanned<String>,
-    #[serde(default)]
-    region: Vec<RegionTable>,
-}
-
-#[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-struct RegionTable {
-    name: Spanned<String>,
-    zones: Spanned<Vec<Spanned<String>>>,
-    #[serde(default)]
-    balancers: Option<Spanned<i64>>,
-    #[serde(default)]
-    hosts: Option<Spanned<i64>>,
-}
-
-/// A number of the file that may be used: 1 or more.
-fn positive(value: &Spanned<i64>) -> Option<u32> {
-    u32::try_from(*value.get_ref()).ok().filter(|&number| number > 0)
-}
+/// A region's place in the file's order, from 0 on.
+pub(crate) type RegionIndex = u16;
 
-/// Zones and the regions that they are in, in the file's order, and which region is this balancer's.
+/// Zones and the regions that they are in, in the file's order, and which region is this
+/// balancer's.
 #[derive(Clone, Debug)]
 pub struct RegionMap {
-    own: u16,
+    own: RegionIndex,
     names: Vec<String>,
-    /// By region, the least number of hosts that are up with which its ring can stand.
+    /// By region, how many of its hosts must be up for a ring of its own.
     min_hosts: Vec<u32>,
     /// Balancers of the own region, where the file says.
     balancers: Option<u32>,
-    /// Sorted, each with its region.
-    zones: Vec<(Box<str>, u16)>,
+    /// Sorted by name, each with its region.
+    zones: Vec<(Box<str>, RegionIndex)>,
     version: u32,
 }
 
 impl RegionMap {
-    /// Reads the text of a file; `file` is how a refusal calls it.
+    /// Reads the text of a file; errors call it `file`.
     ///
     /// # Errors
     /// One line with the file, the line in it, what is wrong there, and the way out.
-    pub fn parse(file: &str, text: &str) -> Result<RegionMap, String> {
-        let line =
-            |span: Range<usize>| text.bytes().take(span.start).filter(|&byte| byte == b'\n').count() + 1;
-        let refusal = |span: Range<usize>, what: String| format!("{file} line {}: {what}", line(span));
-        let read: RegionFile = toml::from_str(text).map_err(|cause| {
-            let what = cause.message().split_whitespace().collect::<Vec<_>>().join(" ");
-            refusal(
-                cause.span().unwrap_or(0..0),
-                format!("{what}; see deploy/regions.example.toml for the form"),
-            )
-        })?;
-        if read.region.is_empty() {
-            return Err(refusal(
-                read.own.span(),
-                "no region: add a [[region]], or remove the file".to_owned(),
-            ));
-        }
-        let empty = |name: &Spanned<String>, what: &str| match name.get_ref().trim().is_empty() {
-            true => Err(refusal(name.span(), format!("{what} is empty: give it a name"))),
-            false => Ok(()),
-        };
-        empty(&read.own, "own")?;
-        let mut regions: BTreeMap<&str, usize> = BTreeMap::new();
-        let mut zones: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-        for (nth, region) in read.region.iter().enumerate() {
-            empty(&region.name, "the name of a region")?;
-            let name = region.name.get_ref().as_str();
-            if let Some(first) = regions.insert(name, line(region.name.span())) {
-                let what = format!("region {name:?} is named on line {first} too: make one of both");
-                return Err(refusal(region.name.span(), what));
-            }
-            if region.zones.get_ref().is_empty() {
-                let what = format!("region {name:?} has no zone: give it one, or remove the region");
-                return Err(refusal(region.zones.span(), what));
-            }
-            for zone in region.zones.get_ref() {
-                empty(zone, "the name of a zone")?;
-                let text = zone.get_ref().as_str();
-                let Some((other, first)) = zones.insert(text, (nth, line(zone.span()))) else { continue };
-                let what = match other == nth {
-                    true => format!("zone {text:?} is in region {name:?} twice: remove one"),
-                    false => format!(
-                        "zone {text:?} is in region {:?} (line {first}) and in {name:?}: remove it from one",
-                        read.region[other].name.get_ref()
-                    ),
-                };
-                return Err(refusal(zone.span(), what));
-            }
-            for (what, told, way) in [
-                ("balancers", &region.balancers, "say how many there are, 1 or more, or leave it out"),
-                ("hosts", &region.hosts, "say how many must be up, 1 or more, or leave it out"),
-            ] {
-                let Some(told) = told.as_ref().filter(|told| positive(told).is_none()) else { continue };
-                let what = format!("region {name:?} has {what} = {}: {way}", told.get_ref());
-                return Err(refusal(told.span(), what));
-            }
-        }
-        // One number is left for hosts of no zone.
-        if zones.len() >= usize::from(u16::MAX) || read.region.len() >= usize::from(u16::MAX) {
-            return Err(refusal(read.own.span(), "over 65,534 zones or regions: name fewer".to_owned()));
-        }
-        let own = read.own.get_ref();
-        let Some(at) = read.region.iter().position(|region| region.name.get_ref() == own) else {
-            let known = regions.keys().map(|name| format!("{name:?}")).collect::<Vec<_>>().join(", ");
-            return Err(refusal(read.own.span(), format!("no region {own:?}: own is to be one of {known}")));
-        };
-        let min_hosts = |region: &RegionTable| region.hosts.as_ref().and_then(positive).unwrap_or(1);
-        let mut map = RegionMap {
-            own: at as u16,
-            balancers: read.region[at].balancers.as_ref().and_then(positive),
-            min_hosts: read.region.iter().map(min_hosts).collect(),
-            zones: zones.into_iter().map(|(zone, (region, _))| (zone.into(), region as u16)).collect(),
-            names: read.region.iter().map(|region| region.name.get_ref().clone()).collect(),
-            version: 0,
-        };
-        map.version =
-            map.checksum(read.region.iter().map(|region| region.balancers.as_ref().and_then(positive)));
-        Ok(map)
+    pub fn parse(file: &str, text: &str) -> Result<RegionMap, RegionMapError> {
+        RegionFile::parse(file, text).map(RegionMap::from)
     }
 
-    /// Over the regions in the file's order: name, zones sorted, balancers (0 where none are said), least.
-    /// Numbers are of four bytes, lowest first; a text comes after its length, the zones after their number.
-    fn checksum(&self, balancers: impl Iterator<Item = Option<u32>>) -> u32 {
-        let mut sum = crc32fast::Hasher::new();
-        let number = |sum: &mut crc32fast::Hasher, number: u32| sum.update(&number.to_le_bytes());
-        let text = |sum: &mut crc32fast::Hasher, text: &str| {
-            number(sum, text.len() as u32);
-            sum.update(text.as_bytes());
-        };
-        let mut zones = vec![Vec::new(); self.names.len()];
-        for (zone, region) in &self.zones {
-            zones[usize::from(*region)].push(&**zone);
-        }
-        for (((name, zones), balancers), min_hosts) in
-            self.names.iter().zip(zones).zip(balancers).zip(&self.min_hosts)
-        {
-            text(&mut sum, name);
-            number(&mut sum, zones.len() as u32);
-            zones.into_iter().for_each(|zone| text(&mut sum, zone));
-            number(&mut sum, balancers.unwrap_or(0));
-            number(&mut sum, *min_hosts);
-        }
-        sum.finalize()
-    }
-
-    /// The CRC-32 (IEEE 802.3) of all that the file says but for the own region, so that all regions' copies
-    /// of one map have the same: regions in their order with names, zones, numbers of balancers and least
-    /// numbers of hosts. Comments, white space and the order of a region's zones don't count.
+    /// The CRC-32 (IEEE 802.3) of all that the file says but for the own region, so that all
+    /// regions' copies of one map have the same: regions in their order with names, zones, numbers
+    /// of balancers and minimum numbers of hosts. Comments, white space and the order of a region's
+    /// zones don't count.
     pub fn version(&self) -> u32 {
         self.version
     }
@@ -181,15 +58,19 @@
         self.balancers
     }
 
-    /// The least number of hosts that are up with which a region's ring can stand; 1 where none is said.
-    pub(crate) fn min_hosts(&self, region: u16) -> u32 {
+    /// How many hosts of a region must be up for a ring of its own; 1 where the file does not say.
+    pub(crate) fn min_hosts(&self, region: RegionIndex) -> u32 {
         self.min_hosts[usize::from(region)]
     }
 
-    pub(crate) fn own_index(&self) -> u16 {
+    pub(crate) fn own_index(&self) -> RegionIndex {
         self.own
     }
 
+    pub(crate) fn name_of(&self, region: RegionIndex) -> &str {
+        &self.names[usize::from(region)]
+    }
+
     /// The number of a zone, none where no region names it.
     pub(crate) fn zone(&self, name: &str) -> Option<ZoneNumber> {
         let at = self.zones.binary_search_by(|zone| (*zone.0).cmp(name)).ok()?;
@@ -200,7 +81,64 @@
         &self.zones[usize::from(zone.get()) - 1].0
     }
 
-    pub(crate) fn region_of(&self, zone: ZoneNumber) -> u16 {
+    pub(crate) fn region_of(&self, zone: ZoneNumber) -> RegionIndex {
         self.zones[usize::from(zone.get()) - 1].1
     }
 }
+
+impl From<RegionFile> for RegionMap {
+    fn from(file: RegionFile) -> RegionMap {
+        let version = checksum(&file.regions);
+        let zones_of = |(index, region): (usize, &RegionEntry)| {
+            let zones = region.zones.iter().map(move |zone| (zone.as_str().into(), index as RegionIndex));
+            zones.collect::<Vec<_>>()
+        };
+        let mut zones: Vec<(Box<str>, RegionIndex)> =
+            file.regions.iter().enumerate().flat_map(zones_of).collect();
+        zones.sort_unstable();
+        RegionMap {
+            own: file.own as RegionIndex,
+            balancers: file.regions[file.own].balancers,
+            min_hosts: file.regions.iter().map(min_hosts).collect(),
+            zones,
+            names: file.regions.into_iter().map(|region| region.name).collect(),
+            version,
+        }
+    }
+}
+
+fn min_hosts(region: &RegionEntry) -> u32 {
+    region.min_hosts.unwrap_or(1)
+}
+
+/// The version of a map: over the regions in the file's order the name, the zones sorted, the
+/// balancers (0 where the file does not say), and the minimum number of hosts. Numbers are of four
+/// bytes, lowest first; a text follows its length, the zones follow their number.
+fn checksum(regions: &[RegionEntry]) -> u32 {
+    let mut sum = MapChecksum(crc32fast::Hasher::new());
+    for region in regions {
+        let mut zones: Vec<&str> = region.zones.iter().map(String::as_str).collect();
+        zones.sort_unstable();
+        sum.text(&region.name);
+        sum.number(zones.len() as u32);
+        for zone in zones {
+            sum.text(zone);
+        }
+        sum.number(region.balancers.unwrap_or(0));
+        sum.number(min_hosts(region));
+    }
+    sum.0.finalize()
+}
+
+struct MapChecksum(crc32fast::Hasher);
+
+impl MapChecksum {
+    fn number(&mut self, number: u32) {
+        self.0.update(&number.to_le_bytes());
+    }
+
+    fn text(&mut self, text: &str) {
+        self.number(text.len() as u32);
+        self.0.update(text.as_bytes());
+    }
+}
--- a/regions/tests/map.rs
+++ b/regions/tests/map.rs
@@ -1,9 +1,9 @@
-//! The operators' file: what it tells, and how one that makes no sense is refused.
+//! The operators' file: what it gives, and how an invalid one is refused.
 
-use basaltwood_regions::RegionMap;
+use basaltwood_regions::{RegionMap, RegionMapError, RegionMapProblem};
 use expect_test::expect;
 
-const GOOD: &str = r#"own = "north"
+const VALID: &str = r#"own = "north"
 
 [[region]]
 name = "north"
@@ -18,51 +18,42 @@
 
 #[test]
 fn file_gives_region_names_and_balancers_of_the_own_region() {
-    let map = RegionMap::parse("regions.toml", GOOD).expect("it is valid");
+    let map = RegionMap::parse("regions.toml", VALID).expect("it is valid");
     assert_eq!(
         (map.own(), map.names(), map.balancers()),
         ("north", &["north".into(), "south".into()][..], Some(519))
     );
-    let other = GOOD.replace("own = \"north\"", "own = \"south\"");
+    let other = VALID.replace("own = \"north\"", "own = \"south\"");
     let map = RegionMap::parse("regions.toml", &other).expect("it is valid");
     assert_eq!((map.own(), map.balancers()), ("south", None), "only the own region's number counts");
 }
 
-#[test]
-fn invalid_file_is_refused_in_one_line_with_the_way_out() {
+/// The refusal of each variant of the valid file, with a line break at each colon and semicolon.
+fn refusals(replacements: &[(&str, &str)]) -> String {
     let mut lines = Vec::new();
-    for (part, by) in [
+    for (part, replacement) in replacements {
+        let text = VALID.replacen(part, replacement, 1);
+        assert_ne!(text, VALID);
+        let refusal = RegionMap::parse("regions.toml", &text).expect_err("it is invalid").to_string();
+        assert!(!refusal.contains('\n'), "{refusal:?}");
+        lines.push(refusal.replace("; ", ";\n    ").replace(": ", ":\n    "));
+    }
+    lines.join("\n")
+}
+
+#[test]
+fn invalid_regions_and_zones_are_refused_in_one_line_with_the_way_out() {
+    let refusals = refusals(&[
         ("\"z03\"", "\"z02\""),
         ("\"z02\"", "\"z01\""),
         ("own = \"north\"", "own = \"west\""),
-        ("own = \"north\"", ""),
         ("[\"z03\"]", "[]"),
-        ("zones = [\"z03\"]", ""),
         ("\"south\"", "\"north\""),
-        ("519", "0"),
-        ("519", "-2"),
-        ("519", "5_000_000_000"),
-        ("519", "\"many\""),
-        ("hosts = 8", "hosts = 0"),
-        ("hosts = 8", "hosts = -1"),
-        ("hosts = 8", "hosts = 5_000_000_000"),
-        ("hosts = 8", "hosts = 0.5"),
         ("own = \"north\"", "own = \"\""),
         ("\"south\"", "\" \""),
         ("\"z03\"", "\"\""),
-        ("zones = [\"z03\"]", "zones = [\"z03\"]\nzone = \"z04\""),
-        ("own = \"north\"", "own = \"north\"\nnext = \"south\""),
-        ("zones = [\"z03\"]", "zones = \"z03\""),
-        ("\"z03\"]", "\"z03\""),
-        (GOOD, "own = \"north\"\n"),
-        (GOOD, ""),
-    ] {
-        let text = GOOD.replacen(part, by, 1);
-        assert_ne!(text, GOOD);
-        let refusal = RegionMap::parse("regions.toml", &text).expect_err("it is invalid");
-        assert!(!refusal.contains('\n'), "{refusal:?}");
-        lines.push(refusal.replace("; ", ";\n    ").replace(": ", ":\n    "));
-    }
+        (VALID, "own = \"north\"\n"),
+    ]);
     expect![[r#"
         regions.toml line 11:
             zone "z02" is in region "north" (line 5) and in "south":
@@ -73,18 +64,40 @@
         regions.toml line 1:
             no region "west":
             own is to be one of "north", "south"
-        regions.toml line 1:
-            missing field `own`;
-            see deploy/regions.example.toml for the form
         regions.toml line 11:
             region "south" has no zone:
             give it one, or remove the region
-        regions.toml line 9:
-            missing field `zones`;
-            see deploy/regions.example.toml for the form
         regions.toml line 10:
             region "north" is named on line 4 too:
             make one of both
+        regions.toml line 1:
+            own is empty:
+            give it a name
+        regions.toml line 10:
+            the name of a region is empty:
+            give it a name
+        regions.toml line 11:
+            the name of a zone is empty:
+            give it a name
+        regions.toml line 1:
+            no region:
+            add a [[region]], or remove the file"#]]
+    .assert_eq(&refusals);
+}
+
+#[test]
+fn invalid_counts_are_refused_in_one_line_with_the_way_out() {
+    let refusals = refusals(&[
+        ("519", "0"),
+        ("519", "-2"),
+        ("519", "5_000_000_000"),
+        ("519", "\"many\""),
+        ("hosts = 8", "hosts = 0"),
+        ("hosts = 8", "hosts = -1"),
+        ("hosts = 8", "hosts = 5_000_000_000"),
+        ("hosts = 8", "hosts = 0.5"),
+    ]);
+    expect![[r#"
         regions.toml line 6:
             region "north" has balancers = 0:
             say how many there are, 1 or more, or leave it out
@@ -110,16 +123,28 @@
         regions.toml line 7:
             invalid type:
             floating point `0.5`, expected i64;
-            see deploy/regions.example.toml for the form
+            see deploy/regions.example.toml for the form"#]]
+    .assert_eq(&refusals);
+}
+
+#[test]
+fn invalid_form_is_refused_in_one_line_with_the_way_out() {
+    let refusals = refusals(&[
+        ("own = \"north\"", ""),
+        ("zones = [\"z03\"]", ""),
+        ("zones = [\"z03\"]", "zones = [\"z03\"]\nzone = \"z04\""),
+        ("own = \"north\"", "own = \"north\"\nnext = \"south\""),
+        ("zones = [\"z03\"]", "zones = \"z03\""),
+        ("\"z03\"]", "\"z03\""),
+        (VALID, ""),
+    ]);
+    expect![[r#"
         regions.toml line 1:
-            own is empty:
-            give it a name
-        regions.toml line 10:
-            the name of a region is empty:
-            give it a name
-        regions.toml line 11:
-            the name of a zone is empty:
-            give it a name
+            missing field `own`;
+            see deploy/regions.example.toml for the form
+        regions.toml line 9:
+            missing field `zones`;
+            see deploy/regions.example.toml for the form
         regions.toml line 12:
             unknown field `zone`, expected one of `name`, `zones`, `balancers`, `hosts`;
             see deploy/regions.example.toml for the form
@@ -133,13 +158,23 @@
         regions.toml line 11:
             unclosed array, expected `]`;
             see deploy/regions.example.toml for the form
-        regions.toml line 1:
-            no region:
-            add a [[region]], or remove the file
         regions.toml line 1:
             missing field `own`;
             see deploy/regions.example.toml for the form"#]]
-    .assert_eq(&lines.join("\n"));
+    .assert_eq(&refusals);
+}
+
+#[test]
+fn refusal_names_file_line_and_problem() {
+    let text = VALID.replacen("\"z03\"", "\"z01\"", 1);
+    let error = RegionMap::parse("regions.toml", &text).expect_err("it is invalid");
+    let problem = RegionMapProblem::SharedZone {
+        zone: "z01".to_owned(),
+        first_region: "north".to_owned(),
+        first_line: 5,
+        region: "south".to_owned(),
+    };
+    assert_eq!(error, RegionMapError { file: "regions.toml".to_owned(), line: 11, problem });
 }
 
 /// By what the map says, whoever's copy it is and however that is written.
@@ -147,7 +182,7 @@
 fn version_differs_by_all_a_map_says_but_the_own_region() {
     let version =
         |text: &str| RegionMap::parse("regions.toml", text).map(|map| format!("{:08x}", map.version()));
-    let mut lines = vec![version(GOOD).expect("it is valid")];
+    let mut lines = vec![version(VALID).expect("it is valid")];
     for (part, by) in [
         ("own = \"north\"", "own = \"south\""),
         ("own = \"north\"", "# The southern copy.\nown = 'south'   # here"),
@@ -164,13 +199,13 @@
         ("zones = [\"z03\"]", "zones = [\"z03\"]\nbalancers = 20"),
         ("[[region]]", "[[region]]\nname = \"west\"\nzones = [\"z05\"]\n[[region]]"),
     ] {
-        let text = GOOD.replacen(part, by, 1);
-        assert_ne!(text, GOOD);
+        let text = VALID.replacen(part, by, 1);
+        assert_ne!(text, VALID);
         let (version, same) = (version(&text).expect("it is valid"), &lines[0]);
         let word = if version == *same { "the same" } else { "another" };
         lines.push(format!("{word}: {part:?} now {by:?}"));
     }
-    let (north, south) = GOOD.split_at(GOOD.rfind("[[region]]").expect("it is there"));
+    let (north, south) = VALID.split_at(VALID.rfind("[[region]]").expect("it is there"));
     let (own, north) = north.split_once("\n\n").expect("an empty line");
     let turned = version(&format!("{own}\n{south}{north}")).expect("it is valid");
     lines.push(format!("{}: turned round", if turned == lines[0] { "the same" } else { "another" }));
