--- a/balancer/src/discovery/mod.rs
+++ b/balancer/src/discovery/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::clock::span;
 use crate::read;
-use crate::requests::Shared;
+use crate::shared::Shared;
 use crate::upstream::UpstreamConnection;
 
 /// From one call to the next at least: a discovery that holds nothing must not keep the balancer busy.
@@ -75,7 +75,7 @@
         match entry(shared, &value, now) {
             Ok(entry) => entries.push(entry),
             Err(cause) => {
-                shared.counters.list_entries_refused.add();
+                shared.counters.endpoints_refused.add();
                 log::warn!("list entry {}: {cause}", value.to_string().chars().take(200).collect::<String>());
             }
         }
@@ -87,22 +87,22 @@
         None => entries,
     };
     let entries: Vec<Endpoint> = entries.into_iter().map(|entry| placed(shared, entry)).collect();
-    shared.counters.lists.add();
+    shared.counters.endpoint_lists.add();
     log::debug!("list {}: {} entries{}", page.generation, heard, if whole { ", all there are" } else { "" });
     shared.router.borrow_mut().update_endpoints(now, whole, entries);
     // Before any op is told, and for hosts that a whole list does not name too.
-    shared.upstreams.settle(|host| shared.router.borrow().accepts_attempts(host));
-    shared.ring();
+    shared.upstreams.update_accepting_hosts(|host| shared.router.borrow().accepts_attempts(host));
+    shared.wake_requests();
     // Hosts come and go all day: what is known of one that has gone goes too.
     for host in shared.router.borrow().released_hosts() {
         let mut names = shared.names.borrow_mut();
         // The module names those that it has free, whether or not their numbers were forgotten before.
-        if names.hosts.forget(host.0) {
+        if names.hosts.release(host.0) {
             if let Some(regions) = &shared.regions {
-                regions.borrow_mut().forget(&names.hosts.texts[host.0 as usize]);
+                regions.borrow_mut().forget(&names.hosts.names[host.0 as usize]);
             }
-            shared.upstreams.forget(host);
-            shared.counters.hosts_forgotten.add();
+            shared.upstreams.forget_host(host);
+            shared.counters.hosts_released.add();
         }
     }
     if let Some(regions) = &shared.regions {
@@ -151,7 +151,7 @@
     });
     let listed = Endpoint { origin, ..listed };
     if let Some(address) = details.address {
-        shared.upstreams.place(listed.host, address, origin);
+        shared.upstreams.update_host(listed.host, address, origin);
     }
     if lifecycle != Lifecycle::Up {
         let ends = if lifecycle == Lifecycle::Draining { "leaving" } else { "left" };
@@ -246,9 +246,9 @@
                 connection = None;
                 let counters = &shared.counters;
                 match trouble {
-                    WatchError::Unavailable { .. } => counters.list_refused.add(),
-                    WatchError::TimedOut(_) => counters.list_silent.add(),
-                    WatchError::InvalidResponse(_) => counters.list_senseless.add(),
+                    WatchError::Unavailable { .. } => counters.discovery_unavailable.add(),
+                    WatchError::TimedOut(_) => counters.discovery_timeouts.add(),
+                    WatchError::InvalidResponse(_) => counters.discovery_invalid.add(),
                 }
                 if schedule.consecutive_failures() == 0 {
                     log::warn!("discovery: {}; the list stays as it is", trouble.cause());
@@ -277,7 +277,7 @@
         None => {
             let until = began + span(schedule.response_timeout().min(schedule.call_timeout()));
             // Its descriptor is set aside: where clients and hosts hold all others, a drain must be heard still.
-            let opening = shared.upstreams.open(None, discovery, until, MOST_BODY + 64 * 1024);
+            let opening = shared.upstreams.connect(None, discovery, until, MOST_BODY + 64 * 1024);
             connection.insert(opening.await.map_err(silent)?)
         }
     };
@@ -285,7 +285,7 @@
         Some(from) => format!("/v1/servers?from={from}&hold_ms={}", schedule.hold_for(took(began)) / 1000),
         None => "/v1/servers".to_owned(),
     };
-    let request = http::request("GET", &path, &discovery.to_string(), &[], None);
+    let request = http::encode_request("GET", &path, &discovery.to_string(), &[], None);
     let answer = timeout_at(began + span(schedule.call_timeout()), async {
         stream.write_all(&request).await.map_err(silent)?;
         loop {
@@ -295,15 +295,15 @@
                 Err(cause) => return Err(silent(cause)),
             }
             if let Some(answer) =
-                http::answer(buffer.bytes(), MOST_BODY).map_err(WatchError::InvalidResponse)?
+                http::parse_response(buffer.bytes(), MOST_BODY).map_err(WatchError::InvalidResponse)?
             {
                 return Ok(answer);
             }
         }
     });
     let answer = answer.await.map_err(|_| mute("it is silent"))??;
-    buffer.consume(answer.used);
-    if !answer.keep {
+    buffer.consume(answer.consumed);
+    if !answer.keep_alive {
         *connection = None;
     }
     match answer.status {
