--- a/src/types/config.rs
+++ b/src/types/config.rs
@@ -133,8 +133,8 @@
     pub tail_objective: Option<TailObjective>,
     /// How hosts warm up.
     pub slow_start: SlowStart,
-    /// The classes of requests, by [`RequestClassId`].
+    /// The classes of requests, by [`RequestClassId`](super::RequestClassId).
     pub classes: Vec<RequestClass>,
-    /// The tenants, by [`TenantId`].
+    /// The tenants, by [`TenantId`](super::TenantId).
     pub tenants: Vec<Tenant>,
 }
