--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,5 +1,6 @@
-//! Cold hosts under the sum of what all balancers send: what a host was given in a window against what it bears by the
-//! operators' page, N + 2 x root of N + 2, N being what the settings allow it then.
+//! Cold hosts under the sum of what all balancers send: what a host was given in a window against
+//! what it bears by the operators' page, N + 2 x root of N + 2, N being what the settings allow it
+//! then.
 
 mod common;
 
@@ -15,11 +16,12 @@
 const AT: Micros = 6_000 * MS;
 const FOR: Micros = 9_000 * MS;
 
-/// So many ops a second over all balancers, and all hosts together bear just as many when they are warm.
+/// So many requests a second over all balancers, and all hosts together bear just as many when they
+/// are warm.
 #[derive(Clone, Copy)]
 struct Play {
     balancers: u32,
-    ops_per_s: u32,
+    requests_per_s: u32,
     /// One balancer of eight has five times the traffic of each other.
     unequal: bool,
     /// A tenth of all reads turns to one key of a cold host in the instant of the start.
@@ -44,8 +46,8 @@
 }
 
 fn played(play: Play) -> Outcome {
-    let Play { balancers, ops_per_s, unequal, hot, all, fresh } = play;
-    let terms = PolicyConfig { balancers, ..terms() };
+    let Play { balancers, requests_per_s, unequal, hot, all, fresh } = play;
+    let config = PolicyConfig { balancers, ..policy_config() };
     let anew = move |host: u32| all || host.is_multiple_of(4);
     let list = |cold: bool| {
         (0..HOSTS).map(move |host| Endpoint {
@@ -54,17 +56,17 @@
         })
     };
     let start = |nth: u32, cold: bool| {
-        Fleet::new(&PolicyConfig { seed: u64::from(nth) + 1, ..terms.clone() }, list(cold).collect())
+        Fleet::new(&PolicyConfig { seed: u64::from(nth) + 1, ..config.clone() }, list(cold).collect())
     };
-    // One that has had no op yet is as it was at its start: it is made with its first.
+    // One that has had no request yet is as it was at its start: it is made with its first.
     let mut fleets: BTreeMap<u32, Fleet> = BTreeMap::new();
     let hot_key =
         keys(500).into_iter().find(|key| start(0, false).served(key)[0] == HostId(4)).expect("a key");
-    let (mut chance, mut attempts, mut nowhere) = (SeededRng::new(11), Vec::new(), 0);
+    let (mut rng, mut attempts, mut nowhere) = (SeededRng::new(11), Vec::new(), 0);
     let mut out: VecDeque<(Micros, u32, RequestId, HostId)> = VecDeque::new();
     // Of thousands each is swept seldomer, as often as it judges.
     let sweep = if balancers > 1_000 { 250 } else { 50 };
-    let (apart, mut next) = (1_000_000 / Micros::from(ops_per_s), 0);
+    let (apart, mut next) = (1_000_000 / Micros::from(requests_per_s), 0);
     for tick in 0..(AT + FOR) / MS {
         let now = tick * MS;
         if now == AT {
@@ -79,7 +81,7 @@
         }
         while out.front().is_some_and(|next| next.0 <= now) {
             let (_, nth, request, host) = out.pop_front().expect("there is one");
-            let fleet = fleets.get_mut(&nth).expect("it has an op");
+            let fleet = fleets.get_mut(&nth).expect("it has a request");
             fleet.now = now;
             fleet.attempt_ended(request, 0, host, AttemptOutcome::Succeeded, 60 * MS);
         }
@@ -89,17 +91,17 @@
         }
         while next <= now {
             // As they come by chance: the gaps are drawn, with this mean.
-            let drawn = chance.fraction();
+            let drawn = rng.fraction();
             next += ((1.0 - drawn).ln() * -(apart as f64)) as Micros;
-            let mut nth = (chance.draw() % u64::from(balancers)) as u32;
-            if unequal && balancers >= 8 && chance.draw() % 12 < 5 {
+            let mut nth = (rng.draw() % u64::from(balancers)) as u32;
+            if unequal && balancers >= 8 && rng.draw() % 12 < 5 {
                 nth -= nth % 8;
             }
-            let turned = hot && now >= AT && chance.draw().is_multiple_of(10);
-            let key = format!("key-{}", chance.draw() % 20_000);
+            let reads_hot_key = hot && now >= AT && rng.draw().is_multiple_of(10);
+            let key = format!("key-{}", rng.draw() % 20_000);
             let fleet = fleets.entry(nth).or_insert_with(|| start(nth, now >= AT));
             fleet.now = now;
-            let (request, actions) = fleet.request(READ, if turned { &hot_key } else { &key });
+            let (request, actions) = fleet.request(READ, if reads_hot_key { &hot_key } else { &key });
             match attempted(&actions).first() {
                 Some(&host) => {
                     out.push_back((now + 60 * MS, nth, request, host));
@@ -109,8 +111,8 @@
             }
         }
     }
-    let cold = &terms.slow_start;
-    let normal = f64::from(ops_per_s) * cold.overload_window as f64 / 1e6 / f64::from(HOSTS);
+    let cold = &config.slow_start;
+    let normal = f64::from(requests_per_s) * cold.overload_window as f64 / 1e6 / f64::from(HOSTS);
     let (mut most, mut mean, mut windows) = (0.0_f64, 0.0, 0.0);
     for host in (0..HOSTS).filter(|&host| anew(host)) {
         let times: Vec<Micros> = attempts
@@ -129,7 +131,7 @@
             from += 100 * MS;
         }
     }
-    let came = f64::from(ops_per_s) * FOR as f64 / 1e6;
+    let came = f64::from(requests_per_s) * FOR as f64 / 1e6;
     Outcome { most, mean: mean / windows, nowhere: f64::from(nowhere) / came }
 }
 
@@ -144,15 +146,15 @@
 ];
 
 /// A line for each number of balancers, each outcome under what a host bears.
-fn table(ops_per_s: u32, balancers: &[u32], unequal: bool) -> String {
+fn table(requests_per_s: u32, balancers: &[u32], unequal: bool) -> String {
     let lines = thread::scope(|scope| {
         let line = |&balancers: &u32| {
             scope.spawn(move || {
                 let of = |&(hot, all, fresh): &(bool, bool, bool)| {
-                    let outcome = played(Play { balancers, ops_per_s, unequal, hot, all, fresh });
+                    let outcome = played(Play { balancers, requests_per_s, unequal, hot, all, fresh });
                     assert!(
                         outcome.most < 0.85,
-                        "{balancers}, {ops_per_s}, {unequal}, {hot}, {all}, {fresh}: {}",
+                        "{balancers}, {requests_per_s}, {unequal}, {hot}, {all}, {fresh}: {}",
                         outcome.most
                     );
                     outcome
@@ -168,19 +170,22 @@
         lines.into_iter().map(|line| line.join().expect("it is played")).collect::<String>()
     });
     let how = if unequal { "unequal" } else { "equal" };
-    format!("{ops_per_s} ops/s, {how} traffic\nbalancers  some  hot   all   hot   fresh both   mean  all   none  all\n{lines}")
+    let title = format!("{requests_per_s} requests/s, {how} traffic");
+    let columns = "balancers  some  hot   all   hot   fresh both   mean  all   none  all";
+    format!("{title}\n{columns}\n{lines}")
 }
 
-/// The bound of the operators' page is 1. Columns: the most where one host in four is started anew, with a hot key, where all are,
-/// with a hot key, and where all balancers are started with them; the mean of what the settings allow, and the part of the ops that went nowhere,
-/// each for some and for all.
+/// The bound of the operators' page is 1. Columns: the most where one host in four is started anew,
+/// with a hot key, where all are, with a hot key, and where all balancers are started with them;
+/// the mean of what the settings allow, and the part of the requests that went nowhere, each for
+/// some and for all.
 #[test]
-fn no_cold_host_gets_more_than_it_bears_from_all_balancers_together() {
+fn slow_start_sum_of_all_balancers_stays_under_what_a_host_bears() {
     let equal = table(40, &[1, 2, 20, 30, 300, 14_000], false);
     let unequal = table(40, &[20, 30, 300, 14_000], true);
     let busy = table(300, &[30, 300, 14_000], false);
     expect![[r#"
-        40 ops/s, equal traffic
+        40 requests/s, equal traffic
         balancers  some  hot   all   hot   fresh both   mean  all   none  all
         1          0.43  0.52  0.68  0.67  0.37  0.36   0.38  0.51  0.00  0.08
         2          0.48  0.52  0.60  0.55  0.46  0.33   0.46  0.47  0.00  0.13
@@ -188,13 +193,13 @@
         30         0.34  0.42  0.63  0.67  0.30  0.72   0.28  0.51  0.00  0.10
         300        0.28  0.38  0.67  0.78  0.23  0.71   0.18  0.51  0.00  0.12
         14000      0.03  0.03  0.49  0.62  0.03  0.67   0.00  0.27  0.00  0.54
-        40 ops/s, unequal traffic
+        40 requests/s, unequal traffic
         balancers  some  hot   all   hot   fresh both   mean  all   none  all
         20         0.35  0.44  0.58  0.61  0.35  0.62   0.31  0.45  0.00  0.21
         30         0.37  0.42  0.64  0.56  0.34  0.62   0.31  0.48  0.00  0.18
         300        0.28  0.39  0.67  0.68  0.28  0.62   0.21  0.53  0.00  0.14
         14000      0.03  0.06  0.46  0.54  0.00  0.54   0.01  0.28  0.00  0.52
-        300 ops/s, equal traffic
+        300 requests/s, equal traffic
         balancers  some  hot   all   hot   fresh both   mean  all   none  all
         30         0.39  0.46  0.53  0.50  0.36  0.33   0.35  0.39  0.00  0.29
         300        0.27  0.48  0.65  0.74  0.25  0.71   0.23  0.50  0.00  0.15
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Shared by all tests. For decisions: a small fleet, events in, a printed trace of the orders out. For
+//! Shared by all tests. For decisions: a small fleet, events in, a printed trace of the actions out. For
 //! sockets: the program started as operators start it, and stand-ins for what it speaks with.
 #![allow(dead_code)] // each test file uses its part
 
@@ -22,8 +22,8 @@
 pub const KEYED: RequestClassId = RequestClassId(1);
 pub const ONCE: RequestClassId = RequestClassId(2);
 
-/// One redeliverable, one deduplicated and one at-most-once category; four balancers.
-pub fn terms() -> PolicyConfig {
+/// One idempotent, one with an idempotency key and one at-most-once class; four balancers.
+pub fn policy_config() -> PolicyConfig {
     let class = |priority_weight, retry_safety| RequestClass {
         latency_objective: 800 * MS,
         time_limit: 2_000 * MS,
@@ -82,13 +82,13 @@
 }
 
 impl Fleet {
-    pub fn new(terms: &PolicyConfig, hosts: Vec<Endpoint>) -> Fleet {
-        let mut fleet = Fleet { policy: Policy::new(terms), now: 0, next: 0 };
+    pub fn new(config: &PolicyConfig, hosts: Vec<Endpoint>) -> Fleet {
+        let mut fleet = Fleet { policy: Policy::new(config), now: 0, next: 0 };
         fleet.handle(PolicyEvent::Endpoints { complete: true, endpoints: hosts });
         fleet
     }
 
-    /// Hears one event; the orders without those for the sweep's timer.
+    /// Takes one event; the actions without those for the sweep's timer.
     pub fn handle(&mut self, event: PolicyEvent) -> Vec<PolicyAction> {
         let mut actions = Vec::new();
         self.policy.handle(self.now, event, &mut actions);
@@ -96,7 +96,7 @@
         actions
     }
 
-    /// How many hosts get nothing now but what feels for their return.
+    /// How many hosts get nothing now but what probes for their return.
     pub fn avoided(&self) -> usize {
         self.policy.pool_size().ejected
     }
@@ -118,7 +118,7 @@
         self.request_within(class, key, tenant, 2_000 * MS)
     }
 
-    /// An op whose client waits for so long.
+    /// A request whose client waits for so long.
     pub fn request_within(
         &mut self,
         class: RequestClassId,
@@ -140,7 +140,7 @@
         (request, self.handle(event))
     }
 
-    /// The push of an op that went as `push` to `host` ends, `over` where it was acked.
+    /// The attempt of a request that went as `attempt` to `host` ends, `over` where it was answered.
     pub fn attempt_ended(
         &mut self,
         request: RequestId,
@@ -159,7 +159,7 @@
         })
     }
 
-    /// An op that is acked after a tenth of a second at each host it goes to; those hosts.
+    /// A request that is answered after a tenth of a second at each host it goes to; those hosts.
     pub fn served(&mut self, key: &str) -> Vec<HostId> {
         let (request, actions) = self.request(READ, key);
         self.now += 100 * MS;
@@ -170,7 +170,7 @@
         hosts
     }
 
-    /// Lets time pass with its sweeps; the orders they brought.
+    /// Lets time pass with its sweeps; the actions they brought.
     pub fn pass(&mut self, span: Micros) -> Vec<PolicyAction> {
         let until = self.now + span;
         let mut actions = Vec::new();
@@ -191,21 +191,21 @@
     actions.iter().filter_map(host).collect()
 }
 
-/// Orders in a line of plain words.
+/// Actions in a line of plain words.
 pub fn trace(actions: &[PolicyAction]) -> String {
     let mut text = String::new();
     for action in actions {
         let gap = if text.is_empty() { "" } else { "; " };
         let _ = match action {
             PolicyAction::StartAttempt { host, timeout, .. } => {
-                write!(text, "{gap}push h{} for {}", host.0, timeout / MS)
+                write!(text, "{gap}attempt h{} for {}", host.0, timeout / MS)
             }
             PolicyAction::Reject { retry_after, .. } => {
-                write!(text, "{gap}nack, back in {}", retry_after.map_or(0, |span| span / MS))
+                write!(text, "{gap}reject, retry after {}", retry_after.map_or(0, |span| span / MS))
             }
-            PolicyAction::Fail { .. } => write!(text, "{gap}dead letter"),
-            PolicyAction::CancelAttempt { attempt, .. } => write!(text, "{gap}call off {}", attempt.0),
-            PolicyAction::SetTimer { timer, .. } => write!(text, "{gap}wake {timer:?}"),
+            PolicyAction::Fail { .. } => write!(text, "{gap}fail"),
+            PolicyAction::CancelAttempt { attempt, .. } => write!(text, "{gap}cancel {}", attempt.0),
+            PolicyAction::SetTimer { timer, .. } => write!(text, "{gap}timer {timer:?}"),
             PolicyAction::WatchDiscovery => write!(text, "{gap}watch"),
         };
     }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -9,7 +9,7 @@
 use expect_test::expect;
 
 fn fleet(hosts: u32) -> Fleet {
-    Fleet::new(&terms(), (0..hosts).map(endpoint).collect())
+    Fleet::new(&policy_config(), (0..hosts).map(endpoint).collect())
 }
 
 fn keys(count: u32) -> Vec<String> {
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_host_that_leaves_or_returns_moves_only_its_own_keys() {
+fn ring_host_leaves_or_returns_only_its_keys_move() {
     let mut fleet = fleet(6);
     let before = homes(&mut fleet, 120);
     let gone = Endpoint { lifecycle: Lifecycle::Draining, ..endpoint(2) };
@@ -39,17 +39,17 @@
 }
 
 #[test]
-fn weight_widens_a_hosts_part_of_the_ring() {
+fn ring_host_of_double_weight_gets_more_keys() {
     let mut hosts: Vec<_> = (0..4).map(endpoint).collect();
     hosts[1].weight = 2.0;
-    let homes = homes(&mut Fleet::new(&terms(), hosts), 400);
+    let homes = homes(&mut Fleet::new(&policy_config(), hosts), 400);
     let counts: Vec<_> =
         (0..4).map(|host| homes.iter().filter(|&&home| home == HostId(host)).count()).collect();
     expect!["[79, 172, 84, 65]"].assert_eq(&format!("{counts:?}"));
 }
 
 #[test]
-fn a_hot_key_is_read_from_three_holders_at_a_quiet_balancer_too_in_time() {
+fn hot_key_read_repeatedly_is_spread_over_three_holders() {
     let mut busy = fleet(9);
     let spread = |fleet: &mut Fleet, rounds: u32, hot: u32| {
         let mut hosts: Vec<HostId> = Vec::new();
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn each_outcome_leads_to_one_final_answer_as_its_category_allows() {
+fn attempt_of_each_outcome_is_retried_as_its_class_allows() {
     let outcomes = [
         AttemptOutcome::Succeeded,
         AttemptOutcome::Error,
@@ -93,7 +93,7 @@
         AttemptOutcome::NotSent,
     ];
     let mut lines = String::new();
-    for (name, class) in [("redeliverable", READ), ("deduplicated", KEYED), ("at-most-once", ONCE)] {
+    for (name, class) in [("idempotent", READ), ("idempotency-key", KEYED), ("at-most-once", ONCE)] {
         for outcome in outcomes {
             let mut fleet = fleet(4);
             let (request, actions) = fleet.request(class, "k");
@@ -103,36 +103,36 @@
         }
     }
     expect![[r#"
-        redeliverable Succeeded: nothing
-        redeliverable Error: push h2 for 748
-        redeliverable Rejected: push h2 for 748
-        redeliverable TimedOut: push h2 for 748
-        redeliverable Unreachable: push h2 for 748
-        redeliverable ConnectionLost: push h2 for 748
-        redeliverable Cancelled: push h2 for 748
-        redeliverable NotSent: push h2 for 748
-        deduplicated Succeeded: nothing
-        deduplicated Error: push h1 for 748
-        deduplicated Rejected: push h2 for 748
-        deduplicated TimedOut: push h1 for 748
-        deduplicated Unreachable: push h2 for 748
-        deduplicated ConnectionLost: push h1 for 748
-        deduplicated Cancelled: push h1 for 748
-        deduplicated NotSent: push h2 for 748
+        idempotent Succeeded: nothing
+        idempotent Error: attempt h2 for 748
+        idempotent Rejected: attempt h2 for 748
+        idempotent TimedOut: attempt h2 for 748
+        idempotent Unreachable: attempt h2 for 748
+        idempotent ConnectionLost: attempt h2 for 748
+        idempotent Cancelled: attempt h2 for 748
+        idempotent NotSent: attempt h2 for 748
+        idempotency-key Succeeded: nothing
+        idempotency-key Error: attempt h1 for 748
+        idempotency-key Rejected: attempt h2 for 748
+        idempotency-key TimedOut: attempt h1 for 748
+        idempotency-key Unreachable: attempt h2 for 748
+        idempotency-key ConnectionLost: attempt h1 for 748
+        idempotency-key Cancelled: attempt h1 for 748
+        idempotency-key NotSent: attempt h2 for 748
         at-most-once Succeeded: nothing
-        at-most-once Error: dead letter
-        at-most-once Rejected: push h2 for 748
-        at-most-once TimedOut: dead letter
-        at-most-once Unreachable: push h2 for 748
-        at-most-once ConnectionLost: dead letter
-        at-most-once Cancelled: dead letter
-        at-most-once NotSent: push h2 for 748
+        at-most-once Error: fail
+        at-most-once Rejected: attempt h2 for 748
+        at-most-once TimedOut: fail
+        at-most-once Unreachable: attempt h2 for 748
+        at-most-once ConnectionLost: fail
+        at-most-once Cancelled: fail
+        at-most-once NotSent: attempt h2 for 748
     "#]]
     .assert_eq(&lines);
 }
 
 #[test]
-fn pushes_run_out_and_the_op_is_answered_once() {
+fn request_attempts_exhausted_fails_once() {
     let mut fleet = fleet(6);
     let (request, mut actions) = fleet.request(READ, "k");
     let mut lines = String::new();
@@ -145,14 +145,14 @@
     lines +=
         &format!("late: {}", trace(&fleet.attempt_ended(request, 0, HostId(0), AttemptOutcome::TimedOut, 0)));
     expect![[r#"
-        push h3 for 788
-        dead letter
+        attempt h3 for 788
+        fail
         late: nothing"#]]
     .assert_eq(&lines);
 }
 
 #[test]
-fn a_deduplicated_op_goes_again_only_inside_group_and_window() {
+fn idempotency_key_outside_scope_or_window_is_not_retried() {
     let mut lines = String::new();
     for after in [100, 990] {
         let mut fleet = fleet(6);
@@ -163,25 +163,25 @@
         lines += &format!("first {first:?}, after {after} ms: {}\n", trace(&next));
     }
     expect![[r#"
-        first HostId(5), after 100 ms: push h3 for 698
-        first HostId(5), after 990 ms: dead letter
+        first HostId(5), after 100 ms: attempt h3 for 698
+        first HostId(5), after 990 ms: fail
     "#]]
     .assert_eq(&lines);
 }
 
 #[test]
-fn nothing_new_goes_to_a_host_told_to_drain_in_any_way() {
+fn host_draining_or_gone_gets_no_attempt() {
     let mut lines = String::new();
     for way in ["change", "gone", "missing from the whole list", "origin gone"] {
-        let mut terms = terms();
-        terms.capabilities.cache_aside = way.starts_with("origin");
+        let mut config = policy_config();
+        config.capabilities.cache_aside = way.starts_with("origin");
         let origin = Endpoint { origin: true, ..endpoint(1) };
-        let hosts = if terms.capabilities.cache_aside {
+        let hosts = if config.capabilities.cache_aside {
             vec![endpoint(0), origin.clone()]
         } else {
             vec![endpoint(0)]
         };
-        let mut fleet = Fleet::new(&terms, hosts);
+        let mut fleet = Fleet::new(&config, hosts);
         let event = match way {
             "change" => PolicyEvent::Endpoints {
                 complete: false,
@@ -198,22 +198,22 @@
             _ => PolicyEvent::Endpoints { complete: true, endpoints: Vec::new() },
         };
         fleet.handle(event);
-        let class = if terms.capabilities.cache_aside { ONCE } else { READ };
+        let class = if config.capabilities.cache_aside { ONCE } else { READ };
         lines += &format!("{way}: {}\n", trace(&fleet.request(class, "k").1));
     }
     expect![[r#"
-        change: nack, back in 400
-        gone: nack, back in 400
-        missing from the whole list: nack, back in 400
-        origin gone: nack, back in 400
+        change: reject, retry after 400
+        gone: reject, retry after 400
+        missing from the whole list: reject, retry after 400
+        origin gone: reject, retry after 400
     "#]]
     .assert_eq(&lines);
 }
 
 #[test]
-fn a_cold_host_gets_a_growing_part_of_its_keys_and_no_more_than_its_budget() {
+fn slow_start_host_gets_growing_share_within_budget() {
     let mut hosts: Vec<_> = (0..4).map(endpoint).collect();
-    let mut fleet = Fleet::new(&terms(), hosts.clone());
+    let mut fleet = Fleet::new(&policy_config(), hosts.clone());
     let warm = homes(&mut fleet, 100).iter().filter(|&&home| home == HostId(3)).count();
     hosts[3].started_at = Some(fleet.now);
     fleet.handle(PolicyEvent::Endpoints { complete: true, endpoints: hosts });
@@ -225,22 +225,22 @@
     }
     expect!["warm 28, then 21, then 28, then 28"].assert_eq(&line);
 
-    // A fleet that is cold as a whole: the rest is turned away, whatever is asked.
+    // A fleet that is cold as a whole: the rest is rejected, whatever is requested.
     let cold = (0..2).map(|host| Endpoint { started_at: Some(0), ..endpoint(host) }).collect();
-    let mut fleet = Fleet::new(&terms(), cold);
+    let mut fleet = Fleet::new(&policy_config(), cold);
     let sent: usize = keys(50).iter().map(|key| attempted(&fleet.request(READ, key).1).len()).sum();
     expect!["sent 4 of 50 at once"].assert_eq(&format!("sent {sent} of 50 at once"));
 }
 
 #[test]
-fn where_only_draining_binds_hosts_that_the_list_drops_stay_by_their_own_answers() {
+fn host_dropped_from_list_stays_while_it_answers() {
     let mut lines = Vec::new();
     for keeps_dropped_hosts in [false, true] {
-        let terms = PolicyConfig {
-            capabilities: Capabilities { keeps_dropped_hosts, ..terms().capabilities },
-            ..terms()
+        let config = PolicyConfig {
+            capabilities: Capabilities { keeps_dropped_hosts, ..policy_config().capabilities },
+            ..policy_config()
         };
-        let mut fleet = Fleet::new(&terms, (0..4).map(endpoint).collect());
+        let mut fleet = Fleet::new(&config, (0..4).map(endpoint).collect());
         let fleet_of = |fleet: &mut Fleet| {
             let mut homes: Vec<u32> =
                 keys(60).iter().flat_map(|key| fleet.served(key)).map(|host| host.0).collect();
@@ -265,22 +265,22 @@
             }
             fleet.pass(50 * MS);
         }
-        line += &format!(", one gone {} after {lost} pushes", fleet_of(&mut fleet));
+        line += &format!(", one gone {} after {lost} attempts", fleet_of(&mut fleet));
         fleet.handle(PolicyEvent::Endpoints { complete: true, endpoints: (0..3).map(endpoint).collect() });
         line += &format!(", listed again {}", fleet_of(&mut fleet));
         lines.push(line);
     }
     expect![[r#"
-        [0, 1, 2, 3], emptied [], one gone [] after 0 pushes, listed again [0, 1, 2]
-        [0, 1, 2, 3], emptied [0, 1, 2], one gone [0, 2] after 2 pushes, listed again [0, 1, 2]"#]]
+        [0, 1, 2, 3], emptied [], one gone [] after 0 attempts, listed again [0, 1, 2]
+        [0, 1, 2, 3], emptied [0, 1, 2], one gone [0, 2] after 2 attempts, listed again [0, 1, 2]"#]]
     .assert_eq(&lines.join("\n"));
 }
 
 #[test]
-fn a_key_that_fails_wherever_it_goes_costs_one_push_and_blames_no_host() {
+fn key_failing_everywhere_gets_one_attempt_and_no_host_is_blamed() {
     let mut fleet = fleet(4);
     let mut lines = Vec::new();
-    // Every push of this op gets an error; how many it had, and how it ended.
+    // Every attempt of this request gets an error; how many it had, and how it ended.
     let fails = |fleet: &mut Fleet, key: &str| {
         let (request, mut actions) = fleet.request(READ, key);
         let (mut attempts, mut last) = (0, Vec::new());
@@ -289,12 +289,12 @@
             attempts += 1;
             last = actions.clone();
         }
-        format!("{attempts} pushes, {}", trace(&last))
+        format!("{attempts} attempts, {}", trace(&last))
     };
     for nth in 0..8 {
         let line = fails(&mut fleet, "bad");
         fleet.pass(100 * MS);
-        lines.push(format!("bad {nth}: {line}, good ops at {} hosts", {
+        lines.push(format!("bad {nth}: {line}, good requests at {} hosts", {
             let mut homes = homes(&mut fleet, 60);
             homes.sort();
             homes.dedup();
@@ -305,27 +305,27 @@
     fleet.served("bad");
     lines.push(format!("after a value: {}", fails(&mut fleet, "bad")));
     expect![[r#"
-        bad 0: 2 pushes, dead letter, good ops at 4 hosts
-        bad 1: 1 pushes, dead letter, good ops at 4 hosts
-        bad 2: 1 pushes, dead letter, good ops at 4 hosts
-        bad 3: 1 pushes, dead letter, good ops at 4 hosts
-        bad 4: 1 pushes, dead letter, good ops at 4 hosts
-        bad 5: 1 pushes, dead letter, good ops at 4 hosts
-        bad 6: 1 pushes, dead letter, good ops at 4 hosts
-        bad 7: 1 pushes, dead letter, good ops at 4 hosts
-        after a value: 2 pushes, dead letter"#]]
+        bad 0: 2 attempts, fail, good requests at 4 hosts
+        bad 1: 1 attempts, fail, good requests at 4 hosts
+        bad 2: 1 attempts, fail, good requests at 4 hosts
+        bad 3: 1 attempts, fail, good requests at 4 hosts
+        bad 4: 1 attempts, fail, good requests at 4 hosts
+        bad 5: 1 attempts, fail, good requests at 4 hosts
+        bad 6: 1 attempts, fail, good requests at 4 hosts
+        bad 7: 1 attempts, fail, good requests at 4 hosts
+        after a value: 2 attempts, fail"#]]
     .assert_eq(&lines.join("\n"));
 }
 
 #[test]
-fn bad_ops_with_nothing_in_common_hide_no_host_that_fails_everything() {
+fn host_failing_everything_is_found_among_failing_requests() {
     let mut fleet = fleet(4);
     let ill = HostId(2);
     let mut lines = Vec::new();
     for round in 0..4 {
-        let (mut bad_pushes, mut at_ill, mut unserved) = (0, 0, 0);
+        let (mut bad_attempts, mut at_ill, mut unserved) = (0, 0, 0);
         for nth in 0..120 {
-            // Each third op gets an error wherever it goes, and its key comes once.
+            // Each third request gets an error wherever it goes, and its key comes once.
             let bad = nth % 3 == 0;
             let (request, mut actions) = fleet.request(READ, &format!("{round}-{nth}"));
             let (mut attempt, mut served) = (0, false);
@@ -342,21 +342,23 @@
                 );
                 (attempt, served) = (attempt + 1, !fails);
             }
-            bad_pushes += if bad { attempt } else { 0 };
+            bad_attempts += if bad { attempt } else { 0 };
             unserved += usize::from(!bad && !served);
         }
-        lines.push(format!("{bad_pushes} pushes of 40 bad ops; of 80 good ones {at_ill} at the ill host, {unserved} unserved"));
+        let bad = format!("{bad_attempts} attempts of 40 bad requests");
+        let good = format!("of 80 good ones {at_ill} at the ill host, {unserved} unserved");
+        lines.push(format!("{bad}; {good}"));
     }
     expect![[r#"
-        56 pushes of 40 bad ops; of 80 good ones 5 at the ill host, 2 unserved
-        42 pushes of 40 bad ops; of 80 good ones 5 at the ill host, 5 unserved
-        41 pushes of 40 bad ops; of 80 good ones 6 at the ill host, 6 unserved
-        41 pushes of 40 bad ops; of 80 good ones 5 at the ill host, 4 unserved"#]]
+        56 attempts of 40 bad requests; of 80 good ones 5 at the ill host, 2 unserved
+        42 attempts of 40 bad requests; of 80 good ones 5 at the ill host, 5 unserved
+        41 attempts of 40 bad requests; of 80 good ones 6 at the ill host, 6 unserved
+        41 attempts of 40 bad requests; of 80 good ones 5 at the ill host, 4 unserved"#]]
     .assert_eq(&lines.join("\n"));
 }
 
 #[test]
-fn a_silent_host_is_left_and_taken_back_as_cold() {
+fn host_silent_is_ejected_and_returns_warming_up() {
     let mut fleet = fleet(4);
     let silent = HostId(2);
     let homes = homes(&mut fleet, 60);
@@ -377,9 +379,9 @@
     }
     expect![[r#"
         18 keys
-        two of them: push h2 for 798; push h2 for 798
-        within 750 ms: push h0 for 498; push h3 for 498
-        then: push h0 for 798
+        two of them: attempt h2 for 798; attempt h2 for 798
+        within 750 ms: attempt h0 for 498; attempt h3 for 498
+        then: attempt h0 for 798
         then: 0 of its keys
         then: 0 of its keys
         then: 0 of its keys
@@ -387,13 +389,14 @@
     .assert_eq(&lines);
 }
 
-/// What 40 pairs of ops that give up after `wait`, each with an op that is served between, do to their home.
+/// What 40 pairs of requests that give up after `wait`, each with a request that is served between,
+/// do to their home.
 fn left_after(wait: Micros, first: bool) -> String {
     let mut fleet = fleet(4);
     let home = HostId(2);
     let own: Vec<String> = keys(400).into_iter().filter(|key| fleet.served(key)[0] == home).collect();
     fleet.pass(2_000 * MS);
-    let (mut elsewhere, mut nacked) = (0, 0);
+    let (mut elsewhere, mut rejected) = (0, 0);
     for round in 0..40 {
         let requests: Vec<(RequestId, Vec<PolicyAction>)> =
             own.iter().cycle().skip(round * 2).take(2).map(|key| fleet.request(READ, key)).collect();
@@ -401,7 +404,7 @@
             .iter()
             .filter(|(_, actions)| attempted(actions).iter().any(|host| *host != home))
             .count();
-        nacked += requests.iter().filter(|(_, actions)| attempted(actions).is_empty()).count();
+        rejected += requests.iter().filter(|(_, actions)| attempted(actions).is_empty()).count();
         let (sent, attempt) = (fleet.now, AttemptNumber(0));
         for &(request, _) in requests.iter().filter(|_| first) {
             fleet.handle(PolicyEvent::NewConnection { request, attempt, host: home });
@@ -423,48 +426,48 @@
         }
         fleet.served(&own[round % own.len()]);
     }
-    let room = fleet
+    let limit = fleet
         .learned_limits()
         .into_iter()
         .find(|learned_limits| learned_limits.position == endpoint(home.0).position);
-    format!("elsewhere {elsewhere}, nacked {nacked}, room {:.1}", room.expect("it is up").limit)
+    format!("elsewhere {elsewhere}, rejected {rejected}, limit {:.1}", limit.expect("it is up").limit)
 }
 
 #[test]
-fn what_clients_and_new_connections_cut_short_cuts_no_hosts_room() {
+fn concurrency_limit_attempts_cut_short_do_not_decrease_it() {
     let mut lines = String::new();
     for (what, wait, first) in [
         ("clients that give up after 40 ms", 40 * MS, false),
-        ("first pushes that wait 300 ms", 300 * MS, true),
-        ("pushes that wait 300 ms", 300 * MS, false),
+        ("first attempts that wait 300 ms", 300 * MS, true),
+        ("attempts that wait 300 ms", 300 * MS, false),
     ] {
         lines += &format!("{what}: {}\n", left_after(wait, first));
     }
     expect![[r#"
-        clients that give up after 40 ms: elsewhere 0, nacked 0, room 6.5
-        first pushes that wait 300 ms: elsewhere 3, nacked 0, room 23.5
-        pushes that wait 300 ms: elsewhere 10, nacked 57, room 2.4
+        clients that give up after 40 ms: elsewhere 0, rejected 0, limit 6.5
+        first attempts that wait 300 ms: elsewhere 3, rejected 0, limit 23.5
+        attempts that wait 300 ms: elsewhere 10, rejected 57, limit 2.4
     "#]]
     .assert_eq(&lines);
 }
 
 #[test]
-fn a_host_that_loses_single_answers_keeps_its_keys_and_its_room() {
+fn host_losing_single_answers_keeps_keys_and_limit() {
     let mut fleet = fleet(4);
     let home = HostId(2);
-    let (mut lost, mut elsewhere, mut asked) = (VecDeque::new(), 0, 0);
+    let (mut lost, mut elsewhere, mut requests) = (VecDeque::new(), 0, 0);
     let own: Vec<String> = keys(400).into_iter().filter(|key| fleet.served(key)[0] == home).collect();
     fleet.pass(2_000 * MS);
     for round in 0..100 {
         let mut out: Vec<RequestId> = Vec::new();
         for key in own.iter().cycle().skip(round * 6).take(6) {
             let (request, actions) = fleet.request(READ, key);
-            asked += 1;
+            requests += 1;
             elsewhere += usize::from(attempted(&actions) != [home]);
             out.push(request);
         }
         let sent = fleet.now;
-        // Now and then an answer never comes; that op is out until it is given up.
+        // Now and then an answer never comes; that request is in flight until it is given up.
         if round % 5 == 0 {
             lost.push_back((out.remove(round % 6), sent));
         }
@@ -478,20 +481,21 @@
             fleet.attempt_ended(request, 0, home, AttemptOutcome::TimedOut, elapsed);
         }
     }
-    expect!["600 asked, sent elsewhere 47"].assert_eq(&format!("{asked} asked, sent elsewhere {elsewhere}"));
+    expect!["600 requests, sent elsewhere 47"]
+        .assert_eq(&format!("{requests} requests, sent elsewhere {elsewhere}"));
 }
 
 #[test]
-fn a_host_that_only_turns_away_is_left_and_what_reached_no_host_is_not_paid_for() {
+fn host_rejecting_everything_is_left_and_unreached_attempts_are_refunded() {
     let mut busy = fleet(3);
     let drains = HostId(1);
-    // It drains, and the list does not say so. More ops than the budget of further pushes has.
-    let (mut asked, mut given_up) = (0, 0);
+    // It drains, and the list does not say so. More requests than the budget of further attempts has.
+    let (mut selected, mut given_up) = (0, 0);
     for key in keys(400) {
         let (request, actions) = busy.request(READ, &key);
         let Some(&home) = attempted(&actions).first() else { continue };
         let (mut host, mut attempt) = (home, 0);
-        asked += usize::from(host == drains);
+        selected += usize::from(host == drains);
         while host == drains {
             let actions = busy.attempt_ended(request, attempt, host, AttemptOutcome::Rejected, MS);
             attempt += 1;
@@ -504,7 +508,7 @@
             busy.attempt_ended(request, attempt, host, AttemptOutcome::Succeeded, 50 * MS);
         }
     }
-    let mut lines = format!("asked {asked} times in 20 s, {given_up} ops given up\n");
+    let mut lines = format!("selected {selected} times in 20 s, {given_up} requests given up\n");
     let mut refused = fleet(9);
     let (request, mut actions) = refused.request(READ, "k");
     let mut attempts = 0;
@@ -512,16 +516,16 @@
         actions = refused.attempt_ended(request, attempts, host, AttemptOutcome::Unreachable, 0);
         attempts += 1;
     }
-    lines += &format!("unreachable everywhere: {attempts} pushes, {}\n", trace(&actions));
+    lines += &format!("unreachable everywhere: {attempts} attempts, {}\n", trace(&actions));
     expect![[r#"
-        asked 33 times in 20 s, 6 ops given up
-        unreachable everywhere: 4 pushes, nack, back in 400
+        selected 33 times in 20 s, 6 requests given up
+        unreachable everywhere: 4 attempts, reject, retry after 400
     "#]]
     .assert_eq(&lines);
 }
 
 #[test]
-fn most_hosts_hung_are_left_for_the_few_that_answer() {
+fn hosts_mostly_hung_load_moves_to_those_that_answer() {
     let mut fleet = fleet(5);
     let hung = |host: HostId| host.0 < 4;
     let mut sent = Vec::new();
@@ -555,13 +559,16 @@
         let to_hung = out.iter().filter(|attempt| hung(attempt.2)).count();
         sent.push((to_hung, out.len() - to_hung));
     }
-    expect!["pushes to hung hosts and to the other, by round: [(12, 6), (0, 5), (0, 4), (4, 5), (4, 3), (0, 5), (0, 6), (2, 6), (1, 5), (0, 7), (0, 7), (1, 7)]"].assert_eq(&format!("pushes to hung hosts and to the other, by round: {sent:?}"));
+    expect![[r#"
+        attempts to hung hosts and to the other, by round:
+        [(12, 6), (0, 5), (0, 4), (4, 5), (4, 3), (0, 5), (0, 6), (2, 6), (1, 5), (0, 7), (0, 7), (1, 7)]"#]]
+    .assert_eq(&format!("attempts to hung hosts and to the other, by round:\n{sent:?}"));
 }
 
 #[test]
-fn a_jam_met_at_the_start_does_not_pass_for_the_shortest_answer_time() {
+fn concurrency_limit_jam_at_start_is_not_taken_for_minimum_latency() {
     let mut fleet = fleet(1);
-    let mut let_in = Vec::new();
+    let mut admitted = Vec::new();
     for round in 0..6 {
         let mut out = Vec::new();
         for nth in 0..20 {
@@ -573,17 +580,19 @@
             fleet.attempt_ended(request, 0, HostId(0), AttemptOutcome::Succeeded, 750 * MS);
         }
         fleet.pass(250 * MS);
-        let_in.push(out.len());
+        admitted.push(out.len());
     }
-    expect!["let in of 20 by round: [5, 3, 2, 1, 1, 1]"]
-        .assert_eq(&format!("let in of 20 by round: {let_in:?}"));
+    expect!["admitted of 20 by round: [5, 3, 2, 1, 1, 1]"]
+        .assert_eq(&format!("admitted of 20 by round: {admitted:?}"));
 }
 
 #[test]
-fn no_host_and_no_origin_mean_an_answer_at_once() {
+fn request_without_host_or_origin_is_answered_at_once() {
     let mut lines = format!("no host: {}\n", trace(&fleet(0).request(READ, "k").1));
-    let cache_aside =
-        PolicyConfig { capabilities: Capabilities { cache_aside: true, ..terms().capabilities }, ..terms() };
+    let cache_aside = PolicyConfig {
+        capabilities: Capabilities { cache_aside: true, ..policy_config().capabilities },
+        ..policy_config()
+    };
     let mut fleet = Fleet::new(&cache_aside, vec![endpoint(0)]);
     let (request, _) = fleet.request(READ, "k");
     lines += &format!(
@@ -600,42 +609,42 @@
         &format!("miss: {}\n", trace(&fleet.attempt_ended(request, 0, HostId(0), AttemptOutcome::Miss, MS)));
     lines += &format!("write: {}", trace(&fleet.request(ONCE, "k").1));
     expect![[r#"
-        no host: nack, back in 400
-        miss, no origin: nack, back in 400
-        write, no origin: nack, back in 400
-        miss: push h1 for 798
-        write: push h1 for 798"#]]
+        no host: reject, retry after 400
+        miss, no origin: reject, retry after 400
+        write, no origin: reject, retry after 400
+        miss: attempt h1 for 798
+        write: attempt h1 for 798"#]]
     .assert_eq(&lines);
 }
 
 #[test]
-fn a_full_home_spills_to_one_other_host_and_then_sheds() {
+fn home_full_spills_to_one_host_then_rejects() {
     let mut fleet = fleet(4);
     let mut lines = String::new();
     for nth in 0..14 {
         lines += &format!("{nth}: {}\n", trace(&fleet.request(READ, "k").1));
     }
     expect![[r#"
-        0: push h3 for 798
-        1: push h3 for 798
-        2: push h3 for 798
-        3: push h3 for 798
-        4: push h3 for 798
-        5: push h2 for 798
-        6: push h2 for 798
-        7: push h2 for 798
-        8: push h2 for 798
-        9: push h2 for 798
-        10: nack, back in 400
-        11: nack, back in 400
-        12: nack, back in 400
-        13: nack, back in 400
+        0: attempt h3 for 798
+        1: attempt h3 for 798
+        2: attempt h3 for 798
+        3: attempt h3 for 798
+        4: attempt h3 for 798
+        5: attempt h2 for 798
+        6: attempt h2 for 798
+        7: attempt h2 for 798
+        8: attempt h2 for 798
+        9: attempt h2 for 798
+        10: reject, retry after 400
+        11: reject, retry after 400
+        12: reject, retry after 400
+        13: reject, retry after 400
     "#]]
     .assert_eq(&lines);
 }
 
 #[test]
-fn a_customers_flood_leaves_room_for_the_others() {
+fn tenant_over_quota_leaves_capacity_for_others() {
     let mut fleet = fleet(1);
     let mut count = |tenant, requests| -> usize {
         (0..requests)
@@ -643,16 +652,17 @@
             .sum()
     };
     let (flood, other) = (count(0, 30), count(1, 30));
-    expect!["flood let in 3, then others 2"].assert_eq(&format!("flood let in {flood}, then others {other}"));
+    expect!["flood admitted 3, then others 2"]
+        .assert_eq(&format!("flood admitted {flood}, then others {other}"));
 }
 
 #[test]
-fn the_list_is_watched_again_after_a_refusal_and_the_same_events_give_the_same_orders() {
+fn discovery_failed_is_watched_again_and_same_events_give_same_actions() {
     let run = || {
         let mut fleet = Fleet::new(
             &PolicyConfig {
-                capabilities: Capabilities { polls_discovery: true, ..terms().capabilities },
-                ..terms()
+                capabilities: Capabilities { polls_discovery: true, ..policy_config().capabilities },
+                ..policy_config()
             },
             Vec::new(),
         );
@@ -666,23 +676,25 @@
             lines += &format!("{}\n", trace(&actions));
         }
         fleet.handle(PolicyEvent::Endpoints { complete: true, endpoints: (0..5).map(endpoint).collect() });
-        lines + &format!("{:?}", homes(&mut fleet, 12))
+        let homes: Vec<u32> = homes(&mut fleet, 12).iter().map(|home| home.0).collect();
+        lines + &format!("homes {homes:?}")
     };
     assert_eq!(run(), run());
     expect![[r#"
-        wake Watch
+        timer Watch
         watch
-        wake Watch
-        [HostId(0), HostId(2), HostId(4), HostId(3), HostId(2), HostId(2), HostId(3), HostId(2), HostId(4), HostId(1), HostId(4), HostId(0)]"#]].assert_eq(&run());
+        timer Watch
+        homes [0, 2, 4, 3, 2, 2, 3, 2, 4, 1, 4, 0]"#]]
+    .assert_eq(&run());
 }
 
-/// A hundred hosts, and so many balancers that this one hears little.
+/// A hundred hosts, and so many balancers that this one sees little.
 fn large(balancers: u32, hosts: u32) -> Fleet {
-    Fleet::new(&PolicyConfig { balancers, ..terms() }, (0..hosts).map(endpoint).collect())
+    Fleet::new(&PolicyConfig { balancers, ..policy_config() }, (0..hosts).map(endpoint).collect())
 }
 
 #[test]
-fn one_time_out_tells_a_quiet_balancer_of_a_jammed_host() {
+fn quiet_balancer_one_timeout_lowers_key_share_of_host() {
     let mut fleet = large(900, 100);
     let homes = homes(&mut fleet, 2_000);
     let jammed = HostId(7);
@@ -695,14 +707,16 @@
     expect!["keeps 11 of 26 keys"].assert_eq(&format!("keeps {kept} of {} keys", own.len()));
 }
 
-/// Where one push of an op may be out, its host's silence moves nothing and costs it nothing: once that push has ended it
-/// has its further ones still, as its category allows.
+/// Where one attempt of a request may be out, its host's silence moves nothing and costs it
+/// nothing: once that attempt has ended it has its further ones still, as its class allows.
 #[test]
-fn where_one_push_may_be_out_an_op_at_a_silent_host_keeps_its_further_pushes() {
-    let one =
-        PolicyConfig { capabilities: Capabilities { hedging: false, ..terms().capabilities }, ..terms() };
+fn request_without_hedging_at_silent_host_keeps_its_retries() {
+    let one = PolicyConfig {
+        capabilities: Capabilities { hedging: false, ..policy_config().capabilities },
+        ..policy_config()
+    };
     let mut lines = String::new();
-    for (name, class) in [("redeliverable", READ), ("deduplicated", KEYED), ("at-most-once", ONCE)] {
+    for (name, class) in [("idempotent", READ), ("idempotency-key", KEYED), ("at-most-once", ONCE)] {
         let mut fleet = Fleet::new(&one, (0..4).map(endpoint).collect());
         let key =
             keys(200).into_iter().find(|key| fleet.served(key) == [HostId(2)]).expect("a key of its own");
@@ -720,16 +734,17 @@
         lines += &format!("; {}\n", trace(&actions));
     }
     expect![[r#"
-        redeliverable: 1 left, nothing; push h0 for 198; push h3 for 148; dead letter
-        deduplicated: 1 left, nothing; push h0 for 198; dead letter
-        at-most-once: 1 left, nothing; dead letter
+        idempotent: 1 left, nothing; attempt h0 for 198; attempt h3 for 148; fail
+        idempotency-key: 1 left, nothing; attempt h0 for 198; fail
+        at-most-once: 1 left, nothing; fail
     "#]]
     .assert_eq(&lines);
 }
 
-/// Where pushes to a host lie further apart than their waits, a balancer would lose it op after op before a second sign came.
+/// Where attempts to a host lie further apart than their waits, a balancer would lose it request
+/// after request before a second sign came.
 #[test]
-fn a_push_lost_with_no_other_out_is_enough_to_leave_its_host_whatever_the_number_of_balancers() {
+fn host_losing_its_only_attempt_is_left_at_any_number_of_balancers() {
     let mut lines = String::new();
     for balancers in [1, 2, 20, 100, 900] {
         for others in [0, 1] {
@@ -744,35 +759,38 @@
             fleet.attempt_ended(request, 0, home, AttemptOutcome::TimedOut, 798 * MS);
             fleet.handle(PolicyEvent::TimerFired(Timer::Sweep));
             let next = fleet.request(READ, "k").1;
-            let asked = attempted(&next).first() == Some(&home);
-            lines += &format!("{balancers} balancers, {} more out: asked again {asked}\n", more.len());
+            let is_selected = attempted(&next).first() == Some(&home);
+            lines += &format!(
+                "{balancers} balancers, {} more in flight: selected again {is_selected}\n",
+                more.len()
+            );
         }
     }
     expect![[r#"
-        1 balancers, 0 more out: asked again false
-        1 balancers, 1 more out: asked again true
-        2 balancers, 0 more out: asked again false
-        2 balancers, 1 more out: asked again true
-        20 balancers, 0 more out: asked again false
-        20 balancers, 1 more out: asked again true
-        100 balancers, 0 more out: asked again false
-        100 balancers, 1 more out: asked again true
-        900 balancers, 0 more out: asked again false
-        900 balancers, 1 more out: asked again true
+        1 balancers, 0 more in flight: selected again false
+        1 balancers, 1 more in flight: selected again true
+        2 balancers, 0 more in flight: selected again false
+        2 balancers, 1 more in flight: selected again true
+        20 balancers, 0 more in flight: selected again false
+        20 balancers, 1 more in flight: selected again true
+        100 balancers, 0 more in flight: selected again false
+        100 balancers, 1 more in flight: selected again true
+        900 balancers, 0 more in flight: selected again false
+        900 balancers, 1 more in flight: selected again true
     "#]]
     .assert_eq(&lines);
 }
 
 /// Two zones of ten hosts; one falls silent, or a few hosts of it hang while their neighbours answer.
 #[test]
-fn a_zone_gone_dark_is_left_as_a_whole_and_hosts_that_hang_for_themselves_are_not() {
+fn zone_dark_is_avoided_as_a_whole_and_single_hung_hosts_are_not() {
     let mut lines = String::new();
     for balancers in [2, 20, 100, 900] {
         for (what, hung) in [("a zone", 20), ("three hosts of it", 6)] {
             let mut fleet = large(balancers, 20);
             let zone = |host: HostId| host.0 % 2 == 1;
             let (mut lost, mut left, mut back) = (0, 0, 0);
-            // One op each 80 ms: a host is met every second or two.
+            // One request each 80 ms: a host is met every second or two.
             let mut out: VecDeque<(Micros, RequestId, HostId, AttemptOutcome)> = VecDeque::new();
             for round in 0..200 {
                 fleet.pass(80 * MS);
@@ -798,24 +816,25 @@
                 left += u32::from(other && (80..150).contains(&round));
                 back += u32::from(zone(host) && round >= 180);
             }
-            lines += &format!("{balancers} balancers, {what}: {lost} pushes lost, {left} to its other hosts meanwhile, {back} to it after\n");
+            lines += &format!("{balancers} balancers, {what}: {lost} attempts lost, ");
+            lines += &format!("{left} to its other hosts meanwhile, {back} to it after\n");
         }
     }
     expect![[r#"
-        2 balancers, a zone: 8 pushes lost, 2 to its other hosts meanwhile, 6 to it after
-        2 balancers, three hosts of it: 5 pushes lost, 21 to its other hosts meanwhile, 7 to it after
-        20 balancers, a zone: 8 pushes lost, 2 to its other hosts meanwhile, 6 to it after
-        20 balancers, three hosts of it: 5 pushes lost, 21 to its other hosts meanwhile, 7 to it after
-        100 balancers, a zone: 8 pushes lost, 2 to its other hosts meanwhile, 6 to it after
-        100 balancers, three hosts of it: 5 pushes lost, 21 to its other hosts meanwhile, 7 to it after
-        900 balancers, a zone: 8 pushes lost, 2 to its other hosts meanwhile, 6 to it after
-        900 balancers, three hosts of it: 5 pushes lost, 21 to its other hosts meanwhile, 7 to it after
+        2 balancers, a zone: 8 attempts lost, 2 to its other hosts meanwhile, 6 to it after
+        2 balancers, three hosts of it: 5 attempts lost, 21 to its other hosts meanwhile, 7 to it after
+        20 balancers, a zone: 8 attempts lost, 2 to its other hosts meanwhile, 6 to it after
+        20 balancers, three hosts of it: 5 attempts lost, 21 to its other hosts meanwhile, 7 to it after
+        100 balancers, a zone: 8 attempts lost, 2 to its other hosts meanwhile, 6 to it after
+        100 balancers, three hosts of it: 5 attempts lost, 21 to its other hosts meanwhile, 7 to it after
+        900 balancers, a zone: 8 attempts lost, 2 to its other hosts meanwhile, 6 to it after
+        900 balancers, three hosts of it: 5 attempts lost, 21 to its other hosts meanwhile, 7 to it after
     "#]]
     .assert_eq(&lines);
 }
 
 #[test]
-fn a_key_with_a_large_part_of_all_reads_gets_more_than_three_holders_in_a_large_fleet() {
+fn hot_key_in_large_fleet_gets_more_than_three_holders() {
     let mut line = String::new();
     for hosts in [10, 100] {
         let mut fleet = large(2, hosts);
@@ -835,15 +854,15 @@
 }
 
 #[test]
-fn a_jam_of_the_whole_fleet_or_the_origin_is_not_fed_by_many_balancers() {
+fn fleet_or_origin_in_jam_is_not_fed_by_many_balancers() {
     let mut lines = String::new();
     for balancers in [2, 900] {
         for write in [false, true] {
-            let mut terms = PolicyConfig { balancers, ..terms() };
-            terms.capabilities.cache_aside = true;
+            let mut config = PolicyConfig { balancers, ..policy_config() };
+            config.capabilities.cache_aside = true;
             let mut hosts: Vec<_> = (0..100).map(endpoint).collect();
             hosts.push(Endpoint { origin: true, ..endpoint(100) });
-            let mut fleet = Fleet::new(&terms, hosts);
+            let mut fleet = Fleet::new(&config, hosts);
             let mut sent = Vec::new();
             for round in 0..10 {
                 let class = if write { ONCE } else { READ };
@@ -872,74 +891,77 @@
     .assert_eq(&lines);
 }
 
-/// A balancer among so many whose part of the fleet's room is some four pushes at once, while its ops need two on average:
-/// how many of them are out at a time, and of a thousand how many are turned away.
+/// A balancer among so many whose part of the limit of the fleet is some four attempts at once,
+/// while its requests need two on average: how many of them are out at a time, and of a thousand
+/// how many are rejected.
 fn at_its_mean(balancers: u32) -> String {
     let mut fleet = large(balancers, (balancers * 3 / 10).max(1));
-    let mut chance = SeededRng::new(3);
+    let mut rng = SeededRng::new(3);
     let mut out: Vec<(Micros, RequestId, HostId)> = Vec::new();
-    let (mut came, mut nacked, mut abroad) = (0, 0, 0);
-    for turn in 0..6_000 {
-        // A slow answer: the limit learns its room by such.
+    let (mut came, mut rejected, mut in_flight_total) = (0, 0, 0);
+    for step in 0..6_000 {
+        // A slow answer: the limit learns its level by such.
         for (_, request, host) in
             out.extract_if(.., |sent| fleet.now - sent.0 >= 300 * MS).collect::<Vec<_>>()
         {
             fleet.attempt_ended(request, 0, host, AttemptOutcome::Succeeded, 300 * MS);
         }
-        if chance.draw() % 1_000 < 65 {
-            let (request, actions) = fleet.request(READ, &format!("{turn}"));
+        if rng.draw() % 1_000 < 65 {
+            let (request, actions) = fleet.request(READ, &format!("{step}"));
             let sent = attempted(&actions);
             out.extend(sent.iter().map(|&host| (fleet.now, request, host)));
             // The first seconds are the limit's own.
-            let counts = usize::from(turn >= 2_000);
-            (came, nacked) = (came + counts, nacked + counts * usize::from(sent.is_empty()));
+            let counts = usize::from(step >= 2_000);
+            (came, rejected) = (came + counts, rejected + counts * usize::from(sent.is_empty()));
         }
-        abroad += out.len();
+        in_flight_total += out.len();
         fleet.now += 10 * MS;
-        if turn % 5 == 0 {
+        if step % 5 == 0 {
             fleet.handle(PolicyEvent::TimerFired(Timer::Sweep));
         }
     }
-    format!("{balancers}: {:.1} out, {} turned away", abroad as f64 / 6_000.0, nacked * 1_000 / came)
+    format!("{balancers}: {:.1} out, {} rejected", in_flight_total as f64 / 6_000.0, rejected * 1_000 / came)
 }
 
 #[test]
-fn what_one_of_many_balancers_sends_past_its_mean_the_others_do_not_send() {
+fn fleet_limit_bursts_of_many_balancers_even_out() {
     let lines: Vec<String> = [1, 2, 20, 100, 300, 900].into_iter().map(at_its_mean).collect();
     expect![[r#"
-        1: 1.6 out, 200 turned away
-        2: 1.8 out, 67 turned away
-        20: 1.5 out, 249 turned away
-        100: 1.6 out, 200 turned away
-        300: 1.6 out, 200 turned away
-        900: 1.6 out, 200 turned away"#]]
+        1: 1.6 out, 200 rejected
+        2: 1.8 out, 67 rejected
+        20: 1.5 out, 249 rejected
+        100: 1.6 out, 200 rejected
+        300: 1.6 out, 200 rejected
+        900: 1.6 out, 200 rejected"#]]
     .assert_eq(&lines.join("\n"));
 }
 
-/// Some thousand ops a second over all balancers, 25 hosts each with as much as it can bear, six of which are then started
-/// anew; with `hot`, a tenth of all reads turns to one key of such a host in the same instant. What the cold hosts got of
-/// what would push them over in their worst window, at most and on average, and the part of the ops that went nowhere.
-/// Where one is `replaced`, another process takes over from the first balancer in the midst of the warming.
+/// Some thousand requests a second over all balancers, 25 hosts each with as much as it can bear,
+/// six of which are then started anew; with `hot`, a tenth of all reads turns to one key of such a
+/// host in the same instant. What the cold hosts got of what would attempt them over in their worst
+/// window, at most and on average, and the part of the requests that went nowhere. Where one is
+/// `replaced`, another process takes over from the first balancer in the midst of the warming.
 fn hosts_started_anew(cold: &SlowStart, balancers: u32, hot: bool, replaced: bool) -> (f64, f64, f64) {
     const HOSTS: u32 = 25;
-    let terms = PolicyConfig { balancers, slow_start: cold.clone(), ..terms() };
+    let config = PolicyConfig { balancers, slow_start: cold.clone(), ..policy_config() };
     let hosts: Vec<_> = (0..HOSTS).map(endpoint).collect();
     let started = |host: u32| host.is_multiple_of(4) && host > 0;
     let at = 8_000 * MS;
     let anew = |host| Endpoint { started_at: Some(at).filter(|_| started(host)), ..endpoint(host) };
     let mut all: Vec<Fleet> = (0..balancers)
-        .map(|nth| Fleet::new(&PolicyConfig { seed: u64::from(nth), ..terms.clone() }, hosts.clone()))
+        .map(|nth| Fleet::new(&PolicyConfig { seed: u64::from(nth), ..config.clone() }, hosts.clone()))
         .collect();
     let hot_key = keys(500).into_iter().find(|key| all[0].served(key)[0] == HostId(4)).expect("a key");
-    all[0] = Fleet::new(&PolicyConfig { seed: 900, ..terms.clone() }, hosts);
-    let (mut chance, mut attempts, mut nowhere) = (SeededRng::new(5), Vec::new(), 0.0);
+    all[0] = Fleet::new(&PolicyConfig { seed: 900, ..config.clone() }, hosts);
+    let (mut rng, mut attempts, mut nowhere) = (SeededRng::new(5), Vec::new(), 0.0);
     let mut out: VecDeque<(Micros, usize, RequestId, HostId)> = VecDeque::new();
     for tick in 0..14_000 {
         let now = tick * MS;
         if replaced && now == at + 900 * MS {
-            // It is told the list as it stands and what the old one had learnt; that one ends what it has out.
+            // It gets the list as it stands and the limits that the old one learned; that one ends
+            // what it has in flight.
             let endpoints = (0..HOSTS).map(anew).collect();
-            let mut new = Fleet::new(&PolicyConfig { seed: 901, ..terms.clone() }, endpoints);
+            let mut new = Fleet::new(&PolicyConfig { seed: 901, ..config.clone() }, endpoints);
             new.now = now;
             new.handle(PolicyEvent::LimitsLearned(all[0].learned_limits()));
             let old = std::mem::replace(&mut all[0], new);
@@ -965,11 +987,11 @@
                 fleet.handle(PolicyEvent::TimerFired(Timer::Sweep));
             }
         }
-        let nth = (chance.draw() % u64::from(balancers)) as usize;
-        let key = format!("key-{}", chance.draw() % 20_000);
-        let turned = hot && now >= at && chance.draw() % 10 == 0;
+        let nth = (rng.draw() % u64::from(balancers)) as usize;
+        let key = format!("key-{}", rng.draw() % 20_000);
+        let reads_hot_key = hot && now >= at && rng.draw() % 10 == 0;
         all[nth].now = now;
-        let (request, actions) = all[nth].request(READ, if turned { &hot_key } else { &key });
+        let (request, actions) = all[nth].request(READ, if reads_hot_key { &hot_key } else { &key });
         match attempted(&actions).first() {
             Some(&host) => {
                 out.push_back((now + 60 * MS, nth, request, host));
@@ -988,8 +1010,8 @@
                 .iter()
                 .filter(|attempt| attempt.1 == HostId(host) && (from..from + window).contains(&attempt.0));
             got.count() as f64
-                / (terms.slow_start.overload_multiple
-                    * terms.slow_start.minimum_capacity(from + window / 2 - at)
+                / (config.slow_start.overload_multiple
+                    * config.slow_start.minimum_capacity(from + window / 2 - at)
                     * bears)
         };
         (0..6).map(|nth| got_in(at + nth * 500 * MS)).fold(0.0, f64::max)
@@ -1000,7 +1022,7 @@
 
 /// The same as a table for so many balancers, with each figure under a bound.
 fn started_anew(cold: &SlowStart, balancers: &[u32], replaced: bool, under: f64) -> String {
-    let mut table = "balancers  hot key  most of what pushes over  mean  ops given up\n".to_owned();
+    let mut table = "balancers  hot key  most of what attempts over  mean  requests given up\n".to_owned();
     for &balancers in balancers {
         for hot in [false, true] {
             let (most, mean, nowhere) = hosts_started_anew(cold, balancers, hot, replaced);
@@ -1012,10 +1034,10 @@
 }
 
 #[test]
-fn a_process_that_takes_over_pushes_no_cold_host_over() {
-    let table = started_anew(&terms().slow_start, &[1, 2, 20], true, 1.0);
+fn slow_start_process_takeover_overloads_no_host() {
+    let table = started_anew(&policy_config().slow_start, &[1, 2, 20], true, 1.0);
     expect![[r#"
-        balancers  hot key  most of what pushes over  mean  ops given up
+        balancers  hot key  most of what attempts over  mean  requests given up
         1          false    0.47                      0.44  0.000
         1          true     0.51                      0.38  0.000
         2          false    0.52                      0.45  0.000
@@ -1027,10 +1049,10 @@
 }
 
 #[test]
-fn cold_hosts_are_used_and_none_is_pushed_over_by_all_balancers_together() {
-    let table = started_anew(&terms().slow_start, &[1, 2, 20, 100, 900], false, 0.9);
+fn slow_start_all_balancers_together_overload_no_host() {
+    let table = started_anew(&policy_config().slow_start, &[1, 2, 20, 100, 900], false, 0.9);
     expect![[r#"
-        balancers  hot key  most of what pushes over  mean  ops given up
+        balancers  hot key  most of what attempts over  mean  requests given up
         1          false    0.56                      0.47  0.000
         1          true     0.72                      0.46  0.000
         2          false    0.57                      0.48  0.000
@@ -1047,7 +1069,7 @@
 
 /// The bound by the cold figures of the two deployments that take the balancer on.
 #[test]
-fn the_cold_figures_of_a_quick_fall_and_of_a_slow_warm_up_keep_the_bound_too() {
+fn slow_start_quick_and_slow_warm_up_keep_the_bound() {
     let cold = |from, warm_up_time| SlowStart {
         initial_capacity: from,
         warm_up_time,
@@ -1057,12 +1079,12 @@
     let slowly = started_anew(&cold(0.12, 24_000 * MS), &[13, 117], false, 1.1);
     let quickly = started_anew(&cold(0.3, 8_900 * MS), &[62, 420], false, 1.1);
     expect![[r#"
-        balancers  hot key  most of what pushes over  mean  ops given up
+        balancers  hot key  most of what attempts over  mean  requests given up
         13         false    0.90                      0.61  0.000
         13         true     0.81                      0.53  0.000
         117        false    0.52                      0.37  0.000
         117        true     0.79                      0.45  0.000
-        balancers  hot key  most of what pushes over  mean  ops given up
+        balancers  hot key  most of what attempts over  mean  requests given up
         62         false    0.64                      0.47  0.000
         62         true     0.97                      0.53  0.000
         420        false    0.44                      0.34  0.000
@@ -1072,14 +1094,14 @@
 }
 
 #[test]
-fn overflow_and_what_the_gate_refuses_go_past_a_cold_host() {
+fn slow_start_host_gets_no_overflow() {
     let mut hosts: Vec<_> = (0..4).map(endpoint).collect();
     hosts[2].started_at = Some(0);
-    let mut fleet = Fleet::new(&terms(), hosts);
+    let mut fleet = Fleet::new(&policy_config(), hosts);
     fleet.pass(300 * MS);
-    let turned: Vec<_> = (0..60).map(|key| fleet.request(READ, &format!("k{key}"))).collect();
+    let requests: Vec<_> = (0..60).map(|key| fleet.request(READ, &format!("k{key}"))).collect();
     let mut counts = [0; 2];
-    for (request, actions) in turned {
+    for (request, actions) in requests {
         let Some(&host) = attempted(&actions).first() else { continue };
         counts[0] += usize::from(host == HostId(2));
         let retries = fleet.attempt_ended(request, 0, host, AttemptOutcome::Rejected, 5 * MS);
@@ -1089,11 +1111,14 @@
         .assert_eq(&format!("to the cold host at first {}, as overflow {}", counts[0], counts[1]));
 }
 
-/// Clients that give up early and come again at once would have every host of a large fleet work for nobody.
+/// Clients that give up early and come again at once would have every host of a large fleet work
+/// for nobody.
 #[test]
-fn what_cant_wait_for_the_shortest_typical_answer_is_refused_before_it_loads_a_host() {
-    let cache_aside =
-        PolicyConfig { capabilities: Capabilities { cache_aside: true, ..terms().capabilities }, ..terms() };
+fn request_that_cannot_wait_for_minimum_latency_is_rejected_unsent() {
+    let cache_aside = PolicyConfig {
+        capabilities: Capabilities { cache_aside: true, ..policy_config().capabilities },
+        ..policy_config()
+    };
     let origin = Endpoint { origin: true, ..endpoint(9) };
     let mut fleet = Fleet::new(&cache_aside, vec![endpoint(0), endpoint(1), origin]);
     let mut lines = Vec::new();
@@ -1128,22 +1153,23 @@
         }
     }
     expect![[r#"
-        waits 30 ms: push h0 for 30
-        waits 30 ms: nack, back in 400
-        waits 90 ms: nack, back in 400
-        waits 120 ms: push h0 for 120
-        waits 40 ms: nack, back in 400
-        waits 80 ms: push h9 for 80
-        waits 150 ms: push h0 for 150
-          a miss after 100 ms: nack, back in 400
-        waits 200 ms: push h0 for 200
-          a miss after 100 ms: push h9 for 100"#]]
+        waits 30 ms: attempt h0 for 30
+        waits 30 ms: reject, retry after 400
+        waits 90 ms: reject, retry after 400
+        waits 120 ms: attempt h0 for 120
+        waits 40 ms: reject, retry after 400
+        waits 80 ms: attempt h9 for 80
+        waits 150 ms: attempt h0 for 150
+          a miss after 100 ms: reject, retry after 400
+        waits 200 ms: attempt h0 for 200
+          a miss after 100 ms: attempt h9 for 100"#]]
     .assert_eq(&lines.join("\n"));
 }
 
-/// Hundreds of quiet balancers that took a jammed host back after a fixed time would each lose it their next op again.
+/// Hundreds of quiet balancers that took a jammed host back after a fixed time would each lose it
+/// their next request again.
 #[test]
-fn a_silent_host_is_left_for_as_long_as_own_pushes_there_lie_apart() {
+fn host_silent_stays_ejected_for_the_send_interval() {
     let mut lines = Vec::new();
     for apart in [200, 2_000, 12_000] {
         let mut fleet = fleet(4);
@@ -1161,7 +1187,7 @@
             round(&mut fleet);
         }
         let (request, _) = fleet.request(READ, &key);
-        // It goes elsewhere meanwhile, and is acked there.
+        // It goes elsewhere meanwhile, and is answered there.
         for (nth, host) in (1..).zip(attempted(&fleet.pass(800 * MS))) {
             fleet.attempt_ended(request, nth, host, AttemptOutcome::Succeeded, 100 * MS);
         }
@@ -1179,8 +1205,8 @@
     .assert_eq(&lines.join("\n"));
 }
 
-/// One of a hundred balancers before an origin in a jam, in through mode: every answer is an error that took so long. How
-/// many may be out at a time after some seconds of it.
+/// One of a hundred balancers before an origin in a jam, in through mode: every answer is an error
+/// that took so long. How many may be out at a time after some seconds of it.
 fn after_errors(elapsed: Micros) -> usize {
     let mut fleet = large(100, 20);
     let keys = keys(20);
@@ -1196,14 +1222,14 @@
 }
 
 #[test]
-fn errors_that_took_long_tell_of_a_jam_and_quick_ones_do_not() {
+fn fleet_limit_slow_errors_decrease_it_and_quick_ones_do_not() {
     let line =
         format!("after quick errors {}, after slow ones {}", after_errors(20 * MS), after_errors(600 * MS));
     expect!["after quick errors 6, after slow ones 0"].assert_eq(&line);
 }
 
-/// A host is left for one push that timed out, and is back as cold: how many of its 100 keys it gets after it has
-/// answered three reads after so long each.
+/// A host is left for one attempt that timed out, and is back as cold: how many of its 100 keys it
+/// gets after it has answered three reads after so long each.
 fn kept_after(answers: Micros) -> usize {
     let mut fleet = fleet(4);
     let keys = keys(800);
@@ -1215,19 +1241,19 @@
     fleet.pass(700 * MS);
     fleet.attempt_ended(request, 0, HostId(2), AttemptOutcome::TimedOut, 700 * MS);
     fleet.pass(2_300 * MS);
-    let mut asked = 0;
+    let mut answered = 0;
     for key in &own {
         let (request, actions) = fleet.request(READ, key);
         let Some(&host) = attempted(&actions).first() else { continue };
         let elapsed = if host == HostId(2) { answers } else { 100 * MS };
         fleet.now += elapsed;
         fleet.attempt_ended(request, 0, host, AttemptOutcome::Succeeded, elapsed);
-        asked += u32::from(host == HostId(2));
-        if asked == 3 {
+        answered += u32::from(host == HostId(2));
+        if answered == 3 {
             break;
         }
     }
-    // Asked for and dropped, so that nothing more is learnt meanwhile.
+    // Asked for and dropped, so that nothing more is learned meanwhile.
     let mut goes_there = |key: &&&String| {
         let (request, actions) = fleet.request(READ, key);
         fleet.handle(PolicyEvent::ClientGone { request });
@@ -1239,7 +1265,7 @@
 }
 
 #[test]
-fn a_host_taken_back_as_cold_is_as_it_was_once_it_brings_a_value_sooner_than_it_used_to() {
+fn host_warming_up_that_answers_quickly_is_restored() {
     let (slow, quick) = (kept_after(400 * MS), kept_after(50 * MS));
     expect!["of 100 keys 3 after slow values, 90 after quick ones"]
         .assert_eq(&format!("of 100 keys {slow} after slow values, {quick} after quick ones"));
--- a/tests/mixed.rs
+++ b/tests/mixed.rs
@@ -1,5 +1,6 @@
-//! A move under way: balancers told of the old shape of deployment and of the new one, before the same hosts, in
-//! simulated time: one host drains, one starts anew, one hangs. Hosts have one core and a queue; they are models, not measurements.
+//! A move under way: balancers configured for the old shape of deployment and of the new one,
+//! before the same hosts, in simulated time: one host drains, one starts anew, one hangs. Hosts
+//! have one core and a queue; they are models, not measurements.
 
 mod common;
 
@@ -18,31 +19,31 @@
 const DRAIN_AT: Micros = 6_000 * MS;
 const START_AT: Micros = 9_000 * MS;
 const HUNG: u32 = 6;
-const HANGS: std::ops::Range<Micros> = 12_000 * MS..16_000 * MS; // it takes ops and answers none
+const HANGS: std::ops::Range<Micros> = 12_000 * MS..16_000 * MS; // it takes requests and answers none
 const END: Micros = 20_000 * MS;
-const ANSWERED_WITHIN: Micros = 2_000 * MS; // every op's TTL
+const ANSWERED_WITHIN: Micros = 2_000 * MS; // every request's TTL
 
-/// As before the move: two pushes at a time, late answers worth nothing.
+/// As before the move: two attempts at a time, late answers worth nothing.
 fn old_shape() -> PolicyConfig {
-    let mut terms = PolicyConfig { balancers: 2 * EACH, ..terms() };
-    for class in &mut terms.classes {
+    let mut config = PolicyConfig { balancers: 2 * EACH, ..policy_config() };
+    for class in &mut config.classes {
         if let RetrySafety::IdempotencyKey { scope, .. } = &mut class.retry_safety {
             *scope = DeduplicationScope::All;
         }
     }
-    terms
+    config
 }
 
-/// As after it: one push at a time, late answers still earn.
+/// As after it: one attempt at a time, late answers still earn.
 fn new_shape() -> PolicyConfig {
-    let mut terms = old_shape();
-    terms.capabilities.hedging = false;
-    terms.classes.iter_mut().for_each(|class| class.late_weight = 0.4);
-    terms
+    let mut config = old_shape();
+    config.capabilities.hedging = false;
+    config.classes.iter_mut().for_each(|class| class.late_weight = 0.4);
+    config
 }
 
 /// What reaches a host: whose it is, and when it is done.
-struct Out {
+struct InFlight {
     kind: usize,
     nth: usize,
     request: RequestId,
@@ -66,7 +67,7 @@
 struct Move {
     kinds: [Vec<Fleet>; 2],
     free_at: Vec<Micros>,
-    out: Vec<Out>,
+    in_flight: Vec<InFlight>,
     requests: BTreeMap<(usize, usize, RequestId), Taken>,
     /// By kind: reads taken, and answered within the target latency.
     served: [(u32, u32); 2],
@@ -85,14 +86,14 @@
 
     fn new(shapes: [PolicyConfig; 2]) -> Move {
         let hosts: Vec<Endpoint> = (0..HOSTS).map(endpoint).collect();
-        let fleet = |terms: &PolicyConfig, seed: u32| {
-            Fleet::new(&PolicyConfig { seed: u64::from(seed), ..terms.clone() }, hosts.clone())
+        let fleet = |config: &PolicyConfig, seed: u32| {
+            Fleet::new(&PolicyConfig { seed: u64::from(seed), ..config.clone() }, hosts.clone())
         };
         let kind = |nth: usize| (0..EACH).map(|seed| fleet(&shapes[nth], 10 * nth as u32 + seed)).collect();
         Move {
             kinds: [kind(0), kind(1)],
             free_at: vec![0; HOSTS as usize],
-            out: Vec::new(),
+            in_flight: Vec::new(),
             requests: BTreeMap::new(),
             served: [(0, 0); 2],
             to_started: Vec::new(),
@@ -104,17 +105,20 @@
         for action in actions {
             match action {
                 PolicyAction::StartAttempt { request, host, timeout } => {
-                    let taken = self.requests.get_mut(&(kind, nth, request)).expect("an op that was taken");
-                    let others =
-                        self.out.iter().any(|out| (out.kind, out.nth, out.request) == (kind, nth, request));
+                    let taken =
+                        self.requests.get_mut(&(kind, nth, request)).expect("a request that was taken");
+                    let others = self
+                        .in_flight
+                        .iter()
+                        .any(|out| (out.kind, out.nth, out.request) == (kind, nth, request));
                     if taken.answers > 0 {
-                        self.broken.push("a push after the final answer".to_owned());
+                        self.broken.push("an attempt after the final answer".to_owned());
                     }
                     if kind == 1 && others {
-                        self.broken.push("two pushes of an op out".to_owned());
+                        self.broken.push("two attempts of a request in flight".to_owned());
                     }
                     if host == HostId(DRAINED) && now >= DRAIN_AT {
-                        self.broken.push("a push to a host that drains".to_owned());
+                        self.broken.push("an attempt to a host that drains".to_owned());
                     }
                     if host == HostId(STARTED) && now >= START_AT {
                         self.to_started.push(now);
@@ -136,25 +140,36 @@
                     };
                     let attempt = taken.out;
                     taken.out += 1;
-                    self.out.push(Out { kind, nth, request, attempt, host, sent: now, ends, outcome });
+                    self.in_flight.push(InFlight {
+                        kind,
+                        nth,
+                        request,
+                        attempt,
+                        host,
+                        sent: now,
+                        ends,
+                        outcome,
+                    });
                 }
                 PolicyAction::CancelAttempt { request, attempt } => {
-                    let named = |out: &&mut Out| {
+                    let named = |out: &&mut InFlight| {
                         (out.kind, out.nth, out.request, out.attempt) == (kind, nth, request, attempt.0)
                     };
-                    // What waits or runs goes on: calling off proves nothing.
-                    if let Some(out) = self.out.iter_mut().find(named) {
+                    // What waits or runs goes on: cancelling proves nothing.
+                    if let Some(out) = self.in_flight.iter_mut().find(named) {
                         (out.ends, out.outcome) = (now + MS, AttemptOutcome::Cancelled);
                     }
                 }
                 PolicyAction::Reject { request, .. } | PolicyAction::Fail { request } => {
-                    let taken = self.requests.get_mut(&(kind, nth, request)).expect("an op that was taken");
+                    let taken =
+                        self.requests.get_mut(&(kind, nth, request)).expect("a request that was taken");
                     taken.answers += 1;
                     if matches!(action, PolicyAction::Reject { .. })
                         && taken.class == ONCE.0
                         && !taken.runs.is_empty()
                     {
-                        self.broken.push("a nack of an at-most-once op that may have run".to_owned());
+                        self.broken
+                            .push("a rejection of an at-most-once request that may have run".to_owned());
                     }
                 }
                 PolicyAction::SetTimer { .. } | PolicyAction::WatchDiscovery => {}
@@ -162,11 +177,11 @@
         }
     }
 
-    fn tick(&mut self, now: Micros, chance: &mut SeededRng) {
-        let due = |out: &Out| out.ends <= now;
-        while let Some(at) = self.out.iter().position(due) {
-            let Out { kind, nth, request, attempt, host, sent, outcome, .. } = self.out.remove(at);
-            let taken = self.requests.get_mut(&(kind, nth, request)).expect("an op that was taken");
+    fn tick(&mut self, now: Micros, rng: &mut SeededRng) {
+        let due = |out: &InFlight| out.ends <= now;
+        while let Some(at) = self.in_flight.iter().position(due) {
+            let InFlight { kind, nth, request, attempt, host, sent, outcome, .. } = self.in_flight.remove(at);
+            let taken = self.requests.get_mut(&(kind, nth, request)).expect("a request that was taken");
             let finished = taken.answers > 0;
             if outcome == AttemptOutcome::Succeeded && !finished {
                 taken.answers += 1;
@@ -203,22 +218,22 @@
             }
         }
         // Like traffic for both kinds: a third more than all hosts bear.
-        if now >= END || chance.draw() % 1_000 >= 355 {
+        if now >= END || rng.draw() % 1_000 >= 355 {
             return;
         }
-        let (kind, nth) = (chance.draw() as usize % 2, chance.draw() as usize % EACH as usize);
-        let class = match chance.draw() % 20 {
+        let (kind, nth) = (rng.draw() as usize % 2, rng.draw() as usize % EACH as usize);
+        let class = match rng.draw() % 20 {
             0 => KEYED,
             1 => ONCE,
             _ => READ,
         };
-        let key = format!("key-{}", chance.draw() % 3_000);
+        let key = format!("key-{}", rng.draw() % 3_000);
         self.served[kind].0 += u32::from(class == READ);
         let (request, actions) = self.kinds[kind][nth].request(class, &key);
         let taken = Taken { class: class.0, at: now, ..Taken::default() };
         assert!(
             self.requests.insert((kind, nth, request), taken).is_none(),
-            "each op has a number of its own"
+            "each request has a number of its own"
         );
         self.carry_out(kind, nth, now, actions);
     }
@@ -227,9 +242,9 @@
     fn play(shapes: [PolicyConfig; 2]) -> ([f64; 2], Vec<String>) {
         let cold = shapes[0].slow_start.clone();
         let mut world = Move::new(shapes);
-        let mut chance = SeededRng::new(11);
+        let mut rng = SeededRng::new(11);
         for tick in 0..(END + ANSWERED_WITHIN + 100 * MS) / MS {
-            world.tick(tick * MS, &mut chance);
+            world.tick(tick * MS, &mut rng);
         }
         for taken in world.requests.values() {
             if taken.answers != 1 {
@@ -245,7 +260,8 @@
                 world.broken.push("an effect twice".to_owned());
             }
         }
-        // What the host surely bears in the middle of a window, and its full capacity of one op for each WORK.
+        // What the host surely bears in the middle of a window, and its full capacity of one
+        // request for each WORK.
         for from in (START_AT..END).step_by(250 * MS as usize) {
             let got =
                 world.to_started.iter().filter(|at| (from..from + cold.overload_window).contains(at)).count();
@@ -264,16 +280,16 @@
 }
 
 #[test]
-fn balancers_of_both_shapes_keep_the_rules_and_neither_starves_the_other() {
+fn mixed_deployments_keep_the_rules_and_neither_starves_the_other() {
     let (shares, broken) = Move::play([old_shape(), new_shape()]);
     assert_eq!(broken, Vec::<String>::new());
     assert!(!starves(shares), "{shares:?}");
     expect!["old 0.60, new 0.64"].assert_eq(&format!("old {:.2}, new {:.2}", shares[0], shares[1]));
 }
 
-/// The bound can fail: a kind that is made to heed no jam takes the hosts from the other.
+/// The bound can fail: a kind that no jam holds back takes the hosts from the other.
 #[test]
-fn a_kind_that_heeds_no_jam_is_seen_to_starve_the_other() {
+fn greedy_deployment_is_seen_to_starve_the_other() {
     let mut greedy = new_shape();
     for class in &mut greedy.classes {
         class.latency_objective = 200_000 * MS;
