--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -37,7 +37,7 @@
     most: f64,
     /// What cold hosts got of what they may get by the settings, over all windows.
     mean: f64,
-    /// Ops that went nowhere.
+    /// The part of the requests that went nowhere.
     nowhere: f64,
 }
 
@@ -45,94 +45,157 @@
     (0..count).map(|key| format!("key-{key}")).collect()
 }
 
-fn played(play: Play) -> Outcome {
-    let Play { balancers, requests_per_s, unequal, hot, all, fresh } = play;
-    let config = PolicyConfig { balancers, ..policy_config() };
-    let anew = move |host: u32| all || host.is_multiple_of(4);
-    let list = |cold: bool| {
-        (0..HOSTS).map(move |host| Endpoint {
-            started_at: Some(AT).filter(|_| cold && anew(host)),
-            ..endpoint(host)
-        })
-    };
-    let start = |nth: u32, cold: bool| {
-        Fleet::new(&PolicyConfig { seed: u64::from(nth) + 1, ..config.clone() }, list(cold).collect())
-    };
-    // One that has had no request yet is as it was at its start: it is made with its first.
-    let mut fleets: BTreeMap<u32, Fleet> = BTreeMap::new();
-    let hot_key =
-        keys(500).into_iter().find(|key| start(0, false).served(key)[0] == HostId(4)).expect("a key");
-    let (mut rng, mut attempts, mut nowhere) = (SeededRng::new(11), Vec::new(), 0);
-    let mut out: VecDeque<(Micros, u32, RequestId, HostId)> = VecDeque::new();
-    // Of thousands each is swept seldomer, as often as it judges.
-    let sweep = if balancers > 1_000 { 250 } else { 50 };
-    let (apart, mut next) = (1_000_000 / Micros::from(requests_per_s), 0);
-    for tick in 0..(AT + FOR) / MS {
+/// A play under way: its balancers, what is in flight, and what the hosts got.
+struct Simulation {
+    play: Play,
+    config: PolicyConfig,
+    /// One that has had no request yet is as it was at its start: it is made with its first.
+    fleets: BTreeMap<u32, Fleet>,
+    hot_key: String,
+    rng: SeededRng,
+    in_flight: VecDeque<InFlight>,
+    /// When and where each attempt was sent.
+    attempts: Vec<(Micros, HostId)>,
+    nowhere: u32,
+    next_request_at: Micros,
+}
+
+struct InFlight {
+    ends_at: Micros,
+    balancer: u32,
+    request: RequestId,
+    host: HostId,
+}
+
+impl Simulation {
+    fn new(play: Play) -> Simulation {
+        let mut simulation = Simulation {
+            play,
+            config: PolicyConfig { balancers: play.balancers, ..policy_config() },
+            fleets: BTreeMap::new(),
+            hot_key: String::new(),
+            rng: SeededRng::new(11),
+            in_flight: VecDeque::new(),
+            attempts: Vec::new(),
+            nowhere: 0,
+            next_request_at: 0,
+        };
+        let is_at_cold_host = |key: &String| simulation.start(0, false).served(key)[0] == HostId(4);
+        let hot_key = keys(500).into_iter().find(is_at_cold_host);
+        simulation.hot_key = hot_key.expect("a key");
+        simulation
+    }
+
+    fn is_started_anew(&self, host: u32) -> bool {
+        self.play.all || host.is_multiple_of(4)
+    }
+
+    /// The endpoint list before or after the start.
+    fn list(&self, cold: bool) -> Vec<Endpoint> {
+        let started_at = |host: u32| Some(AT).filter(|_| cold && self.is_started_anew(host));
+        (0..HOSTS).map(|host| Endpoint { started_at: started_at(host), ..endpoint(host) }).collect()
+    }
+
+    fn start(&self, balancer: u32, cold: bool) -> Fleet {
+        let config = PolicyConfig { seed: u64::from(balancer) + 1, ..self.config.clone() };
+        Fleet::new(&config, self.list(cold))
+    }
+
+    fn tick(&mut self, tick: i64) {
         let now = tick * MS;
         if now == AT {
-            if fresh {
-                fleets.clear();
-                out.clear();
-            }
-            for fleet in fleets.values_mut() {
-                fleet.now = now;
-                fleet.handle(PolicyEvent::Endpoints { complete: true, endpoints: list(true).collect() });
-            }
+            self.start_hosts_anew(now);
         }
-        while out.front().is_some_and(|next| next.0 <= now) {
-            let (_, nth, request, host) = out.pop_front().expect("there is one");
-            let fleet = fleets.get_mut(&nth).expect("it has a request");
-            fleet.now = now;
-            fleet.attempt_ended(request, 0, host, AttemptOutcome::Succeeded, 60 * MS);
-        }
-        for (_, fleet) in fleets.iter_mut().filter(|fleet| (tick + i64::from(*fleet.0)) % sweep == 0) {
+        self.end_attempts(now);
+        // Of thousands each is swept seldomer, as often as it evaluates.
+        let sweep = if self.play.balancers > 1_000 { 250 } else { 50 };
+        for (_, fleet) in self.fleets.iter_mut().filter(|fleet| (tick + i64::from(*fleet.0)) % sweep == 0) {
             fleet.now = now;
             fleet.handle(PolicyEvent::TimerFired(Timer::Sweep));
         }
-        while next <= now {
+        let mean_gap = 1_000_000 / Micros::from(self.play.requests_per_s);
+        while self.next_request_at <= now {
             // As they come by chance: the gaps are drawn, with this mean.
-            let drawn = rng.fraction();
-            next += ((1.0 - drawn).ln() * -(apart as f64)) as Micros;
-            let mut nth = (rng.draw() % u64::from(balancers)) as u32;
-            if unequal && balancers >= 8 && rng.draw() % 12 < 5 {
-                nth -= nth % 8;
-            }
-            let reads_hot_key = hot && now >= AT && rng.draw().is_multiple_of(10);
-            let key = format!("key-{}", rng.draw() % 20_000);
-            let fleet = fleets.entry(nth).or_insert_with(|| start(nth, now >= AT));
+            let drawn = self.rng.fraction();
+            self.next_request_at += ((1.0 - drawn).ln() * -(mean_gap as f64)) as Micros;
+            self.request(now);
+        }
+    }
+
+    fn start_hosts_anew(&mut self, now: Micros) {
+        if self.play.fresh {
+            self.fleets.clear();
+            self.in_flight.clear();
+        }
+        let endpoints = self.list(true);
+        for fleet in self.fleets.values_mut() {
+            fleet.now = now;
+            fleet.handle(PolicyEvent::Endpoints { complete: true, endpoints: endpoints.clone() });
+        }
+    }
+
+    fn end_attempts(&mut self, now: Micros) {
+        while self.in_flight.front().is_some_and(|next| next.ends_at <= now) {
+            let InFlight { balancer, request, host, .. } = self.in_flight.pop_front().expect("there is one");
+            let fleet = self.fleets.get_mut(&balancer).expect("it has a request");
             fleet.now = now;
-            let (request, actions) = fleet.request(READ, if reads_hot_key { &hot_key } else { &key });
-            match attempted(&actions).first() {
-                Some(&host) => {
-                    out.push_back((now + 60 * MS, nth, request, host));
-                    attempts.push((now, host));
-                }
-                None => nowhere += u32::from(now >= AT),
+            fleet.attempt_ended(request, 0, host, AttemptOutcome::Succeeded, 60 * MS);
+        }
+    }
+
+    fn request(&mut self, now: Micros) {
+        let Play { balancers, unequal, hot, .. } = self.play;
+        let mut balancer = (self.rng.draw() % u64::from(balancers)) as u32;
+        if unequal && balancers >= 8 && self.rng.draw() % 12 < 5 {
+            balancer -= balancer % 8;
+        }
+        let reads_hot_key = hot && now >= AT && self.rng.draw().is_multiple_of(10);
+        let drawn_key = format!("key-{}", self.rng.draw() % 20_000);
+        let key = if reads_hot_key { &self.hot_key } else { &drawn_key };
+        if !self.fleets.contains_key(&balancer) {
+            self.fleets.insert(balancer, self.start(balancer, now >= AT));
+        }
+        let fleet = self.fleets.get_mut(&balancer).expect("it was started");
+        fleet.now = now;
+        let (request, actions) = fleet.request(READ, key);
+        match attempted(&actions).first() {
+            Some(&host) => {
+                self.in_flight.push_back(InFlight { ends_at: now + 60 * MS, balancer, request, host });
+                self.attempts.push((now, host));
             }
+            None => self.nowhere += u32::from(now >= AT),
         }
     }
-    let cold = &config.slow_start;
-    let normal = f64::from(requests_per_s) * cold.overload_window as f64 / 1e6 / f64::from(HOSTS);
-    let (mut most, mut mean, mut windows) = (0.0_f64, 0.0, 0.0);
-    for host in (0..HOSTS).filter(|&host| anew(host)) {
-        let times: Vec<Micros> = attempts
-            .iter()
-            .filter(|attempt| attempt.1 == HostId(host) && attempt.0 >= AT)
-            .map(|attempt| attempt.0)
-            .collect();
-        let mut from = AT;
-        while from + cold.overload_window <= AT + FOR {
-            let got =
-                times.iter().filter(|&&at| (from..from + cold.overload_window).contains(&at)).count() as f64;
-            let capabilities =
-                cold.overload_multiple * cold.minimum_capacity(from + cold.overload_window / 2 - AT) * normal;
-            most = most.max(got / (capabilities + 2.0 * capabilities.sqrt() + 2.0));
-            (mean, windows) = (mean + got / capabilities, windows + 1.0);
-            from += 100 * MS;
+
+    /// What the cold hosts got in each window, against what they bear.
+    fn outcome(&self) -> Outcome {
+        let cold = &self.config.slow_start;
+        let requests_per_s = f64::from(self.play.requests_per_s);
+        let normal = requests_per_s * cold.overload_window as f64 / 1e6 / f64::from(HOSTS);
+        let (mut most, mut mean, mut windows) = (0.0_f64, 0.0, 0.0);
+        for host in (0..HOSTS).filter(|&host| self.is_started_anew(host)) {
+            let there = self.attempts.iter().filter(|sent| sent.1 == HostId(host) && sent.0 >= AT);
+            let times: Vec<Micros> = there.map(|sent| sent.0).collect();
+            let mut from = AT;
+            while from + cold.overload_window <= AT + FOR {
+                let window = from..from + cold.overload_window;
+                let got = times.iter().filter(|&at| window.contains(at)).count() as f64;
+                let capacity = cold.minimum_capacity(from + cold.overload_window / 2 - AT);
+                let allowed = cold.overload_multiple * capacity * normal;
+                most = most.max(got / (allowed + 2.0 * allowed.sqrt() + 2.0));
+                (mean, windows) = (mean + got / allowed, windows + 1.0);
+                from += 100 * MS;
+            }
         }
+        let came = requests_per_s * FOR as f64 / 1e6;
+        Outcome { most, mean: mean / windows, nowhere: f64::from(self.nowhere) / came }
     }
-    let came = f64::from(requests_per_s) * FOR as f64 / 1e6;
-    Outcome { most, mean: mean / windows, nowhere: f64::from(nowhere) / came }
+}
+
+fn played(play: Play) -> Outcome {
+    let mut simulation = Simulation::new(play);
+    (0..(AT + FOR) / MS).for_each(|tick| simulation.tick(tick));
+    simulation.outcome()
 }
 
 /// Whether there is a hot key, whether all hosts are started anew, and all balancers too.
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -936,93 +936,149 @@
     .assert_eq(&lines.join("\n"));
 }
 
+const STARTED_ANEW_AT: Micros = 8_000 * MS;
+const PLAYED_HOSTS: u32 = 25;
+
 /// Some thousand requests a second over all balancers, 25 hosts each with as much as it can bear,
 /// six of which are then started anew; with `hot`, a tenth of all reads turns to one key of such a
-/// host in the same instant. What the cold hosts got of what would attempt them over in their worst
-/// window, at most and on average, and the part of the requests that went nowhere. Where one is
-/// `replaced`, another process takes over from the first balancer in the midst of the warming.
-fn hosts_started_anew(cold: &SlowStart, balancers: u32, hot: bool, replaced: bool) -> (f64, f64, f64) {
-    const HOSTS: u32 = 25;
-    let config = PolicyConfig { balancers, slow_start: cold.clone(), ..policy_config() };
-    let hosts: Vec<_> = (0..HOSTS).map(endpoint).collect();
-    let started = |host: u32| host.is_multiple_of(4) && host > 0;
-    let at = 8_000 * MS;
-    let anew = |host| Endpoint { started_at: Some(at).filter(|_| started(host)), ..endpoint(host) };
-    let mut all: Vec<Fleet> = (0..balancers)
-        .map(|nth| Fleet::new(&PolicyConfig { seed: u64::from(nth), ..config.clone() }, hosts.clone()))
-        .collect();
-    let hot_key = keys(500).into_iter().find(|key| all[0].served(key)[0] == HostId(4)).expect("a key");
-    all[0] = Fleet::new(&PolicyConfig { seed: 900, ..config.clone() }, hosts);
-    let (mut rng, mut attempts, mut nowhere) = (SeededRng::new(5), Vec::new(), 0.0);
-    let mut out: VecDeque<(Micros, usize, RequestId, HostId)> = VecDeque::new();
-    for tick in 0..14_000 {
+/// host in the same instant. Where one is `replaced`, another process takes over from the first
+/// balancer in the midst of the warming.
+struct HostsStartedAnew {
+    config: PolicyConfig,
+    hot: bool,
+    replaced: bool,
+    hot_key: String,
+    fleets: Vec<Fleet>,
+    rng: SeededRng,
+    in_flight: VecDeque<InFlight>,
+    /// When and where each attempt was sent.
+    attempts: Vec<(Micros, HostId)>,
+    /// The part of the requests that went nowhere.
+    nowhere: f64,
+}
+
+struct InFlight {
+    ends_at: Micros,
+    balancer: usize,
+    request: RequestId,
+    host: HostId,
+}
+
+fn is_started_anew(host: u32) -> bool {
+    host.is_multiple_of(4) && host > 0
+}
+
+impl HostsStartedAnew {
+    fn new(cold: &SlowStart, balancers: u32, hot: bool, replaced: bool) -> HostsStartedAnew {
+        let config = PolicyConfig { balancers, slow_start: cold.clone(), ..policy_config() };
+        let hosts: Vec<_> = (0..PLAYED_HOSTS).map(endpoint).collect();
+        let start = |seed: u64| Fleet::new(&PolicyConfig { seed, ..config.clone() }, hosts.clone());
+        let mut fleets: Vec<Fleet> = (0..u64::from(balancers)).map(start).collect();
+        let mut is_at_cold_host = |key: &String| fleets[0].served(key)[0] == HostId(4);
+        let hot_key = keys(500).into_iter().find(&mut is_at_cold_host).expect("a key");
+        fleets[0] = start(900);
+        HostsStartedAnew {
+            config,
+            hot,
+            replaced,
+            hot_key,
+            fleets,
+            rng: SeededRng::new(5),
+            in_flight: VecDeque::new(),
+            attempts: Vec::new(),
+            nowhere: 0.0,
+        }
+    }
+
+    /// The endpoint list after the start.
+    fn list() -> Vec<Endpoint> {
+        let started_at = |host: u32| Some(STARTED_ANEW_AT).filter(|_| is_started_anew(host));
+        (0..PLAYED_HOSTS).map(|host| Endpoint { started_at: started_at(host), ..endpoint(host) }).collect()
+    }
+
+    fn tick(&mut self, tick: i64) {
         let now = tick * MS;
-        if replaced && now == at + 900 * MS {
-            // It gets the list as it stands and the limits that the old one learned; that one ends
-            // what it has in flight.
-            let endpoints = (0..HOSTS).map(anew).collect();
-            let mut new = Fleet::new(&PolicyConfig { seed: 901, ..config.clone() }, endpoints);
-            new.now = now;
-            new.handle(PolicyEvent::LimitsLearned(all[0].learned_limits()));
-            let old = std::mem::replace(&mut all[0], new);
-            all.push(old);
-            out.iter_mut()
-                .filter(|attempt| attempt.1 == 0)
-                .for_each(|attempt| attempt.1 = balancers as usize);
+        if self.replaced && now == STARTED_ANEW_AT + 900 * MS {
+            self.replace_first(now);
         }
-        while out.front().is_some_and(|next| next.0 <= now) {
-            let (_, nth, request, host) = out.pop_front().expect("there is one");
-            all[nth].now = now;
-            all[nth].attempt_ended(request, 0, host, AttemptOutcome::Succeeded, 60 * MS);
+        while self.in_flight.front().is_some_and(|next| next.ends_at <= now) {
+            let InFlight { balancer, request, host, .. } = self.in_flight.pop_front().expect("there is one");
+            self.fleets[balancer].now = now;
+            self.fleets[balancer].attempt_ended(request, 0, host, AttemptOutcome::Succeeded, 60 * MS);
         }
-        for (nth, fleet) in all.iter_mut().enumerate() {
-            if (tick + nth as i64) % 50 == 0 {
-                fleet.now = now;
-                if now / (50 * MS) == at / (50 * MS) {
-                    fleet.handle(PolicyEvent::Endpoints {
-                        complete: true,
-                        endpoints: (0..HOSTS).map(anew).collect(),
-                    });
-                }
-                fleet.handle(PolicyEvent::TimerFired(Timer::Sweep));
+        let due = |nth: usize| (tick + nth as i64) % 50 == 0;
+        for (_, fleet) in self.fleets.iter_mut().enumerate().filter(|(nth, _)| due(*nth)) {
+            fleet.now = now;
+            if now / (50 * MS) == STARTED_ANEW_AT / (50 * MS) {
+                let endpoints = HostsStartedAnew::list();
+                fleet.handle(PolicyEvent::Endpoints { complete: true, endpoints });
             }
+            fleet.handle(PolicyEvent::TimerFired(Timer::Sweep));
         }
-        let nth = (rng.draw() % u64::from(balancers)) as usize;
-        let key = format!("key-{}", rng.draw() % 20_000);
-        let reads_hot_key = hot && now >= at && rng.draw() % 10 == 0;
-        all[nth].now = now;
-        let (request, actions) = all[nth].request(READ, if reads_hot_key { &hot_key } else { &key });
+        self.request(now);
+    }
+
+    /// The new process gets the list as it stands and the limits that the old one learned; that one
+    /// ends what it has in flight.
+    fn replace_first(&mut self, now: Micros) {
+        let config = PolicyConfig { seed: 901, ..self.config.clone() };
+        let mut new = Fleet::new(&config, HostsStartedAnew::list());
+        new.now = now;
+        new.handle(PolicyEvent::LimitsLearned(self.fleets[0].learned_limits()));
+        let old = std::mem::replace(&mut self.fleets[0], new);
+        self.fleets.push(old);
+        let last = self.fleets.len() - 1;
+        let of_old = self.in_flight.iter_mut().filter(|attempt| attempt.balancer == 0);
+        of_old.for_each(|attempt| attempt.balancer = last);
+    }
+
+    fn request(&mut self, now: Micros) {
+        let balancer = (self.rng.draw() % u64::from(self.config.balancers)) as usize;
+        let drawn_key = format!("key-{}", self.rng.draw() % 20_000);
+        let reads_hot_key = self.hot && now >= STARTED_ANEW_AT && self.rng.draw().is_multiple_of(10);
+        let key = if reads_hot_key { &self.hot_key } else { &drawn_key };
+        self.fleets[balancer].now = now;
+        let (request, actions) = self.fleets[balancer].request(READ, key);
         match attempted(&actions).first() {
             Some(&host) => {
-                out.push_back((now + 60 * MS, nth, request, host));
-                attempts.push((now, host));
+                self.in_flight.push_back(InFlight { ends_at: now + 60 * MS, balancer, request, host });
+                self.attempts.push((now, host));
             }
-            None if now >= at => nowhere += 1.0 / 6_000.0,
+            None if now >= STARTED_ANEW_AT => self.nowhere += 1.0 / 6_000.0,
             None => {}
         }
     }
-    // As many as a host of full load bears in the window, by what it surely has in the middle of it.
-    let window = cold.overload_window;
-    let bears = (window / MS) as f64 / f64::from(HOSTS);
+
+    /// What a host got in a window, over as much as a host of full load bears in it, by what it
+    /// surely has in the middle of it.
+    fn load_in(&self, host: u32, from: Micros) -> f64 {
+        let cold = &self.config.slow_start;
+        let window = from..from + cold.overload_window;
+        let bears = (cold.overload_window / MS) as f64 / f64::from(PLAYED_HOSTS);
+        let there = |sent: &&(Micros, HostId)| sent.1 == HostId(host) && window.contains(&sent.0);
+        let got = self.attempts.iter().filter(there).count() as f64;
+        let capacity = cold.minimum_capacity(from + cold.overload_window / 2 - STARTED_ANEW_AT);
+        got / (cold.overload_multiple * capacity * bears)
+    }
+}
+
+/// What the cold hosts got of what would overload them in their worst window, at most and on
+/// average, and the part of the requests that went nowhere.
+fn hosts_started_anew(cold: &SlowStart, balancers: u32, hot: bool, replaced: bool) -> (f64, f64, f64) {
+    let mut play = HostsStartedAnew::new(cold, balancers, hot, replaced);
+    (0..14_000).for_each(|tick| play.tick(tick));
     let worst = |host: u32| {
-        let got_in = |from: Micros| {
-            let got = attempts
-                .iter()
-                .filter(|attempt| attempt.1 == HostId(host) && (from..from + window).contains(&attempt.0));
-            got.count() as f64
-                / (config.slow_start.overload_multiple
-                    * config.slow_start.minimum_capacity(from + window / 2 - at)
-                    * bears)
-        };
-        (0..6).map(|nth| got_in(at + nth * 500 * MS)).fold(0.0, f64::max)
+        let windows = (0..6).map(|nth| play.load_in(host, STARTED_ANEW_AT + nth * 500 * MS));
+        windows.fold(0.0, f64::max)
     };
-    let worst: Vec<f64> = (0..HOSTS).filter(|&host| started(host)).map(worst).collect();
-    (worst.iter().copied().fold(0.0, f64::max), worst.iter().sum::<f64>() / worst.len() as f64, nowhere)
+    let worst: Vec<f64> = (0..PLAYED_HOSTS).filter(|&host| is_started_anew(host)).map(worst).collect();
+    let most = worst.iter().copied().fold(0.0, f64::max);
+    (most, worst.iter().sum::<f64>() / worst.len() as f64, play.nowhere)
 }
 
 /// The same as a table for so many balancers, with each figure under a bound.
 fn started_anew(cold: &SlowStart, balancers: &[u32], replaced: bool, under: f64) -> String {
-    let mut table = "balancers  hot key  most of what attempts over  mean  requests given up\n".to_owned();
+    let mut table = "balancers  hot key  most of what overloads    mean  requests given up\n".to_owned();
     for &balancers in balancers {
         for hot in [false, true] {
             let (most, mean, nowhere) = hosts_started_anew(cold, balancers, hot, replaced);
@@ -1037,7 +1093,7 @@
 fn slow_start_process_takeover_overloads_no_host() {
     let table = started_anew(&policy_config().slow_start, &[1, 2, 20], true, 1.0);
     expect![[r#"
-        balancers  hot key  most of what attempts over  mean  requests given up
+        balancers  hot key  most of what overloads    mean  requests given up
         1          false    0.47                      0.44  0.000
         1          true     0.51                      0.38  0.000
         2          false    0.52                      0.45  0.000
@@ -1052,7 +1108,7 @@
 fn slow_start_all_balancers_together_overload_no_host() {
     let table = started_anew(&policy_config().slow_start, &[1, 2, 20, 100, 900], false, 0.9);
     expect![[r#"
-        balancers  hot key  most of what attempts over  mean  requests given up
+        balancers  hot key  most of what overloads    mean  requests given up
         1          false    0.56                      0.47  0.000
         1          true     0.72                      0.46  0.000
         2          false    0.57                      0.48  0.000
@@ -1079,12 +1135,12 @@
     let slowly = started_anew(&cold(0.12, 24_000 * MS), &[13, 117], false, 1.1);
     let quickly = started_anew(&cold(0.3, 8_900 * MS), &[62, 420], false, 1.1);
     expect![[r#"
-        balancers  hot key  most of what attempts over  mean  requests given up
+        balancers  hot key  most of what overloads    mean  requests given up
         13         false    0.90                      0.61  0.000
         13         true     0.81                      0.53  0.000
         117        false    0.52                      0.37  0.000
         117        true     0.79                      0.45  0.000
-        balancers  hot key  most of what attempts over  mean  requests given up
+        balancers  hot key  most of what overloads    mean  requests given up
         62         false    0.64                      0.47  0.000
         62         true     0.97                      0.53  0.000
         420        false    0.44                      0.34  0.000
--- a/tests/mixed.rs
+++ b/tests/mixed.rs
@@ -42,11 +42,12 @@
     config
 }
 
+/// A request: its balancer's kind, the balancer among those, and its number there.
+type RequestKey = (usize, usize, RequestId);
+
 /// What reaches a host: whose it is, and when it is done.
 struct InFlight {
-    kind: usize,
-    nth: usize,
-    request: RequestId,
+    key: RequestKey,
     attempt: u32,
     host: HostId,
     sent: Micros,
@@ -59,7 +60,7 @@
     class: u16,
     at: Micros,
     answers: u32,
-    out: u32,
+    attempts: u32,
     /// When it was begun at hosts.
     runs: Vec<Micros>,
 }
@@ -68,7 +69,7 @@
     kinds: [Vec<Fleet>; 2],
     free_at: Vec<Micros>,
     in_flight: Vec<InFlight>,
-    requests: BTreeMap<(usize, usize, RequestId), Taken>,
+    requests: BTreeMap<RequestKey, Taken>,
     /// By kind: reads taken, and answered within the target latency.
     served: [(u32, u32); 2],
     to_started: Vec<Micros>,
@@ -105,83 +106,87 @@
         for action in actions {
             match action {
                 PolicyAction::StartAttempt { request, host, timeout } => {
-                    let taken =
-                        self.requests.get_mut(&(kind, nth, request)).expect("a request that was taken");
-                    let others = self
-                        .in_flight
-                        .iter()
-                        .any(|out| (out.kind, out.nth, out.request) == (kind, nth, request));
-                    if taken.answers > 0 {
-                        self.broken.push("an attempt after the final answer".to_owned());
-                    }
-                    if kind == 1 && others {
-                        self.broken.push("two attempts of a request in flight".to_owned());
-                    }
-                    if host == HostId(DRAINED) && now >= DRAIN_AT {
-                        self.broken.push("an attempt to a host that drains".to_owned());
-                    }
-                    if host == HostId(STARTED) && now >= START_AT {
-                        self.to_started.push(now);
-                    }
-                    let free = &mut self.free_at[host.0 as usize];
-                    let (ends, outcome) = if *free - now > QUEUE as Micros * WORK {
-                        (now + MS, AttemptOutcome::Rejected)
-                    } else if host == HostId(HUNG) && HANGS.contains(&now) {
-                        taken.runs.push(now);
-                        (now + timeout, AttemptOutcome::TimedOut)
-                    } else {
-                        taken.runs.push((*free).max(now));
-                        *free = (*free).max(now) + WORK;
-                        if *free > now + timeout {
-                            (now + timeout, AttemptOutcome::TimedOut)
-                        } else {
-                            (*free, AttemptOutcome::Succeeded)
-                        }
-                    };
-                    let attempt = taken.out;
-                    taken.out += 1;
-                    self.in_flight.push(InFlight {
-                        kind,
-                        nth,
-                        request,
-                        attempt,
-                        host,
-                        sent: now,
-                        ends,
-                        outcome,
-                    });
+                    self.check_start((kind, nth, request), host, now);
+                    self.start_attempt((kind, nth, request), host, timeout, now);
                 }
                 PolicyAction::CancelAttempt { request, attempt } => {
-                    let named = |out: &&mut InFlight| {
-                        (out.kind, out.nth, out.request, out.attempt) == (kind, nth, request, attempt.0)
-                    };
-                    // What waits or runs goes on: cancelling proves nothing.
-                    if let Some(out) = self.in_flight.iter_mut().find(named) {
-                        (out.ends, out.outcome) = (now + MS, AttemptOutcome::Cancelled);
-                    }
-                }
-                PolicyAction::Reject { request, .. } | PolicyAction::Fail { request } => {
-                    let taken =
-                        self.requests.get_mut(&(kind, nth, request)).expect("a request that was taken");
-                    taken.answers += 1;
-                    if matches!(action, PolicyAction::Reject { .. })
-                        && taken.class == ONCE.0
-                        && !taken.runs.is_empty()
-                    {
-                        self.broken
-                            .push("a rejection of an at-most-once request that may have run".to_owned());
-                    }
+                    self.cancel((kind, nth, request), attempt, now);
                 }
+                PolicyAction::Reject { request, .. } => self.answer((kind, nth, request), true),
+                PolicyAction::Fail { request } => self.answer((kind, nth, request), false),
                 PolicyAction::SetTimer { .. } | PolicyAction::WatchDiscovery => {}
             }
         }
     }
 
+    fn taken(&mut self, key: RequestKey) -> &mut Taken {
+        self.requests.get_mut(&key).expect("a request that was taken")
+    }
+
+    /// Whether an attempt that starts keeps the rules.
+    fn check_start(&mut self, key: RequestKey, host: HostId, now: Micros) {
+        let has_others = self.in_flight.iter().any(|out| out.key == key);
+        if self.taken(key).answers > 0 {
+            self.broken.push("an attempt after the final answer".to_owned());
+        }
+        if key.0 == 1 && has_others {
+            self.broken.push("two attempts of a request in flight".to_owned());
+        }
+        if host == HostId(DRAINED) && now >= DRAIN_AT {
+            self.broken.push("an attempt to a host that drains".to_owned());
+        }
+    }
+
+    /// Has the host work on it: when it will end there, and how.
+    fn start_attempt(&mut self, key: RequestKey, host: HostId, timeout: Micros, now: Micros) {
+        if host == HostId(STARTED) && now >= START_AT {
+            self.to_started.push(now);
+        }
+        let free_at = self.free_at[host.0 as usize];
+        let taken = self.taken(key);
+        let attempt = taken.attempts;
+        taken.attempts += 1;
+        let (ends, outcome) = if free_at - now > QUEUE as Micros * WORK {
+            (now + MS, AttemptOutcome::Rejected)
+        } else if host == HostId(HUNG) && HANGS.contains(&now) {
+            taken.runs.push(now);
+            (now + timeout, AttemptOutcome::TimedOut)
+        } else {
+            let begins = free_at.max(now);
+            taken.runs.push(begins);
+            self.free_at[host.0 as usize] = begins + WORK;
+            if begins + WORK > now + timeout {
+                (now + timeout, AttemptOutcome::TimedOut)
+            } else {
+                (begins + WORK, AttemptOutcome::Succeeded)
+            }
+        };
+        self.in_flight.push(InFlight { key, attempt, host, sent: now, ends, outcome });
+    }
+
+    /// What waits or runs goes on: cancelling proves nothing.
+    fn cancel(&mut self, key: RequestKey, attempt: AttemptNumber, now: Micros) {
+        let named = |out: &&mut InFlight| out.key == key && out.attempt == attempt.0;
+        if let Some(out) = self.in_flight.iter_mut().find(named) {
+            (out.ends, out.outcome) = (now + MS, AttemptOutcome::Cancelled);
+        }
+    }
+
+    /// A final answer that no host brought.
+    fn answer(&mut self, key: RequestKey, is_rejection: bool) {
+        let taken = self.taken(key);
+        taken.answers += 1;
+        if is_rejection && taken.class == ONCE.0 && !taken.runs.is_empty() {
+            self.broken.push("a rejection of an at-most-once request that may have run".to_owned());
+        }
+    }
+
     fn tick(&mut self, now: Micros, rng: &mut SeededRng) {
         let due = |out: &InFlight| out.ends <= now;
         while let Some(at) = self.in_flight.iter().position(due) {
-            let InFlight { kind, nth, request, attempt, host, sent, outcome, .. } = self.in_flight.remove(at);
-            let taken = self.requests.get_mut(&(kind, nth, request)).expect("a request that was taken");
+            let InFlight { key, attempt, host, sent, outcome, .. } = self.in_flight.remove(at);
+            let (kind, nth, request) = key;
+            let taken = self.taken(key);
             let finished = taken.answers > 0;
             if outcome == AttemptOutcome::Succeeded && !finished {
                 taken.answers += 1;
