--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -41,10 +41,6 @@
     nowhere: f64,
 }
 
-fn keys(count: u32) -> Vec<String> {
-    (0..count).map(|key| format!("key-{key}")).collect()
-}
-
 /// A play under way: its balancers, what is in flight, and what the hosts got.
 struct Simulation {
     play: Play,
@@ -247,6 +243,7 @@
     let equal = table(40, &[1, 2, 20, 30, 300, 14_000], false);
     let unequal = table(40, &[20, 30, 300, 14_000], true);
     let busy = table(300, &[30, 300, 14_000], false);
+
     expect![[r#"
         40 requests/s, equal traffic
         balancers  some  hot   all   hot   fresh both   mean  all   none  all
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -215,6 +215,26 @@
     text
 }
 
+/// A balancer before so many hosts.
+pub fn fleet(hosts: u32) -> Fleet {
+    Fleet::new(&policy_config(), (0..hosts).map(endpoint).collect())
+}
+
+/// So many keys.
+pub fn keys(count: u32) -> Vec<String> {
+    (0..count).map(|key| format!("key-{key}")).collect()
+}
+
+/// The hosts that so many keys are read from, each served.
+pub fn homes(fleet: &mut Fleet, count: u32) -> Vec<HostId> {
+    keys(count).iter().map(|key| fleet.served(key)[0]).collect()
+}
+
+/// One of `balancers` that share so many hosts: of hundreds each sees little.
+pub fn large(balancers: u32, hosts: u32) -> Fleet {
+    Fleet::new(&PolicyConfig { balancers, ..policy_config() }, (0..hosts).map(endpoint).collect())
+}
+
 /// How long an event may take to come before a test fails.
 const PATIENCE: Duration = Duration::from_secs(15);
 
--- /dev/null
+++ b/tests/decisions/endpoints.rs
@@ -0,0 +1,126 @@
+//! What the endpoint list does: hosts that drain, go, or are dropped; calls that fail.
+
+use basaltwood::types::*;
+use expect_test::expect;
+
+use crate::common::*;
+
+#[test]
+fn host_draining_or_gone_gets_no_attempt() {
+    let mut lines = String::new();
+    for way in ["change", "gone", "missing from the whole list", "origin gone"] {
+        let mut config = policy_config();
+        config.capabilities.cache_aside = way.starts_with("origin");
+        let origin = Endpoint { origin: true, ..endpoint(1) };
+        let hosts = if config.capabilities.cache_aside {
+            vec![endpoint(0), origin.clone()]
+        } else {
+            vec![endpoint(0)]
+        };
+        let mut fleet = Fleet::new(&config, hosts);
+        let event = match way {
+            "change" => PolicyEvent::Endpoints {
+                complete: false,
+                endpoints: vec![Endpoint { lifecycle: Lifecycle::Draining, ..endpoint(0) }],
+            },
+            "gone" => PolicyEvent::Endpoints {
+                complete: false,
+                endpoints: vec![Endpoint { lifecycle: Lifecycle::Gone, ..endpoint(0) }],
+            },
+            "origin gone" => PolicyEvent::Endpoints {
+                complete: false,
+                endpoints: vec![Endpoint { lifecycle: Lifecycle::Gone, ..origin }],
+            },
+            _ => PolicyEvent::Endpoints { complete: true, endpoints: Vec::new() },
+        };
+        fleet.handle(event);
+        let class = if config.capabilities.cache_aside { ONCE } else { READ };
+        lines += &format!("{way}: {}\n", trace(&fleet.request(class, "k").1));
+    }
+
+    expect![[r#"
+        change: reject, retry after 400
+        gone: reject, retry after 400
+        missing from the whole list: reject, retry after 400
+        origin gone: reject, retry after 400
+    "#]]
+    .assert_eq(&lines);
+}
+
+#[test]
+fn host_dropped_from_list_stays_while_it_answers() {
+    let mut lines = Vec::new();
+    for keeps_dropped_hosts in [false, true] {
+        let config = PolicyConfig {
+            capabilities: Capabilities { keeps_dropped_hosts, ..policy_config().capabilities },
+            ..policy_config()
+        };
+        let mut fleet = Fleet::new(&config, (0..4).map(endpoint).collect());
+        let fleet_of = |fleet: &mut Fleet| {
+            let mut homes: Vec<u32> =
+                keys(60).iter().flat_map(|key| fleet.served(key)).map(|host| host.0).collect();
+            homes.sort();
+            homes.dedup();
+            format!("{homes:?}")
+        };
+        let mut line = fleet_of(&mut fleet);
+        let drains = Endpoint { lifecycle: Lifecycle::Draining, ..endpoint(3) };
+        fleet.handle(PolicyEvent::Endpoints { complete: false, endpoints: vec![drains] });
+        fleet.handle(PolicyEvent::Endpoints { complete: true, endpoints: Vec::new() });
+        line += &format!(", emptied {}", fleet_of(&mut fleet));
+        // One that is really gone loses what it is sent, and is left until the list names it again.
+        let mut lost = 0;
+        for key in keys(300) {
+            let (request, actions) = fleet.request(READ, &key);
+            for (attempt, &host) in attempted(&actions).iter().enumerate() {
+                let outcome =
+                    if host == HostId(1) { AttemptOutcome::Unreachable } else { AttemptOutcome::Succeeded };
+                lost += usize::from(host == HostId(1));
+                fleet.attempt_ended(request, attempt as u32, host, outcome, MS);
+            }
+            fleet.pass(50 * MS);
+        }
+        line += &format!(", one gone {} after {lost} attempts", fleet_of(&mut fleet));
+        fleet.handle(PolicyEvent::Endpoints { complete: true, endpoints: (0..3).map(endpoint).collect() });
+        line += &format!(", listed again {}", fleet_of(&mut fleet));
+        lines.push(line);
+    }
+
+    expect![[r#"
+        [0, 1, 2, 3], emptied [], one gone [] after 0 attempts, listed again [0, 1, 2]
+        [0, 1, 2, 3], emptied [0, 1, 2], one gone [0, 2] after 2 attempts, listed again [0, 1, 2]"#]]
+    .assert_eq(&lines.join("\n"));
+}
+
+#[test]
+fn discovery_failed_is_watched_again_and_same_events_give_same_actions() {
+    let run = || {
+        let mut fleet = Fleet::new(
+            &PolicyConfig {
+                capabilities: Capabilities { polls_discovery: true, ..policy_config().capabilities },
+                ..policy_config()
+            },
+            Vec::new(),
+        );
+        let mut lines = String::new();
+        for event in [
+            PolicyEvent::DiscoveryFailed,
+            PolicyEvent::TimerFired(Timer::Watch),
+            PolicyEvent::DiscoveryFailed,
+        ] {
+            let actions = fleet.handle(event);
+            lines += &format!("{}\n", trace(&actions));
+        }
+        fleet.handle(PolicyEvent::Endpoints { complete: true, endpoints: (0..5).map(endpoint).collect() });
+        let homes: Vec<u32> = homes(&mut fleet, 12).iter().map(|home| home.0).collect();
+        lines + &format!("homes {homes:?}")
+    };
+
+    assert_eq!(run(), run());
+    expect![[r#"
+        timer Watch
+        watch
+        timer Watch
+        homes [0, 2, 4, 3, 2, 2, 3, 2, 4, 1, 4, 0]"#]]
+    .assert_eq(&run());
+}
--- /dev/null
+++ b/tests/decisions/main.rs
@@ -0,0 +1,11 @@
+//! What a balancer decides, as short traces to be read.
+
+#[path = "../common/mod.rs"]
+mod common;
+
+mod endpoints;
+mod host_health;
+mod limits;
+mod retries;
+mod ring;
+mod slow_start;
--- /dev/null
+++ b/tests/decisions/retries.rs
@@ -0,0 +1,288 @@
+//! Which outcomes lead to another attempt, and how a request ends.
+
+use basaltwood::types::*;
+use expect_test::expect;
+
+use crate::common::*;
+
+#[test]
+fn attempt_of_each_outcome_is_retried_as_its_class_allows() {
+    let outcomes = [
+        AttemptOutcome::Succeeded,
+        AttemptOutcome::Error,
+        AttemptOutcome::Rejected,
+        AttemptOutcome::TimedOut,
+        AttemptOutcome::Unreachable,
+        AttemptOutcome::ConnectionLost,
+        AttemptOutcome::Cancelled,
+        AttemptOutcome::NotSent,
+    ];
+    let mut lines = String::new();
+    for (name, class) in [("idempotent", READ), ("idempotency-key", KEYED), ("at-most-once", ONCE)] {
+        for outcome in outcomes {
+            let mut fleet = fleet(4);
+            let (request, actions) = fleet.request(class, "k");
+            fleet.now += 50 * MS;
+            let next = fleet.attempt_ended(request, 0, attempted(&actions)[0], outcome, 50 * MS);
+            lines += &format!("{name} {outcome:?}: {}\n", trace(&next));
+        }
+    }
+
+    expect![[r#"
+        idempotent Succeeded: nothing
+        idempotent Error: attempt h2 for 748
+        idempotent Rejected: attempt h2 for 748
+        idempotent TimedOut: attempt h2 for 748
+        idempotent Unreachable: attempt h2 for 748
+        idempotent ConnectionLost: attempt h2 for 748
+        idempotent Cancelled: attempt h2 for 748
+        idempotent NotSent: attempt h2 for 748
+        idempotency-key Succeeded: nothing
+        idempotency-key Error: attempt h1 for 748
+        idempotency-key Rejected: attempt h2 for 748
+        idempotency-key TimedOut: attempt h1 for 748
+        idempotency-key Unreachable: attempt h2 for 748
+        idempotency-key ConnectionLost: attempt h1 for 748
+        idempotency-key Cancelled: attempt h1 for 748
+        idempotency-key NotSent: attempt h2 for 748
+        at-most-once Succeeded: nothing
+        at-most-once Error: fail
+        at-most-once Rejected: attempt h2 for 748
+        at-most-once TimedOut: fail
+        at-most-once Unreachable: attempt h2 for 748
+        at-most-once ConnectionLost: fail
+        at-most-once Cancelled: fail
+        at-most-once NotSent: attempt h2 for 748
+    "#]]
+    .assert_eq(&lines);
+}
+
+#[test]
+fn request_attempts_exhausted_fails_once() {
+    let mut fleet = fleet(6);
+    let (request, mut actions) = fleet.request(READ, "k");
+    let mut lines = String::new();
+    for attempt in 0..4 {
+        let Some(&host) = attempted(&actions).first() else { break };
+        fleet.now += 10 * MS;
+        actions = fleet.attempt_ended(request, attempt, host, AttemptOutcome::Error, 10 * MS);
+        lines += &format!("{}\n", trace(&actions));
+    }
+    lines +=
+        &format!("late: {}", trace(&fleet.attempt_ended(request, 0, HostId(0), AttemptOutcome::TimedOut, 0)));
+
+    expect![[r#"
+        attempt h3 for 788
+        fail
+        late: nothing"#]]
+    .assert_eq(&lines);
+}
+
+#[test]
+fn idempotency_key_outside_scope_or_window_is_not_retried() {
+    let mut lines = String::new();
+    for after in [100, 990] {
+        let mut fleet = fleet(6);
+        let (request, actions) = fleet.request(KEYED, "k");
+        let first = attempted(&actions)[0];
+        fleet.now += after * MS;
+        let next = fleet.attempt_ended(request, 0, first, AttemptOutcome::ConnectionLost, after * MS);
+        lines += &format!("first {first:?}, after {after} ms: {}\n", trace(&next));
+    }
+
+    expect![[r#"
+        first HostId(5), after 100 ms: attempt h3 for 698
+        first HostId(5), after 990 ms: fail
+    "#]]
+    .assert_eq(&lines);
+}
+
+#[test]
+fn key_failing_everywhere_gets_one_attempt_and_no_host_is_blamed() {
+    let mut fleet = fleet(4);
+    let mut lines = Vec::new();
+    // Every attempt of this request gets an error; how many it had, and how it ended.
+    let fails = |fleet: &mut Fleet, key: &str| {
+        let (request, mut actions) = fleet.request(READ, key);
+        let (mut attempts, mut last) = (0, Vec::new());
+        while let Some(&host) = attempted(&actions).first() {
+            actions = fleet.attempt_ended(request, attempts, host, AttemptOutcome::Error, MS);
+            attempts += 1;
+            last = actions.clone();
+        }
+        format!("{attempts} attempts, {}", trace(&last))
+    };
+    for nth in 0..8 {
+        let line = fails(&mut fleet, "bad");
+        fleet.pass(100 * MS);
+        lines.push(format!("bad {nth}: {line}, good requests at {} hosts", {
+            let mut homes = homes(&mut fleet, 60);
+            homes.sort();
+            homes.dedup();
+            homes.len()
+        }));
+    }
+    // A value ends it: the key is as good as any.
+    fleet.served("bad");
+    lines.push(format!("after a value: {}", fails(&mut fleet, "bad")));
+
+    expect![[r#"
+        bad 0: 2 attempts, fail, good requests at 4 hosts
+        bad 1: 1 attempts, fail, good requests at 4 hosts
+        bad 2: 1 attempts, fail, good requests at 4 hosts
+        bad 3: 1 attempts, fail, good requests at 4 hosts
+        bad 4: 1 attempts, fail, good requests at 4 hosts
+        bad 5: 1 attempts, fail, good requests at 4 hosts
+        bad 6: 1 attempts, fail, good requests at 4 hosts
+        bad 7: 1 attempts, fail, good requests at 4 hosts
+        after a value: 2 attempts, fail"#]]
+    .assert_eq(&lines.join("\n"));
+}
+
+#[test]
+fn host_failing_everything_is_found_among_failing_requests() {
+    let mut fleet = fleet(4);
+    let ill = HostId(2);
+    let mut lines = Vec::new();
+    for round in 0..4 {
+        let (mut bad_attempts, mut at_ill, mut unserved) = (0, 0, 0);
+        for nth in 0..120 {
+            // Each third request gets an error wherever it goes, and its key comes once.
+            let bad = nth % 3 == 0;
+            let (request, mut actions) = fleet.request(READ, &format!("{round}-{nth}"));
+            let (mut attempt, mut served) = (0, false);
+            while let Some(&host) = attempted(&actions).first() {
+                fleet.pass(50 * MS);
+                let fails = bad || host == ill;
+                at_ill += usize::from(!bad && host == ill);
+                actions = fleet.attempt_ended(
+                    request,
+                    attempt,
+                    host,
+                    if fails { AttemptOutcome::Error } else { AttemptOutcome::Succeeded },
+                    50 * MS,
+                );
+                (attempt, served) = (attempt + 1, !fails);
+            }
+            bad_attempts += if bad { attempt } else { 0 };
+            unserved += usize::from(!bad && !served);
+        }
+        let bad = format!("{bad_attempts} attempts of 40 bad requests");
+        let good = format!("of 80 good ones {at_ill} at the ill host, {unserved} unserved");
+        lines.push(format!("{bad}; {good}"));
+    }
+
+    expect![[r#"
+        56 attempts of 40 bad requests; of 80 good ones 5 at the ill host, 2 unserved
+        42 attempts of 40 bad requests; of 80 good ones 5 at the ill host, 5 unserved
+        41 attempts of 40 bad requests; of 80 good ones 6 at the ill host, 6 unserved
+        41 attempts of 40 bad requests; of 80 good ones 5 at the ill host, 4 unserved"#]]
+    .assert_eq(&lines.join("\n"));
+}
+
+#[test]
+fn host_rejecting_everything_is_left_and_unreached_attempts_are_refunded() {
+    let mut busy = fleet(3);
+    let drains = HostId(1);
+    // It drains, and the list does not say so. More requests than the budget of further attempts has.
+    let (mut selected, mut given_up) = (0, 0);
+    for key in keys(400) {
+        let (request, actions) = busy.request(READ, &key);
+        let Some(&home) = attempted(&actions).first() else { continue };
+        let (mut host, mut attempt) = (home, 0);
+        selected += usize::from(host == drains);
+        while host == drains {
+            let actions = busy.attempt_ended(request, attempt, host, AttemptOutcome::Rejected, MS);
+            attempt += 1;
+            let Some(&next) = attempted(&actions).first() else { break };
+            host = next;
+        }
+        given_up += usize::from(host == drains);
+        busy.pass(50 * MS);
+        if host != drains {
+            busy.attempt_ended(request, attempt, host, AttemptOutcome::Succeeded, 50 * MS);
+        }
+    }
+    let mut lines = format!("selected {selected} times in 20 s, {given_up} requests given up\n");
+    let mut refused = fleet(9);
+    let (request, mut actions) = refused.request(READ, "k");
+    let mut attempts = 0;
+    while let Some(&host) = attempted(&actions).first() {
+        actions = refused.attempt_ended(request, attempts, host, AttemptOutcome::Unreachable, 0);
+        attempts += 1;
+    }
+    lines += &format!("unreachable everywhere: {attempts} attempts, {}\n", trace(&actions));
+
+    expect![[r#"
+        selected 33 times in 20 s, 6 requests given up
+        unreachable everywhere: 4 attempts, reject, retry after 400
+    "#]]
+    .assert_eq(&lines);
+}
+
+#[test]
+fn request_without_host_or_origin_is_answered_at_once() {
+    let mut lines = format!("no host: {}\n", trace(&fleet(0).request(READ, "k").1));
+    let cache_aside = PolicyConfig {
+        capabilities: Capabilities { cache_aside: true, ..policy_config().capabilities },
+        ..policy_config()
+    };
+    let mut fleet = Fleet::new(&cache_aside, vec![endpoint(0)]);
+    let (request, _) = fleet.request(READ, "k");
+    lines += &format!(
+        "miss, no origin: {}\n",
+        trace(&fleet.attempt_ended(request, 0, HostId(0), AttemptOutcome::Miss, MS))
+    );
+    lines += &format!("write, no origin: {}\n", trace(&fleet.request(ONCE, "k").1));
+    fleet.handle(PolicyEvent::Endpoints {
+        complete: false,
+        endpoints: vec![Endpoint { origin: true, ..endpoint(1) }],
+    });
+    let (request, _) = fleet.request(READ, "k");
+    lines +=
+        &format!("miss: {}\n", trace(&fleet.attempt_ended(request, 0, HostId(0), AttemptOutcome::Miss, MS)));
+    lines += &format!("write: {}", trace(&fleet.request(ONCE, "k").1));
+
+    expect![[r#"
+        no host: reject, retry after 400
+        miss, no origin: reject, retry after 400
+        write, no origin: reject, retry after 400
+        miss: attempt h1 for 798
+        write: attempt h1 for 798"#]]
+    .assert_eq(&lines);
+}
+
+/// Where one attempt of a request may be out, its host's silence moves nothing and costs it
+/// nothing: once that attempt has ended it has its further ones still, as its class allows.
+#[test]
+fn request_without_hedging_at_silent_host_keeps_its_retries() {
+    let one = PolicyConfig {
+        capabilities: Capabilities { hedging: false, ..policy_config().capabilities },
+        ..policy_config()
+    };
+    let mut lines = String::new();
+    for (name, class) in [("idempotent", READ), ("idempotency-key", KEYED), ("at-most-once", ONCE)] {
+        let mut fleet = Fleet::new(&one, (0..4).map(endpoint).collect());
+        let key =
+            keys(200).into_iter().find(|key| fleet.served(key) == [HostId(2)]).expect("a key of its own");
+        let (request, _) = fleet.request(class, &key);
+        let silence = trace(&fleet.pass(600 * MS));
+        lines += &format!("{name}: {} left, {silence}", fleet.avoided());
+        let mut actions = fleet.attempt_ended(request, 0, HostId(2), AttemptOutcome::TimedOut, 600 * MS);
+        let mut attempt = 0;
+        while let Some(&host) = attempted(&actions).first() {
+            lines += &format!("; {}", trace(&actions));
+            attempt += 1;
+            fleet.now += 50 * MS;
+            actions = fleet.attempt_ended(request, attempt, host, AttemptOutcome::TimedOut, 50 * MS);
+        }
+        lines += &format!("; {}\n", trace(&actions));
+    }
+
+    expect![[r#"
+        idempotent: 1 left, nothing; attempt h0 for 198; attempt h3 for 148; fail
+        idempotency-key: 1 left, nothing; attempt h0 for 198; fail
+        at-most-once: 1 left, nothing; fail
+    "#]]
+    .assert_eq(&lines);
+}
--- /dev/null
+++ b/tests/decisions/slow_start.rs
@@ -0,0 +1,268 @@
+//! Hosts that warm up: what they get, and that all balancers together overload none.
+
+use std::collections::VecDeque;
+
+use basaltwood::types::*;
+use expect_test::expect;
+
+use crate::common::*;
+
+#[test]
+fn slow_start_host_gets_growing_share_within_budget() {
+    let mut hosts: Vec<_> = (0..4).map(endpoint).collect();
+    let mut fleet = Fleet::new(&policy_config(), hosts.clone());
+    let warm = homes(&mut fleet, 100).iter().filter(|&&home| home == HostId(3)).count();
+    hosts[3].started_at = Some(fleet.now);
+    fleet.handle(PolicyEvent::Endpoints { complete: true, endpoints: hosts });
+    let mut line = format!("warm {warm}");
+    for _ in 0..3 {
+        fleet.handle(PolicyEvent::TimerFired(Timer::Sweep));
+        let cold = homes(&mut fleet, 100).iter().filter(|&&home| home == HostId(3)).count();
+        line += &format!(", then {cold}");
+    }
+
+    expect!["warm 28, then 21, then 28, then 28"].assert_eq(&line);
+
+    // A fleet that is cold as a whole: the rest is rejected, whatever is requested.
+    let cold = (0..2).map(|host| Endpoint { started_at: Some(0), ..endpoint(host) }).collect();
+    let mut fleet = Fleet::new(&policy_config(), cold);
+    let sent: usize = keys(50).iter().map(|key| attempted(&fleet.request(READ, key).1).len()).sum();
+
+    expect!["sent 4 of 50 at once"].assert_eq(&format!("sent {sent} of 50 at once"));
+}
+
+const STARTED_ANEW_AT: Micros = 8_000 * MS;
+
+const PLAYED_HOSTS: u32 = 25;
+
+/// Some thousand requests a second over all balancers, 25 hosts each with as much as it can bear,
+/// six of which are then started anew; with `hot`, a tenth of all reads turns to one key of such a
+/// host in the same instant. Where one is `replaced`, another process takes over from the first
+/// balancer in the midst of the warming.
+struct HostsStartedAnew {
+    config: PolicyConfig,
+    hot: bool,
+    replaced: bool,
+    hot_key: String,
+    fleets: Vec<Fleet>,
+    rng: SeededRng,
+    in_flight: VecDeque<InFlight>,
+    /// When and where each attempt was sent.
+    attempts: Vec<(Micros, HostId)>,
+    /// The part of the requests that went nowhere.
+    nowhere: f64,
+}
+
+struct InFlight {
+    ends_at: Micros,
+    balancer: usize,
+    request: RequestId,
+    host: HostId,
+}
+
+fn is_started_anew(host: u32) -> bool {
+    host.is_multiple_of(4) && host > 0
+}
+
+impl HostsStartedAnew {
+    fn new(cold: &SlowStart, balancers: u32, hot: bool, replaced: bool) -> HostsStartedAnew {
+        let config = PolicyConfig { balancers, slow_start: cold.clone(), ..policy_config() };
+        let hosts: Vec<_> = (0..PLAYED_HOSTS).map(endpoint).collect();
+        let start = |seed: u64| Fleet::new(&PolicyConfig { seed, ..config.clone() }, hosts.clone());
+        let mut fleets: Vec<Fleet> = (0..u64::from(balancers)).map(start).collect();
+        let mut is_at_cold_host = |key: &String| fleets[0].served(key)[0] == HostId(4);
+        let hot_key = keys(500).into_iter().find(&mut is_at_cold_host).expect("a key");
+        fleets[0] = start(900);
+        HostsStartedAnew {
+            config,
+            hot,
+            replaced,
+            hot_key,
+            fleets,
+            rng: SeededRng::new(5),
+            in_flight: VecDeque::new(),
+            attempts: Vec::new(),
+            nowhere: 0.0,
+        }
+    }
+
+    /// The endpoint list after the start.
+    fn list() -> Vec<Endpoint> {
+        let started_at = |host: u32| Some(STARTED_ANEW_AT).filter(|_| is_started_anew(host));
+        (0..PLAYED_HOSTS).map(|host| Endpoint { started_at: started_at(host), ..endpoint(host) }).collect()
+    }
+
+    fn tick(&mut self, tick: i64) {
+        let now = tick * MS;
+        if self.replaced && now == STARTED_ANEW_AT + 900 * MS {
+            self.replace_first(now);
+        }
+        while self.in_flight.front().is_some_and(|next| next.ends_at <= now) {
+            let InFlight { balancer, request, host, .. } = self.in_flight.pop_front().expect("there is one");
+            self.fleets[balancer].now = now;
+            self.fleets[balancer].attempt_ended(request, 0, host, AttemptOutcome::Succeeded, 60 * MS);
+        }
+        let due = |nth: usize| (tick + nth as i64) % 50 == 0;
+        for (_, fleet) in self.fleets.iter_mut().enumerate().filter(|(nth, _)| due(*nth)) {
+            fleet.now = now;
+            if now / (50 * MS) == STARTED_ANEW_AT / (50 * MS) {
+                let endpoints = HostsStartedAnew::list();
+                fleet.handle(PolicyEvent::Endpoints { complete: true, endpoints });
+            }
+            fleet.handle(PolicyEvent::TimerFired(Timer::Sweep));
+        }
+        self.request(now);
+    }
+
+    /// The new process gets the list as it stands and the limits that the old one learned; that one
+    /// ends what it has in flight.
+    fn replace_first(&mut self, now: Micros) {
+        let config = PolicyConfig { seed: 901, ..self.config.clone() };
+        let mut new = Fleet::new(&config, HostsStartedAnew::list());
+        new.now = now;
+        new.handle(PolicyEvent::LimitsLearned(self.fleets[0].learned_limits()));
+        let old = std::mem::replace(&mut self.fleets[0], new);
+        self.fleets.push(old);
+        let last = self.fleets.len() - 1;
+        let of_old = self.in_flight.iter_mut().filter(|attempt| attempt.balancer == 0);
+        of_old.for_each(|attempt| attempt.balancer = last);
+    }
+
+    fn request(&mut self, now: Micros) {
+        let balancer = (self.rng.draw() % u64::from(self.config.balancers)) as usize;
+        let drawn_key = format!("key-{}", self.rng.draw() % 20_000);
+        let reads_hot_key = self.hot && now >= STARTED_ANEW_AT && self.rng.draw().is_multiple_of(10);
+        let key = if reads_hot_key { &self.hot_key } else { &drawn_key };
+        self.fleets[balancer].now = now;
+        let (request, actions) = self.fleets[balancer].request(READ, key);
+        match attempted(&actions).first() {
+            Some(&host) => {
+                self.in_flight.push_back(InFlight { ends_at: now + 60 * MS, balancer, request, host });
+                self.attempts.push((now, host));
+            }
+            None if now >= STARTED_ANEW_AT => self.nowhere += 1.0 / 6_000.0,
+            None => {}
+        }
+    }
+
+    /// What a host got in a window, over as much as a host of full load bears in it, by what it
+    /// surely has in the middle of it.
+    fn load_in(&self, host: u32, from: Micros) -> f64 {
+        let cold = &self.config.slow_start;
+        let window = from..from + cold.overload_window;
+        let bears = (cold.overload_window / MS) as f64 / f64::from(PLAYED_HOSTS);
+        let there = |sent: &&(Micros, HostId)| sent.1 == HostId(host) && window.contains(&sent.0);
+        let got = self.attempts.iter().filter(there).count() as f64;
+        let capacity = cold.minimum_capacity(from + cold.overload_window / 2 - STARTED_ANEW_AT);
+        got / (cold.overload_multiple * capacity * bears)
+    }
+}
+
+/// What the cold hosts got of what would overload them in their worst window, at most and on
+/// average, and the part of the requests that went nowhere.
+fn hosts_started_anew(cold: &SlowStart, balancers: u32, hot: bool, replaced: bool) -> (f64, f64, f64) {
+    let mut play = HostsStartedAnew::new(cold, balancers, hot, replaced);
+    (0..14_000).for_each(|tick| play.tick(tick));
+    let worst = |host: u32| {
+        let windows = (0..6).map(|nth| play.load_in(host, STARTED_ANEW_AT + nth * 500 * MS));
+        windows.fold(0.0, f64::max)
+    };
+    let worst: Vec<f64> = (0..PLAYED_HOSTS).filter(|&host| is_started_anew(host)).map(worst).collect();
+    let most = worst.iter().copied().fold(0.0, f64::max);
+    (most, worst.iter().sum::<f64>() / worst.len() as f64, play.nowhere)
+}
+
+/// The same as a table for so many balancers, with each figure under a bound.
+fn started_anew(cold: &SlowStart, balancers: &[u32], replaced: bool, under: f64) -> String {
+    let mut table = "balancers  hot key  most of what overloads    mean  requests given up\n".to_owned();
+    for &balancers in balancers {
+        for hot in [false, true] {
+            let (most, mean, nowhere) = hosts_started_anew(cold, balancers, hot, replaced);
+            assert!(most < under, "{balancers} balancers, hot key {hot}: {most}");
+            table += &format!("{balancers:<9}  {hot:<7}  {most:<24.2}  {mean:.2}  {nowhere:.3}\n");
+        }
+    }
+    table
+}
+
+#[test]
+fn slow_start_process_takeover_overloads_no_host() {
+    let table = started_anew(&policy_config().slow_start, &[1, 2, 20], true, 1.0);
+
+    expect![[r#"
+        balancers  hot key  most of what overloads    mean  requests given up
+        1          false    0.47                      0.44  0.000
+        1          true     0.51                      0.38  0.000
+        2          false    0.52                      0.45  0.000
+        2          true     0.66                      0.43  0.000
+        20         false    0.54                      0.43  0.000
+        20         true     0.65                      0.43  0.000
+    "#]]
+    .assert_eq(&table);
+}
+
+#[test]
+fn slow_start_all_balancers_together_overload_no_host() {
+    let table = started_anew(&policy_config().slow_start, &[1, 2, 20, 100, 900], false, 0.9);
+
+    expect![[r#"
+        balancers  hot key  most of what overloads    mean  requests given up
+        1          false    0.56                      0.47  0.000
+        1          true     0.72                      0.46  0.000
+        2          false    0.57                      0.48  0.000
+        2          true     0.77                      0.47  0.000
+        20         false    0.56                      0.44  0.000
+        20         true     0.67                      0.43  0.000
+        100        false    0.48                      0.42  0.000
+        100        true     0.80                      0.46  0.000
+        900        false    0.28                      0.24  0.000
+        900        true     0.69                      0.30  0.000
+    "#]]
+    .assert_eq(&table);
+}
+
+/// The bound by the cold figures of the two deployments that take the balancer on.
+#[test]
+fn slow_start_quick_and_slow_warm_up_keep_the_bound() {
+    let cold = |from, warm_up_time| SlowStart {
+        initial_capacity: from,
+        warm_up_time,
+        overload_multiple: 3.0,
+        overload_window: 1_000 * MS,
+    };
+    let slowly = started_anew(&cold(0.12, 24_000 * MS), &[13, 117], false, 1.1);
+    let quickly = started_anew(&cold(0.3, 8_900 * MS), &[62, 420], false, 1.1);
+
+    expect![[r#"
+        balancers  hot key  most of what overloads    mean  requests given up
+        13         false    0.90                      0.61  0.000
+        13         true     0.81                      0.53  0.000
+        117        false    0.52                      0.37  0.000
+        117        true     0.79                      0.45  0.000
+        balancers  hot key  most of what overloads    mean  requests given up
+        62         false    0.64                      0.47  0.000
+        62         true     0.97                      0.53  0.000
+        420        false    0.44                      0.34  0.000
+        420        true     0.86                      0.34  0.000
+    "#]]
+    .assert_eq(&(slowly + &quickly));
+}
+
+#[test]
+fn slow_start_host_gets_no_overflow() {
+    let mut hosts: Vec<_> = (0..4).map(endpoint).collect();
+    hosts[2].started_at = Some(0);
+    let mut fleet = Fleet::new(&policy_config(), hosts);
+    fleet.pass(300 * MS);
+    let requests: Vec<_> = (0..60).map(|key| fleet.request(READ, &format!("k{key}"))).collect();
+    let mut counts = [0; 2];
+    for (request, actions) in requests {
+        let Some(&host) = attempted(&actions).first() else { continue };
+        counts[0] += usize::from(host == HostId(2));
+        let retries = fleet.attempt_ended(request, 0, host, AttemptOutcome::Rejected, 5 * MS);
+        counts[1] += attempted(&retries).iter().filter(|&&host| host == HostId(2)).count();
+    }
+
+    expect!["to the cold host at first 1, as overflow 0"]
+        .assert_eq(&format!("to the cold host at first {}, as overflow {}", counts[0], counts[1]));
+}
--- a/tests/mixed.rs
+++ b/tests/mixed.rs
@@ -287,6 +287,7 @@
 #[test]
 fn mixed_deployments_keep_the_rules_and_neither_starves_the_other() {
     let (shares, broken) = Move::play([old_shape(), new_shape()]);
+
     assert_eq!(broken, Vec::<String>::new());
     assert!(!starves(shares), "{shares:?}");
     expect!["old 0.60, new 0.64"].assert_eq(&format!("old {:.2}, new {:.2}", shares[0], shares[1]));
@@ -302,6 +303,7 @@
     }
     greedy.balancers = 1;
     let (shares, _) = Move::play([old_shape(), greedy]);
+
     assert!(starves(shares), "{shares:?}");
     expect!["old 0.32, greedy 0.98"].assert_eq(&format!("old {:.2}, greedy {:.2}", shares[0], shares[1]));
 }
--- a/tests/router.rs
+++ b/tests/router.rs
@@ -50,6 +50,7 @@
     trace.push(trace_of(&router.attempt_ended(5 * MS, request, AttemptNumber(1), AttemptOutcome::Succeeded)));
     trace.push(trace_of(&router.client_gone(6 * MS, request)));
     trace.push(trace_of(&Router::new(&policy_config(), 8).submit(0, new_request(READ, "k")).1));
+
     expect![[r#"
         attempt 0 to h2 until 798
         attempt 1 to h0 until 798
@@ -69,6 +70,7 @@
     let mut trace =
         vec![trace_of(&router.client_gone(MS, request)), trace_of(&router.client_gone(MS, request))];
     trace.push(trace_of(&router.attempt_ended(2 * MS, request, AttemptNumber(0), AttemptOutcome::Cancelled)));
+
     expect![[r#"
         cancel 0
         nothing
@@ -80,6 +82,7 @@
 fn timer_decisions_wait_in_request_mailboxes() {
     let mut router = router(3);
     let requests: Vec<RequestId> = (0..3).map(|_| router.submit(0, new_request(READ, "k")).0).collect();
+
     assert_eq!(router.requests_with_actions(), vec![]);
     let mut due = router.tick(0);
     let mut with_actions = Vec::new();
@@ -91,6 +94,7 @@
     let mut trace = vec![format!("actions for {} of {}", with_actions.len(), requests.len())];
     trace.extend(requests.iter().map(|&request| trace_of(&router.take_actions(request))));
     trace.push(trace_of(&router.take_actions(requests[0])));
+
     expect![[r#"
         actions for 3 of 3
         attempt 1 to h0 until 798
@@ -113,6 +117,7 @@
         AttemptOutcome::Succeeded,
     )));
     trace.push(trace_of(&router.submit(MS, new_request(READ, "k")).1));
+
     expect![[r#"
         attempt 0 to h0 until 798
         attempt 0 to h0 until 798
@@ -144,6 +149,7 @@
     };
     let same = (0..60).filter(|&nth| home(&mut router, nth) == home(&mut fresh, nth)).count();
     trace.push(format!("{same} of 60 keys at the homes that the new names give"));
+
     expect![[r#"
         a request open there: [HostId(1)]
         then: [HostId(0), HostId(1)]
@@ -185,6 +191,7 @@
     let mut old = fresh();
     old.restore_limits(0, vec![LearnedLimit { position, limit: 17.4 }]);
     trace.push(format!("{:?}", old.learned_limits().iter().map(|host| host.limit).collect::<Vec<_>>()));
+
     expect![[r#"
         fresh: 6
         learned: 18
@@ -212,6 +219,7 @@
     trace.extend(submitted.map(|request| {
         trace_of(&router.attempt_ended(5 * MS, request, AttemptNumber(0), AttemptOutcome::Succeeded))
     }));
+
     expect![[r#"
         actions for 3 of 4
         reject, retry after 400; cancel 0
