--- a/src/host_tracker.rs
+++ b/src/host_tracker.rs
@@ -49,13 +49,6 @@
     pub(crate) fn is_warming_up(&self) -> bool {
         self.capacity < 1.0
     }
-
-    /// The part of its own keys that it keeps, where a host that is warming up keeps so much of its
-    /// capacity.
-    pub(crate) fn kept_key_share(&self, warm_up_share: f64) -> f64 {
-        let of_capacity = if self.is_warming_up() { (warm_up_share * self.capacity).min(1.0) } else { 1.0 };
-        self.key_share * of_capacity
-    }
 }
 
 /// An attempt in flight at the host.
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -76,16 +76,16 @@
         self.warm_up_sends.try_send(now, self.slow_start.overload_window, host, bounds, &mut self.rng)
     }
 
-    /// All that goes there: its part of the sum's mean and deviation, by how likely it is asked;
+    /// All that goes there: its part of the sum's mean and deviation, by how likely a request comes;
     /// and one key.
     fn warm_up_bounds(&self, status: &HostStatus, key: Option<RingPosition>) -> SendBounds {
         let overload = self.slow_start.overload_multiple;
         let (own_part, mean) = (1.0 - self.others_part, self.sends_per_window.max(MIN_SENDS_PER_WINDOW));
         let bears = status.capacity * mean;
         let kept = status.kept_key_share(self.warm_up_share) / self.mean_key_share;
-        let is_asked = 1.0 - (-mean * kept.min(1.0)).exp();
+        let request_probability = 1.0 - (-mean * kept.min(1.0)).exp();
         let deviation = WARM_UP_DEVIATION * ((overload * bears * own_part).sqrt() + own_part.min(mean));
-        let max_sends = (WARM_UP_MARGIN * overload * bears + deviation) / is_asked;
+        let max_sends = (WARM_UP_MARGIN * overload * bears + deviation) / request_probability;
         let max_for_key = (WARM_UP_MARGIN * overload - self.warm_up_share) * bears;
         SendBounds { max_sends, key: key.map(|key| KeyBound { key, max_sends: max_for_key }) }
     }
@@ -95,16 +95,13 @@
     pub fn close(&mut self, id: RequestId, is_shed: bool, mailboxes: &mut Mailboxes) {
         let Some(request) = self.requests.get(&id) else { return };
         let is_harmless = match self.classes[request.class].retry_safety {
-            RetrySafety::Idempotent | RetrySafety::IdempotencyKey { scope: DeduplicationScope::All, .. } => {
-                true
-            }
+            RetrySafety::Idempotent => true,
+            RetrySafety::IdempotencyKey { scope: DeduplicationScope::All, .. } => true,
             _ => request.may_have_run.is_none() && request.in_flight.is_empty(),
         };
-        mailboxes.actions.push(if is_shed && is_harmless {
-            PolicyAction::Reject { request: id, retry_after: self.retry_after }
-        } else {
-            PolicyAction::Fail { request: id }
-        });
+        let rejection = PolicyAction::Reject { request: id, retry_after: self.retry_after };
+        let failure = PolicyAction::Fail { request: id };
+        mailboxes.actions.push(if is_shed && is_harmless { rejection } else { failure });
         self.forget(id, mailboxes);
     }
 }
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -24,6 +24,7 @@
 }
 
 impl ConcurrencyLimit {
+    /// One that no latency is known for yet.
     pub fn new(limit: f64, growth: f64) -> ConcurrencyLimit {
         ConcurrencyLimit { limit, growth, min_latency: f64::MAX, ..ConcurrencyLimit::default() }
     }
@@ -49,8 +50,7 @@
     /// Multiplies the limit. The minimum is for all balancers together: a jam fed by hundreds of
     /// them would never end.
     pub fn decrease(&mut self, factor: f64) {
-        // From where it is used: one that stands far above what is in flight would fall for seconds
-        // to no effect.
+        // From where it is used: one far above what is in flight would fall for seconds to no effect.
         let used = if factor < 1.0 { INITIAL_LIMIT + 2.0 * self.peak_in_flight as f64 } else { MAX_LIMIT };
         self.limit = (self.limit.min(used) * factor).max(MIN_LIMIT * self.growth);
     }
@@ -62,22 +62,15 @@
         self.next_start_at = now + (latency as f64 * (1.0 / self.limit.min(1.0) - 1.0)) as Micros;
     }
 
-    /// Follows the minimum latency over the present one, from a latency that is bearable anyway.
-    /// All three are in microseconds; `steps` multiplies the growth.
-    pub fn evaluate(
-        &mut self,
-        present: Option<f64>,
-        quarter: f64,
-        bearable: f64,
-        steps: f64,
-        in_flight: usize,
-    ) {
+    /// Follows the minimum latency over the present one; a present one up to `floor` is bearable
+    /// anyway. All three are in microseconds; `steps` multiplies the growth.
+    pub fn evaluate(&mut self, present: Option<f64>, quarter: f64, floor: f64, steps: f64, in_flight: usize) {
         let step = (self.growth * steps).min(steps.max(1.0));
-        let measured = self.has_new_samples && self.latencies.total() >= MIN_SAMPLES;
-        if let Some(present) = present.filter(|_| measured) {
+        let is_measured = self.has_new_samples && self.latencies.total() >= MIN_SAMPLES;
+        if let Some(present) = present.filter(|_| is_measured) {
             // A host that was in a jam when first met must not pass its jam for its minimum latency.
-            self.min_latency = (self.min_latency * 1.005).min(present).min(quarter);
-            self.decrease(((LATENCY_TOLERANCE * self.min_latency).max(bearable) / present).min(1.0));
+            self.min_latency = (self.min_latency * MIN_LATENCY_DRIFT).min(present).min(quarter);
+            self.decrease(((LATENCY_TOLERANCE * self.min_latency).max(floor) / present).min(1.0));
             self.limit = (self.limit + step).min(MAX_LIMIT);
         } else if self.limit < 1.0 {
             self.limit = (self.limit + step).min(1.0);
--- a/src/policy/constants.rs
+++ b/src/policy/constants.rs
@@ -28,12 +28,16 @@
 
 // Concurrency limits.
 pub const LATENCY_TOLERANCE: f64 = 1.3; // times the minimum latency, or a quarter objective, is borne
+pub const MIN_LATENCY_DRIFT: f64 = 1.005; // its factor at each evaluation: an old minimum fades
 pub const ORIGIN_LATENCY_FACTOR: f64 = 3.0; // of the shortest quarter objective: a slow origin still serves
 pub const MIN_SAMPLES: f64 = 4.0; // answers that make a measure
 pub const MAX_SAMPLE_WEIGHT: f64 = 8.0; // answers that one stands for at most, after a long gap
 pub const TIMEOUT_DECREASE: f64 = 0.85; // factor of the limit at each attempt that timed out
 pub const REJECTION_DECREASE: f64 = 0.5; // factor of the limit at each attempt that the host turned away
 pub const LIMIT_GROWTH: f64 = 2.0; // a step that brought answers, over all balancers together
+pub const BASE_LIMIT_SHARE: f64 = 0.6; // that a class of no priority may fill; the rest by its weight
+pub const PRIORITY_LIMIT_SHARE: f64 = 0.4; // that the class of the top weight may fill beyond it
+pub const ORIGIN_WRITE_SHARE: f64 = 2.0; // of the origin's limit, that writes may fill
 pub const MIN_LIMIT: f64 = 0.3;
 pub const INITIAL_LIMIT: f64 = 6.0;
 pub const MAX_LIMIT: f64 = 256.0;
@@ -45,6 +49,7 @@
 pub const WARM_UP_KEY_SHARE: f64 = 0.1; // of all reads: one key with so much must not overload the host
 
 // Retries.
+pub const PRIORITY_RETRIES: f64 = 2.0; // of a class of the top weight, beyond the one that each has
 pub const MAX_SPILLS: usize = 1; // hosts past a full one that a request may try for capacity
 pub const MAX_SELECTIONS: usize = 3; // hosts that are looked at when none is admitted
 pub const RETRIES_PER_SUCCESS: f64 = 0.2; // retries or spills earned by a request that succeeded
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -48,8 +48,9 @@
         let classes = config.classes.iter().map(|class| ClassParameters {
             latency_objective: (class.latency_objective - 2 * config.tick).max(config.tick),
             late_is_useful: class.late_weight > 0.0,
-            limit_share: 0.6 + 0.4 * class.priority_weight / top_weight.max(1e-9),
-            max_retries: 1 + (2.0 * class.priority_weight / top_weight.max(1e-9)) as u32,
+            limit_share: BASE_LIMIT_SHARE
+                + PRIORITY_LIMIT_SHARE * class.priority_weight / top_weight.max(1e-9),
+            max_retries: 1 + (PRIORITY_RETRIES * class.priority_weight / top_weight.max(1e-9)) as u32,
             retry_safety: class.retry_safety,
         });
         classes.collect()
@@ -146,13 +147,13 @@
     /// is healthy.
     fn refund(&mut self, id: RequestId, outcome: AttemptOutcome, sent: Option<SentAttempt>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let is_fault =
-            outcome == AttemptOutcome::ConnectionFault && self.connection_retry_budget.is_available();
-        if let Some(attempt) = sent.filter(|_| is_fault) {
+        let is_fault = outcome == AttemptOutcome::ConnectionFault;
+        let is_paid = is_fault && self.connection_retry_budget.is_available();
+        if let Some(attempt) = sent.filter(|_| is_paid) {
             self.connection_retry_budget.spend();
             request.forget_tried(attempt.host);
         }
-        if is_fault || matches!(outcome, AttemptOutcome::Unreachable | AttemptOutcome::NotSent) {
+        if is_paid || matches!(outcome, AttemptOutcome::Unreachable | AttemptOutcome::NotSent) {
             request.retries_left += 1;
             self.retry_budget.refund();
         }
--- a/src/policy/host.rs
+++ b/src/policy/host.rs
@@ -1,10 +1,18 @@
 //! One host's health as this balancer sees it.
 
 use super::constants::*;
-use crate::host_tracker::{HostTracker, InFlight, Mailboxes};
+use crate::host_tracker::{HostStatus, HostTracker, InFlight, Mailboxes};
 use crate::mailboxes::FleetMeasures;
 use crate::types::{AttemptOutcome, Endpoint, Lifecycle, Micros};
 
+impl HostStatus {
+    /// The part of its own keys that it keeps; a host that warms up, by so much of its capacity.
+    pub fn kept_key_share(&self, warm_up_share: f64) -> f64 {
+        let of_capacity = if self.is_warming_up() { (warm_up_share * self.capacity).min(1.0) } else { 1.0 };
+        self.key_share * of_capacity
+    }
+}
+
 impl HostTracker {
     /// Whether a sweep may pass it by: nothing is in flight, and nothing has still to recover.
     pub fn is_idle(&self) -> bool {
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -100,7 +100,7 @@
     fn select_origin(&self, request: &OpenRequest, now: Micros) -> Option<HostId> {
         let at = self.host_statuses.iter().position(|status| status.is_up() && status.is_origin())?;
         let status = &self.host_statuses[at];
-        let share = if request.is_write { 2.0 } else { request.limit_share };
+        let share = if request.is_write { ORIGIN_WRITE_SHARE } else { request.limit_share };
         let has_capacity = status.limit.has_capacity(status.in_flight, share, self.others_part, now);
         let is_usable = has_capacity && !cannot_finish_in_time(request, &status.limit, now);
         is_usable.then_some(HostId(at as u32))
--- a/src/router.rs
+++ b/src/router.rs
@@ -56,25 +56,50 @@
     Fail,
 }
 
+/// An attempt that has not ended.
+#[derive(Clone, Copy)]
+struct AttemptInFlight {
+    host: HostId,
+    began_at: Micros,
+}
+
 /// A request that has no final answer yet, or attempts in flight.
 #[derive(Default)]
-struct OpenRequest {
+struct RoutedRequest {
+    /// Attempts started so far.
     attempts: u32,
-    /// Attempts in flight: where, and when each began.
-    in_flight: BTreeMap<AttemptNumber, (HostId, Micros)>,
+    in_flight: BTreeMap<AttemptNumber, AttemptInFlight>,
+    /// Whether it has its final answer.
     finished: bool,
+    /// What was decided and no call has returned yet.
     mailbox: Vec<RequestAction>,
 }
 
+impl RoutedRequest {
+    fn start_attempt(&mut self, host: HostId, now: Micros) -> AttemptNumber {
+        let attempt = AttemptNumber(self.attempts);
+        self.attempts += 1;
+        self.in_flight.insert(attempt, AttemptInFlight { host, began_at: now });
+        attempt
+    }
+}
+
+/// A timer that the policy set.
+struct PendingTimer {
+    due_at: Micros,
+    timer: Timer,
+}
+
 /// The policy with its requests, their mailboxes, and its timers.
 pub struct Router {
     policy: Policy,
-    requests: BTreeMap<RequestId, OpenRequest>,
+    requests: BTreeMap<RequestId, RoutedRequest>,
     /// Requests held at a time; more are rejected unseen, which is harmless.
     max_open_requests: usize,
     next_request: u32,
     requests_with_actions: BTreeSet<RequestId>,
-    timers: Vec<(Micros, Timer)>,
+    timers: Vec<PendingTimer>,
+    /// Filled and emptied by each event; kept for its capacity.
     actions: Vec<PolicyAction>,
 }
 
@@ -131,7 +156,7 @@
         if self.requests.len() >= self.max_open_requests {
             return (request, vec![RequestAction::Reject { retry_after: None }]);
         }
-        self.requests.insert(request, OpenRequest::default());
+        self.requests.insert(request, RoutedRequest::default());
         let NewRequest { class, tenant, key, is_write, is_retry, deadline } = new;
         self.handle(now, PolicyEvent::Request { request, class, tenant, key, is_write, is_retry, deadline });
         (request, self.take_actions(request))
@@ -146,12 +171,12 @@
         outcome: AttemptOutcome,
     ) -> Vec<RequestAction> {
         let Some(open) = self.requests.get_mut(&request) else { return Vec::new() };
-        let Some((host, began_at)) = open.in_flight.remove(&attempt) else { return Vec::new() };
+        let Some(ended) = open.in_flight.remove(&attempt) else { return Vec::new() };
         if outcome == AttemptOutcome::Succeeded && !open.finished {
             open.finished = true;
             open.mailbox.push(RequestAction::Succeed(attempt));
         }
-        let (finished, elapsed) = (open.finished, now - began_at);
+        let (finished, host, elapsed) = (open.finished, ended.host, now - ended.began_at);
         self.handle(now, PolicyEvent::AttemptEnded { request, attempt, host, elapsed, outcome, finished });
         self.take_actions(request)
     }
@@ -159,14 +184,14 @@
     /// An attempt in flight goes on a connection that has carried nothing yet.
     pub fn attempt_on_new_connection(&mut self, now: Micros, request: RequestId, attempt: AttemptNumber) {
         let in_flight = self.requests.get(&request).and_then(|open| open.in_flight.get(&attempt));
-        if let Some(&(host, _)) = in_flight {
+        if let Some(&AttemptInFlight { host, .. }) = in_flight {
             self.handle(now, PolicyEvent::NewConnection { request, attempt, host });
         }
     }
 
     /// An attempt in flight is in doubt: later ones to its host are answered, and it is not.
     pub fn attempt_in_doubt(&mut self, now: Micros, request: RequestId, attempt: AttemptNumber) {
-        let waits = |open: &OpenRequest| !open.finished && open.in_flight.contains_key(&attempt);
+        let waits = |open: &RoutedRequest| !open.finished && open.in_flight.contains_key(&attempt);
         if self.requests.get(&request).is_some_and(waits) {
             self.handle(now, PolicyEvent::AttemptInDoubt { request, attempt });
         }
@@ -204,11 +229,11 @@
 
     /// Runs the timers that are due; when the next one will be.
     pub fn tick(&mut self, now: Micros) -> Option<Micros> {
-        while let Some(due) = self.timers.iter().position(|timer| timer.0 <= now) {
-            let (_, timer) = self.timers.swap_remove(due);
+        while let Some(due) = self.timers.iter().position(|pending| pending.due_at <= now) {
+            let PendingTimer { timer, .. } = self.timers.swap_remove(due);
             self.handle(now, PolicyEvent::TimerFired(timer));
         }
-        self.timers.iter().map(|timer| timer.0).min()
+        self.timers.iter().map(|pending| pending.due_at).min()
     }
 
     /// Requests for which something was decided that no call has returned yet.
@@ -231,32 +256,34 @@
     fn handle(&mut self, now: Micros, event: PolicyEvent) {
         self.policy.handle(now, event, &mut self.actions);
         for action in std::mem::take(&mut self.actions) {
-            let (request, action) = match action {
+            match action {
                 PolicyAction::StartAttempt { request, host, timeout } => {
                     let Some(open) = self.requests.get_mut(&request) else { continue };
-                    let attempt = AttemptNumber(open.attempts);
-                    open.attempts += 1;
-                    open.in_flight.insert(attempt, (host, now));
-                    (request, RequestAction::StartAttempt { attempt, host, deadline: now + timeout })
+                    let attempt = open.start_attempt(host, now);
+                    let deadline = now + timeout;
+                    self.deliver(request, RequestAction::StartAttempt { attempt, host, deadline });
                 }
                 PolicyAction::Reject { request, retry_after } => {
-                    (request, RequestAction::Reject { retry_after })
+                    self.deliver(request, RequestAction::Reject { retry_after });
                 }
-                PolicyAction::Fail { request } => (request, RequestAction::Fail),
+                PolicyAction::Fail { request } => self.deliver(request, RequestAction::Fail),
                 PolicyAction::CancelAttempt { request, attempt } => {
-                    (request, RequestAction::CancelAttempt(attempt))
+                    self.deliver(request, RequestAction::CancelAttempt(attempt));
                 }
                 PolicyAction::SetTimer { after, timer } => {
-                    self.timers.push((now + after, timer));
-                    continue;
+                    self.timers.push(PendingTimer { due_at: now + after, timer });
                 }
                 // On sockets the list is watched always, whatever the deployment asks for.
-                PolicyAction::WatchDiscovery => continue,
-            };
-            let Some(open) = self.requests.get_mut(&request) else { continue };
-            open.finished |= matches!(action, RequestAction::Reject { .. } | RequestAction::Fail);
-            open.mailbox.push(action);
-            self.requests_with_actions.insert(request);
+                PolicyAction::WatchDiscovery => {}
+            }
         }
     }
+
+    /// Puts an action into a request's mailbox.
+    fn deliver(&mut self, request: RequestId, action: RequestAction) {
+        let Some(open) = self.requests.get_mut(&request) else { return };
+        open.finished |= matches!(action, RequestAction::Reject { .. } | RequestAction::Fail);
+        open.mailbox.push(action);
+        self.requests_with_actions.insert(request);
+    }
 }
