--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -48,30 +48,43 @@
     pub(crate) ring_is_stale: bool,
     pub(crate) loads: LoadStatistics,
     pub(crate) zones: ZoneOutageDetector,
-    /// Of all cache hosts together.
-    pub(crate) fleet_limit: ConcurrencyLimit,
-    pub(crate) in_flight_total: usize,
+    pub(crate) fleet: FleetState,
+    pub(crate) warm_up: WarmUpState,
+
+    /// Between calls for the endpoint list that fail.
+    pub(crate) watch_backoff: Backoff,
+    /// The first endpoint list came.
+    pub(crate) has_started: bool,
+}
+
+/// The cache hosts as one.
+#[derive(Default)]
+pub(crate) struct FleetState {
+    /// For all of them together.
+    pub(crate) limit: ConcurrencyLimit,
+    /// Attempts in flight at all of them together.
+    pub(crate) in_flight: usize,
     /// The part of all balancers that the others are.
     pub(crate) others_part: f64,
+    /// The median over the hosts of their mean latency, in microseconds.
     pub(crate) typical_latency: f64,
+    /// The mean time from one own send to a host of mean load to the next.
+    pub(crate) send_interval: Micros,
     pub(crate) evaluated_at: Micros,
+}
 
+/// What bounds the load of hosts that are warming up.
+#[derive(Default)]
+pub(crate) struct WarmUpState {
     pub(crate) slow_start: SlowStart,
-    /// Of what a host that is warming up surely bears, the part that is kept there.
-    pub(crate) warm_up_share: f64,
-    /// The part of a host's keys that it keeps, over all hosts.
+    /// Of the capacity that such a host surely has, the part that is used.
+    pub(crate) share: f64,
+    /// The part of its own keys that a host keeps, in the mean over all hosts.
     pub(crate) mean_key_share: f64,
-    /// Own sends to a host of mean load in the window in which one that is warming up may be
-    /// overloaded.
+    /// Own sends to a host of mean load in [`SlowStart::overload_window`].
     pub(crate) sends_per_window: f64,
-    /// The mean time from one own send to a host of mean load to the next.
-    pub(crate) send_interval: Micros,
-    pub(crate) warm_up_sends: SendWindows,
-
-    /// Between calls for the endpoint list that fail.
-    pub(crate) watch_backoff: Backoff,
-    /// The first endpoint list came.
-    pub(crate) has_started: bool,
+    /// Own sends to each such host, and for each key there.
+    pub(crate) sends: SendWindows,
 }
 
 /// An attempt that ended.
@@ -86,8 +99,8 @@
 impl Dispatcher {
     /// The tracker of a host that nothing is known of.
     pub(crate) fn new_tracker(&self, id: HostId) -> HostTracker {
-        let limit = ConcurrencyLimit::of_new_host(self.fleet_limit.growth);
-        HostTracker::new(id, limit, self.slow_start.clone(), self.capabilities.keeps_dropped_hosts)
+        let limit = ConcurrencyLimit::of_new_host(self.fleet.limit.growth);
+        HostTracker::new(id, limit, self.warm_up.slow_start.clone(), self.capabilities.keeps_dropped_hosts)
     }
 
     /// Takes one message.
@@ -199,8 +212,8 @@
         let status = &mut self.host_statuses[host.index()];
         status.in_flight += 1;
         if status.is_cache() {
-            self.in_flight_total += 1;
-            self.fleet_limit.peak_in_flight = self.fleet_limit.peak_in_flight.max(self.in_flight_total);
+            self.fleet.in_flight += 1;
+            self.fleet.limit.peak_in_flight = self.fleet.limit.peak_in_flight.max(self.fleet.in_flight);
             let home = key.and_then(|key| self.ring.home(key)).unwrap_or(host);
             self.loads.counts.count(host, key, home, MAX_TRACKED_KEYS);
         }
--- a/src/histogram.rs
+++ b/src/histogram.rs
@@ -1,4 +1,5 @@
-//! A histogram of durations in doubling bins, which forgets by halving.
+//! A histogram of durations in doubling bins, which forgets by halving; and the median of a few
+//! values.
 
 use crate::types::Micros;
 
@@ -58,3 +59,9 @@
         None
     }
 }
+
+/// The median, the upper one of two; `None` of nothing.
+pub(crate) fn median(mut values: Vec<f64>) -> Option<f64> {
+    values.sort_unstable_by(f64::total_cmp);
+    values.get(values.len() / 2).copied()
+}
--- a/src/host_tracker.rs
+++ b/src/host_tracker.rs
@@ -23,8 +23,8 @@
     pub(crate) limit: ConcurrencyLimit,
     pub(crate) in_flight: usize,
     pub(crate) activity: HostActivity,
-    /// Nothing to evaluate and nothing in flight: a sweep may pass it by. Fleets are large,
-    /// requests at one host few.
+    /// Nothing to evaluate and nothing in flight: a sweep may skip it. Fleets are large, and
+    /// requests at one host are few.
     pub(crate) is_idle: bool,
 }
 
@@ -75,7 +75,7 @@
     pub(crate) sampled_at: Micros,
     /// And how long after the one before.
     pub(crate) sample_gap: Micros,
-    /// The endpoint list said so once: that binds, whatever it says later.
+    /// The endpoint list once showed it draining: that binds, whatever it shows later.
     pub(crate) has_drained: bool,
     /// The endpoint list names it no more, and its own answers are what keeps it.
     pub(crate) is_dropped: bool,
--- a/src/load_counts.rs
+++ b/src/load_counts.rs
@@ -40,7 +40,7 @@
         sum / f64::from(count.max(1))
     }
 
-    /// Makes room for so many hosts. The new ones start at the mean, whatever stood under their
+    /// Resizes to so many hosts. The new ones start at the mean, whatever was counted under their
     /// numbers.
     pub(crate) fn add_hosts(&mut self, count: usize, new: impl Iterator<Item = HostId>) {
         let mean = self.mean();
--- a/src/mailboxes.rs
+++ b/src/mailboxes.rs
@@ -10,19 +10,19 @@
     AttemptKey, AttemptOutcome, Endpoint, HostId, Micros, PolicyAction, PolicyEvent, RequestId,
 };
 
-/// What the dispatcher tells a host's tracker.
+/// A message from the dispatcher to a host's tracker.
 pub(crate) enum HostMessage {
-    /// The endpoint list shows the host so.
+    /// The host as the endpoint list shows it.
     Endpoint(Endpoint),
     /// An attempt was started there.
     AttemptStarted(AttemptKey),
     /// That attempt goes on a new connection.
     OnNewConnection(AttemptKey),
-    /// An attempt ended, as far as it tells of the host.
+    /// An attempt ended; the outcome as far as it concerns the host.
     AttemptEnded { attempt: AttemptKey, outcome: AttemptOutcome, elapsed: Micros },
     /// It answered on a connection from before its silence.
     Alive,
-    /// This process stood still for so long.
+    /// This process was stalled for so long.
     ProcessStalled(Micros),
     /// How many attempts could be in flight there at the process that this one replaces.
     LearnedLimit(f64),
@@ -44,7 +44,7 @@
     pub(crate) is_evaluation: bool,
 }
 
-/// What reaches the dispatcher; `Status` is what a host's tracker publishes of the host.
+/// A message to the dispatcher; `Status` is what a host's tracker publishes of its host.
 pub(crate) enum DispatcherMessage<Status> {
     /// From outside.
     Event(PolicyEvent),
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -19,20 +19,20 @@
         if !may_start {
             return false;
         }
-        let (key, was_tried) = (request.key, !request.tried.is_empty());
-        if !self.is_within_warm_up_budget(host, key, was_tried, now) {
+        let (key, is_retry) = (request.key, !request.tried.is_empty());
+        if !self.warm_up_allows(host, key, is_retry, now) {
             return false;
         }
         self.record_attempt(id, host, mailboxes);
         true
     }
 
-    /// Rule 1: nothing for a request that is over, out of time or out of attempts.
+    /// Rule 1: no attempt for a request that is out of time or out of attempts.
     fn is_open_for_attempts(&self, request: &OpenRequest, now: Micros) -> bool {
         now < request.expires_at && request.attempts_started < self.capabilities.max_attempts
     }
 
-    /// Rule 2: nothing that could take effect twice, and two attempts at a time only where that is
+    /// Rule 2: no attempt that could take effect twice, and two at a time only where hedging is
     /// allowed.
     fn may_run_again_at(&self, request: &OpenRequest, host: HostId, now: Micros) -> bool {
         let Some(earlier) = request.first_possible_run() else { return true };
@@ -49,7 +49,7 @@
         is_safe && (request.in_flight.is_empty() || self.capabilities.hedging)
     }
 
-    /// Rule 3: nothing new to a host that drains or is gone; the grace is not used.
+    /// Rule 3: nothing new to a host that drains or is gone; its grace period is not used.
     fn takes_new_work(&self, host: HostId) -> bool {
         self.host_statuses[host.index()].is_up()
     }
@@ -57,36 +57,31 @@
     /// Rule 4: to a host that is warming up no more in a window than this balancer's part of what
     /// it can bear. A warm host bears the mean load at least; own sends are already this balancer's
     /// part of it.
-    fn is_within_warm_up_budget(
-        &mut self,
-        host: HostId,
-        key: Option<RingPosition>,
-        was_tried: bool,
-        now: Micros,
-    ) -> bool {
+    fn warm_up_allows(&mut self, host: HostId, key: Option<RingPosition>, retry: bool, now: Micros) -> bool {
         let status = &self.host_statuses[host.index()];
         if !status.is_warming_up() || !status.is_cache() {
             return true;
         }
-        // What other hosts turned away or lost comes from every balancer at once.
-        if was_tried {
+        // What other hosts rejected or lost comes from every balancer at once.
+        if retry {
             return false;
         }
         let bounds = self.warm_up_bounds(status, key);
-        self.warm_up_sends.try_send(now, self.slow_start.overload_window, host, bounds, &mut self.rng)
+        self.warm_up.sends.try_send(now, self.warm_up.slow_start.overload_window, host, bounds, &mut self.rng)
     }
 
-    /// All that goes there: its part of the sum's mean and deviation, by how likely a request comes;
-    /// and one key.
+    /// Bounds all sends by this balancer's part of the mean and of the deviation of what all send,
+    /// over the probability that a request comes at all; and the sends for one key.
     fn warm_up_bounds(&self, status: &HostStatus, key: Option<RingPosition>) -> SendBounds {
-        let overload = self.slow_start.overload_multiple;
-        let (own_part, mean) = (1.0 - self.others_part, self.sends_per_window.max(MIN_SENDS_PER_WINDOW));
+        let overload = self.warm_up.slow_start.overload_multiple;
+        let own_part = 1.0 - self.fleet.others_part;
+        let mean = self.warm_up.sends_per_window.max(MIN_SENDS_PER_WINDOW);
         let bears = status.capacity * mean;
-        let kept = status.kept_key_share(self.warm_up_share) / self.mean_key_share;
+        let kept = status.kept_key_share(self.warm_up.share) / self.warm_up.mean_key_share;
         let request_probability = 1.0 - (-mean * kept.min(1.0)).exp();
         let deviation = WARM_UP_DEVIATION * ((overload * bears * own_part).sqrt() + own_part.min(mean));
         let max_sends = (WARM_UP_MARGIN * overload * bears + deviation) / request_probability;
-        let max_for_key = (WARM_UP_MARGIN * overload - self.warm_up_share) * bears;
+        let max_for_key = (WARM_UP_MARGIN * overload - self.warm_up.share) * bears;
         SendBounds { max_sends, key: key.map(|key| KeyBound { key, max_sends: max_for_key }) }
     }
 
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -1,4 +1,5 @@
-//! How much may be in flight at a host, or at all cache hosts together, by the latency of what was.
+//! How many attempts may be in flight at a host, or at all cache hosts together, by their latency
+//! so far.
 
 use super::constants::*;
 use crate::histogram::Histogram;
@@ -50,7 +51,7 @@
     /// Multiplies the limit. The minimum is for all balancers together: a jam fed by hundreds of
     /// them would never end.
     pub fn decrease(&mut self, factor: f64) {
-        // From where it is used: one far above what is in flight would fall for seconds to no effect.
+        // From what is used of it: a limit far above that would fall for seconds to no effect.
         let used = if factor < 1.0 { INITIAL_LIMIT + 2.0 * self.peak_in_flight as f64 } else { MAX_LIMIT };
         self.limit = (self.limit.min(used) * factor).max(MIN_LIMIT * self.growth);
     }
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -3,7 +3,7 @@
 use super::concurrency_limit::ConcurrencyLimit;
 use super::constants::*;
 use crate::backoff::Backoff;
-use crate::dispatcher::{Dispatcher, EndedAttempt};
+use crate::dispatcher::{Dispatcher, EndedAttempt, FleetState, WarmUpState};
 use crate::host_tracker::Mailboxes;
 use crate::key_set::BoundedKeySet;
 use crate::leaky_bucket::LeakyBucket;
@@ -33,12 +33,15 @@
             shortest_objective: shortest as f64,
             retry_budget: RetryBudget::new(MAX_RETRY_BUDGET, earned),
             connection_retry_budget: RetryBudget::new(MAX_RETRY_BUDGET, earned),
-            fleet_limit: ConcurrencyLimit::new(MAX_LIMIT, (LIMIT_GROWTH * own_part).min(1.0)),
-            others_part: 1.0 - own_part,
             watch_backoff: Backoff::new(WATCH_BACKOFF, MAX_WATCH_DOUBLINGS),
             failing_keys: BoundedKeySet::new(MAX_TRACKED_KEYS),
-            typical_latency: shortest as f64 / 4.0,
-            slow_start: config.slow_start.clone(),
+            fleet: FleetState {
+                limit: ConcurrencyLimit::new(MAX_LIMIT, (LIMIT_GROWTH * own_part).min(1.0)),
+                others_part: 1.0 - own_part,
+                typical_latency: shortest as f64 / 4.0,
+                ..FleetState::default()
+            },
+            warm_up: WarmUpState { slow_start: config.slow_start.clone(), ..WarmUpState::default() },
             ..Dispatcher::default()
         }
     }
@@ -88,14 +91,14 @@
         use AttemptOutcome::{Error, Miss, NotSent, Succeeded, TimedOut};
         let &EndedAttempt { attempt, host, elapsed, outcome } = ended;
         if !self.host_statuses[host.index()].is_origin() {
-            self.in_flight_total = self.in_flight_total.saturating_sub(1);
-            // An error that took long waited for an origin in a jam, and its host with it.
+            self.fleet.in_flight = self.fleet.in_flight.saturating_sub(1);
+            // A slow error waited for an origin in a jam, and its host with it.
             let is_slow_error = outcome == Error && elapsed as f64 > self.latency_objective / 4.0;
             if is_slow_error || matches!(outcome, Succeeded | Miss | TimedOut) {
-                self.fleet_limit.record(elapsed, 1.0, mailboxes.now);
+                self.fleet.limit.record(elapsed, 1.0, mailboxes.now);
             }
         }
-        // What fails wherever it goes tells of itself, and no host is blamed for it.
+        // A key that fails at every host is itself the cause, and no host is blamed for it.
         let is_own_fault = outcome == Error && self.record_error(attempt.request, host);
         let outcome = if is_own_fault { NotSent } else { outcome };
         mailboxes.send_to_host(host, HostMessage::AttemptEnded { attempt, outcome, elapsed });
@@ -111,7 +114,7 @@
         self.failing_keys.contains(key)
     }
 
-    /// Tries again what came to nothing, or takes the request off the books.
+    /// Retries a request whose attempt came to nothing, or forgets one that is finished.
     pub fn attempt_ended(&mut self, ended: &EndedAttempt, finished: bool, mailboxes: &mut Mailboxes) {
         let (id, outcome) = (ended.attempt.request, ended.outcome);
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -127,7 +130,7 @@
         }
         if outcome == AttemptOutcome::Miss && self.capabilities.cache_aside && !request.is_write {
             request.has_missed = true;
-            // A miss at a suspected host says nothing while the request is in flight elsewhere.
+            // A miss at a suspected host is ignored while the request is in flight elsewhere.
             if request.in_flight.is_empty() {
                 self.route(id, mailboxes);
             }
@@ -143,8 +146,8 @@
         self.retry(id, mailboxes);
     }
 
-    /// What reached no host isn't paid for; a connection's fault is, from its own budget: its host
-    /// is healthy.
+    /// What reached no host costs no retry; a connection's fault is paid from a budget of its own,
+    /// as its host is healthy.
     fn refund(&mut self, id: RequestId, outcome: AttemptOutcome, sent: Option<SentAttempt>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let is_fault = outcome == AttemptOutcome::ConnectionFault;
@@ -159,11 +162,11 @@
         }
     }
 
-    /// An attempt came to nothing: another one, if the request may have it and can still use it, or
-    /// the end.
+    /// An attempt came to nothing: starts another one if the request may have it and can still use
+    /// it, else ends it.
     pub fn retry(&mut self, id: RequestId, mailboxes: &mut Mailboxes) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let is_in_time = request.expires_at - mailboxes.now > (self.typical_latency / 4.0) as Micros;
+        let is_in_time = request.expires_at - mailboxes.now > (self.fleet.typical_latency / 4.0) as Micros;
         let may_send = request.in_flight.is_empty() || self.capabilities.hedging;
         let is_paid = request.retries_left > 0 && self.retry_budget.is_available();
         if may_send && is_in_time && is_paid {
@@ -175,10 +178,9 @@
         }
     }
 
-    /// Starts an attempt at the host selected for it, or answers a request that none may have.
+    /// Starts an attempt at the host selected for it, or rejects a request that no host may have.
     fn route(&mut self, id: RequestId, mailboxes: &mut Mailboxes) {
-        // A host that may not have the request, mostly one whose warm-up budget is spent, is passed
-        // by.
+        // A host that the gate refuses, mostly one whose warm-up budget is spent, is skipped.
         for _ in 0..MAX_SELECTIONS {
             let Some(host) = self.select_host(id, mailboxes.now) else { break };
             if self.start_attempt(id, host, mailboxes) {
--- a/src/policy/fleet.rs
+++ b/src/policy/fleet.rs
@@ -2,18 +2,19 @@
 
 use super::constants::*;
 use crate::dispatcher::Dispatcher;
+use crate::histogram::median;
 use crate::host_tracker::Mailboxes;
 use crate::mailboxes::{FleetMeasures, HostMessage};
 use crate::types::{HostId, Micros, PolicyAction, Timer};
 
 impl Dispatcher {
-    /// Looks at all hosts, and at each for itself where there is something to see.
+    /// Looks at zones, load and fleet, and has each host that is not idle look at itself.
     pub fn sweep(&mut self, mailboxes: &mut Mailboxes) {
         let caches = self.host_statuses.iter().filter(|status| status.is_cache());
         let dark = self.zones.newly_dark(caches.map(|status| (status.zone(), status.activity)));
         self.suspect_zones(&dark, mailboxes);
         self.loads.sweep(mailboxes.now);
-        let is_evaluation = mailboxes.now - self.evaluated_at >= EVALUATION_INTERVAL;
+        let is_evaluation = mailboxes.now - self.fleet.evaluated_at >= EVALUATION_INTERVAL;
         if is_evaluation {
             self.evaluate(mailboxes.now);
         }
@@ -24,9 +25,9 @@
             // Requests of every class go to the origin.
             let objective = if status.is_cache() { self.latency_objective } else { self.shortest_objective };
             let fleet = FleetMeasures {
-                typical_latency: self.typical_latency,
+                typical_latency: self.fleet.typical_latency,
                 quarter_objective: objective / 4.0,
-                send_interval: self.send_interval,
+                send_interval: self.fleet.send_interval,
                 is_evaluation,
             };
             mailboxes.send_to_host(host, HostMessage::Sweep(fleet));
@@ -34,32 +35,36 @@
         mailboxes.actions.push(PolicyAction::SetTimer { after: SWEEP_INTERVAL, timer: Timer::Sweep });
     }
 
-    /// Sets the fleet's limit, its typical latency and the bounds of slow start anew.
+    /// Updates the fleet's limit, what is measured of it, and what hosts that warm up may get.
     fn evaluate(&mut self, now: Micros) {
-        self.evaluated_at = now;
+        self.fleet.evaluated_at = now;
         // The median: a few hosts that answer nothing are no reason to reject requests.
-        let present = self.fleet_limit.latencies.quantile(0.5).map(|present| present as f64);
+        let present = self.fleet.limit.latencies.quantile(0.5).map(|present| present as f64);
         let caches = || self.host_statuses.iter().filter(|status| status.is_cache());
         let (hosts, quarter) = (caches().count().max(1) as f64, self.latency_objective / 4.0);
-        self.fleet_limit.evaluate(present, quarter, quarter, hosts, self.in_flight_total);
-        let mut means: Vec<f64> = caches().filter_map(|status| status.limit.latencies.mean()).collect();
-        means.sort_unstable_by(f64::total_cmp);
-        self.typical_latency = means.get(means.len() / 2).copied().unwrap_or(self.typical_latency);
+        self.fleet.limit.evaluate(present, quarter, quarter, hosts, self.fleet.in_flight);
+        let means: Vec<f64> = caches().filter_map(|status| status.limit.latencies.mean()).collect();
+        self.fleet.typical_latency = median(means).unwrap_or(self.fleet.typical_latency);
         let span = self.loads.counts.span(now).max(LOAD_HALF_LIFE as f64);
-        self.send_interval = (span / self.loads.counts.mean()) as Micros;
-        let (mean_load, window) = (self.loads.counts.mean_on(&self.ring), self.slow_start.overload_window);
-        self.sends_per_window = mean_load * window as f64 / span;
-        // What a host surely bears as it warms up is used as all hosts' is: else it jams the warm
-        // ones. Where the gate bounds no key, the share alone has to, for one with
-        // WARM_UP_KEY_SHARE of all reads.
+        self.fleet.send_interval = (span / self.loads.counts.mean()) as Micros;
+        let window = self.warm_up.slow_start.overload_window;
+        self.warm_up.sends_per_window = self.loads.counts.mean_on(&self.ring) * window as f64 / span;
+        self.evaluate_warm_up(hosts);
+    }
+
+    /// The capacity that a host surely has as it warms up is used like that of all hosts: else its
+    /// load jams the warm ones. Where the gate bounds no key, the share has to, for one with
+    /// WARM_UP_KEY_SHARE of all reads.
+    fn evaluate_warm_up(&mut self, hosts: f64) {
+        let caches = || self.host_statuses.iter().filter(|status| status.is_cache());
         let able: f64 = caches().filter(|status| !status.is_suspected).map(|status| status.capacity).sum();
-        let overload = self.slow_start.overload_multiple;
+        let overload = self.warm_up.slow_start.overload_multiple;
         let most = WARM_UP_MARGIN * overload;
         let least = WARM_UP_MARGIN.min(overload / (WARM_UP_KEY_SHARE * hosts));
-        let bound = (most * self.sends_per_window).max(least);
-        self.warm_up_share = (hosts / able.max(1.0)).min(bound).min(most);
-        let kept = caches().map(|status| status.kept_key_share(self.warm_up_share));
-        self.mean_key_share = kept.sum::<f64>() / hosts;
+        let bound = (most * self.warm_up.sends_per_window).max(least);
+        self.warm_up.share = (hosts / able.max(1.0)).min(bound).min(most);
+        let kept = caches().map(|status| status.kept_key_share(self.warm_up.share));
+        self.warm_up.mean_key_share = kept.sum::<f64>() / hosts;
     }
 
     /// Builds the ring of the cache hosts that are up.
--- a/src/policy/host.rs
+++ b/src/policy/host.rs
@@ -14,7 +14,7 @@
 }
 
 impl HostTracker {
-    /// Whether a sweep may pass it by: nothing is in flight, and nothing has still to recover.
+    /// Whether a sweep may skip it: nothing is in flight, and nothing has still to recover.
     pub fn is_idle(&self) -> bool {
         let status = &self.status;
         let is_settled = self.failure_evidence < 0.1 && status.key_share > 0.98 && status.limit.limit >= 1.0;
@@ -22,7 +22,7 @@
         is_settled && is_unused && !status.is_suspected && !status.is_warming_up()
     }
 
-    /// A host that the endpoint list names no more stays only as long as it shows that it is alive.
+    /// A host that the endpoint list no longer names stays only as long as it shows that it is alive.
     pub fn leave_if_dropped(&mut self) {
         if self.is_dropped && !self.has_own_evidence() {
             self.is_dropped = false;
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Takes what the endpoint list says of it.
+    /// Takes over what the endpoint list shows of it.
     pub fn update_endpoint(&mut self, endpoint: Endpoint) {
         self.has_drained |= endpoint.lifecycle == Lifecycle::Draining;
         // A list may be wrong: one that shrinks must not empty the ring of hosts that answer.
@@ -54,32 +54,31 @@
         self.status.limit.limit = limit.clamp(MIN_LIMIT, MAX_LIMIT);
     }
 
-    /// Whether it is alive by what it showed this balancer itself.
+    /// Whether this balancer itself has seen that it is alive.
     fn has_own_evidence(&self) -> bool {
         self.suspected_since.is_none() && self.status.is_up() && self.status.activity.answered_at > 0
     }
 
-    /// What its silence let assume, that it was restarted, does not hold; what the endpoint list
-    /// says of it does.
+    /// It was not restarted, as its silence let assume: only the start that the endpoint list shows
+    /// counts.
     pub fn restore(&mut self, now: Micros) {
         self.warming_since = self.status.endpoint.as_ref().and_then(|endpoint| endpoint.started_at);
         self.status.activity.answered_at = now;
         self.mark_healthy();
     }
 
-    /// What the end of an attempt tells of the host.
+    /// Draws from the end of an attempt what it shows of the host.
     pub fn attempt_ended(&mut self, sent: InFlight, outcome: AttemptOutcome, elapsed: Micros, now: Micros) {
         let InFlight { sent_at, on_new_connection } = sent;
         let is_timeout = outcome == AttemptOutcome::TimedOut;
-        // One that was overtaken by far is lost by itself: those that went after it have their
-        // answers.
+        // An attempt that was overtaken by far was lost on its own: later ones were answered.
         if is_timeout && self.served_sent_at - sent_at >= elapsed / 2 {
             return;
         }
         self.status.activity.record(outcome, sent_at, now);
-        // Of a connection's first attempt most of the latency is the connection's: it counts where
-        // no better is known. A client that gives up before any answer can be there tells of
-        // itself.
+        // Most of the latency of a connection's first attempt is the connection's: it counts only
+        // where no better sample is recent. A time-out before any answer was possible shows nothing
+        // of the host.
         let is_stale = (now - self.sampled_at) as f64 >= MAX_SAMPLE_WEIGHT * EVALUATION_INTERVAL as f64;
         let is_cut_short = is_timeout && self.status.limit.is_too_short(elapsed);
         let is_sample = !is_cut_short && (!on_new_connection || is_stale);
@@ -91,17 +90,17 @@
         if is_sample && (is_timeout || outcome == AttemptOutcome::Succeeded) {
             self.sample_gap = now - self.sampled_at;
             self.sampled_at = now;
-            // At a quiet balancer one answer stands for all that the host gave others meanwhile.
+            // At a quiet balancer one answer stands for all that the host gave to others meanwhile.
             let weight = (self.sample_gap as f64 / EVALUATION_INTERVAL as f64).clamp(1.0, MAX_SAMPLE_WEIGHT);
             self.status.limit.record(elapsed, weight, now);
         }
     }
 
-    /// Too much is in flight; and silence, unless other answers came meanwhile.
+    /// Too much is in flight; and the host is silent, unless other answers came meanwhile.
     fn timed_out(&mut self, sent_at: Micros, is_sample: bool) {
         self.status.limit.decrease(if is_sample { TIMEOUT_DECREASE } else { 1.0 });
-        // Where attempts are seldom no other is a witness: the host would lose one request after
-        // the other.
+        // Where attempts are rare no other one confirms it: the host would lose request after
+        // request.
         if self.status.activity.answered_at < sent_at {
             let is_only = self.in_flight.is_empty();
             self.failure_evidence += if is_only { 2.0 * FAILURE_EVIDENCE } else { FAILURE_EVIDENCE };
@@ -114,13 +113,13 @@
             Succeeded | Miss => {
                 self.served_sent_at = self.served_sent_at.max(sent_at);
                 self.mark_healthy();
-                // Nothing that is cold has a value sooner than it used to.
+                // A host that was restarted is never faster than it used to be.
                 if outcome == Succeeded && self.status.limit.is_too_short(elapsed) {
                     self.restore(now);
                 }
             }
             Error => self.failure_evidence += FAILURE_EVIDENCE / 2.0,
-            // One that does nothing else drains or is ending, whatever the endpoint list says.
+            // A host that only rejects drains or shuts down, whatever the endpoint list shows.
             Rejected => {
                 self.status.limit.decrease(REJECTION_DECREASE);
                 self.failure_evidence += FAILURE_EVIDENCE / 3.0;
@@ -130,7 +129,7 @@
         }
     }
 
-    /// Suspects a host that does not answer, and takes back one that was left for long enough.
+    /// Suspects a host that does not answer, and returns one that was ejected for long enough.
     pub fn sweep(&mut self, fleet: FleetMeasures, mailboxes: &mut Mailboxes) {
         let now = mailboxes.now;
         let may_be_suspected = self.suspected_since.is_none() && !self.status.is_origin();
@@ -138,8 +137,9 @@
             self.suspected_since = Some(now);
             self.report_suspected(mailboxes);
         }
-        // Long enough to be restarted, so cold. A jam that quiet balancers each probe for would
-        // never end.
+        // Long enough for a restart, so it is taken for cold. Quiet balancers wait for as long as
+        // their own sends lie apart: if each probed a jammed host more often, the jam would never
+        // end.
         let ejected_for = self.sample_gap.min(fleet.send_interval).max(MIN_EJECTION_TIME);
         if self.suspected_since.is_some_and(|since| now - since >= ejected_for) {
             self.warming_since = Some(now);
@@ -152,7 +152,7 @@
 
     /// The evidence that it does not answer, in typical latencies.
     fn silence(&self, fleet: FleetMeasures, now: Micros) -> f64 {
-        // Time-outs count as latencies: they must not make silence look like slowness.
+        // Time-outs count as latencies too: hence the bound, or silence would look like slowness.
         let own = self.status.limit.latencies.mean().unwrap_or(fleet.typical_latency);
         let latency = own.max(fleet.typical_latency).min(fleet.quarter_objective);
         let in_flight = self.in_flight.values();
@@ -162,7 +162,7 @@
         self.failure_evidence + overdue.take(MAX_OVERDUE_ATTEMPTS).sum::<f64>()
     }
 
-    /// Sets the concurrency limit and the key share anew.
+    /// Updates the concurrency limit and the key share.
     fn evaluate(&mut self, fleet: FleetMeasures) {
         let (factor, steps) = if self.status.is_origin() { (ORIGIN_LATENCY_FACTOR, 2.0) } else { (1.0, 1.0) };
         let limit = &mut self.status.limit;
--- a/src/policy/hot_keys.rs
+++ b/src/policy/hot_keys.rs
@@ -20,7 +20,7 @@
         self.overloaded_since[host.index()].is_some_and(|since| now - since >= OVERLOADED_AFTER)
     }
 
-    /// Finds both anew.
+    /// Updates which hosts are overloaded and which keys are hot.
     pub fn sweep(&mut self, now: Micros) {
         let mean = self.counts.mean();
         for (load, since) in self.counts.hosts.iter().zip(&mut self.overloaded_since) {
@@ -40,7 +40,7 @@
         if count.sends < MIN_HOT_KEY_SENDS.max(share) {
             return false;
         }
-        // A key that alone is past the overload bound needs no time to be told from chance.
+        // A key that alone exceeds the overload bound needs no time to rule out chance.
         count.sends > OVERLOAD_RATIO * mean || self.is_overloaded(count.home, now)
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -43,15 +43,14 @@
             (self.hosts.len()..known).for_each(|index| self.add_host(HostId(index as u32)));
         }
         self.mailboxes.dispatcher.push_back(DispatcherMessage::Event(event));
-        while let Some(delivery) = self.mailboxes.next() {
+        let Policy { mailboxes, dispatcher, hosts } = self;
+        while let Some(delivery) = mailboxes.next() {
             match delivery {
-                Delivery::ToHost(host, message) => {
-                    self.hosts[host.index()].handle(message, &mut self.mailboxes)
-                }
-                Delivery::ToDispatcher(message) => self.dispatcher.handle(message, &mut self.mailboxes),
+                Delivery::ToHost(host, message) => hosts[host.index()].handle(message, mailboxes),
+                Delivery::ToDispatcher(message) => dispatcher.handle(message, mailboxes),
             }
         }
-        actions.append(&mut self.mailboxes.actions);
+        actions.append(&mut mailboxes.actions);
     }
 
     fn add_host(&mut self, id: HostId) {
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -1,5 +1,5 @@
-//! Which host gets a request: the key's home or holders, past one that can't be used the next on
-//! the ring.
+//! Which host gets a request: the key's home or a holder of a hot key; if it is unusable, the next
+//! on the ring.
 
 use super::concurrency_limit::ConcurrencyLimit;
 use super::constants::*;
@@ -8,12 +8,12 @@
 use crate::open_request::OpenRequest;
 use crate::types::{HostId, Micros, RequestId, RingPosition};
 
-/// What a host on a request's way is good for.
+/// How well a host suits a request.
 enum Candidate {
     Usable,
     /// It should have the request, and is full.
     Full,
-    /// With no better host left: the one that is worth most by this.
+    /// A last resort; the one of the highest worth is taken.
     Fallback(f64),
     Unusable,
 }
@@ -25,10 +25,10 @@
         if self.capabilities.cache_aside && (request.is_write || request.has_missed) {
             return self.select_origin(request, now);
         }
-        let limit = &self.fleet_limit;
-        let has_capacity =
-            limit.has_capacity(self.in_flight_total, request.limit_share, self.others_part, now);
-        if !has_capacity || cannot_finish_in_time(request, limit, now) {
+        let fleet = &self.fleet;
+        let share = request.limit_share;
+        let has_capacity = fleet.limit.has_capacity(fleet.in_flight, share, fleet.others_part, now);
+        if !has_capacity || cannot_finish_in_time(request, &fleet.limit, now) {
             return None;
         }
         let key = request.key.unwrap_or_else(|| RingPosition(self.rng.draw()));
@@ -70,7 +70,7 @@
         if !status.is_cache() {
             return Candidate::Unusable;
         }
-        // Suspects come last, with one attempt at a time.
+        // Suspected hosts come last, with one attempt at a time.
         if self.is_avoided(status) {
             let is_free = status.in_flight == 0;
             return if is_free { Candidate::Fallback(0.0) } else { Candidate::Unusable };
@@ -88,7 +88,7 @@
     /// hot key must neither come to such a host from all at once, nor move as a whole and jam the
     /// next host.
     fn keeps_key(&self, host: HostId, key: RingPosition) -> bool {
-        let part = self.host_statuses[host.index()].kept_key_share(self.warm_up_share);
+        let part = self.host_statuses[host.index()].kept_key_share(self.warm_up.share);
         part >= 1.0 || (key.mixed(self.salt ^ u64::from(host.0)).0 as f64) < part * u64::MAX as f64
     }
 
@@ -101,7 +101,7 @@
         let at = self.host_statuses.iter().position(|status| status.is_up() && status.is_origin())?;
         let status = &self.host_statuses[at];
         let share = if request.is_write { ORIGIN_WRITE_SHARE } else { request.limit_share };
-        let has_capacity = status.limit.has_capacity(status.in_flight, share, self.others_part, now);
+        let has_capacity = status.limit.has_capacity(status.in_flight, share, self.fleet.others_part, now);
         let is_usable = has_capacity && !cannot_finish_in_time(request, &status.limit, now);
         is_usable.then_some(HostId(at as u32))
     }
@@ -129,7 +129,8 @@
     }
 }
 
-/// What can't wait for the shortest typical answer loads no host: many such would jam it for nobody.
+/// A request that can't wait for the minimum latency must not load a host: many such would jam it
+/// for nothing.
 fn cannot_finish_in_time(request: &OpenRequest, limit: &ConcurrencyLimit, now: Micros) -> bool {
     request.in_flight.is_empty() && limit.is_too_short(request.expires_at - now)
 }
--- a/src/policy/zones.rs
+++ b/src/policy/zones.rs
@@ -1,8 +1,8 @@
-//! Zones that went dark: evidence from hosts that stand together.
+//! Detects zones that went dark, by the evidence of several hosts in one failure domain.
 //!
-//! A balancer that meets each host every few seconds would lose a request at every single host of a
-//! lost zone before it had left them all. Several hosts that lost attempts, with no answer from
-//! anyone beside them since those were sent, say more than each for itself.
+//! A balancer that uses each host every few seconds would lose a request at every single host of a
+//! lost zone before it had ejected them all. Several hosts that lost attempts, with no answer from
+//! any host of their zone since those were sent, are stronger evidence than each one alone.
 
 use std::collections::BTreeSet;
 
--- a/src/ring.rs
+++ b/src/ring.rs
@@ -40,8 +40,8 @@
 
 impl Ring {
     /// Takes the hosts as they now are, and the number of points that a weight gets. Only what came
-    /// or went is placed anew: in a large fleet that grows, the list tells of a few hosts again and
-    /// again.
+    /// or went is placed anew: in a large fleet that grows, the list changes by a few hosts again
+    /// and again.
     pub(crate) fn set(&mut self, hosts: &[RingHost], points_of: impl Fn(f64) -> u64) {
         let named = hosts.iter().map(|host| host.host.index() + 1).max().unwrap_or(0);
         let known = named.max(self.hosts.len());
--- a/src/router.rs
+++ b/src/router.rs
@@ -1,6 +1,6 @@
 //! The policy in blocking style, for code that serves sockets.
 //!
-//! [`Router::submit`] takes a request in, [`Router::attempt_ended`] tells how one of its attempts
+//! [`Router::submit`] takes a request in, [`Router::attempt_ended`] reports how one of its attempts
 //! ended, [`Router::tick`] runs the timers that are due. The first two return what is to be done
 //! for that request. What was decided for another request meanwhile waits in its mailbox:
 //! [`Router::requests_with_actions`] names those requests, and [`Router::take_actions`] empties the
@@ -99,7 +99,7 @@
     next_request: u32,
     requests_with_actions: BTreeSet<RequestId>,
     timers: Vec<PendingTimer>,
-    /// Filled and emptied by each event; kept for its capacity.
+    /// The actions of the event in hand.
     actions: Vec<PolicyAction>,
 }
 
@@ -133,8 +133,8 @@
         self.policy.pool_size()
     }
 
-    /// Whether a host takes anything new, by the list as it last came: to be asked again before the
-    /// first byte of an attempt that had to wait for its connection.
+    /// Whether a host takes anything new, by the list as it last came: to be checked again before
+    /// the first byte of an attempt that had to wait for its connection.
     pub fn accepts_attempts(&self, host: HostId) -> bool {
         self.policy.accepts_attempts(host)
     }
--- a/src/types/config.rs
+++ b/src/types/config.rs
@@ -98,9 +98,10 @@
 /// What the deployment is like and allows.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Capabilities {
-    /// A host that lacks a key says so, and the balancer asks the origin (cache-aside).
+    /// A host that lacks a key answers with a miss, and the balancer fetches from the origin
+    /// (cache-aside).
     pub cache_aside: bool,
-    /// The endpoint list comes only when asked for.
+    /// The endpoint list comes only on request.
     pub polls_discovery: bool,
     /// Listed weights are nominal sizes, not live load.
     pub steady_weights: bool,
@@ -123,7 +124,7 @@
     pub balancers: u32,
     /// What the deployment allows.
     pub capabilities: Capabilities,
-    /// The longest Retry-After that a client heeds; `None` where rejections carry none.
+    /// The longest Retry-After that a client honours; `None` where rejections carry none.
     pub max_retry_after: Option<Micros>,
     /// Events come in steps of this length.
     pub tick: Micros,
--- a/src/types/endpoints.rs
+++ b/src/types/endpoints.rs
@@ -30,7 +30,7 @@
     pub lifecycle: Lifecycle,
     /// Its nominal size against the others'.
     pub weight: f64,
-    /// When its process started, where the list says.
+    /// When its process started, where the list shows it.
     pub started_at: Option<Micros>,
 }
 
--- a/src/types/events.rs
+++ b/src/types/events.rs
@@ -1,4 +1,4 @@
-//! The events that a policy is told, and the actions that it wants done.
+//! The events that a policy handles, and the actions that it decides on.
 
 use super::{
     AttemptNumber, Endpoint, HostId, LearnedLimit, Micros, RequestClassId, RequestId, RingPosition, TenantId,
@@ -31,7 +31,7 @@
 }
 
 impl AttemptOutcome {
-    /// Whether the host said something, whatever it was.
+    /// Whether the host answered, whatever the answer.
     pub fn answered(self) -> bool {
         matches!(
             self,
@@ -62,7 +62,7 @@
     }
 }
 
-/// What the policy is told.
+/// What a policy handles.
 #[derive(Clone, Debug)]
 pub enum PolicyEvent {
     /// The endpoint list came.
@@ -94,7 +94,7 @@
         deadline: Micros,
     },
     /// An attempt goes on a connection that has carried nothing yet: it takes longer than its host
-    /// does, so that waiting for it tells nothing of the host.
+    /// does, so that waiting for it shows nothing of the host.
     NewConnection {
         /// The attempt's request.
         request: RequestId,
@@ -140,7 +140,7 @@
         /// The host.
         host: HostId,
     },
-    /// This process itself stood still for so long: nobody's silence in that time tells anything.
+    /// This process itself was stalled for so long: no host's silence in that time shows anything.
     ProcessStalled(Micros),
     /// A timer that the policy set is due.
     TimerFired(Timer),
@@ -155,7 +155,7 @@
     Watch,
 }
 
-/// What the policy wants done.
+/// What a policy decides on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyAction {
     /// Send the request to a host.
@@ -193,6 +193,6 @@
         /// What to report.
         timer: Timer,
     },
-    /// Ask to be told of changes to the endpoint list from now on.
+    /// Subscribe to changes of the endpoint list from now on.
     WatchDiscovery,
 }
--- a/src/types/ids.rs
+++ b/src/types/ids.rs
@@ -29,7 +29,7 @@
 }
 
 impl HostId {
-    /// The same as an index into what is kept by host.
+    /// Its number as an index into vectors by host.
     pub fn index(self) -> usize {
         self.0 as usize
     }
