--- a/regions/src/error.rs
+++ b/regions/src/error.rs
@@ -55,7 +55,8 @@
     },
     /// Two regions name one zone.
     #[error(
-        "zone {zone:?} is in region {first_region:?} (line {first_line}) and in {region:?}: remove it from one"
+        "zone {zone:?} is in region {first_region:?} (line {first_line}) and in {region:?}: \
+         remove it from one"
     )]
     SharedZone {
         /// The zone that both name.
--- a/regions/tests/common/mod.rs
+++ b/regions/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Shared by the tests: entries in a few words, and a stand-in for the module that applies what it hears.
+//! Shared by the tests: entries in a few words, and a stand-in for the policy that applies what it
+//! gets.
 #![allow(dead_code)] // each test file uses its part
 
 use std::collections::BTreeMap;
@@ -18,19 +19,19 @@
 zones = ["s1", "s2"]
 "#;
 
-/// With a number as all that the shell wants to know of a host.
+/// With a number as all the details.
 pub type Listed = ListedHost<u32>;
 
 pub fn regions() -> Regions<u32> {
     Regions::new(RegionMap::parse("regions.toml", MAP).expect("it is valid"))
 }
 
-/// The same map with these least numbers of hosts, where they are said; west, north, south.
+/// The same map with these minimum numbers of hosts, where there are any: west, north, south.
 pub fn regions_with(min_hosts: [Option<u32>; 3]) -> Regions<u32> {
     let mut map = MAP.to_owned();
-    for (zones, least) in [r#"["w1"]"#, r#"["n1", "n2"]"#, r#"["s1", "s2"]"#].iter().zip(min_hosts) {
-        if let Some(least) = least {
-            map = map.replace(zones, &format!("{zones}\nhosts = {least}"));
+    for (zones, minimum) in [r#"["w1"]"#, r#"["n1", "n2"]"#, r#"["s1", "s2"]"#].iter().zip(min_hosts) {
+        if let Some(minimum) = minimum {
+            map = map.replace(zones, &format!("{zones}\nhosts = {minimum}"));
         }
     }
     Regions::new(RegionMap::parse("regions.toml", &map).expect("it is valid"))
@@ -82,8 +83,8 @@
     }
 }
 
-/// What the module makes of what it hears. Where only draining binds it keeps hosts that a list drops without
-/// that, until they fall silent.
+/// What the policy makes of the updates. Where only draining binds it keeps hosts that a list drops
+/// without a drain, until they stop answering.
 #[derive(Default)]
 pub struct StandInPolicy {
     pub dropped_stay: bool,
@@ -99,10 +100,10 @@
 }
 
 impl StandInPolicy {
-    pub fn apply(&mut self, whole: bool, update: &RingUpdate<u32>) {
+    pub fn apply(&mut self, full_list: bool, update: &RingUpdate<u32>) {
         let named: Vec<&str> = update.entries.iter().map(|entry| &*entry.host).collect();
         for (name, known) in &mut self.hosts {
-            if whole && !named.contains(&&**name) {
+            if full_list && !named.contains(&&**name) {
                 known.apply(
                     ListedHost { lifecycle: Lifecycle::Gone, ..known.entry.clone() },
                     self.dropped_stay,
@@ -125,7 +126,7 @@
         up.map(|known| (known.entry.host.clone(), known.entry.clone())).collect()
     }
 
-    /// Forgets hosts that are gone, as the shell has it do; their names.
+    /// Forgets hosts that are gone, as the caller has it do; their names.
     pub fn free(&mut self) -> Vec<Box<str>> {
         let gone = |known: &&Known| known.entry.lifecycle == Lifecycle::Gone;
         let gone: Vec<Box<str>> =
@@ -134,7 +135,7 @@
         gone
     }
 
-    /// A host that only its answers kept falls silent.
+    /// A host that only its answers kept stops answering.
     pub fn silent(&mut self, host: &str) {
         if let Some(known) = self.hosts.get_mut(host).filter(|known| known.dropped) {
             known.dropped = false;
--- a/regions/tests/map.rs
+++ b/regions/tests/map.rs
@@ -177,7 +177,7 @@
     assert_eq!(error, RegionMapError { file: "regions.toml".to_owned(), line: 11, problem });
 }
 
-/// By what the map says, whoever's copy it is and however that is written.
+/// The version depends on what the map says, not on whose copy it is or how that is written.
 #[test]
 fn version_differs_by_all_a_map_says_but_the_own_region() {
     let version =
@@ -207,8 +207,8 @@
     }
     let (north, south) = VALID.split_at(VALID.rfind("[[region]]").expect("it is there"));
     let (own, north) = north.split_once("\n\n").expect("an empty line");
-    let turned = version(&format!("{own}\n{south}{north}")).expect("it is valid");
-    lines.push(format!("{}: turned round", if turned == lines[0] { "the same" } else { "another" }));
+    let reversed = version(&format!("{own}\n{south}{north}")).expect("it is valid");
+    lines.push(format!("{}: regions reversed", if reversed == lines[0] { "the same" } else { "another" }));
     expect![[r##"
         7a4aced4
         the same: "own = \"north\"" now "own = \"south\""
@@ -225,7 +225,7 @@
         another: "hosts = 8\n" now ""
         another: "zones = [\"z03\"]" now "zones = [\"z03\"]\nbalancers = 20"
         another: "[[region]]" now "[[region]]\nname = \"west\"\nzones = [\"z05\"]\n[[region]]"
-        another: turned round"##]]
+        another: regions reversed"##]]
     .assert_eq(&lines.join("\n"));
 }
 
--- a/regions/tests/memory.rs
+++ b/regions/tests/memory.rs
@@ -3,15 +3,15 @@
 use basaltwood::types::Lifecycle;
 use basaltwood_regions::{ListedHost, RegionMap, Regions};
 
-/// So many bytes this process holds.
+/// The resident memory of this process, in bytes.
 fn resident_bytes() -> usize {
     let text = std::fs::read_to_string("/proc/self/smaps_rollup").expect("it runs");
     let line = text.lines().find_map(|line| line.strip_prefix("Rss:")).expect("a figure");
     line.trim().trim_end_matches(" kB").parse::<usize>().expect("a number") * 1024
 }
 
-/// With 64 bytes that the shell wants kept: an address, a weight, a cell, a start. Names are of 19 letters,
-/// and come sorted, which leaves the most room unused.
+/// With 64 bytes of details: an address, a weight, a cell, a start. Names are of 19 letters, and
+/// come sorted, which leaves the most memory unused.
 #[test]
 fn host_outside_the_ring_takes_under_256_bytes() {
     const MANY: usize = 20_000;
--- a/regions/tests/rings.rs
+++ b/regions/tests/rings.rs
@@ -1,4 +1,5 @@
-//! Which hosts the policy hears of: traces of lists in and entries out, and properties over series of lists.
+//! Which hosts the policy sees: traces of lists in and entries out, and properties over series of
+//! lists.
 
 mod common;
 
@@ -10,15 +11,15 @@
 use expect_test::expect;
 use proptest::prelude::*;
 
-/// Lists, a line each, `all` before one that holds all there is, and what the policy hears of each.
+/// Lists, a line each, `all` before one that holds all there is, and what the policy sees of each.
 fn trace(lists: &[&str]) -> String {
     trace_of(regions(), lists)
 }
 
 fn trace_of(mut regions: Regions<u32>, lists: &[&str]) -> String {
     let lines = lists.iter().map(|list| {
-        let (whole, text) = list.strip_prefix("all: ").map_or((false, *list), |text| (true, text));
-        let update = regions.apply(whole, entries(text));
+        let (full_list, text) = list.strip_prefix("all: ").map_or((false, *list), |text| (true, text));
+        let update = regions.apply(full_list, entries(text));
         format!("{}\n  => {}\n", list.trim(), shown(&update))
     });
     lines.collect()
@@ -246,8 +247,8 @@
     .assert_eq(&trace);
 }
 
-/// After a restart some have the new map and others the old one, of one list: a zone that moves is used by
-/// both regions, one that is in no region between by neither.
+/// After a restart some balancers have the new map and others the old one, with the same list: a
+/// zone that moves is used by both regions, one that is in no region meanwhile by neither.
 #[test]
 fn balancers_with_different_maps_each_follow_their_own() {
     let moved = MAP.replace(r#""n1", "n2""#, r#""n1""#).replace(r#""s1", "s2""#, r#""s1", "s2", "n2""#);
@@ -283,15 +284,15 @@
     assert_eq!((regions.counts(), regions.ring()), (counted, "south"));
 }
 
-/// A host that a list drops while only draining binds is used on, and its drain is heard though no list names
-/// it any more.
+/// A host that a list drops while only draining binds stays in use, and its drain is passed on
+/// though no list names it any more.
 #[test]
 fn drain_of_an_unlisted_host_is_passed_on_until_the_host_is_forgotten() {
     let mut regions = regions();
     let mut policy = StandInPolicy { dropped_stay: true, ..StandInPolicy::default() };
-    let mut apply = |whole, text: &str, policy: &mut StandInPolicy| {
-        let update = regions.apply(whole, entries(text));
-        policy.apply(whole, &update);
+    let mut apply = |full_list, text: &str, policy: &mut StandInPolicy| {
+        let update = regions.apply(full_list, entries(text));
+        policy.apply(full_list, &update);
         policy.free().iter().for_each(|name| regions.forget(name));
         let up: Vec<_> = policy.up().into_keys().collect();
         format!("{text}\n  => {}; up: {}\n", shown(&update), up.join(" ")).replace(": \n", ": none\n")
@@ -330,7 +331,7 @@
     .assert_eq(&lines.concat());
 }
 
-/// What a map says of its regions' least numbers of hosts: west, north, south.
+/// What a map says of its regions' minimum numbers of hosts: west, north, south.
 type MinHosts = [Option<u32>; 3];
 
 fn any_min_hosts() -> impl Strategy<Value = MinHosts> {
@@ -340,10 +341,11 @@
 /// One step of a list's life.
 #[derive(Clone, Debug)]
 struct Step {
-    whole: bool,
+    full_list: bool,
     entries: Vec<Listed>,
-    /// The shell looks which hosts it can forget, and this one falls silent before.
+    /// Whether the caller forgets hosts that are gone after this step.
     frees: bool,
+    /// The host that stops answering before that.
     silent: usize,
 }
 
@@ -364,12 +366,12 @@
         });
     let entries = proptest::collection::vec(entry, 0..7);
     (prop::bool::weighted(0.3), entries, any::<bool>(), 0..HOSTS.len())
-        .prop_map(|(whole, entries, frees, silent)| Step { whole, entries, frees, silent })
+        .prop_map(|(full_list, entries, frees, silent)| Step { full_list, entries, frees, silent })
 }
 
-/// The list as discovery has it after a step.
-fn listed(list: &mut BTreeMap<Box<str>, Listed>, step: &Step) {
-    if step.whole {
+/// Brings the list to what discovery has after a step.
+fn apply_step(list: &mut BTreeMap<Box<str>, Listed>, step: &Step) {
+    if step.full_list {
         list.clear();
     }
     for entry in &step.entries {
@@ -377,26 +379,27 @@
     }
 }
 
-/// Hosts that are up in the first region that has its least, or in the first that has any, and origins.
+/// Hosts that are up in the first region that has its minimum, or in the first that has any, and
+/// origins.
 fn ring_of(list: &BTreeMap<Box<str>, Listed>, min_hosts: MinHosts) -> BTreeMap<Box<str>, Listed> {
     let up = |entry: &&Listed| entry.lifecycle == Lifecycle::Up;
-    let of = |zones: &[&str]| -> BTreeMap<Box<str>, Listed> {
-        let here = |entry: &&Listed| entry.zone.as_deref().is_some_and(|zone| zones.contains(&zone));
-        let here = list.values().filter(up).filter(|entry| !entry.origin).filter(here);
-        here.map(|entry| (entry.host.clone(), entry.clone())).collect()
+    let in_zones = |zones: &[&str]| -> BTreeMap<Box<str>, Listed> {
+        let listed_there = |entry: &&Listed| entry.zone.as_deref().is_some_and(|zone| zones.contains(&zone));
+        let hosts = list.values().filter(up).filter(|entry| !entry.origin).filter(listed_there);
+        hosts.map(|entry| (entry.host.clone(), entry.clone())).collect()
     };
     let regions = [&["n1", "n2"][..], &["s1", "s2"], &["w1"]];
-    let rings = regions.map(of);
-    let [west, north, south] = min_hosts.map(|least| least.unwrap_or(1) as usize);
-    let stands = rings.iter().zip([north, south, west]).find(|(ring, least)| ring.len() >= *least);
-    let any = rings.iter().find(|ring| !ring.is_empty());
-    let mut ring = stands.map(|found| found.0).or(any).cloned().unwrap_or_default();
+    let rings = regions.map(in_zones);
+    let [west, north, south] = min_hosts.map(|minimum| minimum.unwrap_or(1) as usize);
+    let with_minimum = rings.iter().zip([north, south, west]).find(|(ring, minimum)| ring.len() >= *minimum);
+    let with_any = rings.iter().find(|ring| !ring.is_empty());
+    let mut ring = with_minimum.map(|found| found.0).or(with_any).cloned().unwrap_or_default();
     let origins = list.values().filter(up).filter(|entry| entry.origin);
     ring.extend(origins.map(|entry| (entry.host.clone(), entry.clone())));
     ring
 }
 
-/// Entries of a whole list come in any order.
+/// Entries of a full list come in any order.
 fn shuffled(list: &BTreeMap<Box<str>, Listed>, by: u64) -> Vec<Listed> {
     let mut entries: Vec<Listed> = list.values().cloned().collect();
     entries.sort_by_key(|entry| basaltwood::types::RingPosition::of(&entry.host).mixed(by));
@@ -406,19 +409,22 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(2_000) })]
 
-    /// Alike at all balancers of the region: whatever lists and changes a balancer heard, what it sends to is
-    /// what the list says now, and one that starts with that list whole, in any order, has the same.
+    /// The same at all balancers of the region: whatever lists and changes a balancer got, what it
+    /// sends to is what the list says now, and one that starts with that list in full, in any
+    /// order, has the same.
     #[test]
     fn ring_after_any_lists_equals_the_ring_of_the_final_list(
         min_hosts in any_min_hosts(),
         steps in proptest::collection::vec(step(), 1..24),
         order in any::<u64>(),
     ) {
-        let (mut regions, mut policy, mut list) = (regions_with(min_hosts), StandInPolicy::default(), BTreeMap::new());
+        let mut regions = regions_with(min_hosts);
+        let mut policy = StandInPolicy::default();
+        let mut list = BTreeMap::new();
         for step in steps {
-            let update = regions.apply(step.whole, step.entries.clone());
-            policy.apply(step.whole, &update);
-            listed(&mut list, &step);
+            let update = regions.apply(step.full_list, step.entries.clone());
+            policy.apply(step.full_list, &update);
+            apply_step(&mut list, &step);
             let mut other = StandInPolicy::default();
             other.apply(true, &regions_with(min_hosts).apply(true, shuffled(&list, order)));
             prop_assert_eq!(policy.up(), ring_of(&list, min_hosts));
@@ -429,8 +435,9 @@
         }
     }
 
-    /// Rule 3, where only draining binds too: whatever a drain's entry says, and whether or not a list names
-    /// the host still, the policy sends nothing there; and it uses no host outside, listed or not.
+    /// Rule 3, also where only draining binds: whatever a drain's entry says, and whether or not a
+    /// list still names the host, the policy sends nothing there; and it uses no host outside the
+    /// ring, listed or not.
     #[test]
     fn draining_host_is_never_used_whatever_came_before(
         min_hosts in any_min_hosts(),
@@ -438,12 +445,13 @@
     ) {
         let mut regions = regions_with(min_hosts);
         let mut policy = StandInPolicy { dropped_stay: true, ..StandInPolicy::default() };
-        // The list, and where a host was when an entry last told of its place.
-        let (mut list, mut places) = (BTreeMap::new(), BTreeMap::new());
+        let mut list = BTreeMap::new();
+        // The zone of a host when an entry last named it.
+        let mut zones = BTreeMap::new();
         for step in steps {
-            let update = regions.apply(step.whole, step.entries.clone());
-            policy.apply(step.whole, &update);
-            listed(&mut list, &step);
+            let update = regions.apply(step.full_list, step.entries.clone());
+            policy.apply(step.full_list, &update);
+            apply_step(&mut list, &step);
             let up = policy.up();
             for entry in list.values().filter(|entry| entry.lifecycle == Lifecycle::Draining) {
                 prop_assert!(!up.contains_key(&entry.host), "{} drains", entry.host);
@@ -454,14 +462,14 @@
             for entry in &step.entries {
                 let named = entry.zone.as_deref().is_some_and(|zone| zone != "x");
                 if named || entry.lifecycle == Lifecycle::Up {
-                    places.insert(entry.host.clone(), entry.zone.clone());
+                    zones.insert(entry.host.clone(), entry.zone.clone());
                 }
             }
             for name in up.iter().filter(|(_, entry)| !entry.origin).map(|(name, _)| name) {
                 let listed = ring_of(&list, min_hosts).contains_key(name);
                 prop_assert!(listed || policy.hosts[name].dropped, "{name} is not listed");
                 // Regions' names begin as their zones do.
-                let zone = places[name].as_deref().and_then(|zone| zone.chars().next());
+                let zone = zones[name].as_deref().and_then(|zone| zone.chars().next());
                 prop_assert_eq!(zone, regions.ring().chars().next(), "{} lies outside", name);
             }
             policy.silent(HOSTS[step.silent]);
