--- a/balancer/src/requests.rs
+++ b/balancer/src/requests.rs
@@ -1,4 +1,5 @@
-//! One request from its submission to its final answer: carries out what the policy decides, and reports how attempts end.
+//! One request from its submission to its final answer: carries out what the policy decides, and
+//! reports how attempts end.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -35,7 +36,8 @@
     pub _memory: MemoryGuard,
 }
 
-/// Serves one request whose id was reserved. Its client has gone once the other end of `delivery` is dropped.
+/// Serves one request whose id was reserved. Its client has gone once the other end of `delivery`
+/// is dropped.
 pub async fn serve(
     shared: Rc<Shared>,
     request: ClientRequest,
@@ -130,9 +132,9 @@
         let key = (self.id, attempt);
         let task = async move {
             let upstreams = &shared.upstreams;
-            let result = match upstreams.origin(host) {
-                Some(address) => origin::push(upstreams, host, address, key, &request, deadline).await,
-                None => upstreams.push(host, key, &request, deadline).await,
+            let result = match upstreams.origin_address(host) {
+                Some(address) => origin::attempt(upstreams, host, address, key, &request, deadline).await,
+                None => upstreams.attempt(host, key, &request, deadline).await,
             };
             (attempt, result)
         };
