--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -60,7 +60,7 @@
 impl Instance {
     pub fn start(seed: u64, settings: &OperatorSettings) -> Result<Instance, String> {
         Ok(Instance {
-            policy: Policy::new(&settings.policy_config(seed)?),
+            policy: Policy::new(&settings.policy_config(seed).map_err(|error| error.to_string())?),
             tickets: Tickets::default(),
             names: NameTable::new(settings),
             actions: Vec::new(),
@@ -122,7 +122,7 @@
                 let bits = bits.unwrap_or(0);
                 PolicyEvent::Request {
                     request: self.tickets.open(ticket),
-                    class: self.names.class_id(&lane)?,
+                    class: self.names.class_id(&lane).map_err(|error| error.to_string())?,
                     tenant: project.and_then(|name| self.names.tenant_id(&name)),
                     key: route_key.as_deref().map(RingPosition::of),
                     is_write: bits & WRITE_BIT != 0,
@@ -135,7 +135,7 @@
                 // It ends twice: here for the module, and for the wire when it is finished.
                 self.tickets
                     .note(request, |ticket| (ticket.streams, ticket.out) = (Some(hop), ticket.out + 1));
-                let host = HostId(self.names.hosts.lookup(&host, "host")?);
+                let host = HostId(self.names.hosts.lookup(&host, "host").map_err(|error| error.to_string())?);
                 let elapsed = micros(wait_time_ms);
                 PolicyEvent::AttemptEnded {
                     request,
@@ -152,7 +152,7 @@
                     self.tickets.note(request, |ticket| ticket.out -= 1);
                     return Ok(None);
                 }
-                let host = HostId(self.names.hosts.lookup(&host, "host")?);
+                let host = HostId(self.names.hosts.lookup(&host, "host").map_err(|error| error.to_string())?);
                 let elapsed = micros(wait_time_ms);
                 PolicyEvent::AttemptEnded {
                     request,
--- a/balancer/src/config.rs
+++ b/balancer/src/config.rs
@@ -111,7 +111,7 @@
         if !(8.0..1e9).contains(&file.limits.memory_mb) || file.limits.sockets < 32 {
             return Err("limits: at least 8 MB and 32 sockets are needed".to_owned());
         }
-        let mut policy = file.settings.policy_config(seed)?;
+        let mut policy = file.settings.policy_config(seed).map_err(|error| error.to_string())?;
         file.settings
             .ignored_capabilities()
             .iter()
--- /dev/null
+++ b/settings/src/policy_config.rs
@@ -0,0 +1,167 @@
+//! The settings as the policy's configuration.
+
+use basaltwood::types::{
+    Capabilities, DeduplicationScope, Micros, PolicyConfig, RequestClass, RetrySafety, SlowStart,
+    TailObjective, Tenant,
+};
+
+use crate::operator_settings::{Category, ObjectiveMix};
+use crate::runtime_limits::MAX_SPAN_MS;
+use crate::{micros, OperatorSettings, SettingsError};
+
+/// Prices from here on are taken for a mistake.
+const MAX_PRICE: f64 = 1e10;
+
+const REPORT_SOURCES: [&str; 3] = ["inline", REPORT_ON_PROBE, REPORT_OFF];
+const REPORT_ON_PROBE: &str = "on_probe";
+const REPORT_OFF: &str = "off";
+
+impl OperatorSettings {
+    /// The policy's configuration; `seed` is that of its random draws.
+    ///
+    /// # Errors
+    /// The first thing in the settings that can't be used.
+    pub fn policy_config(&self, seed: u64) -> Result<PolicyConfig, SettingsError> {
+        self.check()?;
+        Ok(PolicyConfig {
+            seed,
+            balancers: self.balancers.unwrap_or(1).max(1),
+            capabilities: self.capabilities(),
+            max_retry_after: self.max_retry_after()?,
+            tick: span("tickMs", self.tick_ms.unwrap_or(1.0))?,
+            over_quota_weight: self.over_quota_weight.unwrap_or(1.0),
+            tail_objective: self.objective_mix.tail_objective(),
+            slow_start: self.slow_start()?,
+            classes: self.categories.iter().map(Category::request_class).collect::<Result<_, _>>()?,
+            tenants: self.policy_tenants(),
+        })
+    }
+
+    /// What the deployment allows and no decision makes use of, a line each.
+    pub fn ignored_capabilities(&self) -> Vec<String> {
+        let mut ignored = Vec::new();
+        if self.limits.peer_messages {
+            ignored.push("messages between balancers: each decides alone".to_owned());
+        }
+        if self.limits.probes && self.report.source.as_deref() == Some(REPORT_ON_PROBE) {
+            let columns = self.report.columns.join(", ");
+            ignored.push(format!("load reports to probes ({columns}): answer times tell enough"));
+        }
+        ignored
+    }
+
+    /// Checks what has no place of its own in the configuration.
+    fn check(&self) -> Result<(), SettingsError> {
+        if self.categories.is_empty() {
+            return Err(SettingsError::NoCategories);
+        }
+        self.objective_mix.check()?;
+        let is_invalid = |price: f64| !(0.0..MAX_PRICE).contains(&price);
+        if let Some((name, &price)) = self.costs.iter().find(|(_, &price)| is_invalid(price)) {
+            return Err(SettingsError::InvalidPrice { name: name.clone(), price });
+        }
+        let source = self.report.source.as_deref().unwrap_or(REPORT_OFF);
+        if !REPORT_SOURCES.contains(&source) {
+            return Err(SettingsError::UnknownReportSource { source_name: source.to_owned() });
+        }
+        Ok(())
+    }
+
+    fn capabilities(&self) -> Capabilities {
+        let mode = self.domain.as_ref().and_then(|domain| domain.mode.as_deref());
+        Capabilities {
+            cache_aside: mode == Some("aside"),
+            polls_discovery: self.discovery.as_deref() == Some("ask"),
+            steady_weights: !matches!(self.weights.as_deref(), Some("live" | "off") | None),
+            max_attempts: self.limits.max_attempts,
+            hedging: self.limits.hedging,
+            cancellation: self.limits.cancellation,
+            keeps_dropped_hosts: self.invariants.keeps_dropped_hosts,
+        }
+    }
+
+    /// None where rejections carry no Retry-After.
+    fn max_retry_after(&self) -> Result<Option<Micros>, SettingsError> {
+        if !self.limits.retry_after {
+            return Ok(None);
+        }
+        let max_ms = self.limits.max_retry_after_ms.filter(|&ms| ms > 0.0);
+        max_ms.map(|ms| span("maxRetryAfterMs", ms)).transpose()
+    }
+
+    fn slow_start(&self) -> Result<SlowStart, SettingsError> {
+        Ok(SlowStart {
+            initial_capacity: self.invariants.initial_capacity,
+            warm_up_time: span("warmWithinMs", self.invariants.warm_up_time_ms)?,
+            overload_multiple: self.invariants.overload_multiple,
+            overload_window: span("tipAfterMs", self.invariants.overload_window_ms)?,
+        })
+    }
+
+    fn policy_tenants(&self) -> Vec<Tenant> {
+        let tenants = self.tenants.iter().flatten();
+        tenants.map(|tenant| Tenant { quota_per_s: tenant.quota_per_s.unwrap_or(0.0) }).collect()
+    }
+}
+
+impl ObjectiveMix {
+    fn check(&self) -> Result<(), SettingsError> {
+        for (field, part) in [("keptPromises", self.tail_objective_weight), ("tailMiss", self.tail_miss)] {
+            if part.is_some_and(|part| !(0.0..=1.0).contains(&part)) {
+                return Err(SettingsError::InvalidObjectivePart { field });
+            }
+        }
+        Ok(())
+    }
+
+    /// None where the tail has no objective of its own.
+    fn tail_objective(&self) -> Option<TailObjective> {
+        let weight = self.tail_objective_weight.filter(|&weight| weight > 0.0)?;
+        Some(TailObjective { weight, miss: self.tail_miss.unwrap_or(0.0) })
+    }
+}
+
+impl Category {
+    fn request_class(&self) -> Result<RequestClass, SettingsError> {
+        let retry_safety = self.retry_safety()?;
+        Ok(RequestClass {
+            latency_objective: span(&self.name, self.latency_objective_ms)?,
+            time_limit: span(&self.name, self.time_limit_ms)?,
+            priority_weight: self.priority_weight.unwrap_or(1.0),
+            late_weight: self.late_weight.unwrap_or(0.0),
+            retry_safety,
+        })
+    }
+
+    fn retry_safety(&self) -> Result<RetrySafety, SettingsError> {
+        let window = self.deduplication_window_ms.map(|ms| span(&self.name, ms)).transpose()?;
+        match self.semantics.as_str() {
+            "retryable" => Ok(RetrySafety::Idempotent),
+            "fragile" => Ok(RetrySafety::AtMostOnce),
+            "dedup" => match window.filter(|&window| window > 0) {
+                Some(window) => Ok(RetrySafety::IdempotencyKey { scope: self.scope(), window }),
+                None => Err(SettingsError::NoDeduplicationWindow { category: self.name.clone() }),
+            },
+            unknown => {
+                Err(SettingsError::UnknownSemantics { category: self.name.clone(), kind: unknown.to_owned() })
+            }
+        }
+    }
+
+    fn scope(&self) -> DeduplicationScope {
+        match self.deduplication_scope.as_deref() {
+            Some("zone") => DeduplicationScope::Zone,
+            Some("cell") => DeduplicationScope::Cell,
+            _ => DeduplicationScope::All,
+        }
+    }
+}
+
+/// A span of time from nothing to months, in microseconds; `what` has it in the settings.
+fn span(what: &str, ms: f64) -> Result<Micros, SettingsError> {
+    if (0.0..MAX_SPAN_MS).contains(&ms) {
+        Ok(micros(ms))
+    } else {
+        Err(SettingsError::InvalidSpan { what: what.to_owned(), ms })
+    }
+}
--- a/settings/tests/names.rs
+++ b/settings/tests/names.rs
@@ -1,17 +1,23 @@
-//! Numbers for texts, and those that were forgotten.
+//! Ids for names, and those that were released.
 
 use basaltwood_settings::IdTable;
 
-/// Whoever forgets says so again and again, also when the text has another number by then.
+/// A caller may release an id again and again, also when the name has another id by then.
 #[test]
-fn a_text_that_came_back_under_another_number_keeps_it() {
+fn name_with_a_new_id_keeps_it_when_its_former_id_is_released_again() {
+    // Given
     let mut names = IdTable::default();
     let (a, b) = (names.intern("a"), names.intern("b"));
     assert!(names.release(a) && names.release(b));
-    let again = names.intern("a");
-    assert_eq!(again, b, "the number that was forgotten last goes first");
-    assert!(!names.release(a), "that number stands for nothing");
-    assert_eq!(names.intern("a"), again);
+    let new_id = names.intern("a");
+    assert_eq!(new_id, b, "the id that was released last goes first");
+
+    // When
+    let was_in_use = names.release(a);
+
+    // Then
+    assert!(!was_in_use, "that id stands for nothing");
+    assert_eq!(names.intern("a"), new_id);
     let others = [names.intern("c"), names.intern("d")];
-    assert_eq!(others, [a, 2], "no number stands for two");
+    assert_eq!(others, [a, 2], "no id stands for two names");
 }
--- a/testbed/src/scale/hollow.rs
+++ b/testbed/src/scale/hollow.rs
@@ -220,7 +220,9 @@
 impl Hollow {
     fn new(spec: &HollowSpec, no: u32, clock: &Rc<Clock>, shared: &Rc<Shared>) -> Result<Rc<Hollow>, String> {
         let info = OperatorSettings::deserialize(&spec.settings).map_err(|cause| cause.to_string())?;
-        let terms = info.policy_config(RingPosition(spec.seed).mixed(u64::from(no)).0)?;
+        let terms = info
+            .policy_config(RingPosition(spec.seed).mixed(u64::from(no)).0)
+            .map_err(|error| error.to_string())?;
         let bounds = info.runtime_limits();
         let pools = ConnectionPools::new(basaltwood_connection_pool::PoolConfig {
             seed: terms.seed,
