--- a/connection_pool/src/circuit_breaker.rs
+++ b/connection_pool/src/circuit_breaker.rs
@@ -22,8 +22,8 @@
     Probing,
 }
 
-/// Keeps a host that let no connection come up from being tried before a pause is over. Pauses double, and each is drawn
-/// from its upper half.
+/// Keeps a host that let no connection come up from being tried before a pause is over. Pauses
+/// double, and each is drawn from its upper half.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CircuitBreaker {
     failures: u32,
--- a/connection_pool/src/fault_outbreak.rs
+++ b/connection_pool/src/fault_outbreak.rs
@@ -1,4 +1,5 @@
-//! Connections of several hosts that fail at about one time: a device between (a NAT, a firewall) lost its state.
+//! Connections of several hosts that fail at about one time: a device between (a NAT, a firewall)
+//! lost its state.
 
 use basaltwood::types::{HostId, Micros};
 
@@ -21,8 +22,8 @@
 }
 
 impl FaultOutbreak {
-    /// A connection of this host failed, the host not at fault. In an outbreak: its start; no connection that was idle
-    /// then is good.
+    /// A connection of this host failed, the host not at fault. In an outbreak: its start; no
+    /// connection that was idle then is good.
     pub fn record(&mut self, now: Micros, host: HostId) -> Option<Micros> {
         self.recent.retain(|fault| now - fault.at < WINDOW && fault.host != host);
         self.recent.push(HostFault { at: now, host });
@@ -32,8 +33,8 @@
         self.recent.iter().map(|fault| fault.at).min()
     }
 
-    /// A connection that had been idle was used, and is good. One that was idle before the first fault and used after
-    /// it shows that there is no outbreak.
+    /// A connection that had been idle was used, and is good. One that was idle before the first
+    /// fault and used after it shows that there is no outbreak.
     pub fn reuse_succeeded(&mut self, sent_at: Micros, idle_for: Micros) {
         let idle_since = sent_at - idle_for;
         if self.recent.first().is_some_and(|first| idle_since < first.at && first.at < sent_at) {
--- a/connection_pool/src/host_pool.rs
+++ b/connection_pool/src/host_pool.rs
@@ -11,8 +11,8 @@
 use crate::token_bucket::TokenBucket;
 use crate::{ConnectionId, Fault, TimeoutVerdict};
 
-/// Reused connections that turn out stale one after the other, with none that is good between: others that were idle as
-/// long are in doubt.
+/// Reused connections that turn out stale one after the other, with none that is good between:
+/// others that were idle as long are in doubt.
 const STALE_IN_A_ROW: u32 = 2;
 /// Connections of a hung host that await a late response at a time.
 const MAX_LATE_WAITS: usize = 1;
@@ -173,7 +173,8 @@
         }
     }
 
-    /// The attempt on this connection timed out: whose fault that was, and whether to await a late response.
+    /// The attempt on this connection timed out: whose fault that was, and whether to await a late
+    /// response.
     pub fn timed_out(&mut self, now: Micros, id: ConnectionId) -> TimeoutVerdict {
         let sent_at = self.connections.get(&id).and_then(|connection| connection.sent_at);
         // The connection's fault where others that were sent after it were answered.
@@ -192,8 +193,8 @@
         connection.sent_at.is_some_and(|sent_at| self.history.silent_since(sent_at))
     }
 
-    /// Whether a late response is awaited on a connection whose attempt timed out: where the whole host is silent, that
-    /// tells of its return.
+    /// Whether a late response is awaited on a connection whose attempt timed out: where the whole
+    /// host is silent, that tells of its return.
     fn await_late_response(&mut self, now: Micros, id: ConnectionId) -> bool {
         let silent = self.silent_since_sent(id);
         self.history.timed_out(silent);
@@ -203,8 +204,8 @@
         // A slow host that still answers is not waited for: it would work on what nobody waits for.
         let watch_for_return = self.history.host_hangs() && late_waits.len() < MAX_LATE_WAITS;
         let Some(connection) = self.connections.get_mut(&id) else { return false };
-        // A new connection whose first attempt timed out is warm once it answers; in its place another would be opened,
-        // and be late alike.
+        // A new connection whose first attempt timed out is warm once it answers; in its place
+        // another would be opened, and be late alike.
         let warms_up = connection.state == ConnectionState::Warming && !silent;
         if !warms_up && !watch_for_return {
             return false;
@@ -214,12 +215,13 @@
         true
     }
 
-    /// A connection ended under its request. A reused one may have been stale before; then others that were idle as long
-    /// are in doubt.
+    /// A connection ended under its request. A reused one may have been stale before; then others
+    /// that were idle as long are in doubt.
     pub fn lost(&mut self, now: Micros, id: ConnectionId) -> Loss {
         let Some(connection) = self.connections.get(&id).copied() else { return Loss::alone(Fault::Host) };
         let Some(idle_for) = connection.idle_before_use else {
-            // A new one tells something of its host, unless that answers on others at the same time.
+            // A new one tells something of its host, unless that answers on others at the same
+            // time.
             let fault = if self.history.alive(now) { Fault::Connection } else { Fault::Host };
             return Loss::alone(fault);
         };
@@ -235,7 +237,8 @@
         Loss { fault: Fault::Connection, presumed_stale }
     }
 
-    /// Connections that were idle for longer than they may be, or awaited a late response for long enough.
+    /// Connections that were idle for longer than they may be, or awaited a late response for long
+    /// enough.
     pub fn expired(&self, now: Micros, idle_limit: Micros) -> Vec<ConnectionId> {
         self.select(|connection| match connection.state {
             ConnectionState::Idle => connection.idle_for(now) >= idle_limit,
@@ -244,7 +247,8 @@
         })
     }
 
-    /// Connections past those in use at a time of late, not needed for a while; those idle for longest first.
+    /// Connections past those in use at a time of late, not needed for a while; those idle for
+    /// longest first.
     pub fn surplus(&mut self, now: Micros) -> Vec<ConnectionId> {
         let in_use = self.in_use();
         if self.peak.expired(now) {
--- a/connection_pool/src/idle_limit.rs
+++ b/connection_pool/src/idle_limit.rs
@@ -1,21 +1,23 @@
-//! How long a connection to a host may be idle and still be used again: learned from how idle connections fared.
+//! How long a connection to a host may be idle and still be used again: learned from how idle
+//! connections fared.
 
 use basaltwood::types::Micros;
 
 /// The part of the hosts' configured idle timeout after which a connection is not used again.
 const CONFIGURED_PART: f64 = 0.8;
-/// The width of the first step of ages, each next one twice as wide; a connection younger than this was just used and
-/// is as good as any.
+/// The width of the first step of ages, each next one twice as wide; a connection younger than this
+/// was just used and is as good as any.
 const FIRST_STEP: Micros = 100_000;
 const STEPS: usize = 9;
 /// Stale connections of one age that are more than chance,
 const MIN_STALE: f64 = 1.5;
-/// and the part of its uses that is too many: a lost attempt costs several times what a new connection does.
+/// and the part of its uses that is too many: a lost attempt costs several times what a new
+/// connection does.
 const MAX_STALE_PART: f64 = 0.15;
 /// What is left of a step's counts after each further use in it.
 const DECAY_PER_USE: f64 = 0.95;
-/// What is left of all counts after each period: an age that is not trusted is not tried either, so only time can
-/// bring it back.
+/// What is left of all counts after each period: an age that is not trusted is not tried either, so
+/// only time can bring it back.
 const DECAY_PER_PERIOD: f64 = 0.5;
 const DECAY_PERIOD: Micros = 10_000_000;
 
@@ -50,9 +52,9 @@
     }
 }
 
-/// How idle connections of each age fared of late: the age from which on too many were stale is the limit. A connection
-/// that dies by itself at any age, as by a reset that comes by chance, teaches next to nothing: a new one has its price
-/// too.
+/// How idle connections of each age fared of late: the age from which on too many were stale is the
+/// limit. A connection that dies by itself at any age, as by a reset that comes by chance, teaches
+/// next to nothing: a new one has its price too.
 #[derive(Clone, Copy, Debug)]
 pub struct IdleLimit {
     uses_by_age: [Uses; STEPS],
--- a/connection_pool/src/lib.rs
+++ b/connection_pool/src/lib.rs
@@ -1,19 +1,21 @@
-//! Which connection to a host carries an attempt, when another is opened, how many are kept, and when one is dead or its
-//! attempt in doubt. Pure: time comes in with every call, randomness from a seed; the sockets are the caller's, who
-//! reports how each step ended.
+//! Which connection to a host carries an attempt, when another is opened, how many are kept, and
+//! when one is dead or its attempt in doubt. Pure: time comes in with every call, randomness from a
+//! seed; the sockets are the caller's, who reports how each step ended.
 //!
 //! For an attempt: [`ConnectionPools::checkout`]; then [`ConnectionPools::connected`] or
-//! [`ConnectionPools::connect_failed`] where that was [`Checkout::Open`]; [`ConnectionPools::request_sent`] once its last
-//! byte is written; and at its end one of [`ConnectionPools::answered`], [`ConnectionPools::attempt_timed_out`],
-//! [`ConnectionPools::connection_lost`] or [`ConnectionPools::abandoned`]. [`ConnectionPools::tick`] several times a
-//! second; [`ConnectionPools::take_actions`] after any of these.
+//! [`ConnectionPools::connect_failed`] where that was [`Checkout::Open`];
+//! [`ConnectionPools::request_sent`] once its last byte is written; and at its end one of
+//! [`ConnectionPools::answered`], [`ConnectionPools::attempt_timed_out`],
+//! [`ConnectionPools::connection_lost`] or [`ConnectionPools::abandoned`].
+//! [`ConnectionPools::tick`] several times a second; [`ConnectionPools::take_actions`] after any of
+//! these.
 //!
-//! It never decides which host a request goes to or whether it is tried again: it says whose fault a failure was
-//! ([`Fault`]), and reports attempts in doubt and hosts that are surely alive; the policy decides. It opens, closes and
-//! reads nothing itself.
+//! It never decides which host a request goes to or whether it is tried again: it says whose fault
+//! a failure was ([`Fault`]), and reports attempts in doubt and hosts that are surely alive; the
+//! policy decides. It opens, closes and reads nothing itself.
 //!
-//! Measured against RFC 9110 9.3 (what a closed connection says of a request on it): a connection that ends under a
-//! request may have carried it, whoever is at fault.
+//! Measured against RFC 9110 9.3 (what a closed connection says of a request on it): a connection
+//! that ends under a request may have carried it, whoever is at fault.
 
 #![warn(missing_docs)]
 
@@ -99,8 +101,10 @@
 pub enum PoolAction {
     /// Close this connection, if it was not closed meanwhile.
     Close(ConnectionId),
-    /// Report the attempt on this connection as in doubt: others of its host are answered, and it is not.
+    /// Report the attempt on this connection as in doubt: others of its host are answered, and it
+    /// is not.
     AttemptInDoubt(ConnectionId),
-    /// Report that this host answered on a connection from before its silence: it is alive, and was not restarted.
+    /// Report that this host answered on a connection from before its silence: it is alive, and was
+    /// not restarted.
     HostAlive(HostId),
 }
--- a/connection_pool/src/pools.rs
+++ b/connection_pool/src/pools.rs
@@ -32,7 +32,8 @@
     config: PoolConfig,
     rng: SeededRng,
     hosts: BTreeMap<HostId, HostPool>,
-    /// The host of each connection; a connection stands here as long as it stands in its host's pool.
+    /// The host of each connection; a connection stands here as long as it stands in its host's
+    /// pool.
     connections: BTreeMap<ConnectionId, HostId>,
     next_id: u64,
     /// The rate of opening to all hosts together.
@@ -90,11 +91,13 @@
         self.connections.len()
     }
 
-    /// Another machine stands at the host's address now, or the host has another address: nothing open goes to it.
+    /// Another machine stands at the host's address now, or the host has another address: nothing
+    /// open goes to it.
     pub fn host_moved(&mut self, host: HostId) {
         let Some(pool) = self.hosts.remove(&host) else { return };
         self.actions.extend(pool.not_in_use().into_iter().map(PoolAction::Close));
-        // A connection that carries a request goes on, and is closed at its end because nobody knows it here any more.
+        // A connection that carries a request goes on, and is closed at its end because nobody
+        // knows it here any more.
         for id in pool.connections.keys() {
             self.connections.remove(id);
         }
@@ -142,7 +145,8 @@
             if pool.reuse(now, id, idle_limit) {
                 return Some(id);
             }
-            // Older than is known to be good: a new one is opened rather than that it is trusted with an attempt.
+            // Older than is known to be good: a new one is opened rather than that it is trusted
+            // with an attempt.
             self.stats.presumed_stale += 1;
             pool.connections.remove(&id);
             self.connections.remove(&id);
@@ -181,7 +185,8 @@
         Checkout::Open(id)
     }
 
-    /// How long a connection to this host may be idle: what was learned there, or by several others.
+    /// How long a connection to this host may be idle: what was learned there, or by several
+    /// others.
     fn idle_limit(&self, host: HostId) -> Micros {
         let own = self.hosts.get(&host).map_or(Micros::MAX, |pool| pool.idle_limit.limit());
         own.min(self.fleet_idle_limit)
@@ -251,13 +256,14 @@
         }
     }
 
-    /// An idle connection was found closed before its use. Its host closed it in time: nothing is lost, and nothing
-    /// learned.
+    /// An idle connection was found closed before its use. Its host closed it in time: nothing is
+    /// lost, and nothing learned.
     pub fn found_closed(&mut self, id: ConnectionId) {
         self.forget(id);
     }
 
-    /// A response came, whatever it says; `keep` where the connection can carry another request. Whether it is kept.
+    /// A response came, whatever it says; `keep` where the connection can carry another request.
+    /// Whether it is kept.
     pub fn answered(&mut self, now: Micros, id: ConnectionId, keep: bool) -> bool {
         let Some(pool) = self.pool_of(id) else { return false };
         let reused_for = pool.reused_for(id);
@@ -274,9 +280,9 @@
         keep
     }
 
-    /// The head of a long response came: its host is well and has responded in this time. Its end is reported with
-    /// [`ConnectionPools::answered`] or [`ConnectionPools::abandoned`], and however long that takes it tells nothing of
-    /// the host.
+    /// The head of a long response came: its host is well and has responded in this time. Its end
+    /// is reported with [`ConnectionPools::answered`] or [`ConnectionPools::abandoned`], and
+    /// however long that takes it tells nothing of the host.
     pub fn response_begun(&mut self, now: Micros, id: ConnectionId) {
         let Some(pool) = self.pool_of(id) else { return };
         pool.answered(now, id);
@@ -285,8 +291,8 @@
         }
     }
 
-    /// The attempt on it was cancelled, or what came on it made no sense: it is closed, and nothing was learned of its
-    /// host.
+    /// The attempt on it was cancelled, or what came on it made no sense: it is closed, and nothing
+    /// was learned of its host.
     pub fn abandoned(&mut self, id: ConnectionId) {
         if self.state(id) == ConnectionState::Connecting {
             if let Some(pool) = self.pool_of(id) {
@@ -296,8 +302,9 @@
         self.forget(id);
     }
 
-    /// The attempt on it waits no longer. Where a late response is awaited the caller keeps the connection, and reports
-    /// what comes with [`ConnectionPools::late_response`]; an action closes it.
+    /// The attempt on it waits no longer. Where a late response is awaited the caller keeps the
+    /// connection, and reports what comes with [`ConnectionPools::late_response`]; an action closes
+    /// it.
     pub fn attempt_timed_out(&mut self, now: Micros, id: ConnectionId) -> TimeoutVerdict {
         let verdict = match self.pool_of(id) {
             Some(pool) => pool.timed_out(now, id),
@@ -309,8 +316,9 @@
         verdict
     }
 
-    /// Something came on a connection that awaits a late response: a `whole` response after which it can carry requests
-    /// again, or else its end, or bytes that make no sense. Whether it is kept.
+    /// Something came on a connection that awaits a late response: a `whole` response after which
+    /// it can carry requests again, or else its end, or bytes that make no sense. Whether it is
+    /// kept.
     pub fn late_response(&mut self, now: Micros, id: ConnectionId, whole: bool) -> bool {
         let Some(&host) = self.connections.get(&id) else { return false };
         if !whole {
@@ -359,8 +367,8 @@
         self.close_presumed_stale(stale);
     }
 
-    /// Descriptors are short: forgets the connection that was idle longest, or only awaited a late response, for the
-    /// caller to close.
+    /// Descriptors are short: forgets the connection that was idle longest, or only awaited a late
+    /// response, for the caller to close.
     pub fn evict_idle(&mut self) -> Option<ConnectionId> {
         let all = self.hosts.values().flat_map(|pool| pool.connections.iter());
         let not_in_use = all.filter(|(_, connection)| !connection.in_use());
@@ -371,8 +379,9 @@
         Some(id)
     }
 
-    /// Looks after all connections. To be called several times a second; a gap shows that this process itself stood
-    /// still, and then no host's silence counts. Returns for how long it did, 0 if it did not.
+    /// Looks after all connections. To be called several times a second; a gap shows that this
+    /// process itself stood still, and then no host's silence counts. Returns for how long it did,
+    /// 0 if it did not.
     pub fn tick(&mut self, now: Micros) -> Micros {
         let stalled_for = self.note_stall(now);
         self.fleet_idle_limit = self.agreed_idle_limit();
--- a/connection_pool/src/response_history.rs
+++ b/connection_pool/src/response_history.rs
@@ -14,8 +14,8 @@
 const SLOWEST_DECAY: f64 = 0.995;
 /// A host that has responded so short a time ago is well.
 const ALIVE_WITHIN: Micros = 150_000;
-/// Attempts that timed out one after the other without any response of the host between: it hangs, and is not just
-/// slow.
+/// Attempts that timed out one after the other without any response of the host between: it hangs,
+/// and is not just slow.
 const TIMEOUTS_OF_HUNG_HOST: u32 = 3;
 
 /// What a host responded to of late.
@@ -37,7 +37,8 @@
         self.timeouts = 0;
     }
 
-    /// A request that was sent then has its response; `in_time` where its attempt still waited for it.
+    /// A request that was sent then has its response; `in_time` where its attempt still waited for
+    /// it.
     pub fn record(&mut self, now: Micros, sent_at: Micros, in_time: bool) {
         // A late response tells how long its host was silent, not how long responses take.
         if in_time {
@@ -49,7 +50,8 @@
         }
     }
 
-    /// An attempt timed out; `silent` where the host has not responded to anything since its request was sent.
+    /// An attempt timed out; `silent` where the host has not responded to anything since its
+    /// request was sent.
     pub fn timed_out(&mut self, silent: bool) {
         self.timeouts = if silent { self.timeouts + 1 } else { 0 };
     }
--- a/connection_pool/src/stats.rs
+++ b/connection_pool/src/stats.rs
@@ -5,8 +5,8 @@
 /// Counts since the start, printed as `name=count` with a space between.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PoolStats {
-    /// Connections closed because they were idle, or awaited a late response, for too long, or because others that were
-    /// idle as long turned out stale.
+    /// Connections closed because they were idle, or awaited a late response, for too long, or
+    /// because others that were idle as long turned out stale.
     pub presumed_stale: u64,
     /// Idle connections closed because fewer were needed of late.
     pub surplus_closed: u64,
--- a/connection_pool/src/token_bucket.rs
+++ b/connection_pool/src/token_bucket.rs
@@ -19,12 +19,14 @@
 const BALANCERS_WITH_WHOLE_SHARE: f64 = 8.0;
 /// To all hosts together, at least, however many balancers there are.
 const ALL_HOSTS_MIN: Allowance = Allowance { burst: 16.0, per_second: 20.0 };
-/// To a recovering host, by all balancers together. It doubles with each second without another failure.
+/// To a recovering host, by all balancers together. It doubles with each second without another
+/// failure.
 const RECOVERY: Allowance = Allowance { burst: 64.0, per_second: 100.0 };
 /// To a recovering host, by each balancer at least, however many there are.
 const RECOVERY_MIN: Allowance = Allowance { burst: 1.0, per_second: 1.0 };
 
-/// A token bucket: each connection that is opened takes one token. Its allowance can be cut, and grows back by itself.
+/// A token bucket: each connection that is opened takes one token. Its allowance can be cut, and
+/// grows back by itself.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     tokens: f64,
@@ -79,8 +81,8 @@
         self.tokens -= 1.0;
     }
 
-    /// The host lost connections or lets none come up: connections to it are opened again at a bounded rate, over all
-    /// balancers together.
+    /// The host lost connections or lets none come up: connections to it are opened again at a
+    /// bounded rate, over all balancers together.
     pub fn throttle_recovery(&mut self, now: Micros, balancers: u32) {
         self.refill(now);
         let balancers = f64::from(balancers.max(1));
--- a/connection_pool/tests/traces.rs
+++ b/connection_pool/tests/traces.rs
@@ -1,4 +1,5 @@
-//! Talks with the pools, printed step by step: what a push gets, whose fault an end was, what is ordered.
+//! Talks with the pools, printed step by step: what a push gets, whose fault an end was, what is
+//! ordered.
 
 use basaltwood::types::{HostId, Micros};
 use basaltwood_connection_pool::{
@@ -413,8 +414,8 @@
         connections_presumed_stale=0 connections_surplus_closed=5 connection_faults=0 attempts_in_doubt=0 late_responses=0 connects_throttled=0 connects_circuit_open=0 connects_exhausted=0 process_stalls=0"#]]);
 }
 
-/// Opens a second over the fleet when 40 hosts return in one instant, by so many balancers that each want eight
-/// connections to each at once.
+/// Opens a second over the fleet when 40 hosts return in one instant, by so many balancers that
+/// each want eight connections to each at once.
 fn returning(balancers: u32) -> (u64, u64, usize) {
     const HOSTS: u32 = 40;
     const EACH: usize = 8;
