--- a/balancer/src/requests.rs
+++ b/balancer/src/requests.rs
@@ -12,7 +12,7 @@
 use crate::budget::MemoryGuard;
 use crate::request::{AttemptResult, ClientRequest, Value};
 use crate::shared::Shared;
-use crate::upstream::origin;
+use crate::upstream::AttemptKey;
 
 /// The final answer to a request, in no protocol's form.
 pub enum FinalAnswer {
@@ -127,13 +127,10 @@
             (deadline - shared.clock.now()) / 1000
         );
         let request = self.request.clone();
-        let key = (self.id, attempt);
+        let key = AttemptKey { request: self.id, attempt };
         let task = async move {
             let upstreams = &shared.upstreams;
-            let result = match upstreams.origin_address(host) {
-                Some(address) => origin::attempt(upstreams, host, address, key, &request, deadline).await,
-                None => upstreams.attempt(host, key, &request, deadline).await,
-            };
+            let result = upstreams.attempt(host, key, &request, deadline).await;
             (attempt, result)
         };
         self.in_flight.insert(attempt, self.attempts.spawn_local(task));
--- a/balancer/src/shared.rs
+++ b/balancer/src/shared.rs
@@ -16,7 +16,7 @@
 use crate::counters::Counters;
 use crate::discovery::Rings;
 use crate::metrics::Metrics;
-use crate::upstream::{UpstreamEvent, Upstreams};
+use crate::upstream::{AttemptKey, UpstreamEvent, Upstreams};
 
 /// All that serving a request takes. It lives from start to exit.
 pub struct Shared {
@@ -107,10 +107,10 @@
             let now = self.clock.now();
             let mut router = self.router.borrow_mut();
             match event {
-                UpstreamEvent::AttemptInDoubt((request, attempt)) => {
+                UpstreamEvent::AttemptInDoubt(AttemptKey { request, attempt }) => {
                     router.attempt_in_doubt(now, request, attempt);
                 }
-                UpstreamEvent::NewConnection((request, attempt)) => {
+                UpstreamEvent::NewConnection(AttemptKey { request, attempt }) => {
                     router.attempt_on_new_connection(now, request, attempt);
                 }
                 UpstreamEvent::HostAlive(host) => router.host_alive(now, host),
--- /dev/null
+++ b/balancer/src/upstream/cache.rs
@@ -0,0 +1,51 @@
+//! Cache hosts: an attempt as a RESP2 command, and its reply.
+
+use basaltwood::types::{AttemptOutcome, Micros};
+use basaltwood_wire::resp::{self, LongReply, Reply};
+use bytes::Bytes;
+
+use super::messages::{
+    LongValueHead, ParseTrailer, ParsedResponse, RequestBytes, ResponseError, Trailer, WholeResponse,
+};
+use crate::request::{ClientRequest, Value};
+
+/// The command for this request, of which so much time is left.
+pub fn encode(request: &ClientRequest, time_left: Micros) -> RequestBytes {
+    let facts = request.facts(time_left);
+    let mut words: Vec<&[u8]> = vec![&request.command, &request.key, &request.id, &facts];
+    let short_value = request.short();
+    match request.long() {
+        Some((length, segments)) => {
+            let end = Bytes::from_static(resp::END);
+            let segments = segments.iter().cloned().chain([end]).collect();
+            RequestBytes { head: resp::begun(&words, length), segments }
+        }
+        None => {
+            words.extend(short_value.as_deref());
+            RequestBytes::whole(resp::written(&words))
+        }
+    }
+}
+
+/// A reply at the front of a buffer.
+pub fn parse_response(bytes: &[u8]) -> Result<Option<ParsedResponse>, ResponseError> {
+    if let Some(LongReply { start, length, more }) = resp::long_reply(bytes) {
+        let parse_trailer: ParseTrailer = Box::new(move |bytes| {
+            let trailer = resp::rest(bytes, more).map_err(ResponseError::resp2)?;
+            Ok(trailer.map(|(length, reusable)| Trailer { length, reusable }))
+        });
+        return Ok(Some(ParsedResponse::LongValue(LongValueHead { start, length, parse_trailer })));
+    }
+    let parsed = resp::reply(bytes).map_err(ResponseError::resp2)?;
+    let Some((reply, length, reusable)) = parsed else { return Ok(None) };
+    let result = match reply {
+        Reply::Value(range) => {
+            let value = Bytes::copy_from_slice(&bytes[range]);
+            (AttemptOutcome::Succeeded, Some(Value::Whole(value)))
+        }
+        Reply::Miss => (AttemptOutcome::Miss, None),
+        Reply::Busy => (AttemptOutcome::Rejected, None),
+        Reply::Failed => (AttemptOutcome::Error, None),
+    };
+    Ok(Some(ParsedResponse::Whole(WholeResponse { result, length, reusable })))
+}
--- /dev/null
+++ b/balancer/src/upstream/checkout.rs
@@ -0,0 +1,212 @@
+//! Getting a connection for an attempt: an idle one, or a new one, or a wait for either.
+
+use std::io::ErrorKind;
+use std::net::SocketAddr;
+
+use basaltwood::types::{AttemptOutcome, HostId, Micros};
+use basaltwood_connection_pool::{Checkout, ConnectFailure, ConnectionId};
+use basaltwood_wire::resp::MOST;
+use tokio::time::{timeout_at, Instant};
+
+use super::{AttemptKey, UpstreamConnection, UpstreamEvent, Upstreams};
+use crate::budget::DescriptorPermit;
+use crate::clock::span;
+
+/// A connection that an attempt has. Dropped with the connection still in it, because the attempt
+/// was cancelled or failed, it closes the connection and reports it to the pools as abandoned.
+pub struct CheckedOut<'a> {
+    upstreams: &'a Upstreams,
+    id: ConnectionId,
+    connection: Option<UpstreamConnection>,
+}
+
+impl<'a> CheckedOut<'a> {
+    pub fn new(upstreams: &'a Upstreams, id: ConnectionId, connection: UpstreamConnection) -> CheckedOut<'a> {
+        CheckedOut { upstreams, id, connection: Some(connection) }
+    }
+
+    pub fn id(&self) -> ConnectionId {
+        self.id
+    }
+
+    /// The connection, unless it was taken out.
+    pub fn connection(&mut self) -> Option<&mut UpstreamConnection> {
+        self.connection.as_mut()
+    }
+
+    /// Takes the connection out: the caller reports its end to the pools.
+    pub fn take(&mut self) -> Option<UpstreamConnection> {
+        self.connection.take()
+    }
+}
+
+impl Drop for CheckedOut<'_> {
+    fn drop(&mut self) {
+        self.upstreams.in_flight.borrow_mut().remove(&self.id);
+        if self.connection.take().is_some() {
+            self.upstreams.pools.borrow_mut().abandoned(self.id);
+            self.upstreams.perform_pool_actions();
+        }
+    }
+}
+
+/// A connection that is being opened. Dropped before [`ConnectGuard::disarm`] it reports it to the
+/// pools as abandoned.
+struct ConnectGuard<'a> {
+    upstreams: &'a Upstreams,
+    id: Option<ConnectionId>,
+}
+
+impl ConnectGuard<'_> {
+    /// The attempt to connect has ended, and the caller reports how.
+    fn disarm(mut self) {
+        self.id = None;
+    }
+}
+
+impl Drop for ConnectGuard<'_> {
+    fn drop(&mut self) {
+        if let Some(id) = self.id.take() {
+            self.upstreams.pools.borrow_mut().abandoned(id);
+        }
+    }
+}
+
+impl Upstreams {
+    /// A connection for an attempt: one that is idle, or a new one.
+    ///
+    /// # Errors
+    /// How the attempt ended, which never ran. What is this balancer's own shortage (`NotSent`)
+    /// must not be held against the host.
+    pub(super) async fn checkout(
+        &self,
+        host: HostId,
+        attempt: AttemptKey,
+        deadline: Instant,
+    ) -> Result<CheckedOut<'_>, AttemptOutcome> {
+        loop {
+            let checkout = self.pools.borrow_mut().checkout(self.clock.now(), host);
+            self.perform_pool_actions();
+            match checkout {
+                Checkout::Reuse(id) => {
+                    if let Some(checked_out) = self.reuse(id) {
+                        return Ok(checked_out);
+                    }
+                }
+                Checkout::Open(id) => {
+                    self.record_event(UpstreamEvent::NewConnection(attempt));
+                    return self.open(host, id, deadline).await;
+                }
+                Checkout::RetryAt(at) => self.wait_for_connection(host, at, deadline).await?,
+                Checkout::CircuitOpen => return Err(AttemptOutcome::Unreachable),
+                Checkout::Exhausted => return Err(AttemptOutcome::NotSent),
+            }
+        }
+    }
+
+    /// An idle connection, if it is still good.
+    fn reuse(&self, id: ConnectionId) -> Option<CheckedOut<'_>> {
+        let Some(connection) = self.idle.borrow_mut().remove(&id) else {
+            self.pools.borrow_mut().abandoned(id);
+            return None;
+        };
+        // Whatever can be read now, its end above all, means that it can't carry a request.
+        let read = connection.stream.try_read(&mut [0]);
+        if matches!(&read, Err(cause) if cause.kind() == ErrorKind::WouldBlock) {
+            self.counters.connections_reused.add();
+            return Some(CheckedOut::new(self, id, connection));
+        }
+        if matches!(read, Ok(1..)) {
+            self.duplicates.unexpected_bytes();
+        }
+        self.counters.connections_stale.add();
+        self.pools.borrow_mut().found_closed(id);
+        None
+    }
+
+    /// Waits until a connection to this host comes free, or `retry_at`, or the deadline.
+    ///
+    /// # Errors
+    /// The attempt is over where the host is gone or the deadline has passed.
+    async fn wait_for_connection(
+        &self,
+        host: HostId,
+        retry_at: Micros,
+        deadline: Instant,
+    ) -> Result<(), AttemptOutcome> {
+        let freed = self.hosts.borrow().get(&host).map(|entry| entry.connection_freed.clone());
+        let freed = freed.ok_or(AttemptOutcome::NotSent)?;
+        if Instant::now() >= deadline {
+            return Err(AttemptOutcome::NotSent);
+        }
+        let _ = timeout_at(deadline.min(self.clock.at(retry_at)), freed.notified()).await;
+        Ok(())
+    }
+
+    async fn open(
+        &self,
+        host: HostId,
+        id: ConnectionId,
+        deadline: Instant,
+    ) -> Result<CheckedOut<'_>, AttemptOutcome> {
+        let guard = ConnectGuard { upstreams: self, id: Some(id) };
+        let address = self.address(host).ok_or(AttemptOutcome::NotSent)?;
+        let permit = self.host_descriptor().ok_or(AttemptOutcome::NotSent)?;
+        let connect_deadline = Instant::now() + span(self.limits.connect_timeout);
+        let until = deadline.min(connect_deadline);
+        let connected = UpstreamConnection::connect(Some(permit), address, until, MOST).await;
+        guard.disarm();
+        let now = self.clock.now();
+        match connected {
+            // The host has moved meanwhile: what stands at the old address may be another, or one
+            // that drains.
+            Ok(_) if self.address(host) != Some(address) => {
+                self.pools.borrow_mut().abandoned(id);
+                Err(AttemptOutcome::NotSent)
+            }
+            Ok(connection) => {
+                self.counters.connections_opened.add();
+                self.pools.borrow_mut().connected(id);
+                Ok(CheckedOut::new(self, id, connection))
+            }
+            Err(cause) => {
+                log::debug!("host {} at {address} does not come up: {cause}", host.0);
+                // Cut off by the request's own deadline it tells nothing of the host.
+                let cut_off = cause.kind() == ErrorKind::TimedOut && deadline < connect_deadline;
+                let why = if cut_off { ConnectFailure::Local } else { ConnectFailure::Host };
+                self.pools.borrow_mut().connect_failed(now, id, why);
+                Err(AttemptOutcome::Unreachable)
+            }
+        }
+    }
+
+    fn address(&self, host: HostId) -> Option<SocketAddr> {
+        self.hosts.borrow().get(&host).map(|entry| entry.address)
+    }
+
+    /// A descriptor for a connection, at the cost of an idle connection where there is no other.
+    fn host_descriptor(&self) -> Option<DescriptorPermit> {
+        if let Some(permit) = self.budget.host_descriptor() {
+            return Some(permit);
+        }
+        if self.close_idle_connection() {
+            self.budget.host_descriptor()
+        } else {
+            None
+        }
+    }
+
+    /// A connection whose response is whole is idle again, or closed where its host takes nothing
+    /// new.
+    pub(super) fn return_connection(&self, host: HostId, id: ConnectionId, connection: UpstreamConnection) {
+        self.idle.borrow_mut().insert(id, connection);
+        match self.hosts.borrow().get(&host) {
+            Some(entry) if entry.accepts_attempts => entry.connection_freed.notify_one(),
+            // The host began to drain during this last request: it has few connections to spare.
+            _ => {
+                self.pools.borrow_mut().host_draining(host);
+                self.perform_pool_actions();
+            }
+        }
+    }
+}
--- /dev/null
+++ b/balancer/src/upstream/duplicates.rs
@@ -0,0 +1,64 @@
+//! Hosts that answer a request twice. Responses carry no id: the second copy could be taken for the
+//! response to the next request on its connection.
+
+use std::cell::Cell;
+use std::hash::{DefaultHasher, Hash, Hasher};
+use std::time::Duration;
+
+use tokio::time::Instant;
+
+use crate::request::ClientRequest;
+
+/// After a host sent more than it was asked for, hosts are suspected of answering twice for so
+/// long.
+const SUSPECTED_FOR: Duration = Duration::from_secs(10);
+/// Of a response so many bytes at its end are hashed: all of a long one would cost more than it
+/// tells.
+const FINGERPRINTED_BYTES: usize = 4 * 1024;
+
+/// Whether hosts are suspected of answering twice.
+#[derive(Default)]
+pub struct DuplicateDetector {
+    /// When a host last sent more than it was asked for.
+    seen_at: Cell<Option<Instant>>,
+}
+
+impl DuplicateDetector {
+    /// A host sent more than it was asked for.
+    pub fn unexpected_bytes(&self) {
+        self.seen_at.set(Some(Instant::now()));
+    }
+
+    /// A response may be a copy of the one before it.
+    pub fn suspected(&self) -> bool {
+        self.seen_at.get().is_some_and(|at| at.elapsed() < SUSPECTED_FOR)
+    }
+}
+
+/// A response, and the key of its request. Hashes of both: an idle connection must not hold a
+/// request.
+#[derive(Clone, Copy)]
+pub struct ResponseFingerprint {
+    response: u64,
+    key: u64,
+}
+
+impl ResponseFingerprint {
+    /// Of a whole response and its request.
+    pub fn of(response: &[u8], request: &ClientRequest) -> ResponseFingerprint {
+        let end = &response[response.len().saturating_sub(FINGERPRINTED_BYTES)..];
+        ResponseFingerprint { response: hash(response.len(), end), key: hash(0, &request.key) }
+    }
+
+    /// Whether the next response has the same bytes although its request has another key, or is a
+    /// write, which has a receipt of its own.
+    pub fn repeated_by(self, next: ResponseFingerprint, next_is_write: bool) -> bool {
+        self.response == next.response && (self.key != next.key || next_is_write)
+    }
+}
+
+fn hash(length: usize, bytes: &[u8]) -> u64 {
+    let mut hasher = DefaultHasher::new();
+    (length, bytes).hash(&mut hasher);
+    hasher.finish()
+}
--- /dev/null
+++ b/balancer/src/upstream/messages.rs
@@ -0,0 +1,97 @@
+//! What an exchange needs of a protocol: the bytes of a request, and what stands of a response in a
+//! buffer.
+
+use std::io;
+
+use bytes::Bytes;
+use tokio::io::AsyncWriteExt;
+use tokio::net::TcpStream;
+
+use crate::request::AttemptResult;
+
+/// Bytes from an upstream that are no response to what was sent. The connection they came on is of
+/// no use any more.
+#[derive(Debug, thiserror::Error)]
+pub enum ResponseError {
+    /// From a cache host: no RESP2 reply to one of our commands.
+    #[error("{0}")]
+    Resp2(String),
+    /// From the origin: no HTTP/1.1 response whose end can be found.
+    #[error("{0}")]
+    Http(String),
+}
+
+impl ResponseError {
+    /// What the RESP2 parser found wrong.
+    pub fn resp2(cause: impl ToString) -> ResponseError {
+        ResponseError::Resp2(cause.to_string())
+    }
+
+    /// What the HTTP parser found wrong.
+    pub fn http(cause: impl ToString) -> ResponseError {
+        ResponseError::Http(cause.to_string())
+    }
+}
+
+/// A whole response at the front of a buffer.
+pub struct WholeResponse {
+    pub result: AttemptResult,
+    /// How many bytes it took.
+    pub length: usize,
+    /// The connection may carry another request.
+    pub reusable: bool,
+}
+
+/// The head of a response with a value that is too long to be held whole.
+pub struct LongValueHead {
+    /// Where the value begins.
+    pub start: usize,
+    /// The length of the value, in bytes.
+    pub length: usize,
+    pub parse_trailer: ParseTrailer,
+}
+
+/// What followed a long value.
+pub struct Trailer {
+    /// How many bytes it took.
+    pub length: usize,
+    /// The connection may carry another request.
+    pub reusable: bool,
+}
+
+/// What stands of a response at the front of a buffer.
+pub enum ParsedResponse {
+    Whole(WholeResponse),
+    LongValue(LongValueHead),
+}
+
+/// Parses the front of a buffer; `None` while neither a whole response nor the head of a long one
+/// is there.
+pub type ParseResponse = fn(&[u8]) -> Result<Option<ParsedResponse>, ResponseError>;
+
+/// Parses what follows a long value; `None` while it is not whole.
+pub type ParseTrailer = Box<dyn Fn(&[u8]) -> Result<Option<Trailer>, ResponseError>>;
+
+/// A request as it is written.
+pub struct RequestBytes {
+    /// The whole request, or all of it before a long value.
+    pub head: Bytes,
+    /// A long value, and what follows it.
+    pub segments: Vec<Bytes>,
+}
+
+impl RequestBytes {
+    /// A request that is short enough to be written in one piece.
+    pub fn whole(bytes: Bytes) -> RequestBytes {
+        RequestBytes { head: bytes, segments: Vec::new() }
+    }
+
+    /// Writes all of it.
+    pub async fn write(self, stream: &mut TcpStream) -> io::Result<()> {
+        stream.write_all(&self.head).await?;
+        for segment in self.segments {
+            stream.write_all(&segment).await?;
+        }
+        Ok(())
+    }
+}
--- a/balancer/src/upstream/origin.rs
+++ b/balancer/src/upstream/origin.rs
@@ -1,57 +1,52 @@
-//! The origin: where a value is fetched that a cache host lacks, and where writes go, over HTTP/1.1.
+//! The origin, where a value is fetched that a cache host lacks, and where writes go: an attempt as
+//! an HTTP/1.1 request, and its response.
 
 use std::net::SocketAddr;
-use std::rc::Rc;
 
-use basaltwood::types::{AttemptOutcome, HostId, Micros};
+use basaltwood::types::{AttemptOutcome, Micros};
 use basaltwood_wire::http;
 use basaltwood_wire::resp::{LONGEST, MOST_VALUE};
 
-use crate::request::{AttemptResult, ClientRequest, Value};
-use crate::upstream::{AttemptKey, ParseTrailer, ParsedResponse, RequestBytes, Upstreams};
+use super::messages::{
+    LongValueHead, ParseTrailer, ParsedResponse, RequestBytes, ResponseError, Trailer, WholeResponse,
+};
+use crate::request::{ClientRequest, Value};
 
-/// One push of an op to the origin.
-pub async fn attempt(
-    upstreams: &Rc<Upstreams>,
-    host: HostId,
-    address: SocketAddr,
-    attempt: AttemptKey,
-    request: &ClientRequest,
-    until: Micros,
-) -> AttemptResult {
+/// The HTTP request for this request, of which so much time is left, to the origin at this address.
+pub fn encode(address: SocketAddr, request: &ClientRequest, time_left: Micros) -> RequestBytes {
     let path = format!("/{}", http::escaped(&request.key));
-    let text = |left| {
-        let facts = request.facts(left);
-        let headers: [(&str, &[u8]); 2] = [("X-Correlation-Id", &request.id), ("X-Facts", &facts)];
-        let method = if request.value.is_some() { "PUT" } else { "GET" };
-        let to = address.to_string();
-        match request.long() {
-            Some((length, segments)) => RequestBytes(
-                http::begun(method, &path, &to, &headers, Some(length)).freeze(),
-                segments.to_vec(),
-            ),
-            None => RequestBytes(
-                http::request(method, &path, &to, &headers, request.short().as_deref()),
-                Vec::new(),
-            ),
+    let facts = request.facts(time_left);
+    let headers: [(&str, &[u8]); 2] = [("X-Correlation-Id", &request.id), ("X-Facts", &facts)];
+    let method = if request.value.is_some() { "PUT" } else { "GET" };
+    let authority = address.to_string();
+    match request.long() {
+        Some((length, segments)) => {
+            let head = http::begun(method, &path, &authority, &headers, Some(length)).freeze();
+            RequestBytes { head, segments: segments.to_vec() }
         }
-    };
-    upstreams.exchange(host, attempt, request, text, until, answer).await
+        None => {
+            let value = request.short();
+            RequestBytes::whole(http::request(method, &path, &authority, &headers, value.as_deref()))
+        }
+    }
 }
 
-fn answer(bytes: &[u8]) -> Result<Option<ParsedResponse>, String> {
-    if let Some((answer, length)) = http::long(bytes, MOST_VALUE, LONGEST) {
-        if answer.status == 200 {
-            let (start, rest): (usize, ParseTrailer) =
-                (answer.used, Box::new(move |_| Ok(Some((0, answer.keep)))));
-            return Ok(Some(ParsedResponse::Streamed { start, length, rest }));
+/// A response at the front of a buffer.
+pub fn parse_response(bytes: &[u8]) -> Result<Option<ParsedResponse>, ResponseError> {
+    if let Some((head, length)) = http::long(bytes, MOST_VALUE, LONGEST) {
+        if head.status == 200 {
+            let (start, reusable) = (head.used, head.keep);
+            // Nothing follows the body of an HTTP response.
+            let parse_trailer: ParseTrailer = Box::new(move |_| Ok(Some(Trailer { length: 0, reusable })));
+            return Ok(Some(ParsedResponse::LongValue(LongValueHead { start, length, parse_trailer })));
         }
     }
-    let Some(answer) = http::answer(bytes, MOST_VALUE)? else { return Ok(None) };
-    let outcome = match answer.status {
-        200 => (AttemptOutcome::Succeeded, Some(Value::Whole(answer.body))),
-        503 | 504 if answer.unprocessed => (AttemptOutcome::Rejected, None),
+    let parsed = http::answer(bytes, MOST_VALUE).map_err(ResponseError::http)?;
+    let Some(response) = parsed else { return Ok(None) };
+    let result = match response.status {
+        200 => (AttemptOutcome::Succeeded, Some(Value::Whole(response.body))),
+        503 | 504 if response.unprocessed => (AttemptOutcome::Rejected, None),
         _ => (AttemptOutcome::Error, None),
     };
-    Ok(Some(ParsedResponse::Whole(outcome, answer.used, answer.keep)))
+    Ok(Some(ParsedResponse::Whole(WholeResponse { result, length: response.used, reusable: response.keep })))
 }
--- /dev/null
+++ b/balancer/src/upstream/streaming.rs
@@ -0,0 +1,116 @@
+//! Long values, passed on to the client in pieces as they come.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use basaltwood::types::HostId;
+use basaltwood_connection_pool::ConnectionId;
+use bytes::{BufMut, Bytes, BytesMut};
+use tokio::io::AsyncReadExt;
+use tokio::sync::mpsc;
+use tokio::time::timeout;
+
+use super::checkout::CheckedOut;
+use super::messages::{ParseTrailer, Trailer};
+use super::{UpstreamConnection, Upstreams};
+use crate::budget::StreamGuard;
+use crate::read;
+
+/// A host that gives nothing of a long value for so long will not give the rest.
+const PIECE_TIMEOUT: Duration = Duration::from_secs(5);
+/// What follows a long value is awaited for so long: the client has its value already.
+const TRAILER_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// A long value on its way from a host.
+pub struct ValueStream {
+    pub host: HostId,
+    pub id: ConnectionId,
+    /// Its next bytes are the value's first.
+    pub connection: UpstreamConnection,
+    /// The length of the value, in bytes.
+    pub length: usize,
+    pub parse_trailer: ParseTrailer,
+}
+
+impl Upstreams {
+    /// Passes a long value on, read only as its pieces are taken. For the policy its attempt has
+    /// ended: what becomes of the value tells of the connection alone.
+    pub(super) async fn stream_value(self: Rc<Upstreams>, value: ValueStream, pieces: mpsc::Sender<Bytes>) {
+        let ValueStream { host, id, connection, length, parse_trailer } = value;
+        let mut checked_out = CheckedOut::new(&self, id, connection);
+        let Some(connection) = checked_out.connection() else { return };
+        let window = self.budget.start_stream();
+        let whole = self.send_pieces(host, connection, length, &window, &pieces).await;
+        if !whole {
+            return;
+        }
+        drop((pieces, window));
+        let trailer = timeout(TRAILER_TIMEOUT, read_trailer(connection, parse_trailer)).await;
+        let Ok(Some(Trailer { length, reusable })) = trailer else { return };
+        connection.buffer.consume(length);
+        let keep = reusable && connection.buffer.is_empty();
+        let Some(connection) = checked_out.take() else { return };
+        let kept = self.pools.borrow_mut().answered(self.clock.now(), id, keep);
+        if kept {
+            self.return_connection(host, id, connection);
+        }
+    }
+
+    /// Whether all of the value was passed on.
+    async fn send_pieces(
+        &self,
+        host: HostId,
+        connection: &mut UpstreamConnection,
+        length: usize,
+        window: &StreamGuard,
+        pieces: &mpsc::Sender<Bytes>,
+    ) -> bool {
+        let mut left = length;
+        while left > 0 {
+            let max_bytes = window.chunk_size().min(left);
+            let Some(piece) = next_piece(connection, max_bytes).await else {
+                // The client can tell: its connection ends before the length that it was told.
+                self.counters.values_truncated.add();
+                log::debug!("host {}: a value ended {left} bytes before its end", host.0);
+                return false;
+            };
+            left -= piece.len();
+            if pieces.send(piece).await.is_err() {
+                return false;
+            }
+        }
+        true
+    }
+}
+
+/// The next piece of a value: of what is buffered, or else of what comes; `None` where nothing
+/// comes any more.
+async fn next_piece(connection: &mut UpstreamConnection, max_bytes: usize) -> Option<Bytes> {
+    if connection.buffer.is_empty() {
+        let mut piece = BytesMut::with_capacity(max_bytes);
+        let mut unfilled = (&mut piece).limit(max_bytes);
+        return match timeout(PIECE_TIMEOUT, connection.stream.read_buf(&mut unfilled)).await {
+            Ok(Ok(1..)) => Some(piece.freeze()),
+            _ => None,
+        };
+    }
+    let buffered = connection.buffer.bytes();
+    let piece = Bytes::copy_from_slice(&buffered[..max_bytes.min(buffered.len())]);
+    connection.buffer.consume(piece.len());
+    Some(piece)
+}
+
+/// What follows a long value; `None` where it is not whole when the connection ends, or makes no
+/// sense.
+async fn read_trailer(connection: &mut UpstreamConnection, parse_trailer: ParseTrailer) -> Option<Trailer> {
+    loop {
+        match parse_trailer(connection.buffer.bytes()) {
+            Ok(Some(trailer)) => return Some(trailer),
+            Ok(None) => {}
+            Err(_) => return None,
+        }
+        if !matches!(read(&mut connection.stream, &mut connection.buffer).await, Ok(1..)) {
+            return None;
+        }
+    }
+}
