--- a/balancer/src/upstream/cache.rs
+++ b/balancer/src/upstream/cache.rs
@@ -11,32 +11,33 @@
 
 /// The command for this request, of which so much time is left.
 pub fn encode(request: &ClientRequest, time_left: Micros) -> RequestBytes {
-    let facts = request.facts(time_left);
+    let facts = request.facts_within(time_left);
     let mut words: Vec<&[u8]> = vec![&request.command, &request.key, &request.id, &facts];
-    let short_value = request.short();
-    match request.long() {
+    let short_value = request.short_value();
+    match request.long_value() {
         Some((length, segments)) => {
-            let end = Bytes::from_static(resp::END);
+            let end = Bytes::from_static(resp::CRLF);
             let segments = segments.iter().cloned().chain([end]).collect();
-            RequestBytes { head: resp::begun(&words, length), segments }
+            RequestBytes { head: resp::encode_command_head(&words, length), segments }
         }
         None => {
             words.extend(short_value.as_deref());
-            RequestBytes::whole(resp::written(&words))
+            RequestBytes::whole(resp::encode_command(&words))
         }
     }
 }
 
 /// A reply at the front of a buffer.
 pub fn parse_response(bytes: &[u8]) -> Result<Option<ParsedResponse>, ResponseError> {
-    if let Some(LongReply { start, length, more }) = resp::long_reply(bytes) {
+    if let Some(LongReply { start, length, trailing_elements }) = resp::parse_long_reply_head(bytes) {
         let parse_trailer: ParseTrailer = Box::new(move |bytes| {
-            let trailer = resp::rest(bytes, more).map_err(ResponseError::resp2)?;
+            let trailer =
+                resp::parse_after_long_value(bytes, trailing_elements).map_err(ResponseError::resp2)?;
             Ok(trailer.map(|(length, reusable)| Trailer { length, reusable }))
         });
         return Ok(Some(ParsedResponse::LongValue(LongValueHead { start, length, parse_trailer })));
     }
-    let parsed = resp::reply(bytes).map_err(ResponseError::resp2)?;
+    let parsed = resp::parse_reply(bytes).map_err(ResponseError::resp2)?;
     let Some((reply, length, reusable)) = parsed else { return Ok(None) };
     let result = match reply {
         Reply::Value(range) => {
--- a/balancer/src/upstream/checkout.rs
+++ b/balancer/src/upstream/checkout.rs
@@ -5,7 +5,7 @@
 
 use basaltwood::types::{AttemptOutcome, HostId, Micros};
 use basaltwood_connection_pool::{Checkout, ConnectFailure, ConnectionId};
-use basaltwood_wire::resp::MOST;
+use basaltwood_wire::resp::MAX_BUFFERED_MESSAGE;
 use tokio::time::{timeout_at, Instant};
 
 use super::{AttemptKey, UpstreamConnection, UpstreamEvent, Upstreams};
@@ -154,7 +154,7 @@
         let permit = self.host_descriptor().ok_or(AttemptOutcome::NotSent)?;
         let connect_deadline = Instant::now() + span(self.limits.connect_timeout);
         let until = deadline.min(connect_deadline);
-        let connected = UpstreamConnection::connect(Some(permit), address, until, MOST).await;
+        let connected = UpstreamConnection::connect(Some(permit), address, until, MAX_BUFFERED_MESSAGE).await;
         guard.disarm();
         let now = self.clock.now();
         match connected {
--- a/balancer/src/upstream/exchange.rs
+++ b/balancer/src/upstream/exchange.rs
@@ -62,7 +62,7 @@
         // and the first byte is written in the same poll.
         let checked_out = tokio::select! {
             biased;
-            () = self.request.ended() => Err(AttemptOutcome::Cancelled),
+            () = self.request.wait_finished() => Err(AttemptOutcome::Cancelled),
             () = self.upstreams.stopped_accepting(self.host) => Err(AttemptOutcome::NotSent),
             checked_out = self.upstreams.checkout(self.host, self.attempt, deadline) => checked_out,
         };
@@ -94,7 +94,7 @@
         };
         tokio::select! {
             biased;
-            () = self.request.ended() => Err(AttemptOutcome::Cancelled),
+            () = self.request.wait_finished() => Err(AttemptOutcome::Cancelled),
             written = written => written,
         }
     }
--- a/balancer/src/upstream/origin.rs
+++ b/balancer/src/upstream/origin.rs
@@ -5,7 +5,7 @@
 
 use basaltwood::types::{AttemptOutcome, Micros};
 use basaltwood_wire::http;
-use basaltwood_wire::resp::{LONGEST, MOST_VALUE};
+use basaltwood_wire::resp::{MAX_BUFFERED_VALUE, MAX_VALUE};
 
 use super::messages::{
     LongValueHead, ParseTrailer, ParsedResponse, RequestBytes, ResponseError, Trailer, WholeResponse,
@@ -14,39 +14,43 @@
 
 /// The HTTP request for this request, of which so much time is left, to the origin at this address.
 pub fn encode(address: SocketAddr, request: &ClientRequest, time_left: Micros) -> RequestBytes {
-    let path = format!("/{}", http::escaped(&request.key));
-    let facts = request.facts(time_left);
+    let path = format!("/{}", http::percent_encode(&request.key));
+    let facts = request.facts_within(time_left);
     let headers: [(&str, &[u8]); 2] = [("X-Correlation-Id", &request.id), ("X-Facts", &facts)];
     let method = if request.value.is_some() { "PUT" } else { "GET" };
     let authority = address.to_string();
-    match request.long() {
+    match request.long_value() {
         Some((length, segments)) => {
-            let head = http::begun(method, &path, &authority, &headers, Some(length)).freeze();
+            let head = http::encode_request_head(method, &path, &authority, &headers, Some(length)).freeze();
             RequestBytes { head, segments: segments.to_vec() }
         }
         None => {
-            let value = request.short();
-            RequestBytes::whole(http::request(method, &path, &authority, &headers, value.as_deref()))
+            let value = request.short_value();
+            RequestBytes::whole(http::encode_request(method, &path, &authority, &headers, value.as_deref()))
         }
     }
 }
 
 /// A response at the front of a buffer.
 pub fn parse_response(bytes: &[u8]) -> Result<Option<ParsedResponse>, ResponseError> {
-    if let Some((head, length)) = http::long(bytes, MOST_VALUE, LONGEST) {
+    if let Some((head, length)) = http::parse_long_response_head(bytes, MAX_BUFFERED_VALUE, MAX_VALUE) {
         if head.status == 200 {
-            let (start, reusable) = (head.used, head.keep);
+            let (start, reusable) = (head.consumed, head.keep_alive);
             // Nothing follows the body of an HTTP response.
             let parse_trailer: ParseTrailer = Box::new(move |_| Ok(Some(Trailer { length: 0, reusable })));
             return Ok(Some(ParsedResponse::LongValue(LongValueHead { start, length, parse_trailer })));
         }
     }
-    let parsed = http::answer(bytes, MOST_VALUE).map_err(ResponseError::http)?;
+    let parsed = http::parse_response(bytes, MAX_BUFFERED_VALUE).map_err(ResponseError::http)?;
     let Some(response) = parsed else { return Ok(None) };
     let result = match response.status {
         200 => (AttemptOutcome::Succeeded, Some(Value::Whole(response.body))),
         503 | 504 if response.unprocessed => (AttemptOutcome::Rejected, None),
         _ => (AttemptOutcome::Error, None),
     };
-    Ok(Some(ParsedResponse::Whole(WholeResponse { result, length: response.used, reusable: response.keep })))
+    Ok(Some(ParsedResponse::Whole(WholeResponse {
+        result,
+        length: response.consumed,
+        reusable: response.keep_alive,
+    })))
 }
