--- a/connection_pool/tests/traces.rs
+++ b/connection_pool/tests/traces.rs
@@ -1,5 +1,5 @@
-//! Talks with the pools, printed step by step: what a push gets, whose fault an end was, what is
-//! ordered.
+//! Scenarios played with the pools and traced step by step: what an attempt gets, whose fault a
+//! failure was, which actions the pools ask for.
 
 use basaltwood::types::{HostId, Micros};
 use basaltwood_connection_pool::{
@@ -10,10 +10,11 @@
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 
+/// Pools, a clock that only the test moves, and the trace of what has happened.
 struct Scenario {
     pools: ConnectionPools,
     now: Micros,
-    text: String,
+    trace: String,
 }
 
 impl Scenario {
@@ -25,19 +26,20 @@
             connect_timeout: 250 * MS,
             max_connections,
         };
-        let mut scenario = Scenario { pools: ConnectionPools::new(config), now: 0, text: String::new() };
+        let mut scenario = Scenario { pools: ConnectionPools::new(config), now: 0, trace: String::new() };
         scenario.pools.tick(0);
         scenario
     }
 
+    /// Traces a step, with the actions that it led to.
     fn record(&mut self, what: &str) {
-        let actions: Vec<String> =
-            self.pools.take_actions().iter().map(|order| format!("{order:?}")).collect();
-        let actions = if actions.is_empty() { String::new() } else { format!(" -> {}", actions.join(", ")) };
-        self.text += &format!("{:<6}{what}{actions}\n", self.now / MS);
+        let actions = self.pools.take_actions();
+        let actions: Vec<String> = actions.iter().map(|action| format!("{action:?}")).collect();
+        let arrow = if actions.is_empty() { "" } else { " -> " };
+        self.trace += &format!("{:<6}{what}{arrow}{}\n", self.now / MS, actions.join(", "));
     }
 
-    /// Time passes with its ticks; actions are told as they come.
+    /// Time passes, with a tick every 50 ms; actions are traced as they come.
     fn advance(&mut self, span: Micros) {
         let until = self.now + span;
         while self.now < until {
@@ -45,12 +47,12 @@
             self.pools.tick(self.now);
             let actions = self.pools.take_actions();
             if !actions.is_empty() {
-                self.text += &format!("{:<6}{actions:?}\n", self.now / MS);
+                self.trace += &format!("{:<6}{actions:?}\n", self.now / MS);
             }
         }
     }
 
-    /// A push that is sent at once, on whatever connection it gets; that one.
+    /// Sends a request at once, on whatever connection it gets; that connection.
     fn send(&mut self, host: u32) -> ConnectionId {
         let checkout = self.pools.checkout(self.now, HostId(host));
         let connection = match checkout {
@@ -66,7 +68,7 @@
         connection
     }
 
-    /// The same, answered after 5 ms.
+    /// The same, with a response after 5 ms.
     fn exchange(&mut self, host: u32) -> ConnectionId {
         let connection = self.send(host);
         self.now += 5 * MS;
@@ -74,20 +76,41 @@
         connection
     }
 
-    fn end(&mut self, what: &str, connection: ConnectionId) -> Fault {
-        let fault = match what {
-            "lost" => self.pools.connection_lost(self.now, connection),
-            "timed out" => self.pools.attempt_timed_out(self.now, connection).fault,
-            other => panic!("{other}"),
-        };
+    /// The connection ends under its request.
+    fn lose(&mut self, connection: ConnectionId) {
+        let fault = self.pools.connection_lost(self.now, connection);
+        self.record_failure("lost", connection, fault);
+    }
+
+    /// The attempt on the connection times out.
+    fn time_out(&mut self, connection: ConnectionId) {
+        let verdict = self.pools.attempt_timed_out(self.now, connection);
+        self.record_failure("timed out", connection, verdict.fault);
+    }
+
+    fn record_failure(&mut self, what: &str, connection: ConnectionId, fault: Fault) {
         let state = self.pools.state(connection);
         self.record(&format!("{what} {connection:?}: {fault:?} at fault, {state:?}"));
-        fault
     }
 
+    /// All of these are answered now, and idle from now on.
+    fn answer_all(&mut self, connections: &[ConnectionId]) {
+        for &connection in connections {
+            self.pools.answered(self.now, connection, true);
+        }
+    }
+
+    /// One exchange with each of the hosts numbered so.
+    fn exchange_with(&mut self, hosts: std::ops::Range<u32>) {
+        for host in hosts {
+            self.exchange(host);
+        }
+    }
+
+    /// The trace, and what the pools counted.
     fn assert_trace(mut self, expected: Expect) {
-        self.text += &self.pools.stats().to_string();
-        expected.assert_eq(&self.text);
+        self.trace += &self.pools.stats().to_string();
+        expected.assert_eq(&self.trace);
     }
 }
 
@@ -97,18 +120,17 @@
     // Three in use together, all idle from now on.
     let three: Vec<ConnectionId> = (0..3).map(|_| scenario.send(0)).collect();
     scenario.now += 5 * MS;
-    three.iter().for_each(|&connection| {
-        scenario.pools.answered(scenario.now, connection, true);
-    });
+    scenario.answer_all(&three);
     scenario.advance(600 * MS);
-    // One may be chance; with the second the third goes too, and the next is new.
+    // One loss may be chance; with the second the third goes too, and the next is new.
     for _ in 0..2 {
         let used = scenario.send(0);
         scenario.now += MS;
-        scenario.end("lost", used);
+        scenario.lose(used);
     }
     scenario.exchange(0);
-    // What has stood for so long is not trusted any more, and is in half a minute.
+    // An age at which connections were stale is not trusted any more, and is again in half a
+    // minute.
     scenario.advance(700 * MS);
     scenario.exchange(0);
     scenario.advance(30 * SECOND);
@@ -135,16 +157,14 @@
 #[test]
 fn stale_connections_of_three_hosts_at_once_close_idle_ones_of_all_hosts() {
     let mut scenario = Scenario::new(2, 300);
-    (0..5).for_each(|host| {
-        scenario.exchange(host);
-    });
+    scenario.exchange_with(0..5);
     scenario.advance(900 * MS);
     let three = [scenario.send(0), scenario.send(1), scenario.send(2)];
     scenario.now += MS;
     for connection in three {
-        scenario.end("lost", connection);
+        scenario.lose(connection);
     }
-    // Hosts 3 and 4 lose nothing: new ones are opened there.
+    // Hosts 3 and 4 lose nothing: new connections are opened there.
     scenario.exchange(3);
     scenario.exchange(4);
     scenario.assert_trace(expect![[r#"
@@ -167,16 +187,14 @@
 #[test]
 fn stale_connections_with_a_good_one_between_leave_other_hosts_alone() {
     let mut scenario = Scenario::new(2, 300);
-    (0..5).for_each(|host| {
-        scenario.exchange(host);
-    });
+    scenario.exchange_with(0..5);
     scenario.advance(900 * MS);
     let dead = [scenario.send(0), scenario.send(1), scenario.send(2)];
     scenario.now += MS;
-    scenario.end("lost", dead[0]);
+    scenario.lose(dead[0]);
     scenario.exchange(3);
-    scenario.end("lost", dead[1]);
-    scenario.end("lost", dead[2]);
+    scenario.lose(dead[1]);
+    scenario.lose(dead[2]);
     scenario.exchange(4);
     scenario.assert_trace(expect![[r#"
         0     h0 Open(ConnectionId(0))
@@ -204,22 +222,23 @@
         scenario.exchange(0);
     }
     scenario.advance(50 * MS);
-    scenario.end("timed out", mute);
-    // All silent at once: the host, and with the third one is listened to.
+    scenario.time_out(mute);
+    // All silent at once: the host is at fault, and after the third timeout a late response is
+    // awaited.
     let all: Vec<ConnectionId> = (0..3).map(|_| scenario.send(0)).collect();
     scenario.advance(300 * MS);
     for &connection in &all {
-        scenario.end("timed out", connection);
+        scenario.time_out(connection);
     }
     scenario.advance(100 * MS);
-    // It answers late, on one from before: it is there, and was not started anew.
+    // It responds late, on a connection from before: it is alive, and was not restarted.
     let kept = scenario.pools.late_response(scenario.now, all[2], true);
     scenario.record(&format!("late whole response, kept {kept}"));
     scenario.exchange(0);
     scenario.now += MS;
     let slow = scenario.send(0);
     scenario.advance(300 * MS);
-    scenario.end("timed out", slow);
+    scenario.time_out(slow);
     let kept = scenario.pools.late_response(scenario.now, slow, false);
     scenario.record(&format!("late malformed response, kept {kept}"));
     scenario.exchange(0);
@@ -253,17 +272,18 @@
     scenario.now += 2 * MS;
     scenario.exchange(0);
     scenario.advance(50 * MS);
-    scenario.end("timed out", first);
+    scenario.time_out(first);
     scenario.advance(50 * MS);
-    // Its host answered others all along: nobody is told that it is back.
+    // Its host answered others all along: it is not reported as alive again.
     let kept = scenario.pools.late_response(scenario.now, first, true);
     scenario.record(&format!("late whole response, kept {kept}"));
     scenario.send(0);
-    // One that is warm and gives up is slow by its host, which is not to work on for nobody.
+    // A warm connection that times out is slow by its host, which is not to work on what nobody
+    // waits for.
     scenario.now += MS;
     scenario.exchange(0);
     scenario.advance(50 * MS);
-    scenario.end("timed out", first);
+    scenario.time_out(first);
     scenario.assert_trace(expect![[r#"
         0     h0 Open(ConnectionId(0))
         2     h0 Open(ConnectionId(1))
@@ -309,9 +329,7 @@
 #[test]
 fn hung_host_when_descriptors_are_short_holds_no_more_than_its_share() {
     let mut scenario = Scenario::new(2, 120);
-    (1..10).for_each(|host| {
-        scenario.exchange(host);
-    });
+    scenario.exchange_with(1..10);
     let mut open = 0;
     let refused = loop {
         match scenario.pools.checkout(scenario.now, HostId(0)) {
@@ -324,9 +342,9 @@
             other => break other,
         }
     };
-    scenario.text.clear();
+    scenario.trace.clear();
     scenario.record(&format!("{refused:?} at {open} open"));
-    // All others go on.
+    // Other hosts are served all the same.
     scenario.exchange(5);
     match scenario.pools.checkout(scenario.now, HostId(5)) {
         Checkout::Reuse(_) => {}
@@ -349,7 +367,7 @@
         scenario.now += MS;
         scenario.exchange(0);
     }
-    // The machine stood still: no tick for two seconds.
+    // The process stands still: no tick for two seconds.
     scenario.now += 2 * SECOND;
     let stalled = scenario.pools.tick(scenario.now);
     scenario.record(&format!(
@@ -396,16 +414,18 @@
     let mut scenario = Scenario::new(2, 300);
     let many: Vec<ConnectionId> = (0..6).map(|_| scenario.send(0)).collect();
     scenario.now += 5 * MS;
-    many.iter().for_each(|&connection| {
-        scenario.pools.answered(scenario.now, connection, true);
-    });
-    scenario.text.clear();
+    scenario.answer_all(&many);
+    scenario.trace.clear();
     for _ in 0..14 {
         scenario.advance(500 * MS);
         scenario.exchange(0);
     }
-    scenario.text =
-        scenario.text.lines().filter(|line| line.contains("Close")).map(|line| format!("{line}\n")).collect();
+    scenario.trace = scenario
+        .trace
+        .lines()
+        .filter(|line| line.contains("Close"))
+        .map(|line| format!("{line}\n"))
+        .collect();
     let evicted = scenario.pools.evict_idle();
     scenario.record(&format!("evicted: {evicted:?}, {} open", scenario.pools.open_connections()));
     scenario.assert_trace(expect![[r#"
@@ -413,73 +433,3 @@
         7075  evicted: Some(ConnectionId(5)), 0 open
         connections_presumed_stale=0 connections_surplus_closed=5 connection_faults=0 attempts_in_doubt=0 late_responses=0 connects_throttled=0 connects_circuit_open=0 connects_exhausted=0 process_stalls=0"#]]);
 }
-
-/// Opens a second over the fleet when 40 hosts return in one instant, by so many balancers that
-/// each want eight connections to each at once.
-fn returning(balancers: u32) -> (u64, u64, usize) {
-    const HOSTS: u32 = 40;
-    const EACH: usize = 8;
-    // Balancers are alike but for their seed: a part of them stands for all.
-    let played = balancers.min(4);
-    let mut by_tenth = vec![0_u64; 600];
-    let mut whole = 0;
-    for nth in 0..played {
-        let config = PoolConfig {
-            seed: u64::from(nth),
-            balancers,
-            idle_timeout: 15 * SECOND,
-            connect_timeout: 250 * MS,
-            max_connections: 1_000,
-        };
-        let mut pools = ConnectionPools::new(config);
-        let mut up = vec![0; HOSTS as usize];
-        for step in 0..3_000_i64 {
-            let now = step * 20 * MS;
-            // All are away for the first two seconds.
-            let there = now >= 2 * SECOND;
-            if step % 5 == 0 {
-                pools.tick(now);
-                pools.take_actions();
-            }
-            for host in 0..HOSTS {
-                while up[host as usize] < EACH {
-                    match pools.checkout(now, HostId(host)) {
-                        Checkout::Open(connection) if there => {
-                            pools.connected(connection);
-                            pools.request_sent(now, connection);
-                            up[host as usize] += 1;
-                            by_tenth[(now / (100 * MS)) as usize] += 1;
-                        }
-                        Checkout::Open(connection) => {
-                            pools.connect_failed(now, connection, ConnectFailure::Host)
-                        }
-                        _ => break,
-                    }
-                }
-            }
-        }
-        whole += usize::from(up.iter().all(|&up| up == EACH));
-    }
-    let scale = u64::from(balancers / played);
-    let most_second = by_tenth.windows(10).map(|window| window.iter().sum::<u64>()).max().unwrap_or(0);
-    let most_tenth = by_tenth.iter().max().copied().unwrap_or(0);
-    (most_second * scale, most_tenth * scale, whole * scale as usize)
-}
-
-#[test]
-fn fleet_that_returns_at_once_meets_no_connection_stampede() {
-    let mut text = String::new();
-    for balancers in [2, 20, 200] {
-        let (second, tenth, whole) = returning(balancers);
-        let all = u64::from(balancers) * 40 * 8;
-        text += &format!(
-            "{balancers} balancers: {all} connections wanted, at most {second} opened in a second and {tenth} in a \
-             tenth of one; {whole} have all of theirs after a minute\n"
-        );
-    }
-    expect![[r#"
-        2 balancers: 640 connections wanted, at most 632 opened in a second and 120 in a tenth of one; 2 have all of theirs after a minute
-        20 balancers: 6400 connections wanted, at most 5915 opened in a second and 870 in a tenth of one; 20 have all of theirs after a minute
-        200 balancers: 64000 connections wanted, at most 6400 opened in a second and 800 in a tenth of one; 200 have all of theirs after a minute
-    "#]].assert_eq(&text);
-}
