--- a/balancer/tests/unheard.rs
+++ b/balancer/tests/departed_clients.rs
@@ -1,23 +1,24 @@
-//! Clients that ask and go before they are heard. A file of its own: a program that another test starts beside holds copies of
-//! a client's descriptors for a moment, and its end would come late.
+//! Clients that send a request and leave before they are served. A file of its own: a program that
+//! another test starts beside holds copies of a client's descriptors for a moment, and its end
+//! would come late.
 
-mod closed;
 #[path = "../../tests/common/mod.rs"]
 mod common;
+mod stand_ins;
 
-use closed::{four_gated_hosts, Goes, BOTH_WAYS};
 use common::*;
+use stand_ins::{four_gated_hosts, Departure, EACH_DEPARTURE};
 
 const BINARY: &str = env!("CARGO_BIN_EXE_basaltwood-balancer");
 
-/// Others hold all descriptors: it is accepted, or waits in the kernel, asks and goes. When there is room it is heard, and
-/// nothing is begun for it.
+/// Others hold all descriptors: the client is accepted, or waits in the kernel, sends a request and
+/// leaves. When a descriptor is free it is served, and nothing is begun for it.
 #[test]
-fn one_that_asks_and_goes_before_there_is_room_for_it_has_nothing_begun() {
-    BOTH_WAYS.into_iter().for_each(gone_before_there_is_room);
+fn client_that_leaves_before_a_descriptor_is_free_has_nothing_begun() {
+    EACH_DEPARTURE.into_iter().for_each(leaves_before_a_descriptor_is_free);
 }
 
-fn gone_before_there_is_room(goes: Goes) {
+fn leaves_before_a_descriptor_is_free(departure: Departure) {
     let (hosts, known) = four_gated_hosts();
     let program = Program::start_by(BINARY, nowhere(), &known, [192, 32], SETTINGS);
     let mut inside: Vec<Client> = (0..8).map(|_| program.client()).collect();
@@ -25,13 +26,13 @@
         client.get(&format!("slow{nth}"), &format!("in{nth}"), "c=once,d=1900");
     }
     program.counts("attempts", 8);
-    // One that is accepted and waits for room, and two behind it.
+    // One that is accepted and waits for a descriptor, and two behind it.
     for nth in 0..3 {
         let mut client = program.client();
         client.get(&format!("gone{nth}"), &format!("out{nth}"), "c=once,d=1900");
-        goes.away(client);
+        departure.apply(client);
     }
-    // A host holds as many as there are at most; there may be fewer.
+    // Each host holds at most so many requests back; there may be fewer.
     for (release, _) in &hosts {
         (0..8).for_each(|_| {
             let _ = release.send(());
@@ -40,13 +41,13 @@
     inside.iter_mut().for_each(|client| assert_eq!(client.answer(), "v"));
     drop(inside);
     program.counts("clients", 11);
-    // One that comes after them is served after them.
+    // A client that comes after them is served.
     assert_eq!(program.client().asks(&["CACHE.GET", "after", "after", "c=once,d=1900"]), "v");
     let line = program.counts("succeeded", 9);
-    assert!(line.contains(" attempts=9 "), "{goes:?}: {line}");
+    assert!(line.contains(" attempts=9 "), "{departure:?}: {line}");
     for (_, host) in &hosts {
         while let Some(line) = host.seen() {
-            assert!(!line.contains("gone"), "{goes:?}: {line}");
+            assert!(!line.contains("gone"), "{departure:?}: {line}");
         }
     }
 }
--- a/balancer/tests/drains.rs
+++ b/balancer/tests/drains.rs
@@ -1,49 +1,51 @@
-//! Drains on sockets: a host is announced as leaving while pushes are between their decision and their first byte. None
-//! of them writes a byte to it, and each op gets its answer elsewhere at once.
+//! Drains on sockets: a host is announced as leaving while attempts are between their decision and
+//! their first byte. None of them writes a byte to it, and each request is answered elsewhere at
+//! once.
 
-mod closed;
 #[path = "../../tests/common/mod.rs"]
 mod common;
+mod stand_ins;
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-use closed::{breaking_host, one_out, patient, Closed};
 use common::*;
 use expect_test::{expect, Expect};
+use stand_ins::{breaking_host, one_attempt_in_flight, patient_settings, StalledListener};
 
 const BINARY: &str = env!("CARGO_BIN_EXE_basaltwood-balancer");
 
-/// One push is out at `a`, and others wait there: no connection is free, and none may be opened for a second. What they
-/// get once the list says `told` of it.
-fn waiting_while(told: &str) -> String {
+/// One attempt is in flight at `a`, and others wait there: no connection is free, and none may be
+/// opened for a second. Returns the trace of what they get once the list gives `lifecycle` for `a`,
+/// or does not name it.
+fn waiting_while(lifecycle: &str) -> String {
     let (release, a) = breaking_host();
     let b = Peer::host(|_| hit("from b"));
     let discovery = Discovery::start();
     let known = [entry("a", a.address, "active")];
-    let program = Program::start_by(BINARY, discovery.peer.address, &known, [192, 1024], &patient());
-    let (mut slow, mut trace) = one_out(&program, &a);
+    let program = Program::start_by(BINARY, discovery.peer.address, &known, [192, 1024], &patient_settings());
+    let (mut slow, mut trace) = one_attempt_in_flight(&program, &a);
     let (mut read, mut once) = (program.client(), program.client());
     read.get("k", "id2", "c=read,d=9000");
     once.get("l", "id3", "c=once,d=9000");
     program.counts("requests", 4);
     let mut list = vec![entry("b", b.address, "active")];
-    list.extend((!told.is_empty()).then(|| entry("a", a.address, told)));
+    list.extend((!lifecycle.is_empty()).then(|| entry("a", a.address, lifecycle)));
     discovery.tell(&list);
     trace.extend([read.answer(), once.answer()]);
     release.send(()).expect("it waits");
-    // What was out goes on; its connection is of no use after it.
+    // What is in flight goes on; its connection is closed after it.
     trace.extend([slow.answer(), a.next()]);
-    assert!(a.quiet(), "nothing came after the drain was told");
+    assert!(a.quiet(), "nothing came after the drain was announced");
     let line = program.counts("attempts_not_sent", 2);
-    assert!(line.contains(" attempts_not_sent=2 "), "each of those that waited says so once: {line}");
+    assert!(line.contains(" attempts_not_sent=2 "), "each of those that waited is counted once: {line}");
     trace.join("\n")
 }
 
 #[test]
-fn pushes_that_wait_for_a_connection_are_let_go_when_their_host_leaves() {
+fn attempts_waiting_for_a_connection_when_their_host_leaves_are_not_sent() {
     let trace = waiting_while("leaving");
     expect![[r#"
         CACHE.GET break id0 c=read,d=..
@@ -59,37 +61,37 @@
     assert_eq!(waiting_while(""), trace, "nor one that a whole list does not name");
 }
 
-/// A push is in its handshake with `a` when the list tells this of `a`, and of another host: what its client gets. No byte goes
-/// where the handshake was.
-fn in_a_handshake_while(told: impl Fn(SocketAddr) -> String) -> String {
-    let a = Closed::start();
+/// An attempt is in its handshake with `a` when the list changes `a`, and names another host: what
+/// its client gets. No byte goes where the handshake was.
+fn in_a_handshake_while(changed: impl Fn(SocketAddr) -> String) -> String {
+    let a = StalledListener::start();
     let b = Peer::host(|_| hit("from b"));
     let discovery = Discovery::start();
     let known = [entry("a", a.address, "active")];
-    let program = Program::start_by(BINARY, discovery.peer.address, &known, [192, 1024], &patient());
+    let program = Program::start_by(BINARY, discovery.peer.address, &known, [192, 1024], &patient_settings());
     let mut client = program.client();
     client.get("k", "id", "c=once,d=9000");
     program.counts("attempts", 1);
-    discovery.tell(&[told(a.address), entry("b", b.address, "active")]);
+    discovery.tell(&[changed(a.address), entry("b", b.address, "active")]);
     program.counts("endpoint_lists", 2);
     // From here on the handshake can come to its end.
-    let (_, wrote) = a.take_all();
+    let (_, wrote) = a.accept_all();
     let answer = client.answer();
     assert!(wrote.try_recv().is_err(), "a byte went where the handshake was");
     answer
 }
 
 #[test]
-fn a_handshake_under_way_carries_nothing_once_its_host_leaves() {
+fn handshake_under_way_when_its_host_leaves_carries_nothing() {
     assert_eq!(in_a_handshake_while(|at| entry("a", at, "leaving")), "from b");
 }
 
 /// Another may stand at the old address now.
 #[test]
-fn a_handshake_under_way_carries_nothing_once_its_host_has_moved() {
+fn handshake_under_way_when_its_host_moves_carries_nothing() {
     let elsewhere = Peer::host(|_| hit("from the new address"));
     assert_eq!(in_a_handshake_while(|_| entry("a", elsewhere.address, "active")), "from b");
-    assert!(elsewhere.quiet(), "one push each host");
+    assert!(elsewhere.quiet(), "one attempt each host");
 }
 
 /// Keys of both hosts' are read at `b`, and nothing comes to `a`.
@@ -102,7 +104,7 @@
 }
 
 #[test]
-fn a_drain_is_heard_whatever_else_its_entry_says() {
+fn drain_in_an_otherwise_invalid_entry_is_honoured() {
     let b = Peer::host(|_| hit("from b"));
     for absurd in [
         r#"{"instanceId":"a","lifecycle":"leaving"}"#,
@@ -120,21 +122,21 @@
     }
 }
 
-/// Moved by SIGHUP, it asks for all there is: a discovery that counts from less holds a call from the version that it has, and
-/// may know of a drain all the same.
+/// Moved by SIGHUP, it asks for all there is: a discovery that counts from less holds a call from
+/// the version that it has, and may know of a drain all the same.
 #[test]
-fn a_drain_is_heard_after_a_move_to_a_discovery_that_counts_from_less() {
+fn drain_after_a_move_to_a_discovery_with_lower_versions_is_honoured() {
     let (_release, a) = breaking_host();
     let b = Peer::host(|_| hit("from b"));
     let entries = [entry("a", a.address, "leaving"), entry("b", b.address, "active")].join(",");
     let list = format!(r#"{{"generation":3,"reset":true,"instances":[{entries}]}}"#);
-    let new = Peer::http(move |asked| match asked {
+    let new = Peer::http(move |request| match request {
         "GET /v1/servers" => http_answer(200, &list),
         _ => Says::Nothing,
     });
-    let old = Peer::http(|asked| {
+    let old = Peer::http(|request| {
         let news = r#"{"generation":40,"reset":false,"instances":[]}"#;
-        if asked.contains("from=1&") {
+        if request.contains("from=1&") {
             http_answer(200, news)
         } else {
             Says::Nothing
@@ -155,18 +157,20 @@
     .assert_eq(&trace.join("\n"));
 }
 
-/// Told to end, it heeds the list for as long as an op is open: a further push goes by what was told meanwhile.
+/// After SIGTERM the list is followed for as long as a request is open: a retry goes by what was
+/// announced meanwhile.
 #[test]
-fn a_drain_is_heard_while_the_balancer_itself_ends() {
+fn drain_while_the_balancer_shuts_down_is_honoured() {
     let (release, wait) = gate();
-    let a = Peer::host(move |asked| {
-        wait(asked);
+    let a = Peer::host(move |request| {
+        wait(request);
         Says::Text("-BUSY\r\n".to_owned())
     });
     let (b, c) = (Peer::host(|_| hit("from b")), Peer::host(|_| hit("from c")));
     let discovery = Discovery::start();
     let known = [entry("a", a.address, "active"), entry("b", b.address, "active")];
-    let mut program = Program::start_by(BINARY, discovery.peer.address, &known, [192, 1024], &patient());
+    let mut program =
+        Program::start_by(BINARY, discovery.peer.address, &known, [192, 1024], &patient_settings());
     let mut client = program.client();
     client.get(HOME_A, "slow", "c=once,d=9000");
     let mut trace = vec![a.next(), discovery.peer.next()];
@@ -174,7 +178,7 @@
     program.logged("Draining");
     let up = ["a", "c"].into_iter().zip([a.address, c.address]).map(|(name, at)| entry(name, at, "active"));
     discovery.tell(&up.chain([entry("b", b.address, "leaving")]).collect::<Vec<_>>());
-    // The next call says that this list was read.
+    // The next call shows that this list was read.
     trace.push(discovery.peer.next());
     release.send(()).expect("it waits");
     trace.push(client.answer());
@@ -188,32 +192,34 @@
     .assert_eq(&trace.join("\n"));
 }
 
-/// A watch that fell silent is broken: what it misses counts as told 6 s after, and the news have to be here by then.
+/// A watch that fell silent is broken: what it misses counts as announced 6 s after, and the change
+/// has to be known by then.
 #[test]
-fn a_drain_is_heard_in_time_where_the_watch_has_fallen_silent() {
-    heard_in_time(0, |_| Says::Nothing, at_first());
+fn drain_behind_a_silent_watch_is_honoured_in_time() {
+    assert_honoured_in_time(0, |_| Says::Nothing, calls_without_failures());
 }
 
-/// What drips does not hold the look at silence up.
+/// A response that drips does not put the timeout off.
 #[test]
-fn a_drain_is_heard_in_time_where_the_list_only_drips() {
-    heard_in_time(0, |news| Says::Drips(news, Duration::from_secs(1)), at_first());
+fn drain_in_a_list_that_only_drips_is_honoured_in_time() {
+    assert_honoured_in_time(0, |news| Says::Drips(news, Duration::from_secs(1)), calls_without_failures());
 }
 
-/// Whatever failed before: a change counts as told 6 s after discovery had it and could be reached, which it does here with the
-/// first call that is not closed, and which is the one that falls silent.
+/// Whatever failed before: a change counts as announced 6 s after discovery had it and could be
+/// reached, which it does here with the first call that is not closed, and which is the one that
+/// falls silent.
 #[test]
-fn a_drain_is_heard_in_time_where_calls_failed_before_the_watch_fell_silent() {
+fn drain_behind_a_silent_watch_after_failed_calls_is_honoured_in_time() {
     let calls = expect![[r#"
         GET /v1/servers?from=1&hold_ms=500
         GET /v1/servers?from=1&hold_ms=500
         GET /v1/servers?from=2&hold_ms=3000
         closed"#]];
-    heard_in_time(4, |_| Says::Nothing, calls);
+    assert_honoured_in_time(4, |_| Says::Nothing, calls);
 }
 
 /// The calls from the one that falls silent on, where none failed before.
-fn at_first() -> Expect {
+fn calls_without_failures() -> Expect {
     expect![[r#"
         GET /v1/servers?from=1&hold_ms=2500
         GET /v1/servers?from=1&hold_ms=3000
@@ -221,8 +227,8 @@
         closed"#]]
 }
 
-/// So many calls are closed; the next comes to this, and the one after brings the news.
-fn heard_in_time(failed: u32, first: fn(String) -> Says, expected: Expect) {
+/// So many calls are closed; the next gets `first`, and the one after brings the change.
+fn assert_honoured_in_time(failed: u32, first: fn(String) -> Says, expected: Expect) {
     let (_release, a) = breaking_host();
     let b = Peer::host(|_| hit("from b"));
     let entries = [entry("a", a.address, "leaving"), entry("b", b.address, "active")].join(",");
@@ -244,21 +250,22 @@
     let mut trace = vec![discovery.next()];
     let silent = Instant::now();
     program.counts("endpoint_lists", 2);
-    assert!(silent.elapsed() < Duration::from_secs(6), "the news came after {:?}", silent.elapsed());
+    assert!(silent.elapsed() < Duration::from_secs(6), "the change came after {:?}", silent.elapsed());
     trace.extend([discovery.next(), discovery.next(), discovery.next()]);
     only_b_serves(&program, &a, "nothing goes to the host that leaves");
-    // When it sees its connection's end is its own affair.
+    // When it sees the end of its connection is not fixed.
     trace.sort();
     expected.assert_eq(&trace.join("\n"));
 }
 
-/// The list as another may write it: indented, in chunks, byte by byte, with a host that leaves and was never told of before.
+/// The list as another may write it: indented, in chunks, byte by byte, with a host that leaves and
+/// was never listed before.
 #[test]
-fn a_drain_is_heard_however_its_list_is_written() {
+fn drain_in_a_list_of_any_form_is_honoured() {
     let b = Peer::host(|_| hit("from b"));
-    for way in ["indented", "chunked", "dripping", "unheard of"] {
+    for way in ["indented", "chunked", "dripping", "unlisted"] {
         let (_release, a) = breaking_host();
-        let leaves = if way == "unheard of" { "c" } else { "a" };
+        let leaves = if way == "unlisted" { "c" } else { "a" };
         let entries = [entry(leaves, a.address, "leaving"), entry("b", b.address, "active")].join(",\n  ");
         let list =
             format!("{{\n\t\"generation\" : 2,\r\n \"reset\": false, \"instances\":\n [ {entries} ]\n}}\n");
@@ -271,7 +278,7 @@
             }
             _ => format!("{head}Content-Length: {}\r\n\r\n{list}", list.len()),
         };
-        let discovery = Peer::http(move |asked| match asked.contains("from=1&") {
+        let discovery = Peer::http(move |request| match request.contains("from=1&") {
             true if way == "dripping" => Says::Drips(whole.clone(), Duration::from_millis(1)),
             true => Says::Text(whole.clone()),
             false => Says::Nothing,
@@ -285,9 +292,10 @@
     }
 }
 
-/// The list and requests come while this process is stopped: what it says is read before anything is sent.
+/// The list and requests come while this process is stopped: the list is read before anything is
+/// sent.
 #[test]
-fn a_drain_that_comes_while_this_process_is_stopped_is_heard_before_anything_is_sent() {
+fn drain_during_a_process_stall_is_honoured_before_anything_is_sent() {
     let (_release, a) = breaking_host();
     let b = Peer::host(|_| hit("from b"));
     // By hand: what is written is in the socket before the process goes on.
@@ -312,10 +320,10 @@
     assert!(sent.is_empty(), "nothing goes to the host that leaves: {sent:?}");
 }
 
-/// Two hosts go, and one of them comes back under its name, all by changes to the list: its number is another then, and the
-/// one that it had is still among those that are free.
+/// Two hosts go, and one of them returns under its name, all by changes to the list: its number is
+/// another then, and the one that it had is still among those that are free.
 #[test]
-fn a_drain_is_heard_of_a_host_that_was_gone_before() {
+fn drain_of_a_host_that_had_returned_is_honoured() {
     let (_release, a) = breaking_host();
     let b = Peer::host(|_| hit("from b"));
     let (at, gone) = (a.address, nowhere());
@@ -324,8 +332,8 @@
         entry("a", at, "active"),
         entry("a", at, "leaving"),
     ];
-    let discovery = Peer::http(move |asked| {
-        let from = (1..=changes.len()).find(|from| asked.contains(&format!("from={from}&")));
+    let discovery = Peer::http(move |request| {
+        let from = (1..=changes.len()).find(|from| request.contains(&format!("from={from}&")));
         let Some(from) = from else { return Says::Nothing };
         let (version, change) = (from + 1, &changes[from - 1]);
         http_answer(200, &format!(r#"{{"generation":{version},"reset":false,"instances":[{change}]}}"#))
--- a/balancer/tests/endings.rs
+++ b/balancer/tests/endings.rs
@@ -1,17 +1,17 @@
 //! What is still owed when something ends: the process, a client's stay, a silent watch, an op's time. Each crossing is forced
 //! over sockets, and the program is seen from its peers' side.
 
-mod closed;
 #[path = "../../tests/common/mod.rs"]
 mod common;
+mod stand_ins;
 
 use std::net::Shutdown;
 use std::sync::mpsc::Sender;
 use std::time::{Duration, Instant};
 
-use closed::{four_gated_hosts, Goes, BOTH_WAYS};
 use common::*;
 use expect_test::expect;
+use stand_ins::{four_gated_hosts, Departure, EACH_DEPARTURE};
 
 const BINARY: &str = env!("CARGO_BIN_EXE_basaltwood-balancer");
 
@@ -92,16 +92,16 @@
 /// been begun never is.
 #[test]
 fn one_that_sends_much_at_once_and_goes_has_nothing_begun_after_it() {
-    BOTH_WAYS.into_iter().for_each(gone_with_much_sent);
+    EACH_DEPARTURE.into_iter().for_each(gone_with_much_sent);
 }
 
-fn gone_with_much_sent(goes: Goes) {
+fn gone_with_much_sent(departure: Departure) {
     let (release, host) = gated_host();
     let program = program(&host, [192, 1024], SETTINGS);
     let mut client = program.client();
     (0..100).for_each(|nth| client.get("slow", &format!("id{nth}"), "c=read,d=1900"));
     program.counts("attempts", 1);
-    goes.away(client);
+    departure.apply(client);
     let line = program.counts("abandoned", 1);
     assert!(line.contains(" attempts_succeeded=0 "), "nothing was answered yet: {line}");
     let_go(&release, 100);
@@ -115,17 +115,17 @@
 /// After `QUIT` nothing more is read of a connection; its end is seen all the same.
 #[test]
 fn one_that_quits_and_goes_before_its_answer_is_waited_for_no_longer() {
-    BOTH_WAYS.into_iter().for_each(gone_after_quit);
+    EACH_DEPARTURE.into_iter().for_each(gone_after_quit);
 }
 
-fn gone_after_quit(goes: Goes) {
+fn gone_after_quit(departure: Departure) {
     let (release, host) = gated_host();
     let program = program(&host, [192, 1024], SETTINGS);
     let mut client = program.client();
     client.get("slow", "id", "c=read,d=1900");
     client.raw(b"QUIT\r\n");
     host.next();
-    goes.away(client);
+    departure.apply(client);
     let line = program.counts("abandoned", 1);
     assert!(line.contains(" attempts_succeeded=0 ") && line.contains(" attempts_timed_out=0 "), "{line}");
     drop(release);
@@ -199,10 +199,10 @@
 /// While a value waits for memory that another holds nothing is read of its connection either.
 #[test]
 fn one_that_goes_while_its_value_waits_for_memory_is_waited_for_no_longer() {
-    BOTH_WAYS.into_iter().for_each(gone_while_its_value_waits);
+    EACH_DEPARTURE.into_iter().for_each(gone_while_its_value_waits);
 }
 
-fn gone_while_its_value_waits(goes: Goes) {
+fn gone_while_its_value_waits(departure: Departure) {
     let (release, host) = gated_host();
     let program = program(&host, [8, 1024], SETTINGS);
     let half = |client: &mut Client, id: &str| {
@@ -217,7 +217,7 @@
     host.next();
     half(&mut leaves, "id3");
     assert_eq!(program.client().asks(&["PING"]), "+PONG");
-    goes.away(leaves);
+    departure.apply(leaves);
     let line = program.counts("abandoned", 1);
     // The one that holds the memory has not been given up yet.
     assert!(line.contains(" malformed=0 ") && line.contains(" attempts_timed_out=0 "), "{line}");
--- a/balancer/tests/mixed.rs
+++ b/balancer/tests/mixed_fleet.rs
@@ -1,4 +1,5 @@
-//! The move on sockets: one program told of the old shape of deployment and one of the new, before the same hosts.
+//! A migration on sockets: one program with the settings of the old shape of deployment and one
+//! with those of the new, before the same hosts.
 
 #[path = "../../tests/common/mod.rs"]
 mod common;
@@ -11,7 +12,8 @@
 
 const BINARY: &str = env!("CARGO_BIN_EXE_basaltwood-balancer");
 
-/// The new shape: one push at a time, late answers earn, a part of the result for what is in time, messages and probes.
+/// The new shape: one attempt at a time, late responses earn, a part of the result for what is in
+/// time, messages and probes.
 fn new_shape() -> String {
     let late = SETTINGS.replace("\"semantics\"", "\"tardyBenefit\":0.4,\"semantics\"");
     let limits =
@@ -22,13 +24,13 @@
     limits.replace("\"unheardOf\":{\"x\":1}", more)
 }
 
-/// A host that breaks its connection at the key `break` and else answers with its name. How many pushes it got and how
-/// many of them it broke: connections that close are none.
+/// A host that breaks its connection at the key `break` and else answers with its name. Counts the
+/// requests that it got and those that it broke: connections that close count as none.
 fn host(name: &'static str) -> (Peer, Arc<[AtomicU32; 2]>) {
     let counts: Arc<[AtomicU32; 2]> = Arc::default();
     let counted = counts.clone();
-    let peer = Peer::host(move |asked| {
-        let breaks = asked.contains("break");
+    let peer = Peer::host(move |request| {
+        let breaks = request.contains("break");
         counted[0].fetch_add(1, Ordering::SeqCst);
         counted[1].fetch_add(u32::from(breaks), Ordering::SeqCst);
         if breaks {
@@ -41,7 +43,7 @@
 }
 
 #[test]
-fn programs_of_both_shapes_serve_before_the_same_hosts_and_keep_the_rules() {
+fn programs_with_old_and_new_settings_before_the_same_hosts_keep_the_rules() {
     let ((a, at_a), (b, at_b), discovery) = (host("from a"), host("from b"), Discovery::start());
     let known = [entry("a", a.address, "active"), entry("b", b.address, "active")];
     let old = Program::start_by(BINARY, discovery.peer.address, &known, [192, 1024], SETTINGS);
@@ -70,18 +72,18 @@
     // What may have run and must not run twice is answered at once, and no other host sees it.
     for (client, name) in clients.iter_mut().zip(["old", "new"]) {
         client.get("break", &format!("once-{name}"), "c=once,d=2000");
-        trace.push(format!("{name}, an at-most-once op whose connection broke: {}", client.answer()));
+        trace.push(format!("{name}, an at-most-once request whose connection broke: {}", client.answer()));
     }
     let broken = at_a[1].load(Ordering::SeqCst) + at_b[1].load(Ordering::SeqCst);
-    assert_eq!(broken, 2, "each was pushed once, wherever it went");
+    assert_eq!(broken, 2, "each was sent once, wherever it went");
     discovery.tell(&[entry("a", a.address, "leaving"), entry("b", b.address, "active")]);
-    // Once both were told, neither sends it anything more.
+    // Once both have the list, neither sends it anything more.
     for program in [&old, &new] {
         program.counts("endpoint_lists", 2);
     }
     let before = at_a[0].load(Ordering::SeqCst);
     for client in &mut clients {
-        client.get(HOME_A, "told", "c=read,d=2000");
+        client.get(HOME_A, "after", "c=read,d=2000");
         assert_eq!(client.answer(), "from b");
         for nth in 0..20 {
             client.get(&format!("after-{nth}"), "id", "c=read,d=2000");
@@ -95,7 +97,7 @@
         its home: from a
         its home: from a
         served of 100: [100, 100]
-        old, an at-most-once op whose connection broke: -ERR dead-lettered
-        new, an at-most-once op whose connection broke: -ERR dead-lettered"#]]
+        old, an at-most-once request whose connection broke: -ERR dead-lettered
+        new, an at-most-once request whose connection broke: -ERR dead-lettered"#]]
     .assert_eq(&trace.join("\n"));
 }
--- a/balancer/tests/crossings.rs
+++ b/balancer/tests/races.rs
@@ -1,38 +1,41 @@
-//! Between a push's decision and its first byte: its client goes, or its time is over. Each way of waiting is forced, and nothing
-//! is written for nobody.
+//! Races between the decision on an attempt and its first byte: its client leaves, or its deadline
+//! passes. Each way of waiting is forced, and nothing is written that nobody waits for.
 
-mod closed;
 #[path = "../../tests/common/mod.rs"]
 mod common;
+mod stand_ins;
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
 
-use closed::{breaking_host, four_gated_hosts, one_out, patient, Closed, Goes, BOTH_WAYS};
 use common::*;
 use expect_test::expect;
+use stand_ins::{
+    breaking_host, four_gated_hosts, one_attempt_in_flight, patient_settings, Departure, StalledListener,
+    EACH_DEPARTURE,
+};
 
 /// A key that holds a stand-in back, and whose home of the hosts a and b is a.
 const SLOW_AT_A: &str = "slow4";
 const BINARY: &str = env!("CARGO_BIN_EXE_basaltwood-balancer");
 
 #[test]
-fn a_handshake_under_way_carries_nothing_once_its_client_has_gone() {
-    BOTH_WAYS.into_iter().for_each(gone_in_a_handshake);
+fn handshake_under_way_when_its_client_leaves_carries_nothing() {
+    EACH_DEPARTURE.into_iter().for_each(leaves_during_a_handshake);
 }
 
-fn gone_in_a_handshake(goes: Goes) {
-    let a = Closed::start();
+fn leaves_during_a_handshake(departure: Departure) {
+    let a = StalledListener::start();
     let known = [entry("a", a.address, "active")];
-    let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &patient());
+    let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &patient_settings());
     let mut client = program.client();
     client.get("k", "id", "c=once,d=9000");
     program.counts("attempts", 1);
-    goes.away(client);
+    departure.apply(client);
     program.counts("attempts_cancelled", 1);
-    let (_, wrote) = a.take_all();
+    let (_, wrote) = a.accept_all();
     let mut other = program.client();
     other.get("l", "id2", "c=once,d=9000");
     // The one that comes is the other's: its port is not that of the first.
@@ -42,25 +45,26 @@
     assert!(line.contains(" abandoned=1 ") && line.contains(" attempts_cancelled=1 "), "{line}");
 }
 
-/// One push is out, and another waits there: for its connection, and for leave to open one beside it.
+/// One attempt is in flight, and another waits at its host: for its connection, and for a new one
+/// to be allowed.
 #[test]
-fn one_that_waits_for_a_connection_is_not_sent_on_once_its_client_has_gone() {
-    BOTH_WAYS.into_iter().for_each(gone_while_it_waits_for_a_connection);
+fn attempt_waiting_for_a_connection_when_its_client_leaves_is_not_sent() {
+    EACH_DEPARTURE.into_iter().for_each(leaves_during_the_wait_for_a_connection);
 }
 
-fn gone_while_it_waits_for_a_connection(goes: Goes) {
+fn leaves_during_the_wait_for_a_connection(departure: Departure) {
     let (release, a) = breaking_host();
     let known = [entry("a", a.address, "active")];
-    let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &patient());
-    let (mut slow, mut trace) = one_out(&program, &a);
+    let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &patient_settings());
+    let (mut slow, mut trace) = one_attempt_in_flight(&program, &a);
     let mut client = program.client();
     client.get("k", "id2", "c=read,d=9000");
     program.counts("requests", 3);
-    goes.away(client);
+    departure.apply(client);
     program.counts("attempts_cancelled", 1);
     release.send(()).expect("it waits");
     trace.push(slow.answer());
-    // The next that comes there is another op's.
+    // The next request there is another client's.
     trace.push(program.client().asks(&["CACHE.GET", "l", "id3", "c=read,d=9000"]));
     trace.push(a.next());
     expect![[r#"
@@ -74,37 +78,41 @@
     .assert_eq(&trace.join("\n"));
 }
 
-/// A host plans by the time that it is told: what has passed while the push waited for its connection is not left any more.
+/// A host plans by the time that the request states: what has passed while the attempt waited for
+/// its connection is not left any more.
 #[test]
-fn a_push_that_waited_for_its_connection_tells_what_is_left_then() {
+fn attempt_that_waited_for_its_connection_states_the_time_left() {
     let (release, a) = breaking_host();
     let known = [entry("a", a.address, "active")];
-    let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &patient());
-    let (_slow, _) = one_out(&program, &a);
+    let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &patient_settings());
+    let (_slow, _) = one_attempt_in_flight(&program, &a);
     let mut waits = program.client();
     // The time stands first: stand-ins hide it anywhere else.
     waits.get("k", "id2", "d=9000,c=read");
     program.counts("requests", 3);
-    // From here on, since its time counts from when it is heard.
+    // From here on, since its time counts from when the request is read.
     let began = Instant::now();
-    // What has to pass is a part of the op's own time.
+    // What has to pass is a part of the request's own time.
     thread::sleep(Duration::from_millis(400));
     let waited = began.elapsed().as_millis();
     release.send(()).expect("it waits");
-    let came = a.next();
-    let told: u128 =
-        came.split("d=").nth(1).and_then(|rest| rest.split(',').next()?.parse().ok()).expect("a time");
-    assert!(told + waited <= 9_000, "{came} after {waited} ms");
+    let request = a.next();
+    let stated: u128 =
+        request.split("d=").nth(1).and_then(|rest| rest.split(',').next()?.parse().ok()).expect("a time");
+    assert!(stated + waited <= 9_000, "{request} after {waited} ms");
 }
 
-/// A miss that comes back after its client has gone fetches nothing at the origin, and an error is not tried elsewhere.
+/// A miss that comes after its client has left fetches nothing at the origin, and an error is not
+/// tried elsewhere.
 #[test]
-fn what_a_push_brings_after_its_client_has_gone_leads_to_no_other() {
+fn outcome_of_an_attempt_after_its_client_left_leads_to_no_retry() {
     let brings = [("*3\r\n$-1\r\n$-1\r\n$-1\r\n", "attempts_missed"), ("-ERR failed\r\n", "attempts_error")];
-    for ((text, ended), goes) in brings.into_iter().flat_map(|one| BOTH_WAYS.map(|goes| (one, goes))) {
+    for ((text, ended), departure) in
+        brings.into_iter().flat_map(|one| EACH_DEPARTURE.map(|departure| (one, departure)))
+    {
         let (release, wait) = gate();
-        let host = Peer::host(move |asked| {
-            wait(asked);
+        let host = Peer::host(move |request| {
+            wait(request);
             Says::Text(text.to_owned())
         });
         let (other, origin) = (Peer::host(|_| hit("v")), Peer::http(|_| http_answer(200, "fetched")));
@@ -114,7 +122,7 @@
         let mut client = program.client();
         client.get(SLOW_AT_A, "id", "c=read,d=1900");
         host.next();
-        goes.away(client);
+        departure.apply(client);
         program.counts("abandoned", 1);
         release.send(()).expect("it waits");
         let line = program.counts(ended, 1);
@@ -122,20 +130,21 @@
     }
 }
 
-/// The connection comes up while this process is stopped, and the op's time is over when it goes on: both are there in one turn.
+/// The connection comes up while this process is stopped, and the request's deadline has passed
+/// when it goes on: both are ready in one poll.
 #[test]
-fn nothing_is_begun_for_an_op_whose_time_was_over_while_this_process_stood_still() {
-    let a = Closed::start();
+fn request_whose_deadline_passed_during_a_process_stall_is_not_begun() {
+    let a = StalledListener::start();
     let known = [entry("a", a.address, "active")];
-    let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &patient());
+    let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &patient_settings());
     let mut client = program.client();
     let began = Instant::now();
     client.get("k", "id", "c=once,d=1500");
     program.counts("attempts", 1);
     program.signal("STOP");
-    let (came, _wrote) = a.take_all();
-    came.recv().expect("its handshake ends in the kernel");
-    // What has to pass is the op's time itself.
+    let (accepted, _wrote) = a.accept_all();
+    accepted.recv().expect("its handshake ends in the kernel");
+    // What has to pass is the request's time itself.
     thread::sleep(Duration::from_millis(1_700).saturating_sub(began.elapsed()));
     program.signal("CONT");
     assert_eq!(client.answer(), "-ERR dead-lettered");
@@ -145,11 +154,11 @@
 
 /// The same where it waits for a connection in use, which comes free while this process is stopped.
 #[test]
-fn nothing_is_begun_on_a_connection_that_comes_free_too_late() {
+fn connection_that_comes_free_after_the_deadline_carries_nothing() {
     let (release, a) = breaking_host();
     let known = [entry("a", a.address, "active")];
-    let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &patient());
-    let (mut slow, trace) = one_out(&program, &a);
+    let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &patient_settings());
+    let (mut slow, trace) = one_attempt_in_flight(&program, &a);
     assert_eq!(trace[2], "-BUSY 2000");
     let mut late = program.client();
     let began = Instant::now();
@@ -157,37 +166,38 @@
     program.counts("requests", 3);
     program.signal("STOP");
     release.send(()).expect("it waits");
-    // What has to pass is the op's time itself.
+    // What has to pass is the request's time itself.
     thread::sleep(Duration::from_millis(500).saturating_sub(began.elapsed()));
     program.signal("CONT");
     assert_eq!([slow.answer(), late.answer()], ["from a", "-ERR dead-lettered"]);
     let line = program.counts("failed", 1);
     assert!(line.contains(" attempts_timed_out=0 "), "nothing was written: {line}");
-    // What else was said there is the end of a connection, if that was taken for it.
+    // What else is seen there is the end of a connection, if one was opened.
     assert_ne!(a.seen(), Some("CACHE.GET k id2 c=once,d=..".to_owned()));
 }
 
-/// Clients and hosts hold every descriptor there is for connections when discovery comes back.
+/// Clients and hosts hold every descriptor there is for connections when discovery is reachable
+/// again.
 #[test]
-fn the_list_is_heard_where_no_descriptor_is_left() {
+fn endpoint_list_when_no_descriptor_is_left_is_read() {
     let (_hosts, known) = four_gated_hosts();
     let back = Arc::new(AtomicBool::new(false));
     let there = back.clone();
-    let discovery = Peer::http(move |asked| match there.load(Ordering::Relaxed) {
-        true if asked.contains("from=2") => Says::Nothing,
+    let discovery = Peer::http(move |request| match there.load(Ordering::Relaxed) {
+        true if request.contains("from=2") => Says::Nothing,
         true => http_answer(200, r#"{"generation":2,"reset":false,"instances":[]}"#),
         false => Says::Last(String::new()),
     });
-    let program = Program::start_by(BINARY, discovery.address, &known, [192, 32], &patient());
+    let program = Program::start_by(BINARY, discovery.address, &known, [192, 32], &patient_settings());
     let mut clients: Vec<Client> = (0..8).map(|_| program.client()).collect();
-    let mut asked = 0;
+    let mut sent = 0;
     for client in &mut clients {
         loop {
-            let before = program.counts("requests", asked);
-            client.get(&format!("slow{asked}"), &format!("id{asked}"), "c=once,d=9000");
-            asked += 1;
-            // One that found the last descriptor taken is refused, and asks again.
-            let after = program.counts("requests", asked);
+            let before = program.counts("requests", sent);
+            client.get(&format!("slow{sent}"), &format!("id{sent}"), "c=once,d=9000");
+            sent += 1;
+            // A request that found the last descriptor taken is rejected, and sent again.
+            let after = program.counts("requests", sent);
             let count =
                 |line: &str| line.split(" rejected=").nth(1).map(|rest| rest.split(' ').next() == Some("0"));
             if count(&before) == count(&after) {
@@ -203,14 +213,15 @@
     assert!(line.contains(" succeeded=0 ") && line.contains(" failed=0 "), "all is held still: {line}");
 }
 
-/// A host answers a push twice, and the copy comes after the next push is written: answers carry no id. Once hosts were heard to
-/// answer twice such a copy serves nobody, and what may have run does not go again.
+/// A host answers a request twice, and the copy comes after the next request is written: responses
+/// carry no id. Once hosts are suspected of answering twice such a copy serves nobody, and what may
+/// have run is not tried again.
 #[test]
-fn a_second_answer_that_comes_late_is_not_taken_for_the_next_ones() {
+fn duplicate_response_after_the_next_request_is_not_taken_for_its_response() {
     let text = |value: &str| format!("*3\r\n${}\r\n{value}\r\n$-1\r\n$-1\r\n", value.len());
     for (category, expected) in [("read", "v3"), ("once", "-ERR dead-lettered")] {
         let late = AtomicBool::new(true);
-        let a = Peer::host(move |asked| match asked.split(' ').nth(1) {
+        let a = Peer::host(move |request| match request.split(' ').nth(1) {
             // The sign: a copy right behind.
             Some("k1") => Says::Text(text("v1") + &text("v1")),
             Some("k3") if late.swap(false, Ordering::Relaxed) => Says::Text(text("v2") + &text("v3")),
--- a/balancer/tests/regions.rs
+++ b/balancer/tests/regions.rs
@@ -1,8 +1,8 @@
 //! Rings by region on sockets: with an operators' map, what goes to which host, and what is never opened.
 
-mod closed;
 #[path = "../../tests/common/mod.rs"]
 mod common;
+mod stand_ins;
 
 use std::collections::BTreeSet;
 use std::io::{BufReader, ErrorKind, Write};
@@ -13,10 +13,10 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime};
 
-use closed::{breaking_host, one_out, patient};
 use common::*;
 use expect_test::expect;
 use socket2::{Domain, Socket, Type};
+use stand_ins::{breaking_host, one_attempt_in_flight, patient_settings};
 
 const BINARY: &str = env!("CARGO_BIN_EXE_basaltwood-balancer");
 const MAP: &str = r#"own = "north"
@@ -219,8 +219,8 @@
     let b = Peer::host(|_| hit("from b"));
     let discovery = Discovery::start();
     let known = [at("a", "n1", a.address, "active")];
-    let program = started(discovery.peer.address, &known, &patient());
-    let (mut slow, mut trace) = one_out(&program, &a);
+    let program = started(discovery.peer.address, &known, &patient_settings());
+    let (mut slow, mut trace) = one_attempt_in_flight(&program, &a);
     let (mut read, mut once) = (program.client(), program.client());
     read.get("k", "id2", "c=read,d=9000");
     once.get("l", "id3", "c=once,d=9000");
--- a/balancer/tests/closed/mod.rs
+++ b/balancer/tests/stand_ins/mod.rs
@@ -1,4 +1,6 @@
-//! A host whose handshakes stay under way until the test lets them come to their end, and settings under which pushes wait.
+//! Stand-ins for tests of what happens while an attempt waits: hosts whose handshakes or responses
+//! are held back until the test releases them, clients that leave, and settings under which
+//! attempts wait.
 #![allow(dead_code)] // each test file uses its part
 
 use std::io::Read;
@@ -11,51 +13,53 @@
 
 use crate::common::{entry, gate, gated_host, hit, Client, Peer, Program, Says, SETTINGS};
 
-/// How a client goes.
+/// How a client leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Goes {
+pub enum Departure {
     Closes,
     Resets,
 }
 
-pub const BOTH_WAYS: [Goes; 2] = [Goes::Closes, Goes::Resets];
+/// Both ways in which a client leaves.
+pub const EACH_DEPARTURE: [Departure; 2] = [Departure::Closes, Departure::Resets];
 
-impl Goes {
-    pub fn away(self, client: Client) {
+impl Departure {
+    pub fn apply(self, client: Client) {
         match self {
-            // A plain drop would not end it while a program that another test starts holds a copy of the handle.
-            Goes::Closes => client.writing.shutdown(Shutdown::Both).expect("a socket"),
-            Goes::Resets => {
+            // A plain drop would not end it while a program that another test starts holds a copy
+            // of the handle.
+            Departure::Closes => client.writing.shutdown(Shutdown::Both).expect("a socket"),
+            Departure::Resets => {
                 SockRef::from(&client.writing).set_linger(Some(Duration::ZERO)).expect("a socket");
             }
         }
     }
 }
 
-/// Waits of many seconds for pushes and connections, and a balancer among 300: it opens one connection a second at a host
-/// that has just broken one.
-pub fn patient() -> String {
+/// Deadlines of many seconds for attempts and connections, and a balancer among 300: it opens one
+/// connection a second at a host that has just broken one.
+pub fn patient_settings() -> String {
     let long = SETTINGS
         .replace("\"targetLatencyMs\":800.0,\"ttlMs\":2000.0", "\"targetLatencyMs\":9000.0,\"ttlMs\":9500.0");
     long.replace("\"groupSize\":2", "\"groupSize\":300")
         .replace("\"connectTimeoutMs\":250.0", "\"connectTimeoutMs\":8000.0")
 }
 
-/// A host that ends its connection at the key `break`: after that one connection a second may be opened there. It holds an
-/// answer to the key `slow` back.
+/// A host that ends its connection at the key `break`: after that one connection a second may be
+/// opened there. It holds an response to the key `slow` back.
 pub fn breaking_host() -> (Sender<()>, Peer) {
     let (release, wait) = gate();
-    let peer = Peer::host(move |asked| {
-        if asked.contains("break") {
+    let peer = Peer::host(move |request| {
+        if request.contains("break") {
             return Says::Last(String::new());
         }
-        wait(asked);
+        wait(request);
         hit("from a")
     });
     (release, peer)
 }
 
-/// Four hosts that hold an answer to a slow key back, and their entries in the list.
+/// Four hosts that hold a response to a slow key back, and their entries in the list.
 pub fn four_gated_hosts() -> (Vec<(Sender<()>, Peer)>, Vec<String>) {
     let hosts: Vec<(Sender<()>, Peer)> = (0..4).map(|_| gated_host()).collect();
     let known = ["a", "b", "c", "d"].iter().zip(&hosts);
@@ -63,9 +67,10 @@
     (hosts, known)
 }
 
-/// One push is out at such a host, on the only connection there, and held back; the next may be opened after a second. Its client,
-/// and what was said so far.
-pub fn one_out(program: &Program, a: &Peer) -> (Client, Vec<String>) {
+/// One attempt is in flight at such a host, on the only connection there, and its response is held
+/// back; the next connection may be opened after a second. Returns its client, and the trace so
+/// far.
+pub fn one_attempt_in_flight(program: &Program, a: &Peer) -> (Client, Vec<String>) {
     let (mut first, mut slow) = (program.client(), program.client());
     first.get("break", "id0", "c=read,d=9000");
     let mut trace = vec![a.next(), a.next(), first.answer()];
@@ -74,26 +79,28 @@
     (slow, trace)
 }
 
-/// Listens and takes nobody: what connects from now on stays in its handshake until the test takes those before.
-pub struct Closed {
+/// Listens and accepts nobody: what connects from now on stays in its handshake until the test
+/// accepts those before.
+pub struct StalledListener {
     socket: Socket,
     fillers: Vec<TcpStream>,
     pub address: SocketAddr,
 }
 
-impl Closed {
-    pub fn start() -> Closed {
+impl StalledListener {
+    pub fn start() -> StalledListener {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
         socket.listen(0).expect("it listens");
         let address = socket.local_addr().expect("an address").as_socket().expect("of IPv4");
         let short = Duration::from_millis(200);
         let fillers = std::iter::from_fn(|| TcpStream::connect_timeout(&address, short).ok());
-        Closed { fillers: fillers.take(64).collect(), socket, address }
+        StalledListener { fillers: fillers.take(64).collect(), socket, address }
     }
 
-    /// Takes all that come, and tells of those but the fillers, and of the first byte that any of them writes.
-    pub fn take_all(self) -> (Receiver<SocketAddr>, Receiver<SocketAddr>) {
+    /// Accepts all that come, and reports those but the fillers, and the first byte that any of
+    /// them writes.
+    pub fn accept_all(self) -> (Receiver<SocketAddr>, Receiver<SocketAddr>) {
         let (here, came) = channel();
         let (tell, wrote) = channel();
         thread::spawn(move || {
