--- a/connection_pool/tests/fleet_return.rs
+++ b/connection_pool/tests/fleet_return.rs
@@ -100,13 +100,18 @@
         let FleetReturn { max_per_second, max_per_tenth, balancers_with_all } = play(balancers);
         let wanted = u64::from(balancers) * u64::from(HOSTS) * WANTED as u64;
         trace += &format!(
-            "{balancers} balancers: {wanted} connections wanted, at most {max_per_second} opened in a second and \
-             {max_per_tenth} in a tenth of one; {balancers_with_all} have all of theirs after a minute\n"
+            "{balancers} balancers: {wanted} connections wanted, at most {max_per_second} opened in a \
+             second and {max_per_tenth} in a tenth of one;\n  \
+             {balancers_with_all} have all of theirs after a minute\n"
         );
     }
     expect![[r#"
-        2 balancers: 640 connections wanted, at most 632 opened in a second and 120 in a tenth of one; 2 have all of theirs after a minute
-        20 balancers: 6400 connections wanted, at most 5915 opened in a second and 870 in a tenth of one; 20 have all of theirs after a minute
-        200 balancers: 64000 connections wanted, at most 6400 opened in a second and 800 in a tenth of one; 200 have all of theirs after a minute
-    "#]].assert_eq(&trace);
+        2 balancers: 640 connections wanted, at most 632 opened in a second and 120 in a tenth of one;
+          2 have all of theirs after a minute
+        20 balancers: 6400 connections wanted, at most 5915 opened in a second and 870 in a tenth of one;
+          20 have all of theirs after a minute
+        200 balancers: 64000 connections wanted, at most 6400 opened in a second and 800 in a tenth of one;
+          200 have all of theirs after a minute
+    "#]]
+    .assert_eq(&trace);
 }
--- a/connection_pool/tests/traces.rs
+++ b/connection_pool/tests/traces.rs
@@ -109,7 +109,12 @@
 
     /// The trace, and what the pools counted.
     fn assert_trace(mut self, expected: Expect) {
-        self.trace += &self.pools.stats().to_string();
+        let mut stats = self.pools.stats().to_string();
+        // Connections, attempts and connects each on a line of their own.
+        for group in [" attempts_in_doubt", " connects_throttled"] {
+            stats = stats.replace(group, &group.replace(' ', "\n"));
+        }
+        self.trace += &stats;
         expected.assert_eq(&self.trace);
     }
 }
@@ -151,7 +156,9 @@
         1617  [Close(ConnectionId(4))]
         31317 h0 Open(ConnectionId(5))
         32022 h0 Reuse(ConnectionId(5))
-        connections_presumed_stale=3 connections_surplus_closed=0 connection_faults=2 attempts_in_doubt=0 late_responses=0 connects_throttled=0 connects_circuit_open=0 connects_exhausted=0 process_stalls=0"#]]);
+        connections_presumed_stale=3 connections_surplus_closed=0 connection_faults=2
+        attempts_in_doubt=0 late_responses=0
+        connects_throttled=0 connects_circuit_open=0 connects_exhausted=0 process_stalls=0"#]]);
 }
 
 #[test]
@@ -181,7 +188,9 @@
         926   lost ConnectionId(2): Connection at fault, Closed -> Close(ConnectionId(3)), Close(ConnectionId(4))
         926   h3 Open(ConnectionId(5))
         931   h4 Open(ConnectionId(6))
-        connections_presumed_stale=2 connections_surplus_closed=0 connection_faults=3 attempts_in_doubt=0 late_responses=0 connects_throttled=0 connects_circuit_open=0 connects_exhausted=0 process_stalls=0"#]]);
+        connections_presumed_stale=2 connections_surplus_closed=0 connection_faults=3
+        attempts_in_doubt=0 late_responses=0
+        connects_throttled=0 connects_circuit_open=0 connects_exhausted=0 process_stalls=0"#]]);
 }
 
 #[test]
@@ -210,7 +219,9 @@
         931   lost ConnectionId(1): Connection at fault, Closed
         931   lost ConnectionId(2): Connection at fault, Closed -> Close(ConnectionId(4))
         931   h4 Open(ConnectionId(5))
-        connections_presumed_stale=1 connections_surplus_closed=0 connection_faults=3 attempts_in_doubt=0 late_responses=0 connects_throttled=0 connects_circuit_open=0 connects_exhausted=0 process_stalls=0"#]]);
+        connections_presumed_stale=1 connections_surplus_closed=0 connection_faults=3
+        attempts_in_doubt=0 late_responses=0
+        connects_throttled=0 connects_circuit_open=0 connects_exhausted=0 process_stalls=0"#]]);
 }
 
 #[test]
@@ -262,7 +273,9 @@
         784   timed out ConnectionId(3): Host at fault, Closed
         784   late malformed response, kept false
         784   h0 Open(ConnectionId(4))
-        connections_presumed_stale=0 connections_surplus_closed=0 connection_faults=0 attempts_in_doubt=1 late_responses=1 connects_throttled=0 connects_circuit_open=0 connects_exhausted=0 process_stalls=0"#]]);
+        connections_presumed_stale=0 connections_surplus_closed=0 connection_faults=0
+        attempts_in_doubt=1 late_responses=1
+        connects_throttled=0 connects_circuit_open=0 connects_exhausted=0 process_stalls=0"#]]);
 }
 
 #[test]
@@ -292,7 +305,9 @@
         107   h0 Reuse(ConnectionId(0))
         108   h0 Reuse(ConnectionId(1))
         163   timed out ConnectionId(0): Connection at fault, Closed
-        connections_presumed_stale=0 connections_surplus_closed=0 connection_faults=0 attempts_in_doubt=0 late_responses=1 connects_throttled=0 connects_circuit_open=0 connects_exhausted=0 process_stalls=0"#]]);
+        connections_presumed_stale=0 connections_surplus_closed=0 connection_faults=0
+        attempts_in_doubt=0 late_responses=1
+        connects_throttled=0 connects_circuit_open=0 connects_exhausted=0 process_stalls=0"#]]);
 }
 
 #[test]
@@ -323,7 +338,9 @@
         3900  connects
         6000  h0 Open(ConnectionId(9))
         6005  h0 Reuse(ConnectionId(9))
-        connections_presumed_stale=0 connections_surplus_closed=0 connection_faults=0 attempts_in_doubt=0 late_responses=0 connects_throttled=0 connects_circuit_open=31 connects_exhausted=0 process_stalls=0"#]]);
+        connections_presumed_stale=0 connections_surplus_closed=0 connection_faults=0
+        attempts_in_doubt=0 late_responses=0
+        connects_throttled=0 connects_circuit_open=31 connects_exhausted=0 process_stalls=0"#]]);
 }
 
 #[test]
@@ -356,7 +373,9 @@
         205   Exhausted at 96 open
         205   h5 Reuse(ConnectionId(4))
         210   h5 Open(ConnectionId(105))
-        connections_presumed_stale=0 connections_surplus_closed=0 connection_faults=0 attempts_in_doubt=0 late_responses=0 connects_throttled=32 connects_circuit_open=0 connects_exhausted=1 process_stalls=0"#]]);
+        connections_presumed_stale=0 connections_surplus_closed=0 connection_faults=0
+        attempts_in_doubt=0 late_responses=0
+        connects_throttled=32 connects_circuit_open=0 connects_exhausted=1 process_stalls=0"#]]);
 }
 
 #[test]
@@ -384,7 +403,9 @@
         7     h0 Reuse(ConnectionId(1))
         13    h0 Reuse(ConnectionId(1))
         2018  stalled for 2018 ms, ConnectionId(0) is Warming
-        connections_presumed_stale=0 connections_surplus_closed=0 connection_faults=0 attempts_in_doubt=0 late_responses=0 connects_throttled=0 connects_circuit_open=0 connects_exhausted=0 process_stalls=1"#]]);
+        connections_presumed_stale=0 connections_surplus_closed=0 connection_faults=0
+        attempts_in_doubt=0 late_responses=0
+        connects_throttled=0 connects_circuit_open=0 connects_exhausted=0 process_stalls=1"#]]);
 }
 
 #[test]
@@ -406,7 +427,9 @@
         75    h0 Reuse(ConnectionId(1))
         130   [AttemptInDoubt(ConnectionId(0))]
         280   ConnectionId(0) is Active
-        connections_presumed_stale=0 connections_surplus_closed=0 connection_faults=0 attempts_in_doubt=1 late_responses=0 connects_throttled=0 connects_circuit_open=0 connects_exhausted=0 process_stalls=0"#]]);
+        connections_presumed_stale=0 connections_surplus_closed=0 connection_faults=0
+        attempts_in_doubt=1 late_responses=0
+        connects_throttled=0 connects_circuit_open=0 connects_exhausted=0 process_stalls=0"#]]);
 }
 
 #[test]
@@ -431,5 +454,7 @@
     scenario.assert_trace(expect![[r#"
         5050  [Close(ConnectionId(0)), Close(ConnectionId(1)), Close(ConnectionId(2)), Close(ConnectionId(3)), Close(ConnectionId(4))]
         7075  evicted: Some(ConnectionId(5)), 0 open
-        connections_presumed_stale=0 connections_surplus_closed=5 connection_faults=0 attempts_in_doubt=0 late_responses=0 connects_throttled=0 connects_circuit_open=0 connects_exhausted=0 process_stalls=0"#]]);
+        connections_presumed_stale=0 connections_surplus_closed=5 connection_faults=0
+        attempts_in_doubt=0 late_responses=0
+        connects_throttled=0 connects_circuit_open=0 connects_exhausted=0 process_stalls=0"#]]);
 }
