--- a/balancer/src/downstream/mod.rs
+++ b/balancer/src/downstream/mod.rs
@@ -1,7 +1,7 @@
 //! Clients: their connections, the commands that they send over RESP2, and the replies in the order
 //! of the commands.
 //!
-//! [`accept`] takes connections in; [`connection`] serves one; [`input`] reads commands and
+//! [`accept()`] takes connections in; [`connection`] serves one; [`input`] reads commands and
 //! [`reply`] writes replies; [`command`] turns a command into a request for the policy.
 
 mod accept;
--- a/testbed/src/scale/hollow.rs
+++ b/testbed/src/scale/hollow.rs
@@ -1,7 +1,7 @@
 //! Hollow balancers: the real facade, pools, membership and terms, and real connections to discovery and hosts.
 //! No clients: ops are drawn inside, at a set rate with Poisson arrivals on keys by Zipf's law.
 //!
-//! Each has its own seed and identity; all of a process share its thread. [`Hollow::takes_list`] is the one place
+//! Each has its own seed and identity; all of a process share its thread. `Hollow::takes_list` is the one place
 //! in which a list reaches the facade.
 
 use std::cell::RefCell;
