--- a/admin/src/lib.rs
+++ b/admin/src/lib.rs
@@ -44,7 +44,7 @@
     let request = match http::parse_request(bytes, MOST_BODY) {
         Ok(Some(request)) => request,
         Ok(None) => return Ok(None),
-        Err(RequestError::Malformed(_)) => return refused(400, None),
+        Err(RequestError::Malformed(_) | RequestError::InvalidLength) => return refused(400, None),
         Err(RequestError::LengthRequired) => return refused(411, None),
         Err(RequestError::BodyTooLong) => return refused(413, None),
         Err(RequestError::HeadTooLong) => return refused(431, None),
--- a/balancer/src/discovery/mod.rs
+++ b/balancer/src/discovery/mod.rs
@@ -294,8 +294,8 @@
                 Ok(_) => {}
                 Err(cause) => return Err(silent(cause)),
             }
-            if let Some(answer) =
-                http::parse_response(buffer.bytes(), MOST_BODY).map_err(WatchError::InvalidResponse)?
+            if let Some(answer) = http::parse_response(buffer.bytes(), MOST_BODY)
+                .map_err(|error| WatchError::InvalidResponse(error.to_string()))?
             {
                 return Ok(answer);
             }
--- a/balancer/src/downstream/input.rs
+++ b/balancer/src/downstream/input.rs
@@ -7,7 +7,7 @@
 
 use basaltwood_wire::body::Body;
 use basaltwood_wire::buffer::Buffer;
-use basaltwood_wire::resp::{self, ParsedCommand};
+use basaltwood_wire::resp::{self, CompleteCommand, ParsedCommand};
 use bytes::Bytes;
 use thiserror::Error;
 use tokio::io::{AsyncReadExt, Interest};
@@ -182,7 +182,7 @@
             match resp::parse_command(self.buffer.bytes()).map_err(malformed)? {
                 None if self.buffer.is_full() => return Err(ProtocolError::CommandTooLong),
                 None => return Ok(None),
-                Some(ParsedCommand::Complete(words, used)) => {
+                Some(ParsedCommand::Complete(CompleteCommand { words, consumed: used })) => {
                     self.buffer.consume(used);
                     return Ok(Some(Command { words, value: None }));
                 }
--- a/balancer/src/upstream/mod.rs
+++ b/balancer/src/upstream/mod.rs
@@ -18,7 +18,7 @@
 };
 use basaltwood_settings::RuntimeLimits;
 use basaltwood_wire::buffer::Buffer;
-use basaltwood_wire::resp::{self, LongReply, Reply, MAX_BUFFERED_MESSAGE};
+use basaltwood_wire::resp::{self, LongReply, MessageEnd, ParsedReply, Reply, MAX_BUFFERED_MESSAGE};
 use bytes::{BufMut, Bytes, BytesMut};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -701,11 +701,17 @@
 
 fn reply(bytes: &[u8]) -> Result<Option<ParsedResponse>, String> {
     if let Some(LongReply { start, length, trailing_elements }) = resp::parse_long_reply_head(bytes) {
-        let rest: ParseTrailer =
-            Box::new(move |bytes| Ok(resp::parse_after_long_value(bytes, trailing_elements)?));
+        let rest: ParseTrailer = Box::new(move |bytes| {
+            let end = resp::parse_after_long_value(bytes, trailing_elements)?;
+            Ok(end.map(|end| (end.consumed, end.keep_alive)))
+        });
         return Ok(Some(ParsedResponse::Streamed { start, length, rest }));
     }
-    let Some((reply, used, keep)) = resp::parse_reply(bytes)? else { return Ok(None) };
+    let Some(ParsedReply { reply, end: MessageEnd { consumed: used, keep_alive: keep } }) =
+        resp::parse_reply(bytes)?
+    else {
+        return Ok(None);
+    };
     let outcome = match reply {
         Reply::Value(range) => {
             (AttemptOutcome::Succeeded, Some(Value::Whole(Bytes::copy_from_slice(&bytes[range]))))
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -79,7 +79,7 @@
     loop {
         loop {
             match resp::parse_complete_command(buffer.bytes()) {
-                Ok(Some((words, used))) => {
+                Ok(Some(resp::CompleteCommand { words, consumed: used })) => {
                     buffer.consume(used);
                     if words.len() < 4 {
                         out.put_slice(b"+PONG\r\n");
--- a/testbed/src/router.rs
+++ b/testbed/src/router.rs
@@ -215,7 +215,7 @@
         let mut buffer = Buffer::new(resp::MAX_BUFFERED_MESSAGE);
         loop {
             match resp::parse_complete_command(buffer.bytes()) {
-                Ok(Some((words, used))) => {
+                Ok(Some(resp::CompleteCommand { words, consumed: used })) => {
                     buffer.consume(used);
                     if words.is_empty() {
                         continue;
@@ -351,10 +351,10 @@
     let mut sent: Vec<&[u8]> = words.iter().map(|word| &word[..]).collect();
     sent[3] = &facts;
     exchange(node, resp::encode_command(&sent), until, |bytes| {
-        let (reply, used, keep) = resp::parse_reply(bytes)?.unwrap_or((resp::Reply::Failed, 0, true));
-        if used == 0 {
+        let Some(resp::ParsedReply { reply, end: place }) = resp::parse_reply(bytes)? else {
             return Ok(None);
-        }
+        };
+        let (used, keep) = (place.consumed, place.keep_alive);
         let end = match reply {
             resp::Reply::Value(place) => End::Value(Bytes::copy_from_slice(&bytes[place])),
             resp::Reply::Miss => End::Miss,
--- a/testbed/src/scale/fleet.rs
+++ b/testbed/src/scale/fleet.rs
@@ -121,7 +121,7 @@
         let service = Duration::from_secs_f64(self.spec.service_ms / 1e3);
         loop {
             match resp::parse_complete_command(buffer.bytes()) {
-                Ok(Some((words, used))) => {
+                Ok(Some(resp::CompleteCommand { words, consumed: used })) => {
                     buffer.consume(used);
                     more(&host.requests);
                     sleep(service).await;
--- a/testbed/src/scale/hollow.rs
+++ b/testbed/src/scale/hollow.rs
@@ -370,8 +370,8 @@
                     0 => return Err(WatchError::TimedOut("it closed the connection".to_owned())),
                     read => self.shared.count(|mark| mark.control_in += read as u64),
                 }
-                if let Some(answer) =
-                    http::parse_response(buffer.bytes(), MOST_BODY).map_err(WatchError::InvalidResponse)?
+                if let Some(answer) = http::parse_response(buffer.bytes(), MOST_BODY)
+                    .map_err(|error| WatchError::InvalidResponse(error.to_string()))?
                 {
                     return Ok(answer);
                 }
@@ -559,7 +559,10 @@
             }
             match resp::parse_reply(link.buffer.bytes()) {
                 Ok(None) => {}
-                Ok(Some((reply, used, keep))) => {
+                Ok(Some(resp::ParsedReply {
+                    reply,
+                    end: resp::MessageEnd { consumed: used, keep_alive: keep },
+                })) => {
                     link.buffer.consume(used);
                     let link = held.link.take();
                     if self.pools.borrow_mut().answered(now, id, keep) {
--- a/testbed/src/world/host.rs
+++ b/testbed/src/world/host.rs
@@ -585,7 +585,10 @@
             };
             return Ok(Some((Asked::Op(command), request.consumed)));
         }
-        let Some((words, used)) = resp::parse_complete_command(bytes)? else { return Ok(None) };
+        let Some(resp::CompleteCommand { words, consumed: used }) = resp::parse_complete_command(bytes)?
+        else {
+            return Ok(None);
+        };
         let name = words.first().map(|word| word.to_ascii_uppercase()).unwrap_or_default();
         let asked = match &name[..] {
             b"CACHE.GET" | b"CACHE.SET" if words.len() >= 4 => Asked::Op(Command {
--- a/wire/src/body.rs
+++ b/wire/src/body.rs
@@ -1,70 +1,77 @@
-//! A value as it comes in, in pieces of any size: held once, in segments, so that no long stretch of memory is wanted.
+//! A value as it comes in, in pieces of any size. It is held once, in segments, so that no long
+//! stretch of memory is wanted.
 
 use bytes::{BufMut, Bytes, BytesMut};
 
-const SEGMENT: usize = 64 * 1024;
+/// The largest segment, in bytes.
+const MAX_SEGMENT: usize = 64 * 1024;
 
 /// A value that is being read.
 #[derive(Debug)]
 pub struct Body {
-    whole: Vec<Bytes>,
-    filling: BytesMut,
+    segments: Vec<Bytes>,
+    /// The last segment, while it is being filled.
+    current: BytesMut,
     length: usize,
-    left: usize,
+    remaining: usize,
 }
 
 impl Body {
+    /// An empty body that is to be of so many bytes.
     pub fn new(length: usize) -> Body {
-        Body { whole: Vec::new(), filling: BytesMut::new(), length, left: length }
+        Body { segments: Vec::new(), current: BytesMut::new(), length, remaining: length }
     }
 
+    /// The length that the body is to have, in bytes.
     pub fn length(&self) -> usize {
         self.length
     }
 
     /// Bytes that are still to come.
     pub fn remaining(&self) -> usize {
-        self.left
+        self.remaining
     }
 
-    /// Takes from the front of what was read already; how much.
+    /// Copies what belongs to the body from the front of bytes that were read already. Returns how
+    /// many.
     pub fn copy_from(&mut self, bytes: &[u8]) -> usize {
-        let mut taken = 0;
-        while taken < bytes.len() && self.left > 0 {
-            let mut room = self.unfilled();
-            let count = room.remaining_mut().min(bytes.len() - taken);
-            room.put_slice(&bytes[taken..taken + count]);
+        let mut copied = 0;
+        while copied < bytes.len() && self.remaining > 0 {
+            let mut unfilled = self.unfilled();
+            let count = unfilled.remaining_mut().min(bytes.len() - copied);
+            unfilled.put_slice(&bytes[copied..copied + count]);
             self.advance(count);
-            taken += count;
+            copied += count;
         }
-        taken
+        copied
     }
 
-    /// Where the next bytes may be read to, no more than are to come; [`Body::advance`] tells how many came.
+    /// Where the next bytes may be read to, no more than are to come. [`Body::advance`] follows.
     pub fn unfilled(&mut self) -> bytes::buf::Limit<&mut BytesMut> {
-        if self.filling.capacity() == self.filling.len() {
+        if self.current.capacity() == self.current.len() {
             self.seal();
-            self.filling.reserve(self.left.min(SEGMENT));
+            self.current.reserve(self.remaining.min(MAX_SEGMENT));
         }
-        let room = (self.filling.capacity() - self.filling.len()).min(self.left);
-        (&mut self.filling).limit(room)
+        let spare = self.current.capacity() - self.current.len();
+        (&mut self.current).limit(spare.min(self.remaining))
     }
 
+    /// So many bytes were read to where [`Body::unfilled`] pointed.
     pub fn advance(&mut self, count: usize) {
-        self.left -= count;
-        if self.left == 0 {
+        self.remaining -= count;
+        if self.remaining == 0 {
             self.seal();
         }
     }
 
     fn seal(&mut self) {
-        if !self.filling.is_empty() {
-            self.whole.push(std::mem::take(&mut self.filling).freeze());
+        if !self.current.is_empty() {
+            self.segments.push(std::mem::take(&mut self.current).freeze());
         }
     }
 
-    /// The value, once nothing is left to come.
+    /// The value, once nothing remains to come.
     pub fn into_segments(self) -> Vec<Bytes> {
-        self.whole
+        self.segments
     }
 }
--- a/wire/src/facts.rs
+++ b/wire/src/facts.rs
@@ -1,17 +1,20 @@
-//! The list of names and values that follows a command's id: `c=read,t=acme,d=480,k=5c0f,r=1`.
+//! The facts of a request: the list of names and values that follows a command's id, or stands in
+//! the header `X-Facts`, such as `c=read,t=acme,d=480,k=5c0f,r=1`.
 
 use bytes::{BufMut, Bytes, BytesMut};
 
-/// The value of a name in a list.
+/// The value of a name in a list of facts.
 pub fn fact<'a>(facts: &'a str, name: &str) -> Option<&'a str> {
     facts.split(',').find_map(|fact| fact.strip_prefix(name)?.strip_prefix('='))
 }
 
-/// The list as it came, but for how long this push may wait (`d`, in milliseconds, at least one).
+/// The same facts with another timeout for this attempt (`d`, in milliseconds, at least one).
 pub fn with_timeout(facts: &[u8], ms: u64) -> Bytes {
     let mut out = BytesMut::with_capacity(facts.len() + 8);
     for (nth, fact) in facts.split(|&byte| byte == b',').enumerate() {
-        out.put_slice(if nth > 0 { b"," } else { b"" });
+        if nth > 0 {
+            out.put_slice(b",");
+        }
         if fact.starts_with(b"d=") {
             out.put_slice(format!("d={}", ms.max(1)).as_bytes());
         } else {
--- /dev/null
+++ b/wire/src/http/encode.rs
@@ -0,0 +1,58 @@
+//! Requests and responses, as they are written.
+
+use bytes::{BufMut, Bytes, BytesMut};
+
+/// As much as a head takes as a rule, in bytes; a longer one grows its buffer.
+const HEAD_CAPACITY: usize = 256;
+
+/// A body of up to this length, in bytes, is put behind its head without growing the buffer.
+const MAX_BODY_CAPACITY: usize = 64 * 1024;
+
+/// A request; the path's parts are to be escaped before.
+pub fn encode_request(
+    method: &str,
+    path: &str,
+    host: &str,
+    headers: &[(&str, &[u8])],
+    body: Option<&[u8]>,
+) -> Bytes {
+    let mut out = encode_request_head(method, path, host, headers, body.map(<[u8]>::len));
+    out.put_slice(body.unwrap_or_default());
+    out.freeze()
+}
+
+/// The same without its body, of so many bytes, which is to follow.
+pub fn encode_request_head(
+    method: &str,
+    path: &str,
+    host: &str,
+    headers: &[(&str, &[u8])],
+    body_length: Option<usize>,
+) -> BytesMut {
+    let body_capacity = body_length.unwrap_or(0).min(MAX_BODY_CAPACITY);
+    let mut out = BytesMut::with_capacity(HEAD_CAPACITY + body_capacity);
+    out.put_slice(format!("{method} {path} HTTP/1.1\r\nHost: {host}\r\n").as_bytes());
+    for (name, value) in headers {
+        out.put_slice(name.as_bytes());
+        out.put_slice(b": ");
+        out.put_slice(value);
+        out.put_slice(b"\r\n");
+    }
+    if let Some(length) = body_length {
+        out.put_slice(format!("Content-Length: {length}\r\n").as_bytes());
+    }
+    out.put_slice(b"\r\n");
+    out
+}
+
+/// A response with the length of its body.
+pub fn encode_response(status: u16, headers: &[(&str, &str)], body: &[u8]) -> Bytes {
+    let mut out = BytesMut::with_capacity(HEAD_CAPACITY / 2 + body.len());
+    out.put_slice(format!("HTTP/1.1 {status} -\r\nContent-Length: {}\r\n", body.len()).as_bytes());
+    for (name, value) in headers {
+        out.put_slice(format!("{name}: {value}\r\n").as_bytes());
+    }
+    out.put_slice(b"\r\n");
+    out.put_slice(body);
+    out.freeze()
+}
--- /dev/null
+++ b/wire/src/http/mod.rs
@@ -0,0 +1,22 @@
+//! HTTP/1.1 as it is spoken with the origin, with discovery and with operators. Pure.
+//!
+//! Parsers read a message at the front of the bytes that have come so far, and return `None` while
+//! it is incomplete.
+
+mod encode;
+mod error;
+mod percent;
+mod request;
+mod response;
+
+pub use encode::{encode_request, encode_request_head, encode_response};
+pub use error::{RequestError, ResponseError};
+pub use percent::{percent_decode, percent_encode};
+pub use request::{parse_request, Request};
+pub use response::{parse_long_response_head, parse_response, Response};
+
+/// The longest head that is waited for, in bytes.
+const MAX_HEAD: usize = 16 * 1024;
+
+/// Header lines of a head at most.
+const MAX_HEADERS: usize = 64;
--- a/wire/src/lib.rs
+++ b/wire/src/lib.rs
@@ -1,7 +1,10 @@
-//! The protocols as bytes, so that balancer, lab and client write none of them twice: RESP2 between clients, balancers
-//! and cache hosts ([`resp`], [`facts`]), HTTP/1.1 with the origin and discovery ([`http`]), and a connection's one
-//! [`buffer`]. A reader takes the front of a buffer and answers `Ok(None)` while that is not whole; a writer gives
-//! whole bytes. Nothing here opens, waits, reads a clock or knows what an op is.
+//! The codecs of the router, as bytes: RESP2 with clients and cache hosts ([`resp`]), HTTP/1.1 with
+//! the origin, discovery and operators ([`http`]), the list of facts that goes with a request
+//! ([`facts`]), and the buffers that bytes come into ([`buffer`], [`body`]).
+//!
+//! Parsers take the bytes that have come so far and return `None` while a message is incomplete;
+//! encoders return bytes. Pure: no sockets, no clock. It knows no request beyond its bytes, and
+//! decides nothing.
 
 pub mod body;
 pub mod buffer;
