--- /dev/null
+++ b/adapter/src/protocol/actions.rs
@@ -0,0 +1,87 @@
+//! What goes to the simulator: actions, and the reply line that carries them.
+
+use std::collections::BTreeMap;
+use std::fmt;
+
+use basaltwood::types::{Micros, PolicyAction, RequestId, Timer};
+use basaltwood_settings::SettingsError;
+
+use crate::error::EventError;
+use crate::open_requests::OpenRequests;
+
+const SWEEP: &str = "sweep";
+const WATCH: &str = "watch";
+
+/// The encoded actions of one balancer, in order.
+pub type Outbox = Vec<String>;
+
+/// A reply line: the actions of each balancer, already encoded one by one.
+pub struct Reply<'a>(pub &'a BTreeMap<u64, Outbox>);
+
+impl fmt::Display for Reply<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str("{\"parts\":[")?;
+        for (index, (instance, outbox)) in self.0.iter().enumerate() {
+            let comma = if index > 0 { "," } else { "" };
+            write!(f, "{comma}{{\"who\":{instance},\"outbox\":[{}]}}", outbox.join(","))?;
+        }
+        f.write_str("]}")
+    }
+}
+
+/// The message that a balancer did not start, since its settings can't be used.
+pub fn encode_failed_start(error: &SettingsError) -> String {
+    serde_json::json!({"type": "BROKEN", "bodyText": error.to_string()}).to_string()
+}
+
+/// An action; `hosts` are the hosts' names by their ids.
+pub fn encode(action: PolicyAction, requests: &OpenRequests, hosts: &[String]) -> String {
+    let ticket = |request: RequestId| json_string(requests.name(request));
+    match action {
+        PolicyAction::StartAttempt { request, host, timeout } => format!(
+            r#"{{"type":"HAND_OFF","ticket":{},"host":{},"timeoutMs":{}}}"#,
+            ticket(request),
+            json_string(&hosts[host.0 as usize]),
+            millis(timeout)
+        ),
+        PolicyAction::Reject { request, retry_after } => format!(
+            r#"{{"type":"BOUNCE","ticket":{},"coolDownMs":{}}}"#,
+            ticket(request),
+            millis(retry_after.unwrap_or(0))
+        ),
+        PolicyAction::Fail { request } => format!(r#"{{"type":"FAIL","ticket":{}}}"#, ticket(request)),
+        PolicyAction::CancelAttempt { request, attempt } => {
+            format!(r#"{{"type":"STOP_ATTEMPT","ticket":{},"hop":{}}}"#, ticket(request), attempt.0)
+        }
+        PolicyAction::SetTimer { after, timer } => {
+            format!(r#"{{"type":"WAKE_AT","sleepForMs":{},"ctx":"{}"}}"#, millis(after), timer_name(timer))
+        }
+        PolicyAction::WatchDiscovery => r#"{"type":"FOLLOW","want":true}"#.to_owned(),
+    }
+}
+
+/// The timer that the wire has by this name.
+pub fn timer(name: &str) -> Result<Timer, EventError> {
+    match name {
+        SWEEP => Ok(Timer::Sweep),
+        WATCH => Ok(Timer::Watch),
+        _ => Err(EventError::UnknownTimer(name.to_owned())),
+    }
+}
+
+fn timer_name(timer: Timer) -> &'static str {
+    match timer {
+        Timer::Sweep => SWEEP,
+        Timer::Watch => WATCH,
+    }
+}
+
+fn json_string(text: &str) -> serde_json::Value {
+    serde_json::Value::from(text)
+}
+
+/// Whole microseconds as milliseconds, exact to the last digit.
+fn millis(span: Micros) -> String {
+    let sign = if span < 0 { "-" } else { "" };
+    format!("{sign}{}.{:03}", span.abs() / 1000, span.abs() % 1000)
+}
--- /dev/null
+++ b/adapter/src/protocol/events.rs
@@ -0,0 +1,272 @@
+//! What comes from the simulator: batches of events.
+
+use basaltwood::types::{AttemptOutcome, Lifecycle};
+use basaltwood_settings::OperatorSettings;
+use serde::Deserialize;
+use serde_json::value::RawValue;
+
+use crate::error::EventError;
+
+/// Bits of a new request.
+const RETRY_BIT: u32 = 2;
+const WRITE_BIT: u32 = 4;
+
+/// What happened in one instant of simulated time.
+#[derive(Deserialize)]
+#[serde(rename_all = "camelCase")]
+pub struct Batch<'a> {
+    pub time_ms: f64,
+    #[serde(borrow)]
+    pub parts: Vec<Part<'a>>,
+}
+
+/// What happened to one balancer.
+#[derive(Deserialize)]
+pub struct Part<'a> {
+    /// The balancer; none for what concerns all.
+    #[serde(rename = "who")]
+    pub instance: Option<u64>,
+    /// Read one by one, so that an event of an unknown type can be skipped.
+    #[serde(borrow)]
+    pub events: Vec<&'a RawValue>,
+}
+
+#[derive(Deserialize)]
+#[serde(tag = "type", rename_all_fields = "camelCase")]
+pub enum Event {
+    /// A balancer starts.
+    #[serde(rename = "SPAWN")]
+    Start {
+        #[serde(rename = "initSeed")]
+        seed: u64,
+        #[serde(rename = "info")]
+        settings: Box<OperatorSettings>,
+    },
+    /// A balancer is no more.
+    #[serde(rename = "DETACH")]
+    Stop,
+    /// An endpoint list, which updates refer to by its number.
+    #[serde(rename = "MANIFEST")]
+    EndpointList {
+        #[serde(rename = "table")]
+        number: u32,
+        #[serde(rename = "elements")]
+        entries: Vec<ListEntry>,
+    },
+    /// Discovery answered.
+    #[serde(rename = "UPDATE")]
+    EndpointUpdate {
+        scope: Scope,
+        /// The number of the list.
+        #[serde(default, rename = "table")]
+        list: Option<u32>,
+    },
+    #[serde(rename = "DEMAND")]
+    Request(NewRequest),
+    #[serde(rename = "FINISHED")]
+    AttemptEnded(AttemptEnd),
+    #[serde(rename = "DROPPED")]
+    ClientGone {
+        #[serde(rename = "ticket")]
+        request: String,
+    },
+    #[serde(rename = "TICK_DUE")]
+    TimerFired {
+        #[serde(rename = "ctx")]
+        timer: String,
+    },
+    /// The first byte of an answer came.
+    #[serde(rename = "FIRST_BYTE")]
+    AnswerBegan {
+        #[serde(rename = "ticket")]
+        request: String,
+        #[serde(rename = "hop")]
+        attempt: u32,
+        host: String,
+        #[serde(rename = "waitTimeMs")]
+        elapsed_ms: f64,
+    },
+    /// Results of probes and messages of peers are not used, whatever they hold.
+    #[serde(rename = "STATUS_BACK")]
+    ProbeResult,
+    #[serde(rename = "PEER_DATA")]
+    PeerMessage,
+}
+
+/// The types of [`Event`], to tell an unknown type from a malformed event.
+const EVENT_TYPES: [&str; 11] = [
+    "SPAWN",
+    "DETACH",
+    "MANIFEST",
+    "UPDATE",
+    "DEMAND",
+    "FIRST_BYTE",
+    "FINISHED",
+    "DROPPED",
+    "TICK_DUE",
+    "STATUS_BACK",
+    "PEER_DATA",
+];
+
+#[derive(Deserialize)]
+struct EventType {
+    r#type: String,
+}
+
+impl Event {
+    /// Reads one event; one of an unknown type is skipped with a line on standard error.
+    pub fn read(text: &str) -> Result<Option<Event>, EventError> {
+        let error = match serde_json::from_str(text) {
+            Ok(event) => return Ok(Some(event)),
+            Err(error) => error,
+        };
+        match serde_json::from_str::<EventType>(text) {
+            Ok(EventType { r#type }) if !EVENT_TYPES.contains(&r#type.as_str()) => {
+                eprintln!("skipped an event of unknown type {type}");
+                Ok(None)
+            }
+            _ => Err(error.into()),
+        }
+    }
+}
+
+/// A request of a client.
+#[derive(Deserialize)]
+#[serde(rename_all = "camelCase")]
+pub struct NewRequest {
+    #[serde(rename = "ticket")]
+    pub request: String,
+    #[serde(rename = "lane")]
+    pub class: String,
+    #[serde(default, rename = "project")]
+    pub tenant: Option<String>,
+    #[serde(default, rename = "routeKey")]
+    pub key: Option<String>,
+    #[serde(rename = "dropDeadMs")]
+    pub deadline_ms: f64,
+    #[serde(default)]
+    bits: Option<u32>,
+}
+
+impl NewRequest {
+    pub fn is_retry(&self) -> bool {
+        self.has_bit(RETRY_BIT)
+    }
+
+    pub fn is_write(&self) -> bool {
+        self.has_bit(WRITE_BIT)
+    }
+
+    fn has_bit(&self, bit: u32) -> bool {
+        self.bits.unwrap_or(0) & bit != 0
+    }
+}
+
+/// The end of an attempt.
+#[derive(Deserialize)]
+#[serde(rename_all = "camelCase")]
+pub struct AttemptEnd {
+    #[serde(rename = "ticket")]
+    pub request: String,
+    #[serde(rename = "hop")]
+    pub attempt: u32,
+    #[serde(rename = "waitTimeMs")]
+    pub elapsed_ms: f64,
+    #[serde(rename = "rc")]
+    pub outcome: Outcome,
+    /// Whether the request ends with it.
+    #[serde(rename = "over")]
+    pub finished: bool,
+    pub host: String,
+}
+
+/// What an endpoint update holds.
+#[derive(Clone, Copy, Deserialize, PartialEq, Eq)]
+#[serde(rename_all = "lowercase")]
+pub enum Scope {
+    /// The hosts that changed.
+    Changes,
+    /// Every host.
+    All,
+    /// Every host, as it was known before.
+    Remembered,
+    /// Nothing: the call was refused.
+    Refused,
+}
+
+/// How an attempt ended.
+#[derive(Clone, Copy, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub enum Outcome {
+    #[serde(rename = "success")]
+    Succeeded,
+    #[serde(rename = "failure")]
+    Error,
+    #[serde(rename = "overloaded")]
+    Rejected,
+    TimedOut,
+    Unreachable,
+    #[serde(rename = "broken")]
+    ConnectionLost,
+    #[serde(rename = "withdrawn")]
+    Cancelled,
+    #[serde(rename = "void")]
+    NotSent,
+    #[serde(rename = "absent")]
+    Miss,
+}
+
+impl From<Outcome> for AttemptOutcome {
+    fn from(outcome: Outcome) -> AttemptOutcome {
+        match outcome {
+            Outcome::Succeeded => AttemptOutcome::Succeeded,
+            Outcome::Error => AttemptOutcome::Error,
+            Outcome::Rejected => AttemptOutcome::Rejected,
+            Outcome::TimedOut => AttemptOutcome::TimedOut,
+            Outcome::Unreachable => AttemptOutcome::Unreachable,
+            Outcome::ConnectionLost => AttemptOutcome::ConnectionLost,
+            Outcome::Cancelled => AttemptOutcome::Cancelled,
+            Outcome::NotSent => AttemptOutcome::NotSent,
+            Outcome::Miss => AttemptOutcome::Miss,
+        }
+    }
+}
+
+/// Where a host stands.
+#[derive(Clone, Copy, Deserialize)]
+#[serde(rename_all = "lowercase")]
+pub enum HostState {
+    Up,
+    Draining,
+    #[serde(rename = "removed")]
+    Gone,
+}
+
+impl From<HostState> for Lifecycle {
+    fn from(state: HostState) -> Lifecycle {
+        match state {
+            HostState::Up => Lifecycle::Up,
+            HostState::Draining => Lifecycle::Draining,
+            HostState::Gone => Lifecycle::Gone,
+        }
+    }
+}
+
+/// A host as an endpoint list describes it.
+#[derive(Clone, Deserialize)]
+#[serde(rename_all = "camelCase")]
+pub struct ListEntry {
+    pub host: String,
+    #[serde(default)]
+    pub zone: Option<String>,
+    #[serde(default, rename = "generationHw")]
+    pub machine_type: Option<String>,
+    #[serde(default, rename = "pod")]
+    pub cell: Option<u32>,
+    pub lifecycle: HostState,
+    #[serde(default)]
+    pub weight: Option<f64>,
+    /// When its process started; 0 where that is not known.
+    #[serde(default, rename = "lastStartMs")]
+    pub started_at_ms: Option<f64>,
+}
--- /dev/null
+++ b/adapter/tests/batches.rs
@@ -0,0 +1,212 @@
+//! Batches in, replies out.
+
+use basaltwood_adapter::Adapter;
+use expect_test::expect;
+
+const SETTINGS: &str = r#"{
+    "categories": [{"name": "read", "targetLatencyMs": 300.0, "ttlMs": 900.0, "semantics": "retryable"}],
+    "invariants": {"coldFrom": 0.2, "warmWithinMs": 9000.0, "tipMultiple": 3.0, "tipAfterMs": 3000.0},
+    "limits": {"maxPushes": 4},
+    "someday": 1
+}"#;
+
+const LIST_OF_A: &str = r#"{"type":"MANIFEST","table":0,"elements":[{"host":"a","lifecycle":"up"}]}"#;
+const LIST_OF_B: &str =
+    r#"{"type":"MANIFEST","table":0,"elements":[{"host":"b é","lifecycle":"up","news":[1]}]}"#;
+const ALL_OF_THE_LIST: &str = r#"{"type":"UPDATE","scope":"all","revision":2,"table":0}"#;
+const REMEMBERED_LIST: &str = r#"{"type":"UPDATE","scope":"remembered","revision":1,"table":0}"#;
+const REQUEST: &str = concat!(
+    r#"{"type":"DEMAND","ticket":"t/1","lane":"read","routeKey":"k","#,
+    r#""dropDeadMs":105.25,"bits":null}"#
+);
+const FIRST_BYTE: &str = r#"{"type":"FIRST_BYTE","ticket":"t/1","hop":0,"host":"b é","waitTimeMs":9.0}"#;
+
+fn finished(ticket: &str, rc: &str, host: &str) -> String {
+    format!(
+        concat!(
+            r#"{{"type":"FINISHED","ticket":"{}","hop":0,"waitTimeMs":40.0,"#,
+            r#""rc":"{}","over":true,"host":"{}"}}"#
+        ),
+        ticket, rc, host
+    )
+}
+
+fn batch(events: &[&str]) -> String {
+    format!(r#"{{"timeMs":5.5,"parts":[{{"who":3,"events":[{}]}}]}}"#, events.join(","))
+}
+
+fn spawn(settings: &str) -> String {
+    let event = format!(r#"{{"type":"SPAWN","initSeed":7,"info":{settings}}}"#);
+    batch(&[&event.replace('\n', "")])
+}
+
+/// The replies to the start of a balancer and to these events, a line for each message.
+fn replies(events: &[&str]) -> String {
+    let mut adapter = Adapter::default();
+    let replies = [spawn(SETTINGS), batch(events)].map(|line| reply(&mut adapter, &line));
+    replies.join("\n")
+}
+
+/// The reply to a line, a line for each message.
+fn reply(adapter: &mut Adapter, line: &str) -> String {
+    match adapter.batch(line) {
+        Ok(reply) => {
+            reply.replace(r#"{"type""#, "\n  {\"type\"").replace(r#"{"bodyText""#, "\n  {\"bodyText\"")
+        }
+        Err(error) => format!("ends: {error}"),
+    }
+}
+
+#[test]
+fn reused_list_number_in_a_batch_gives_the_last_list_and_unknown_events_are_skipped() {
+    let replies = replies(&[
+        LIST_OF_A,
+        REMEMBERED_LIST,
+        LIST_OF_B,
+        ALL_OF_THE_LIST,
+        r#"{"type":"WEATHER","sky":"blue"}"#,
+        REQUEST,
+        r#"{"type":"DETACH"}"#,
+        r#"{"type":"DROPPED","ticket":"t/1"}"#,
+    ]);
+    expect![[r#"
+        {"parts":[]}
+        {"parts":[{"who":3,"outbox":[
+          {"type":"WAKE_AT","sleepForMs":50.000,"ctx":"sweep"},
+          {"type":"HAND_OFF","ticket":"t/1","host":"b é","timeoutMs":99.750}]}]}"#]]
+    .assert_eq(&replies);
+}
+
+/// The answer's first byte ends the attempt for the policy: nothing is cancelled, nothing is
+/// retried, and what the wire says of it later finds the request known until the last of its
+/// attempts is finished.
+#[test]
+fn streamed_answer_ends_at_its_first_byte_and_is_forgotten_when_it_is_finished() {
+    let begun = [LIST_OF_B, ALL_OF_THE_LIST, REQUEST, FIRST_BYTE];
+    let end = finished("t/1", "broken", "b é");
+
+    let ended_once = replies(&[&begun[..], &[&end]].concat());
+    let ended_twice = replies(&[&begun[..], &[&end, &end]].concat());
+
+    expect![[r#"
+        {"parts":[]}
+        {"parts":[{"who":3,"outbox":[
+          {"type":"WAKE_AT","sleepForMs":50.000,"ctx":"sweep"},
+          {"type":"HAND_OFF","ticket":"t/1","host":"b é","timeoutMs":99.750}]}]}"#]]
+    .assert_eq(&ended_once);
+    expect![[r#"
+        {"parts":[]}
+        ends: part 0, event 5: unknown op t/1"#]]
+    .assert_eq(&ended_twice);
+}
+
+#[test]
+fn messages_of_peers_and_probes_are_counted_and_change_nothing() {
+    // Given
+    let long = "x".repeat(2_000);
+    let messages = [
+        r#"{"type":"PEER_DATA","neighbour":2,"contents":"hi 7"}"#.to_owned(),
+        r#"{"type":"PEER_DATA","neighbour":2,"contents":"hi 7"}"#.to_owned(),
+        r#"{"type":"PEER_DATA","neighbour":-1,"contents":"9\u0000é"}"#.to_owned(),
+        format!(r#"{{"type":"PEER_DATA","neighbour":2,"contents":"{long}"}}"#),
+        r#"{"type":"PEER_DATA"}"#.to_owned(),
+        r#"{"type":"STATUS_BACK","rc":"timed_out","host":"nobody","waitTimeMs":75.0,"stats":null}"#
+            .to_owned(),
+        r#"{"type":"STATUS_BACK","rc":"success","host":"a","waitTimeMs":1.0,"stats":{"util":-7}}"#.to_owned(),
+    ];
+    let messages: Vec<&str> = messages.iter().map(String::as_str).collect();
+    let list_of_two = concat!(
+        r#"{"type":"MANIFEST","table":0,"elements":[{"host":"a","lifecycle":"up"},"#,
+        r#"{"host":"b","lifecycle":"up"}]}"#
+    );
+    let list = [list_of_two, REMEMBERED_LIST];
+
+    // When
+    let with_messages = replies(&[&list[..], &messages, &[REQUEST]].concat());
+    let without_messages = replies(&[&list[..], &[REQUEST]].concat());
+
+    // Then
+    assert_eq!(with_messages, without_messages);
+    let mut adapter = Adapter::default();
+    assert_eq!(adapter.batch(&batch(&messages)).expect("a reply"), r#"{"parts":[]}"#);
+    assert_eq!(adapter.ignored_messages(), messages.len() as u64);
+}
+
+#[test]
+fn malformed_input_ends_the_adapter_with_the_cause() {
+    let lines = [
+        reply(&mut Adapter::default(), "{nonsense"),
+        replies(&[r#"{"type":"DEMAND","ticket":"t/1"}"#]),
+        replies(&[&finished("t/9", "success", "a")]),
+        replies(&[LIST_OF_B, ALL_OF_THE_LIST, REQUEST, &finished("t/1", "success", "z")]),
+        replies(&[r#"{"type":"UPDATE","scope":"all","revision":1,"table":9}"#]),
+        replies(&[r#"{"type":"TICK_DUE","ctx":"noon"}"#]),
+        replies(&[&REQUEST.replace("read", "write")]),
+    ];
+    expect![[r#"
+        ends: key must be a string at line 1 column 2
+        {"parts":[]}
+        ends: part 0, event 0: missing field `lane`
+        {"parts":[]}
+        ends: part 0, event 0: unknown op t/9
+        {"parts":[]}
+        ends: part 0, event 3: unknown host z
+        {"parts":[]}
+        ends: part 0, event 0: no such list
+        {"parts":[]}
+        ends: part 0, event 0: unknown timer noon
+        {"parts":[]}
+        ends: part 0, event 0: unknown category write"#]]
+    .assert_eq(&lines.join("\n"));
+}
+
+/// A balancer whose settings can't be used does not start; the simulator is told why, word for
+/// word.
+#[test]
+fn invalid_settings_are_answered_with_the_cause() {
+    let mut lines = Vec::new();
+    for (part, replacement) in [
+        (r#"{"name": "read", "targetLatencyMs": 300.0, "ttlMs": 900.0, "semantics": "retryable"}"#, ""),
+        (r#""someday": 1"#, r#""objectiveMix": {"keptPromises": 1.5}"#),
+        (r#""someday": 1"#, r#""objectiveMix": {"tailMiss": -0.5}"#),
+        (r#""someday": 1"#, r#""costs": {"push": -1}"#),
+        (r#""someday": 1"#, r#""report": {"source": "daily"}"#),
+        (r#""someday": 1"#, r#""tickMs": -1"#),
+        (r#""maxPushes": 4"#, r#""maxPushes": 4, "retryAfter": true, "maxRetryAfterMs": 1e11"#),
+        ("9000.0", "-1"),
+        ("3000.0", "1e10"),
+        ("300.0", "-1"),
+        ("retryable", "odd"),
+        ("retryable", "dedup"),
+    ] {
+        let settings = SETTINGS.replacen(part, replacement, 1);
+        assert_ne!(settings, SETTINGS);
+        lines.push(reply(&mut Adapter::default(), &spawn(&settings)));
+    }
+    expect![[r#"
+        {"parts":[{"who":3,"outbox":[
+          {"bodyText":"no categories","type":"BROKEN"}]}]}
+        {"parts":[{"who":3,"outbox":[
+          {"bodyText":"objectiveMix.keptPromises is no part from 0 to 1","type":"BROKEN"}]}]}
+        {"parts":[{"who":3,"outbox":[
+          {"bodyText":"objectiveMix.tailMiss is no part from 0 to 1","type":"BROKEN"}]}]}
+        {"parts":[{"who":3,"outbox":[
+          {"bodyText":"costs.push is -1.0: a price is 0 or more, leave it out for none","type":"BROKEN"}]}]}
+        {"parts":[{"who":3,"outbox":[
+          {"bodyText":"report.source is daily: say inline, on_probe or off","type":"BROKEN"}]}]}
+        {"parts":[{"who":3,"outbox":[
+          {"bodyText":"tickMs: -1.0 ms is no span of time","type":"BROKEN"}]}]}
+        {"parts":[{"who":3,"outbox":[
+          {"bodyText":"maxRetryAfterMs: 100000000000.0 ms is no span of time","type":"BROKEN"}]}]}
+        {"parts":[{"who":3,"outbox":[
+          {"bodyText":"warmWithinMs: -1.0 ms is no span of time","type":"BROKEN"}]}]}
+        {"parts":[{"who":3,"outbox":[
+          {"bodyText":"tipAfterMs: 10000000000.0 ms is no span of time","type":"BROKEN"}]}]}
+        {"parts":[{"who":3,"outbox":[
+          {"bodyText":"read: -1.0 ms is no span of time","type":"BROKEN"}]}]}
+        {"parts":[{"who":3,"outbox":[
+          {"bodyText":"category read: unknown kind odd","type":"BROKEN"}]}]}
+        {"parts":[{"who":3,"outbox":[
+          {"bodyText":"category read: no window for repeats","type":"BROKEN"}]}]}"#]]
+    .assert_eq(&lines.join("\n"));
+}
