--- a/adapter/src/open_requests.rs
+++ b/adapter/src/open_requests.rs
@@ -50,7 +50,7 @@
         self.update(id, |request| request.attempts_in_flight += 1);
     }
 
-    /// The policy is told that an attempt ended, and perhaps the request with it.
+    /// An attempt ended for the policy, and perhaps the request with it.
     pub fn attempt_ended(&mut self, id: RequestId, finished: bool) {
         self.update(id, |request| {
             request.attempts_in_flight = request.attempts_in_flight.saturating_sub(1);
--- a/adapter/src/protocol/events.rs
+++ b/adapter/src/protocol/events.rs
@@ -7,7 +7,7 @@
 
 use crate::error::EventError;
 
-/// Bits of a new request.
+// Bits of a new request.
 const RETRY_BIT: u32 = 2;
 const WRITE_BIT: u32 = 4;
 
@@ -232,7 +232,7 @@
     }
 }
 
-/// Where a host stands.
+/// The state of a host on an endpoint list.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum HostState {
--- a/handover/src/lib.rs
+++ b/handover/src/lib.rs
@@ -2,30 +2,33 @@
 //! host's limit.
 //!
 //! [`encode`] writes it, [`decode`] reads it. A record is a version byte, the hosts' limits, and a
-//! CRC-32 of all before it, lowest byte first. Pure: where the bytes lie and how old they are is
-//! the caller's matter.
+//! CRC-32 of all before it, lowest byte first. Pure: where the bytes are kept, and whether they are
+//! too old to use, is up to the caller.
 
 use basaltwood::types::{LearnedLimit, RingPosition};
 
+/// The first byte of a record.
 const VERSION: u8 = 1;
+
+/// A CRC-32 (IEEE 802.3) over the bytes before it.
 const CHECKSUM_BYTES: usize = 4;
 
-/// Hosts in a record at most; [`encode`] leaves out what is past them.
+/// The maximum number of hosts in a record; [`encode`] leaves out the rest.
 const MAX_HOSTS: usize = 4_096;
 
 /// A host takes at most 15 bytes: varints of 64 and of 32 bits.
 const MAX_HOST_BYTES: usize = 16;
 
-/// The size of the largest record that [`decode`] looks at, in bytes.
+/// The size of the largest record that [`decode`] accepts, in bytes.
 pub const MAX_RECORD_BYTES: usize = 2 + CHECKSUM_BYTES + MAX_HOSTS * MAX_HOST_BYTES;
 
-/// A record holds limits in thousandths of an attempt.
+/// Limits are stored as whole thousandths of an attempt in flight.
 const LIMIT_SCALE: f64 = 1_000.0;
 
-/// A host as it is stored: its ring position and its limit, in thousandths of an attempt.
+/// A host as it is stored: its ring position, and its limit scaled by [`LIMIT_SCALE`].
 type StoredHost = (u64, u32);
 
-/// Why bytes are not read as a record. A caller that gets it begins with nothing learned.
+/// Why bytes are not a usable record. The caller then starts without learned limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
     /// More bytes than [`MAX_RECORD_BYTES`].
@@ -62,7 +65,7 @@
 /// The limits of a record.
 ///
 /// # Errors
-/// What is wrong with it: it may be cut off, of another version, or no record at all.
+/// The record is cut off, damaged, of another version, or no record at all.
 pub fn decode(bytes: &[u8]) -> Result<Vec<LearnedLimit>, RecordError> {
     if bytes.len() > MAX_RECORD_BYTES {
         return Err(RecordError::TooLong);
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -2,7 +2,7 @@
 //! timeouts.
 //!
 //! Pure: no I/O, no clock. Randomness comes from a seed, time is the caller's. The caller makes the
-//! calls, reports the outcome of each, and waits for as long as it is told to.
+//! calls, reports the outcome of each, and waits as long as the schedule says.
 //!
 //! For each call read [`WatchSchedule::known_version`], [`WatchSchedule::call_timeout`],
 //! [`WatchSchedule::response_timeout`] and [`WatchSchedule::hold_for`]; after it report
--- a/membership/src/schedule.rs
+++ b/membership/src/schedule.rs
@@ -4,20 +4,20 @@
 
 use crate::WatchError;
 
-/// From the beginning of a call to the beginning of the next at most, whatever the outcome of the
-/// call. A change counts as delivered 6 s after discovery had it and could be reached, and an
-/// answer may take 2 s: so a call has to begin in the 4 s before that, less 0.1 s for what is not
-/// counted here. Source: the operators' page on real days.
+/// The longest time from the beginning of a call to the beginning of the next, whatever the outcome
+/// of the call. A change counts as delivered 6 s after discovery had it and could be reached, and
+/// an answer may take 2 s: so a call has to begin in the 4 s before that, less 0.1 s for what is
+/// not counted here. Source: the operators' page on real days.
 pub const MAX_CALL_INTERVAL: Micros = 3_900_000;
 
-/// How long a call may take at most, from its dial to the last byte of its answer. The rest of
+/// The longest time that a call may take, from its dial to the last byte of its answer. The rest of
 /// [`MAX_CALL_INTERVAL`] is for the pause.
 const MAX_CALL_TIMEOUT: Micros = 3_600_000;
 
 /// How long discovery may hold a call while nothing changes.
 const MAX_HOLD: Micros = 3_000_000;
 
-/// The hold is asked for in whole tenths of a second.
+/// Holds are requested in whole tenths of a second.
 const HOLD_STEP: Micros = 100_000;
 
 /// The first response timeout. It doubles with each failed call, so that many balancers can't keep
@@ -28,7 +28,7 @@
 /// The response timeout grows no further than this.
 const MAX_RESPONSE_TIMEOUT: Micros = 3_000_000;
 
-/// How long a call for the full list, which discovery does not hold, may take at first.
+/// The first timeout of a call for the full list, which discovery does not hold.
 const FIRST_FULL_LIST_TIMEOUT: Micros = 2_000_000;
 
 /// The shortest first pause after a failed call: few balancers may call often.
--- a/regions/src/error.rs
+++ b/regions/src/error.rs
@@ -36,7 +36,7 @@
     DuplicateRegion {
         /// The name of both.
         region: String,
-        /// Where the first of them stands.
+        /// The line of the first of them.
         first_line: usize,
     },
     /// A region has an empty list of zones.
@@ -63,7 +63,7 @@
         zone: String,
         /// The first region that names it.
         first_region: String,
-        /// Where that one names it.
+        /// The line on which that one names it.
         first_line: usize,
         /// The other region.
         region: String,
--- a/regions/src/hosts.rs
+++ b/regions/src/hosts.rs
@@ -7,16 +7,17 @@
 use crate::map::{RegionIndex, RegionMap, ZoneNumber};
 use crate::update::{ListedHost, RegionCounts, RegionEvent, RingUpdate};
 
-/// Zones without a region that are reported and counted at most: a list of absurd zones must not
-/// fill memory or the log.
+/// The maximum number of zones without a region that are reported and counted: a list of absurd
+/// zones must not fill memory or the log.
 const MAX_REPORTED_ZONES: usize = 1_024;
 
-/// What is kept of a host. The layout counts: hosts outside the ring are many (tests/memory.rs).
+/// What is kept of a host. Its size matters: there are many hosts outside the ring
+/// (tests/memory.rs).
 struct Host<T> {
     /// None where no region names its zone.
     zone: Option<ZoneNumber>,
-    /// The zone under which the policy knows the host: requests that were sent there ran there, and
-    /// duplicates are told apart by zone.
+    /// The zone under which the policy knows the host. Requests that were sent there ran in that
+    /// zone, and hosts may deduplicate by zone.
     announced_zone: Option<ZoneNumber>,
     lifecycle: Lifecycle,
     origin: bool,
@@ -49,8 +50,8 @@
         }
     }
 
-    /// Takes the host out of what the policy uses. A host that just goes would be sent to for as
-    /// long as it answers, where only draining binds: so it drains first.
+    /// Takes the host out of the policy's use. Where only draining binds, the policy would go on
+    /// sending to a host that is just gone, for as long as it answers: so it drains first.
     fn withdraw(&mut self, name: &str, map: &RegionMap, update: &mut RingUpdate<T>) {
         self.announced = false;
         update.hosts_removed += usize::from(self.lifecycle == Lifecycle::Up);
@@ -59,6 +60,7 @@
         }
     }
 
+    /// Brings the host into the policy's use.
     fn announce(&mut self, name: &str, map: &RegionMap, update: &mut RingUpdate<T>) {
         self.announced = true;
         self.announced_zone = self.zone;
@@ -78,7 +80,7 @@
 }
 
 impl<T: Clone> Regions<T> {
-    /// No host yet; the ring is the own region's.
+    /// No hosts yet; the ring is the own region.
     pub fn new(map: RegionMap) -> Regions<T> {
         let ring = map.own_index();
         Regions { map, hosts: BTreeMap::new(), ring, reported_zones: BTreeSet::new() }
@@ -104,8 +106,8 @@
         update
     }
 
-    /// The caller knows this host no more: nothing that it does can reach it. Only a host that is
-    /// gone is forgotten.
+    /// The caller has dropped all its state for this host, so that nothing can reach it any more.
+    /// Has no effect unless the host is gone.
     pub fn forget(&mut self, host: &str) {
         if self.hosts.get(host).is_some_and(|host| host.lifecycle == Lifecycle::Gone) {
             self.hosts.remove(host);
@@ -122,7 +124,7 @@
         &self.map
     }
 
-    /// How many hosts of the list are where.
+    /// The number of hosts on the list by where they are.
     pub fn counts(&self) -> RegionCounts {
         let mut counts =
             RegionCounts { unmapped_zones: self.reported_zones.len(), ..RegionCounts::default() };
--- a/regions/src/update.rs
+++ b/regions/src/update.rs
@@ -38,7 +38,7 @@
     pub entries: Vec<ListedHost<T>>,
     /// Events for the log.
     pub events: Vec<RegionEvent>,
-    /// Hosts that are up and came into the ring, those of the first list too.
+    /// Hosts that are up and came into the ring, including those of the first list.
     pub hosts_added: usize,
     /// Hosts that are up and were taken out of it: they moved, or the ring did.
     pub hosts_removed: usize,
@@ -50,14 +50,14 @@
     }
 }
 
-/// How many hosts of the list are where. The origin's hosts are in none of these.
+/// The number of cache hosts on the list by where they are; the origin's hosts are not counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RegionCounts {
-    /// Hosts of the ring's region, those that drain too.
+    /// Hosts of the ring's region, including those that drain.
     pub in_ring: usize,
-    /// All others.
+    /// All other hosts.
     pub outside_ring: usize,
-    /// Those of the others whose zone is in no region.
+    /// Those of the other hosts whose zone is in no region.
     pub unmapped_hosts: usize,
     /// Zones without a region that the list has named so far.
     pub unmapped_zones: usize,
--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -50,7 +50,7 @@
     },
 }
 
-/// A name that stands for nothing at this balancer.
+/// A name that has no id at this balancer.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("unknown {kind} {name}")]
 pub struct UnknownName {
--- a/settings/src/names.rs
+++ b/settings/src/names.rs
@@ -8,19 +8,19 @@
 
 use crate::{OperatorSettings, UnknownName};
 
-/// Numbers names in the order in which they are first seen; numbers that were released go first,
-/// the last one released before the others.
+/// Gives names consecutive ids in the order in which they are first seen. Released ids are reused
+/// first, the last released one before the others.
 #[derive(Default)]
 pub struct IdTable {
     ids: HashMap<String, u32>,
-    /// By id the name that it stands for, or stood for last.
+    /// The name of each id; for a released id, the name that it had last.
     pub names: Vec<String>,
-    /// Ids that stand for nothing at the moment.
+    /// Ids that are free for reuse.
     released: Vec<u32>,
 }
 
 impl IdTable {
-    /// The id of a name; a new one where it has none.
+    /// The id of a name; assigns one if it has none.
     pub fn intern(&mut self, name: &str) -> u32 {
         if let Some(&id) = self.ids.get(name) {
             return id;
@@ -34,9 +34,8 @@
         id
     }
 
-    /// The id stands for nothing from now on, until a new name gets it. Returns whether it stood
-    /// for a name until now. The name that it stood for last may have another id since, which it
-    /// keeps.
+    /// Frees an id for reuse. Returns whether it was in use. Where the id was released before and
+    /// its name has another id since, the name keeps that one.
     pub fn release(&mut self, id: u32) -> bool {
         let name = &self.names[id as usize];
         let in_use = self.ids.get(name) == Some(&id);
@@ -47,7 +46,7 @@
         in_use
     }
 
-    /// The id of a name; `kind` says in the error what was looked up.
+    /// The id of a name; `kind` tells the error what was looked up.
     ///
     /// # Errors
     /// The name has no id.
--- a/settings/src/policy_config.rs
+++ b/settings/src/policy_config.rs
@@ -9,7 +9,7 @@
 use crate::runtime_limits::MAX_SPAN_MS;
 use crate::{micros, OperatorSettings, SettingsError};
 
-/// Prices from here on are taken for a mistake.
+/// Prices of this much or more are treated as mistakes.
 const MAX_PRICE: f64 = 1e10;
 
 const REPORT_SOURCES: [&str; 3] = ["inline", REPORT_ON_PROBE, REPORT_OFF];
@@ -50,7 +50,7 @@
         ignored
     }
 
-    /// Checks what has no place of its own in the configuration.
+    /// Checks the settings that the conversion itself does not check.
     fn check(&self) -> Result<(), SettingsError> {
         if self.categories.is_empty() {
             return Err(SettingsError::NoCategories);
@@ -157,7 +157,8 @@
     }
 }
 
-/// A span of time from nothing to months, in microseconds; `what` has it in the settings.
+/// Converts a span of the settings to microseconds; `what` names the field or category in the
+/// error.
 fn span(what: &str, ms: f64) -> Result<Micros, SettingsError> {
     if (0.0..MAX_SPAN_MS).contains(&ms) {
         Ok(micros(ms))
--- a/settings/src/runtime_limits.rs
+++ b/settings/src/runtime_limits.rs
@@ -4,26 +4,26 @@
 
 use crate::{micros, OperatorSettings};
 
-// What holds where the settings say nothing, or nothing sensible.
+// Defaults for settings that are missing or not sensible.
 const DEFAULT_CONNECT_TIMEOUT: Micros = 250_000;
 const DEFAULT_IDLE_TIMEOUT: Micros = 15_000_000;
 const DEFAULT_MAX_OPEN_REQUESTS: usize = 20_000;
 const DEFAULT_DRAIN_GRACE: Micros = 250_000;
 
-/// Spans from here on, about four months, are taken for a mistake.
+/// Spans of this length (about four months) or more are treated as mistakes.
 pub(crate) const MAX_SPAN_MS: f64 = 1e10;
 
 /// What bounds a balancer's connections and open requests.
 #[derive(Clone, Copy, Debug)]
 pub struct RuntimeLimits {
-    /// A connection to a host that is not up by then will not come up.
+    /// How long a connection to a host may take to be established.
     pub connect_timeout: Micros,
-    /// Hosts close a connection that has been idle for so long.
+    /// How long a connection may be idle before its host closes it.
     pub idle_timeout: Micros,
-    /// Requests that are open at a time.
+    /// The maximum number of requests that are open at a time.
     pub max_open_requests: usize,
-    /// How long a draining host may still be sent to. Nothing is sent; but the news must be here by
-    /// then.
+    /// How long a draining host may still get requests. The router sends none, but has to know of
+    /// the drain by then.
     pub drain_grace: Micros,
 }
 
--- a/settings/tests/names.rs
+++ b/settings/tests/names.rs
@@ -16,8 +16,8 @@
     let was_in_use = names.release(a);
 
     // Then
-    assert!(!was_in_use, "that id stands for nothing");
+    assert!(!was_in_use, "that id is free");
     assert_eq!(names.intern("a"), new_id);
     let others = [names.intern("c"), names.intern("d")];
-    assert_eq!(others, [a, 2], "no id stands for two names");
+    assert_eq!(others, [a, 2], "no id has two names");
 }
--- a/wire/src/buffer.rs
+++ b/wire/src/buffer.rs
@@ -4,7 +4,7 @@
 
 use bytes::{Buf, BytesMut};
 
-/// The least that there is to read to, in bytes.
+/// The minimum space that a read gets, in bytes.
 const READ_STEP: usize = 4 * 1024;
 
 /// An empty buffer keeps no more memory than this, in bytes.
--- a/wire/src/http/mod.rs
+++ b/wire/src/http/mod.rs
@@ -15,8 +15,8 @@
 pub use request::{parse_request, Request};
 pub use response::{parse_long_response_head, parse_response, Response};
 
-/// The longest head that is waited for, in bytes.
+/// The maximum length of a head, in bytes.
 const MAX_HEAD: usize = 16 * 1024;
 
-/// Header lines of a head at most.
+/// The maximum number of header lines in a head.
 const MAX_HEADERS: usize = 64;
--- a/wire/src/http/percent.rs
+++ b/wire/src/http/percent.rs
@@ -13,8 +13,7 @@
     path
 }
 
-/// The key that a path stands for, without the path's first slash; what is no escape stays as it
-/// is.
+/// The key in a path, without the path's first slash; anything that is no escape is kept as it is.
 pub fn percent_decode(path: &str) -> Vec<u8> {
     let bytes = path.strip_prefix('/').unwrap_or(path).as_bytes();
     let mut out = Vec::with_capacity(bytes.len());
@@ -34,7 +33,7 @@
     out
 }
 
-/// The byte that an escape at the front stands for.
+/// The byte of an escape sequence at the front, if there is one.
 fn escaped_byte(bytes: &[u8]) -> Option<u8> {
     let digits = bytes.strip_prefix(b"%")?.get(..2)?;
     let digits = std::str::from_utf8(digits).ok()?;
--- a/wire/src/http/response.rs
+++ b/wire/src/http/response.rs
@@ -4,10 +4,10 @@
 
 use super::{ResponseError, MAX_HEAD, MAX_HEADERS};
 
-/// Interim responses (1xx) ahead of the one that counts, at most.
+/// The maximum number of interim responses (1xx) ahead of the final one.
 const MAX_INTERIM: usize = 16;
 
-/// After this interim status the connection speaks HTTP no more, so it counts as the response.
+/// After this status the connection no longer speaks HTTP, so it counts as the final response.
 const SWITCHING_PROTOCOLS: u16 = 101;
 
 /// A response.
@@ -97,7 +97,7 @@
     end: usize,
 }
 
-/// The first response, perhaps an interim one (1xx) ahead of the one that counts.
+/// The first response, which may be an interim one (1xx).
 fn parse_one(bytes: &[u8], max_body: usize) -> Result<Option<Response>, ResponseError> {
     let Some(Head { response, framing }) = parse_head(bytes)? else { return Ok(None) };
     let start = response.consumed;
@@ -137,7 +137,7 @@
     Ok(Some(Head { response, framing: fields.framing(status)? }))
 }
 
-/// What the header lines say, as far as it is of use.
+/// The header fields that are used.
 #[derive(Default)]
 struct HeaderFields {
     lengths: Vec<usize>,
--- a/wire/src/resp/mod.rs
+++ b/wire/src/resp/mod.rs
@@ -29,5 +29,5 @@
 /// The largest command or reply that is buffered in full, in bytes.
 pub const MAX_BUFFERED_MESSAGE: usize = MAX_BUFFERED_VALUE + 16 * 1024;
 
-/// Elements of an array at most: commands and replies have a few.
+/// The maximum number of elements in an array: commands and replies have only a few.
 const MAX_ELEMENTS: i64 = 16;
