--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -47,7 +47,7 @@
         let ending = Ending::of(&policy_event);
         self.policy.handle(now, policy_event, &mut self.actions);
         for action in self.actions.drain(..) {
-            outbox.push(protocol::encode(action, &self.requests, &self.names.hosts.names));
+            outbox.push(protocol::encode(action, &self.requests, &self.names.hosts));
             match action {
                 PolicyAction::StartAttempt { request, .. } => self.requests.attempt_started(request),
                 PolicyAction::Reject { request, .. } | PolicyAction::Fail { request } => {
--- a/adapter/src/protocol/actions.rs
+++ b/adapter/src/protocol/actions.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 
 use basaltwood::types::{Micros, PolicyAction, RequestId, Timer};
-use basaltwood_settings::SettingsError;
+use basaltwood_settings::{IdTable, SettingsError};
 
 use crate::error::EventError;
 use crate::open_requests::OpenRequests;
@@ -34,14 +34,14 @@
     serde_json::json!({"type": "BROKEN", "bodyText": error.to_string()}).to_string()
 }
 
-/// An action; `hosts` are the hosts' names by their ids.
-pub fn encode(action: PolicyAction, requests: &OpenRequests, hosts: &[String]) -> String {
+/// An action, with the wire's names of its request and host.
+pub fn encode(action: PolicyAction, requests: &OpenRequests, hosts: &IdTable) -> String {
     let ticket = |request: RequestId| json_string(requests.name(request));
     match action {
         PolicyAction::StartAttempt { request, host, timeout } => format!(
             r#"{{"type":"HAND_OFF","ticket":{},"host":{},"timeoutMs":{}}}"#,
             ticket(request),
-            json_string(&hosts[host.0 as usize]),
+            json_string(hosts.name(host.0)),
             millis(timeout)
         ),
         PolicyAction::Reject { request, retry_after } => format!(
--- a/balancer/src/upstream/origin.rs
+++ b/balancer/src/upstream/origin.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use basaltwood::types::{AttemptOutcome, Micros};
-use basaltwood_wire::http;
+use basaltwood_wire::http::{self, LongResponse};
 use basaltwood_wire::resp::{MAX_BUFFERED_VALUE, MAX_VALUE};
 
 use super::messages::{
@@ -33,7 +33,8 @@
 
 /// A response at the front of a buffer.
 pub fn parse_response(bytes: &[u8]) -> Result<Option<ParsedResponse>, ResponseError> {
-    if let Some((head, length)) = http::parse_long_response_head(bytes, MAX_BUFFERED_VALUE, MAX_VALUE) {
+    let long = http::parse_long_response_head(bytes, MAX_BUFFERED_VALUE, MAX_VALUE);
+    if let Some(LongResponse { head, body_length: length }) = long {
         if head.status == 200 {
             let (start, reusable) = (head.consumed, head.keep_alive);
             // Nothing follows the body of an HTTP response.
--- a/settings/src/names.rs
+++ b/settings/src/names.rs
@@ -46,6 +46,11 @@
         in_use
     }
 
+    /// The name that an id has, or had last. The id must have been assigned.
+    pub fn name(&self, id: u32) -> &str {
+        &self.names[id as usize]
+    }
+
     /// The id of a name; `kind` tells the error what was looked up.
     ///
     /// # Errors
--- a/wire/src/http/mod.rs
+++ b/wire/src/http/mod.rs
@@ -13,7 +13,7 @@
 pub use error::{RequestError, ResponseError};
 pub use percent::{percent_decode, percent_encode};
 pub use request::{parse_request, Request};
-pub use response::{parse_long_response_head, parse_response, Response};
+pub use response::{parse_long_response_head, parse_response, LongResponse, Response};
 
 /// The maximum length of a head, in bytes.
 const MAX_HEAD: usize = 16 * 1024;
--- a/wire/src/http/response.rs
+++ b/wire/src/http/response.rs
@@ -28,6 +28,15 @@
     pub consumed: usize,
 }
 
+/// A response whose body is too long to be buffered.
+#[derive(Debug)]
+pub struct LongResponse {
+    /// The response without its body, which begins after `consumed` bytes.
+    pub head: Response,
+    /// The length of the body, in bytes.
+    pub body_length: usize,
+}
+
 /// A complete response; `None` while it is incomplete.
 ///
 /// # Errors
@@ -46,14 +55,9 @@
     Err(ResponseError::TooManyInterim)
 }
 
-/// The head of a response whose body is too long to be buffered, and the length of that body: past
-/// `max_buffered` and up to `max_body` bytes, given by the head. `None` for any other, or while no
-/// head is complete.
-pub fn parse_long_response_head(
-    bytes: &[u8],
-    max_buffered: usize,
-    max_body: usize,
-) -> Option<(Response, usize)> {
+/// The head of a response whose body is too long to be buffered: past `max_buffered` and up to
+/// `max_body` bytes, by the head. `None` for any other, or while no head is complete.
+pub fn parse_long_response_head(bytes: &[u8], max_buffered: usize, max_body: usize) -> Option<LongResponse> {
     let mut start = 0;
     for _ in 0..MAX_INTERIM {
         let head = parse_head(&bytes[start..]).ok()??;
@@ -61,7 +65,8 @@
         match head.framing {
             Framing::None if is_interim(response.status) => start += response.consumed,
             Framing::Length(length) if (max_buffered + 1..=max_body).contains(&length) => {
-                return Some((Response { consumed: start + response.consumed, ..response }, length));
+                let head = Response { consumed: start + response.consumed, ..response };
+                return Some(LongResponse { head, body_length: length });
             }
             _ => return None,
         }
--- a/wire/tests/http.rs
+++ b/wire/tests/http.rs
@@ -56,9 +56,10 @@
 
         let parsed = http::parse_long_response_head(head.as_bytes(), 10, resp::MAX_VALUE);
 
-        let (response, body_length) = parsed.expect("a long one");
-        prop_assert!(response.consumed == head.len() && response.status == 200);
-        prop_assert_eq!(body_length, length);
+        let parsed = parsed.expect("a long one");
+        prop_assert_eq!(parsed.head.consumed, head.len());
+        prop_assert_eq!(parsed.head.status, 200);
+        prop_assert_eq!(parsed.body_length, length);
     }
 }
 
