--- a/balancer/src/upstream/cache.rs
+++ b/balancer/src/upstream/cache.rs
@@ -1,7 +1,7 @@
 //! Cache hosts: an attempt as a RESP2 command, and its reply.
 
 use basaltwood::types::{AttemptOutcome, Micros};
-use basaltwood_wire::resp::{self, LongReply, Reply};
+use basaltwood_wire::resp::{self, LongReply, ParsedReply, Reply};
 use bytes::Bytes;
 
 use super::messages::{
@@ -33,12 +33,12 @@
         let parse_trailer: ParseTrailer = Box::new(move |bytes| {
             let trailer =
                 resp::parse_after_long_value(bytes, trailing_elements).map_err(ResponseError::resp2)?;
-            Ok(trailer.map(|(length, reusable)| Trailer { length, reusable }))
+            Ok(trailer.map(|end| Trailer { length: end.consumed, reusable: end.keep_alive }))
         });
         return Ok(Some(ParsedResponse::LongValue(LongValueHead { start, length, parse_trailer })));
     }
     let parsed = resp::parse_reply(bytes).map_err(ResponseError::resp2)?;
-    let Some((reply, length, reusable)) = parsed else { return Ok(None) };
+    let Some(ParsedReply { reply, end }) = parsed else { return Ok(None) };
     let result = match reply {
         Reply::Value(range) => {
             let value = Bytes::copy_from_slice(&bytes[range]);
@@ -48,5 +48,5 @@
         Reply::Busy => (AttemptOutcome::Rejected, None),
         Reply::Failed => (AttemptOutcome::Error, None),
     };
-    Ok(Some(ParsedResponse::Whole(WholeResponse { result, length, reusable })))
+    Ok(Some(ParsedResponse::Whole(WholeResponse { result, length: end.consumed, reusable: end.keep_alive })))
 }
