--- a/admin/src/lib.rs
+++ b/admin/src/lib.rs
@@ -1,5 +1,5 @@
-//! What operators call at a balancer, as bytes: [`call`] reads a call from the front of a buffer, [`answered`] words an
-//! answer, [`Page`] writes figures in Prometheus' text format. Pure; it opens nothing, waits for nothing, counts nothing.
+//! What operators call at a balancer, as bytes: [`parse_request`] reads a call from the front of a buffer, [`response`] words an
+//! answer, [`MetricsPage`] writes figures in Prometheus' text format. Pure; it opens nothing, waits for nothing, counts nothing.
 
 use std::fmt::Write;
 
@@ -7,13 +7,13 @@
 use bytes::Bytes;
 
 /// The largest body that a call may bring; none of them needs one.
-pub const MOST_BODY: usize = 8 * 1024;
+pub const MAX_BODY_BYTES: usize = 8 * 1024;
 /// The largest call.
-pub const MOST: usize = 32 * 1024;
+pub const MAX_REQUEST_BYTES: usize = 32 * 1024;
 
 /// What an operator asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum AdminRequest {
     Ready,
     Vars,
     LameDuckOn,
@@ -22,26 +22,26 @@
 
 /// Why a call is none, as HTTP tells it.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Refusal {
+pub struct RequestError {
     pub status: u16,
     /// The method that would do.
     pub allow: Option<&'static str>,
 }
 
-const CALLS: [(&str, &str, Call); 4] = [
-    ("/_ready", "GET", Call::Ready),
-    ("/_vars", "GET", Call::Vars),
-    ("/_lameduck/on", "POST", Call::LameDuckOn),
-    ("/_lameduck/off", "POST", Call::LameDuckOff),
+const ROUTES: [(&str, &str, AdminRequest); 4] = [
+    ("/_ready", "GET", AdminRequest::Ready),
+    ("/_vars", "GET", AdminRequest::Vars),
+    ("/_lameduck/on", "POST", AdminRequest::LameDuckOn),
+    ("/_lameduck/off", "POST", AdminRequest::LameDuckOff),
 ];
 
 /// A whole call at the front; `None` while it is not whole.
 ///
 /// # Errors
 /// What is to be answered where it can become none any more.
-pub fn call(bytes: &[u8]) -> Result<Option<Call>, Refusal> {
-    let refused = |status, allow| Err(Refusal { status, allow });
-    let request = match http::asked(bytes, MOST_BODY) {
+pub fn parse_request(bytes: &[u8]) -> Result<Option<AdminRequest>, RequestError> {
+    let refused = |status, allow| Err(RequestError { status, allow });
+    let request = match http::asked(bytes, MAX_BODY_BYTES) {
         Ok(Some(request)) => request,
         Ok(None) => return Ok(None),
         Err(Refused::Senseless(_)) => return refused(400, None),
@@ -50,23 +50,23 @@
         Err(Refused::HeadTooLong) => return refused(431, None),
     };
     let path = request.path.split('?').next().unwrap_or_default();
-    match CALLS.iter().find(|known| known.0 == path) {
+    match ROUTES.iter().find(|route| route.0 == path) {
         None => refused(404, None),
-        Some((_, method, call)) if *method == request.method => Ok(Some(*call)),
+        Some((_, method, admin_request)) if *method == request.method => Ok(Some(*admin_request)),
         Some((_, method, _)) => refused(405, Some(*method)),
     }
 }
 
 /// The answer to a call: the last on its connection.
-pub fn answered(status: u16, text: &str) -> Bytes {
-    worded(status, None, text)
+pub fn response(status: u16, text: &str) -> Bytes {
+    render_response(status, None, text)
 }
 
-pub fn refused(refusal: &Refusal) -> Bytes {
-    worded(refusal.status, refusal.allow, "")
+pub fn error_response(error: &RequestError) -> Bytes {
+    render_response(error.status, error.allow, "")
 }
 
-fn worded(status: u16, allow: Option<&str>, text: &str) -> Bytes {
+fn render_response(status: u16, allow: Option<&str>, text: &str) -> Bytes {
     let mut headers = vec![("Content-Type", "text/plain; version=0.0.4"), ("Connection", "close")];
     headers.extend(allow.map(|method| ("Allow", method)));
     http::answered(status, &headers, text.as_bytes())
@@ -74,11 +74,11 @@
 
 /// Figures in Prometheus' text format.
 #[derive(Default)]
-pub struct Page(String);
+pub struct MetricsPage(String);
 
-impl Page {
+impl MetricsPage {
     /// One figure with all its samples: a label's name and value where it has one, and the number.
-    pub fn figure<'a>(
+    pub fn add<'a>(
         &mut self,
         name: &str,
         kind: &str,
--- a/admin/tests/calls.rs
+++ b/admin/tests/calls.rs
@@ -1,6 +1,6 @@
 //! Calls and figures as bytes.
 
-use basaltwood_admin::{answered, call, refused, Page};
+use basaltwood_admin::{error_response, parse_request, response, MetricsPage};
 use expect_test::expect;
 
 #[test]
@@ -21,15 +21,15 @@
         "\0nonsense\r\n\r\n",
         &long,
     ] {
-        let whole = call(text.as_bytes());
+        let whole = parse_request(text.as_bytes());
         // However it is cut, what comes before its end is no call and no error that the whole is not.
         for end in 0..text.len() {
-            let part = call(&text.as_bytes()[..end]);
+            let part = parse_request(&text.as_bytes()[..end]);
             assert!(matches!(part, Ok(None)) || part == whole, "{text:?} cut at {end}: {part:?}");
         }
         lines.push(match &whole {
-            Err(refusal) => String::from_utf8_lossy(&refused(refusal)).replace("\r\n", "; "),
-            call => format!("{call:?}"),
+            Err(error) => String::from_utf8_lossy(&error_response(error)).replace("\r\n", "; "),
+            request => format!("{request:?}"),
         });
     }
     expect![[r#"
@@ -50,10 +50,10 @@
 
 #[test]
 fn figures_are_written_with_their_labels_escaped() {
-    let mut page = Page::default();
+    let mut page = MetricsPage::default();
     let samples = [(Some(("kind", "read")), 812), (Some(("kind", "a\"b\\c\nd")), 0)];
-    page.figure("edge_proxy_ok", "counter", "Ops acked.", samples);
-    page.figure("edge_proxy_active", "gauge", "Ops in hand.", [(None, 14)]);
+    page.add("edge_proxy_ok", "counter", "Ops acked.", samples);
+    page.add("edge_proxy_active", "gauge", "Ops in hand.", [(None, 14)]);
     expect![[r#"
         # HELP edge_proxy_ok Ops acked.
         # TYPE edge_proxy_ok counter
@@ -64,5 +64,5 @@
         edge_proxy_active 14
     "#]]
     .assert_eq(page.text());
-    assert!(answered(200, page.text()).ends_with(b"edge_proxy_active 14\n"));
+    assert!(response(200, page.text()).ends_with(b"edge_proxy_active 14\n"));
 }
--- a/balancer/src/clock.rs
+++ b/balancer/src/clock.rs
@@ -6,13 +6,13 @@
 
 pub struct Clock {
     start: Instant,
-    unix: Micros,
+    unix_at_start: Micros,
 }
 
 impl Clock {
     pub fn start() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |unix| unix.as_micros() as Micros);
-        Clock { start: Instant::now(), unix }
+        Clock { start: Instant::now(), unix_at_start: unix }
     }
 
     pub fn now(&self) -> Micros {
@@ -20,18 +20,18 @@
     }
 
     pub fn at(&self, time: Micros) -> tokio::time::Instant {
-        (self.start + span(time)).into()
+        (self.start + duration(time)).into()
     }
 
     /// A Unix time on this clock. The wall clock is read at the start only: were it read again after it was
     /// set, the same start of a host would look like a new one.
-    pub fn of_unix(&self, unix: Micros) -> Micros {
-        unix - self.unix
+    pub fn from_unix(&self, unix: Micros) -> Micros {
+        unix - self.unix_at_start
     }
 }
 
-pub fn span(span: Micros) -> Duration {
-    Duration::from_micros(u64::try_from(span).unwrap_or(0))
+pub fn duration(micros: Micros) -> Duration {
+    Duration::from_micros(u64::try_from(micros).unwrap_or(0))
 }
 
 #[cfg(test)]
@@ -43,7 +43,7 @@
         let clock = Clock::start();
         let unix =
             SystemTime::now().duration_since(UNIX_EPOCH).expect("it is past 1970").as_micros() as Micros;
-        let apart = |ahead: Micros| (clock.of_unix(unix + ahead) - clock.now() - ahead).abs();
+        let apart = |ahead: Micros| (clock.from_unix(unix + ahead) - clock.now() - ahead).abs();
         assert!(apart(0) < 1_000_000 && apart(-3_600_000_000) < 1_000_000);
     }
 }
--- a/balancer/src/config.rs
+++ b/balancer/src/config.rs
@@ -14,19 +14,19 @@
 
 /// Where the map of regions is looked for, from the working directory, unless `$BASALTWOOD_REGIONS` names
 /// another file.
-const REGIONS: &str = "deploy/regions.toml";
+const DEFAULT_REGION_MAP: &str = "deploy/regions.toml";
 
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     name: String,
     listen: String,
     discovery: String,
     /// Where operators call; without it none can.
-    #[serde(default)]
-    mgmt: Option<String>,
+    #[serde(default, rename = "mgmt")]
+    admin: Option<String>,
     seed: String,
     #[serde(default)]
-    limits: Limits,
+    limits: ResourceLimits,
     #[serde(default)]
     known: EndpointList,
     settings: OperatorSettings,
@@ -34,14 +34,14 @@
 
 #[derive(Deserialize)]
 #[serde(default)]
-struct Limits {
+struct ResourceLimits {
     memory_mb: f64,
     sockets: usize,
 }
 
-impl Default for Limits {
-    fn default() -> Limits {
-        Limits { memory_mb: 192.0, sockets: 1024 }
+impl Default for ResourceLimits {
+    fn default() -> ResourceLimits {
+        ResourceLimits { memory_mb: 192.0, sockets: 1024 }
     }
 }
 
@@ -49,28 +49,28 @@
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
-    pub mgmt: Option<SocketAddr>,
+    pub admin: Option<SocketAddr>,
     /// The clients' listening socket, where the platform holds it.
-    pub inherited: Option<u16>,
+    pub inherited_descriptor: Option<u16>,
     /// A folder that every process of this balancer sees.
-    pub folder: Option<PathBuf>,
-    pub memory: usize,
-    pub sockets: usize,
-    pub known: EndpointList,
+    pub shared_folder: Option<PathBuf>,
+    pub memory_bytes: usize,
+    pub max_sockets: usize,
+    pub known_endpoints: EndpointList,
     /// For the module and the pools: its balancers are those that a host deals with, the own region's where the
     /// map says.
     pub policy: PolicyConfig,
     /// All balancers that ask discovery as this one does.
-    pub fleet: u32,
+    pub fleet_size: u32,
     /// None where there are no regions.
-    pub regions: Option<RegionMap>,
+    pub region_map: Option<RegionMap>,
     pub names: NameTable,
-    pub limits: RuntimeLimits,
+    pub runtime_limits: RuntimeLimits,
 }
 
 /// Reads the operators' map; none where there is no file and none was named.
-fn regions(named: Option<String>) -> Result<Option<RegionMap>, String> {
-    let file = named.as_deref().unwrap_or(REGIONS);
+fn read_region_map(named: Option<String>) -> Result<Option<RegionMap>, String> {
+    let file = named.as_deref().unwrap_or(DEFAULT_REGION_MAP);
     match std::fs::read_to_string(file) {
         Ok(text) => RegionMap::parse(file, &text).map(Some),
         Err(cause) if named.is_none() && cause.kind() == ErrorKind::NotFound => Ok(None),
@@ -79,7 +79,7 @@
 }
 
 /// A variable of the environment; an empty one is none.
-fn set(name: &str) -> Option<String> {
+fn env_variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|text| !text.is_empty())
 }
 
@@ -88,8 +88,8 @@
         let path = std::env::var("PROXY_CONFIG").map_err(|_| "PROXY_CONFIG is not set".to_owned())?;
         let text = std::fs::read_to_string(&path).map_err(|cause| format!("PROXY_CONFIG {path}: {cause}"))?;
         let mut config = Config::parse(&text).map_err(|cause| format!("PROXY_CONFIG {path}: {cause}"))?;
-        config.regions = regions(set("BASALTWOOD_REGIONS"))?;
-        if let Some(balancers) = config.regions.as_ref().and_then(RegionMap::balancers) {
+        config.region_map = read_region_map(env_variable("BASALTWOOD_REGIONS"))?;
+        if let Some(balancers) = config.region_map.as_ref().and_then(RegionMap::balancers) {
             config.policy.balancers = balancers;
         }
         Ok(config)
@@ -98,13 +98,13 @@
     fn parse(text: &str) -> Result<Config, String> {
         // The line names the field too: a place in a file of one line helps nobody.
         let reader = &mut serde_json::Deserializer::from_str(text);
-        let file: File = serde_path_to_error::deserialize(reader).map_err(|cause| cause.to_string())?;
+        let file: ConfigFile = serde_path_to_error::deserialize(reader).map_err(|cause| cause.to_string())?;
         let address = |what: &str, text: &str| {
             text.parse::<SocketAddr>().map_err(|_| format!("{what} {text:?} is no address with a port"))
         };
-        let mgmt = file.mgmt.or_else(|| set("PROXY_MGMT"));
-        let mgmt = mgmt.map(|text| address("mgmt", &text)).transpose()?;
-        let inherited = set("PROXY_INHERITED_FD").map(|text| {
+        let admin = file.admin.or_else(|| env_variable("PROXY_MGMT"));
+        let admin = admin.map(|text| address("mgmt", &text)).transpose()?;
+        let inherited_descriptor = env_variable("PROXY_INHERITED_FD").map(|text| {
             text.parse().map_err(|_| format!("PROXY_INHERITED_FD {text:?} is no descriptor's number"))
         });
         let seed = u64::from_str_radix(&file.seed, 16).unwrap_or_else(|_| RingPosition::of(&file.seed).0);
@@ -122,17 +122,17 @@
         Ok(Config {
             listen: address("listen", &file.listen)?,
             discovery: address("discovery", &file.discovery)?,
-            mgmt,
-            inherited: inherited.transpose()?,
-            folder: set("TMPDIR").map(PathBuf::from),
-            memory: (file.limits.memory_mb * 1024.0 * 1024.0) as usize,
-            sockets: file.limits.sockets,
-            known: file.known,
-            fleet: policy.balancers,
+            admin,
+            inherited_descriptor: inherited_descriptor.transpose()?,
+            shared_folder: env_variable("TMPDIR").map(PathBuf::from),
+            memory_bytes: (file.limits.memory_mb * 1024.0 * 1024.0) as usize,
+            max_sockets: file.limits.sockets,
+            known_endpoints: file.known,
+            fleet_size: policy.balancers,
             policy,
-            regions: None,
+            region_map: None,
             names: NameTable::new(&file.settings),
-            limits: file.settings.runtime_limits(),
+            runtime_limits: file.settings.runtime_limits(),
             name: file.name,
         })
     }
--- a/balancer/src/discovery/mod.rs
+++ b/balancer/src/discovery/mod.rs
@@ -15,16 +15,16 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
 
-use crate::clock::span;
+use crate::clock::duration;
 use crate::read;
 use crate::shared::Shared;
 use crate::upstream::UpstreamConnection;
 
 /// From one call to the next at least: a discovery that holds nothing must not keep the balancer busy.
-const APART: Duration = Duration::from_millis(20);
-const MOST_BODY: usize = 4 * 1024 * 1024;
+const MIN_CALL_INTERVAL: Duration = Duration::from_millis(20);
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 /// Starts that lie further ahead than this are absurd.
-const AHEAD: Micros = 3_600_000_000;
+const MAX_START_AHEAD: Micros = 3_600_000_000;
 
 /// The list as discovery writes it. Entries are read one by one, so that an absurd one spoils no other.
 #[derive(Default, Deserialize)]
@@ -60,19 +60,19 @@
 pub struct HostDetails {
     /// None where it takes nothing new.
     address: Option<SocketAddr>,
-    started: Option<Micros>,
+    started_at: Option<Micros>,
     weight: Option<f64>,
     cell: Option<u32>,
 }
 
-pub type Rings = Regions<HostDetails>;
+pub type HostRegions = Regions<HostDetails>;
 
 /// Tells the facade and the servers what a page says; its generation.
-pub fn take(shared: &Shared, page: EndpointList, whole: bool) -> u64 {
+pub fn apply_list(shared: &Shared, list: EndpointList, whole: bool) -> u64 {
     let now = shared.clock.now();
-    let mut entries = Vec::with_capacity(page.instances.len());
-    for value in page.instances {
-        match entry(shared, &value, now) {
+    let mut entries = Vec::with_capacity(list.instances.len());
+    for value in list.instances {
+        match parse_instance(shared, &value, now) {
             Ok(entry) => entries.push(entry),
             Err(cause) => {
                 shared.counters.endpoints_refused.add();
@@ -80,15 +80,15 @@
             }
         }
     }
-    let heard = entries.len();
+    let listed = entries.len();
     // A host outside the ring gets no number, and so nothing else.
     let entries = match &shared.regions {
-        Some(regions) => in_ring(shared, &mut regions.borrow_mut(), whole, entries),
+        Some(regions) => keep_ring_hosts(shared, &mut regions.borrow_mut(), whole, entries),
         None => entries,
     };
-    let entries: Vec<Endpoint> = entries.into_iter().map(|entry| placed(shared, entry)).collect();
+    let entries: Vec<Endpoint> = entries.into_iter().map(|entry| register(shared, entry)).collect();
     shared.counters.endpoint_lists.add();
-    log::debug!("list {}: {} entries{}", page.generation, heard, if whole { ", all there are" } else { "" });
+    log::debug!("list {}: {} entries{}", list.generation, listed, if whole { ", all there are" } else { "" });
     shared.router.borrow_mut().update_endpoints(now, whole, entries);
     // Before any op is told, and for hosts that a whole list does not name too.
     shared.upstreams.settle(|host| shared.router.borrow().accepts_attempts(host));
@@ -106,21 +106,21 @@
         }
     }
     if let Some(regions) = &shared.regions {
-        shared.metrics.regions(&regions.borrow());
+        shared.metrics.set_regions(&regions.borrow());
     }
-    page.generation
+    list.generation
 }
 
 /// What of a list the module is to hear where there are regions.
-fn in_ring(
+fn keep_ring_hosts(
     shared: &Shared,
-    regions: &mut Rings,
+    regions: &mut HostRegions,
     whole: bool,
     entries: Vec<ListedHost<HostDetails>>,
 ) -> Vec<ListedHost<HostDetails>> {
-    let passed = regions.apply(whole, entries);
-    for note in &passed.events {
-        match note {
+    let update = regions.apply(whole, entries);
+    for event in &update.events {
+        match event {
             RegionEvent::UnknownZone(zone) => {
                 shared.counters.regions_zones_unnamed.add();
                 let zone = zone.as_deref().map_or("no zone".to_owned(), |zone| format!("zone {zone:?}"));
@@ -132,13 +132,13 @@
             }
         }
     }
-    shared.counters.regions_hosts_in.add_many(passed.hosts_added);
-    shared.counters.regions_hosts_out.add_many(passed.hosts_removed);
-    passed.entries
+    shared.counters.regions_hosts_in.add_many(update.hosts_added);
+    shared.counters.regions_hosts_out.add_many(update.hosts_removed);
+    update.entries
 }
 
 /// A host as the module knows it, and its place for the servers.
-fn placed(shared: &Shared, entry: ListedHost<HostDetails>) -> Endpoint {
+fn register(shared: &Shared, entry: ListedHost<HostDetails>) -> Endpoint {
     let ListedHost { host, zone, origin, lifecycle, details } = entry;
     let listed = shared.names.borrow_mut().endpoint(&settings::EndpointRecord {
         host: &host,
@@ -147,7 +147,7 @@
         cell: details.cell,
         lifecycle,
         weight: details.weight,
-        started_at: details.started,
+        started_at: details.started_at,
     });
     let listed = Endpoint { origin, ..listed };
     if let Some(address) = details.address {
@@ -160,17 +160,21 @@
     listed
 }
 
-/// What ends a host's use is heard whatever else its entry says: a drain lost for an absurd address would break rule 3.
-fn bare(value: &serde_json::Value) -> Option<Instance> {
+/// What ends a host's use is read whatever else its entry says: a drain lost for an absurd address would break rule 3.
+fn ending_instance(value: &serde_json::Value) -> Option<Instance> {
     let word = |name: &str| value.get(name)?.as_str().map(str::to_owned);
     let lifecycle = word("lifecycle").filter(|lifecycle| lifecycle != "active")?;
     Some(Instance { instance_id: word("instanceId")?, lifecycle, ..Instance::default() })
 }
 
-fn entry(shared: &Shared, value: &serde_json::Value, now: Micros) -> Result<ListedHost<HostDetails>, String> {
+fn parse_instance(
+    shared: &Shared,
+    value: &serde_json::Value,
+    now: Micros,
+) -> Result<ListedHost<HostDetails>, String> {
     let instance = match Instance::deserialize(value) {
         Ok(instance) => instance,
-        Err(cause) => bare(value).ok_or_else(|| cause.to_string())?,
+        Err(cause) => ending_instance(value).ok_or_else(|| cause.to_string())?,
     };
     let lifecycle = match instance.lifecycle.as_str() {
         "active" => Lifecycle::Up,
@@ -187,8 +191,8 @@
     let started = match instance.started_at_ms {
         Some(ms) if ms != 0.0 => {
             let started =
-                Some(ms).filter(|ms| (0.0..1e15).contains(ms)).map(|ms| shared.clock.of_unix(micros(ms)));
-            let started = started.filter(|&started| started < now + AHEAD);
+                Some(ms).filter(|ms| (0.0..1e15).contains(ms)).map(|ms| shared.clock.from_unix(micros(ms)));
+            let started = started.filter(|&started| started < now + MAX_START_AHEAD);
             if started.is_none() && up {
                 return Err("an absurd start".to_owned());
             }
@@ -202,12 +206,12 @@
         zone: instance.zone.map(Into::into),
         origin: shared.names.borrow().is_origin(instance.machine_type.as_deref()),
         lifecycle,
-        details: HostDetails { address, started, weight, cell: instance.cell },
+        details: HostDetails { address, started_at: started, weight, cell: instance.cell },
     })
 }
 
 /// Watches for ever, and moves at once where discovery is said to be elsewhere: the call under way is given up
-/// and its connection closed, so that nothing is heard from two places.
+/// and its connection closed, so that nothing is taken from two places.
 pub async fn watch(
     shared: Rc<Shared>,
     mut discovery: watch::Receiver<SocketAddr>,
@@ -230,78 +234,78 @@
     let mut connection = None;
     loop {
         let began = Instant::now();
-        let next = began + APART;
+        let next = began + MIN_CALL_INTERVAL;
         log::debug!("asks discovery from {:?}", schedule.known_version());
-        match call(shared, &mut connection, address, schedule, began).await {
-            Ok(page) => {
+        match fetch(shared, &mut connection, address, schedule, began).await {
+            Ok(list) => {
                 if schedule.consecutive_failures() > 0 {
                     log::info!("discovery answers again");
                 }
-                let whole = page.reset || schedule.known_version().is_none();
-                let generation = take(shared, page, whole);
+                let whole = list.reset || schedule.known_version().is_none();
+                let generation = apply_list(shared, list, whole);
                 schedule.succeeded(generation, whole);
                 sleep_until(next).await;
             }
-            Err(trouble) => {
+            Err(error) => {
                 connection = None;
                 let counters = &shared.counters;
-                match trouble {
+                match error {
                     WatchError::Unavailable { .. } => counters.discovery_unavailable.add(),
                     WatchError::TimedOut(_) => counters.discovery_timeouts.add(),
                     WatchError::InvalidResponse(_) => counters.discovery_invalid.add(),
                 }
                 if schedule.consecutive_failures() == 0 {
-                    log::warn!("discovery: {}; the list stays as it is", trouble.cause());
+                    log::warn!("discovery: {}; the list stays as it is", error.cause());
                 }
-                sleep(span(schedule.failed(&trouble, took(began)))).await;
+                sleep(duration(schedule.failed(&error, elapsed(began)))).await;
             }
         }
     }
 }
 
-fn took(began: Instant) -> Micros {
+fn elapsed(began: Instant) -> Micros {
     began.elapsed().as_micros() as Micros
 }
 
-async fn call(
+async fn fetch(
     shared: &Shared,
     connection: &mut Option<UpstreamConnection>,
     discovery: SocketAddr,
     schedule: &WatchSchedule,
     began: Instant,
 ) -> Result<EndpointList, WatchError> {
-    let silent = |cause: std::io::Error| WatchError::TimedOut(cause.to_string());
-    let mute = |what: &str| WatchError::TimedOut(what.to_owned());
+    let io_error = |cause: std::io::Error| WatchError::TimedOut(cause.to_string());
+    let timed_out = |what: &str| WatchError::TimedOut(what.to_owned());
     let UpstreamConnection { stream, buffer, .. } = match connection {
         Some(open) => open,
         None => {
-            let until = began + span(schedule.response_timeout().min(schedule.call_timeout()));
-            // Its descriptor is set aside: where clients and hosts hold all others, a drain must be heard still.
-            let opening = shared.upstreams.open(None, discovery, until, MOST_BODY + 64 * 1024);
-            connection.insert(opening.await.map_err(silent)?)
+            let until = began + duration(schedule.response_timeout().min(schedule.call_timeout()));
+            // Its descriptor is set aside: where clients and hosts hold all others, a drain must be read still.
+            let opening = shared.upstreams.open(None, discovery, until, MAX_BODY_BYTES + 64 * 1024);
+            connection.insert(opening.await.map_err(io_error)?)
         }
     };
     let path = match schedule.known_version() {
-        Some(from) => format!("/v1/servers?from={from}&hold_ms={}", schedule.hold_for(took(began)) / 1000),
+        Some(from) => format!("/v1/servers?from={from}&hold_ms={}", schedule.hold_for(elapsed(began)) / 1000),
         None => "/v1/servers".to_owned(),
     };
     let request = http::request("GET", &path, &discovery.to_string(), &[], None);
-    let answer = timeout_at(began + span(schedule.call_timeout()), async {
-        stream.write_all(&request).await.map_err(silent)?;
+    let answer = timeout_at(began + duration(schedule.call_timeout()), async {
+        stream.write_all(&request).await.map_err(io_error)?;
         loop {
             match read(stream, buffer).await {
-                Ok(0) => return Err(mute("it closed the connection")),
+                Ok(0) => return Err(timed_out("it closed the connection")),
                 Ok(_) => {}
-                Err(cause) => return Err(silent(cause)),
+                Err(cause) => return Err(io_error(cause)),
             }
             if let Some(answer) =
-                http::answer(buffer.bytes(), MOST_BODY).map_err(WatchError::InvalidResponse)?
+                http::answer(buffer.bytes(), MAX_BODY_BYTES).map_err(WatchError::InvalidResponse)?
             {
                 return Ok(answer);
             }
         }
     });
-    let answer = answer.await.map_err(|_| mute("it is silent"))??;
+    let answer = answer.await.map_err(|_| timed_out("it is silent"))??;
     buffer.consume(answer.used);
     if !answer.keep {
         *connection = None;
--- a/balancer/src/downstream/mod.rs
+++ b/balancer/src/downstream/mod.rs
@@ -72,7 +72,7 @@
         // Never cut off between accepting and serving: a client that is let in must be heard.
         let accepted = tokio::select! {
             biased;
-            now = phase.wait_for(|now| !now.accepts()), if !ends => match now {
+            now = phase.wait_for(|now| !now.accepts_connections()), if !ends => match now {
                 // The platform's socket goes on, and another process takes what waits there.
                 Ok(now) if *now == Phase::Takeover => return,
                 _ => {
@@ -147,7 +147,7 @@
 
     fn end(&mut self) {
         if let Some((taken, outcome)) = self.ends.take() {
-            taken.ended(outcome);
+            taken.finish(outcome);
         }
     }
 
@@ -167,7 +167,7 @@
                 true
             }
             None => {
-                self.ends = self.ends.take().map(|(taken, _)| (taken, RequestOutcome::Errors));
+                self.ends = self.ends.take().map(|(taken, _)| (taken, RequestOutcome::Error));
                 self.end();
                 false
             }
@@ -368,7 +368,7 @@
         let half = !buffer.is_empty() || coming.is_some();
         let silent = !awaits_room && Instant::now() >= came + UNHEARD;
         let now = *phase.borrow_and_update();
-        leaving = leaving.or_else(|| Some(Instant::now())).filter(|_| now.sends_away());
+        leaving = leaving.or_else(|| Some(Instant::now())).filter(|_| now.drains_clients());
         let since = |from: Option<Instant>, span| from.is_some_and(|from| Instant::now() >= from + span);
         let late = coming.is_none() && since(leaving, LEAVING);
         let ends = match now {
@@ -531,7 +531,7 @@
             let outcome = match &answer {
                 FinalAnswer::Succeeded(_) => RequestOutcome::Ok,
                 FinalAnswer::Rejected { .. } => RequestOutcome::Shed,
-                FinalAnswer::Failed => RequestOutcome::Errors,
+                FinalAnswer::Failed => RequestOutcome::Error,
             };
             let text = written(&answer);
             let long = match answer {
@@ -563,7 +563,7 @@
                     let (answer, owed) = oneshot::channel();
                     let mut held = shared.budget.hold();
                     held.set(size);
-                    waiting.push_back(Waiting::Owed(owed, shared.metrics.take(ask.class)));
+                    waiting.push_back(Waiting::Owed(owed, shared.metrics.request_started(ask.class)));
                     spawn_local(serve_request(shared.clone(), request, ask, answer, held));
                     return true;
                 }
--- a/balancer/src/lifecycle.rs
+++ b/balancer/src/lifecycle.rs
@@ -10,7 +10,7 @@
     LameDuck,
     /// Told to end: takes what still comes, answers it, closes connections once they were of use.
     Draining,
-    /// Told to end where another process accepts: each connection is closed after its next answer.
+    /// Told to end where another process accepts_connections: each connection is closed after its next answer.
     Takeover,
     /// Nothing new is taken; connections are closed as soon as they are owed nothing.
     Closing,
@@ -22,11 +22,11 @@
 
 impl Phase {
     /// Clients are to go elsewhere.
-    pub fn sends_away(self) -> bool {
+    pub fn drains_clients(self) -> bool {
         !matches!(self, Phase::Starting | Phase::Serving)
     }
 
-    pub fn accepts(self) -> bool {
+    pub fn accepts_connections(self) -> bool {
         matches!(self, Phase::Starting | Phase::Serving | Phase::LameDuck | Phase::Draining)
     }
 }
--- a/balancer/src/listener.rs
+++ b/balancer/src/listener.rs
@@ -10,7 +10,7 @@
 ///
 /// # Errors
 /// One line with the address.
-pub fn bound(what: &str, address: SocketAddr) -> Result<TcpListener, String> {
+pub fn bind(field: &str, address: SocketAddr) -> Result<TcpListener, String> {
     let listen = || {
         let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
         // A restart takes its address over at once.
@@ -18,7 +18,7 @@
         socket.bind(address)?;
         socket.listen(1024)
     };
-    listen().map_err(|cause: std::io::Error| format!("{what} on {address}: {cause}"))
+    listen().map_err(|cause: std::io::Error| format!("{field} on {address}: {cause}"))
 }
 
 /// Serves a listening socket that was inherited as this descriptor. It is never shut down: that would end it for every
--- a/balancer/src/process.rs
+++ b/balancer/src/process.rs
@@ -11,12 +11,12 @@
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
 
 use basaltwood_connection_pool::ConnectionPools;
-use basaltwood_handover as knowledge;
+use basaltwood_handover as handover;
 use basaltwood_membership::{self as membership, WatchSchedule};
 
-use crate::admin::{self, Front};
+use crate::admin::{self, AdminServer};
 use crate::budget::ResourceBudget;
-use crate::clock::{span, Clock};
+use crate::clock::{duration, Clock};
 use crate::config::Config;
 use crate::counters::Counters;
 use crate::discovery;
@@ -25,35 +25,35 @@
 use crate::listener;
 use crate::metrics::Metrics;
 use crate::shared::Shared;
-use crate::takeover::{LimitShare, ProcessSlots};
+use crate::takeover::{LimitShare, ProcessSlot};
 use crate::upstream::Upstreams;
 
 /// Clients go on coming for a while after SIGTERM; so long they are taken in.
-const STILL_COMING: Duration = Duration::from_millis(600);
+const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(600);
 /// What was taken is answered for as long as the longest op may take, and no longer than this.
-const LAST_ANSWERS: Duration = Duration::from_millis(3_000);
+const MAX_ANSWER_TIME: Duration = Duration::from_millis(3_000);
 /// Operators kill a balancer so long after that time at the earliest.
-const KILLED: Duration = Duration::from_millis(700);
+const KILL_DELAY: Duration = Duration::from_millis(700);
 /// So long before that every op still open gets its final answer: one that may take longer than the process has must not go
 /// without, and what ends in that very instant has to be written too.
-const LAST_WORDS: Duration = Duration::from_millis(200);
+const FLUSH_TIME: Duration = Duration::from_millis(200);
 /// How often what was learnt is left for a process that may replace this one.
-const LEAVE: Duration = Duration::from_secs(1);
+const RECORD_INTERVAL: Duration = Duration::from_secs(1);
 /// Between looks at connections and timers at the most.
-const LOOK: Duration = Duration::from_millis(50);
+const MAX_TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 pub struct Process {
     phase: Rc<watch::Sender<Phase>>,
     shared: Rc<Shared>,
     listener: TcpListener,
     signals: Signals,
-    last_answers: Duration,
+    answer_time: Duration,
     /// The phase that a signal to end begins.
-    leaving: Phase,
+    stop_phase: Phase,
     /// Where discovery is, for the watch.
     discovery: watch::Sender<SocketAddr>,
     /// What runs from start to exit. None of it ends by itself but by a fault of its own.
-    parts: JoinSet<()>,
+    tasks: JoinSet<()>,
 }
 
 struct Signals {
@@ -68,37 +68,40 @@
     pub fn start(config: Config) -> Result<Process, String> {
         let clock = Rc::new(Clock::start());
         let longest = config.policy.classes.iter().map(|class| class.time_limit).max();
-        let last_answers = longest.map_or(LAST_ANSWERS, |longest| span(longest).min(LAST_ANSWERS));
+        let answer_time = longest.map_or(MAX_ANSWER_TIME, |longest| duration(longest).min(MAX_ANSWER_TIME));
         let counters = Rc::new(Counters::default());
-        let aside = config.mgmt.map_or(0, |_| admin::DESCRIPTORS);
+        let reserved_descriptors = config.admin.map_or(0, |_| admin::RESERVED_DESCRIPTORS);
         // Where another process may be at work, the least until that is known, and half of what can't change hands.
-        let (sockets, memory) = match config.inherited {
-            Some(_) => (LimitShare::Beginning.of(config.sockets), LimitShare::Half.of(config.memory)),
-            None => (config.sockets, config.memory),
+        let (sockets, memory) = match config.inherited_descriptor {
+            Some(_) => {
+                (LimitShare::Beginning.of(config.max_sockets), LimitShare::Half.of(config.memory_bytes))
+            }
+            None => (config.max_sockets, config.memory_bytes),
         };
-        let budget = ResourceBudget::new(sockets, aside, memory);
+        let budget = ResourceBudget::new(sockets, reserved_descriptors, memory);
         let pools = ConnectionPools::new(basaltwood_connection_pool::PoolConfig {
             seed: config.policy.seed,
             balancers: config.policy.balancers,
-            idle_timeout: config.limits.idle_timeout,
-            connect_timeout: config.limits.connect_timeout,
-            max_connections: config.sockets,
+            idle_timeout: config.runtime_limits.idle_timeout,
+            connect_timeout: config.runtime_limits.connect_timeout,
+            max_connections: config.max_sockets,
         });
-        let figures = Metrics::new(config.names.class_names());
-        let servers = Upstreams::new(
-            config.limits,
+        let metrics = Metrics::new(config.names.class_names());
+        let upstreams = Upstreams::new(
+            config.runtime_limits,
             pools,
             budget.clone(),
             counters.clone(),
-            figures.clone(),
+            metrics.clone(),
             clock.clone(),
         );
-        let most_held = config.limits.max_open_requests;
-        let shared = Shared::new(&config.policy, config.names, most_held, servers, clock, counters, budget);
-        if let Some(map) = &config.regions {
+        let max_open_requests = config.runtime_limits.max_open_requests;
+        let shared =
+            Shared::new(&config.policy, config.names, max_open_requests, upstreams, clock, counters, budget);
+        if let Some(map) = &config.region_map {
             log::info!("regions: map {:08x}, own region {:?}", map.version(), map.own());
         }
-        let shared = Rc::new(shared.with_regions(config.regions));
+        let shared = Rc::new(shared.with_regions(config.region_map));
         let phase = Rc::new(watch::Sender::new(Phase::Starting));
         let failed = |cause: std::io::Error| cause.to_string();
         let signals = Signals {
@@ -108,65 +111,66 @@
             // Taken over before it listens: until then SIGHUP would end the program.
             reload: signal(SignalKind::hangup()).map_err(failed)?,
         };
-        let known = discovery::take(&shared, config.known, true);
-        let listener = match config.inherited {
+        let known = discovery::apply_list(&shared, config.known_endpoints, true);
+        let listener = match config.inherited_descriptor {
             Some(descriptor) => listener::inherited(descriptor, config.listen)?,
-            None => listener::bound("listen", config.listen)?,
+            None => listener::bind("listen", config.listen)?,
         };
-        let mut parts = JoinSet::new();
-        if config.inherited.is_some() {
-            let slots = ProcessSlots::take(config.folder.as_deref(), config.listen);
-            match slots.found() {
-                Ok(learnt) => shared.router.borrow_mut().restore_limits(shared.clock.now(), learnt),
+        let mut tasks = JoinSet::new();
+        if config.inherited_descriptor.is_some() {
+            let slot = ProcessSlot::acquire(config.shared_folder.as_deref(), config.listen);
+            match slot.read_record() {
+                Ok(limits) => shared.router.borrow_mut().restore_limits(shared.clock.now(), limits),
                 Err(cause) => log::warn!("{cause}; it begins with nothing learnt"),
             }
-            parts.spawn_local(share(shared.clone(), slots, config.sockets, config.memory));
+            tasks.spawn_local(share_limits(shared.clone(), slot, config.max_sockets, config.memory_bytes));
         }
-        if let Some(address) = config.mgmt {
-            let listener = listener::bound("mgmt", address)?;
+        if let Some(address) = config.admin {
+            let listener = listener::bind("mgmt", address)?;
             log::info!("mgmt on {}", listener.local_addr().map_err(failed)?);
-            parts.spawn_local(Front::new(shared.clone(), phase.clone()).accept(listener));
+            tasks.spawn_local(AdminServer::new(shared.clone(), phase.clone()).accept(listener));
         }
         let discovery = watch::Sender::new(config.discovery);
-        let (seed, balancers) = (config.policy.seed, config.fleet);
-        let grace = config.limits.drain_grace;
+        let (seed, balancers) = (config.policy.seed, config.fleet_size);
+        let grace = config.runtime_limits.drain_grace;
         let schedule = WatchSchedule::new(membership::WatchConfig {
             seed,
             balancers,
             known_version: Some(known),
             drain_grace: grace,
         });
-        parts.spawn_local(discovery::watch(shared.clone(), discovery.subscribe(), schedule));
-        parts.spawn_local(tick(shared.clone()));
-        parts.spawn_local(shared.clone().forward_upstream_events());
+        tasks.spawn_local(discovery::watch(shared.clone(), discovery.subscribe(), schedule));
+        tasks.spawn_local(tick(shared.clone()));
+        tasks.spawn_local(shared.clone().forward_upstream_events());
         log::info!("{} listens on {}", config.name, listener.local_addr().map_err(failed)?);
-        let leaving = if config.inherited.is_some() { Phase::Takeover } else { Phase::Draining };
-        Ok(Process { phase, shared, listener, signals, last_answers, leaving, discovery, parts })
+        let stop_phase =
+            if config.inherited_descriptor.is_some() { Phase::Takeover } else { Phase::Draining };
+        Ok(Process { phase, shared, listener, signals, answer_time, stop_phase, discovery, tasks })
     }
 
     /// Goes through the phases that are left.
     pub async fn run(self) -> Result<(), String> {
-        let Process { phase, shared, listener, mut signals, last_answers, leaving, discovery, mut parts } =
+        let Process { phase, shared, listener, mut signals, answer_time, stop_phase, discovery, mut tasks } =
             self;
-        let enter = |now: Phase| {
-            phase.send_replace(now);
-            log::info!("{now:?}");
+        let enter = |next: Phase| {
+            phase.send_replace(next);
+            log::info!("{next:?}");
         };
         enter(Phase::Serving);
-        parts.spawn_local(downstream::accept(shared.clone(), listener, phase.subscribe()));
-        parts.spawn_local(print(shared.clone(), signals.print));
-        parts.spawn_local(reload(signals.reload, discovery));
+        tasks.spawn_local(downstream::accept(shared.clone(), listener, phase.subscribe()));
+        tasks.spawn_local(print_counters(shared.clone(), signals.print));
+        tasks.spawn_local(reload_config(signals.reload, discovery));
         let outcome = tokio::select! {
             _ = signals.end.recv() => Ok(()),
             _ = signals.interrupt.recv() => Ok(()),
             // Without its timers or its list a balancer would limp on unnoticed.
-            _ = parts.join_next() => Err("a part of the balancer failed; it ends".to_owned()),
+            _ = tasks.join_next() => Err("a part of the balancer failed; it ends".to_owned()),
         };
-        enter(leaving);
-        let end = Instant::now() + last_answers + KILLED - LAST_WORDS;
+        enter(stop_phase);
+        let end = Instant::now() + answer_time + KILL_DELAY - FLUSH_TIME;
         // Where others accept, nothing is gained by an early end, and halves are heard out.
-        if leaving == Phase::Draining {
-            sleep_until(end.min(Instant::now() + STILL_COMING)).await;
+        if stop_phase == Phase::Draining {
+            sleep_until(end.min(Instant::now() + ACCEPT_AFTER_SIGTERM)).await;
             enter(Phase::Closing);
         }
         // Each connection holds a receiver for as long as it lives, and ends once it owes nothing.
@@ -184,17 +188,18 @@
 }
 
 /// Keeps to the part of the limits that is this process's while another of the same balancer lives.
-async fn share(shared: Rc<Shared>, slots: ProcessSlots, sockets: usize, memory: usize) {
+async fn share_limits(shared: Rc<Shared>, slot: ProcessSlot, sockets: usize, memory: usize) {
     let mut before = None;
-    let mut left = Instant::now();
+    let mut recorded_at = Instant::now();
     loop {
-        let share = slots.share();
+        let share = slot.limit_share();
         // Of two it is the old one that has learnt, and its last record stands for as long as it is of use.
-        if share == LimitShare::Alone && left.elapsed() >= LEAVE {
-            left = Instant::now();
-            let record = knowledge::written(&shared.router.borrow().learned_limits());
+        if share == LimitShare::Alone && recorded_at.elapsed() >= RECORD_INTERVAL {
+            recorded_at = Instant::now();
+            let record = handover::written(&shared.router.borrow().learned_limits());
             // Without it the next process learns anew; a full folder must not end this one.
-            slots.leave(&record).unwrap_or_else(|cause| log::debug!("what was learnt is not left: {cause}"));
+            slot.write_record(&record)
+                .unwrap_or_else(|cause| log::debug!("what was learnt is not left: {cause}"));
         }
         if before.replace(share) != Some(share) {
             log::info!("of the limits: {share:?}");
@@ -204,21 +209,21 @@
         while shared.budget.over() > 0 && shared.upstreams.drop_idle() {}
         // Clients that stand idle make room for the rest, each for one.
         (0..shared.budget.over()).for_each(|_| shared.budget.shed());
-        sleep(LOOK).await;
+        sleep(MAX_TICK_INTERVAL).await;
     }
 }
 
 /// Prints the counters whenever it is asked to.
-async fn print(shared: Rc<Shared>, mut asked: Signal) {
-    while asked.recv().await.is_some() {
+async fn print_counters(shared: Rc<Shared>, mut signal: Signal) {
+    while signal.recv().await.is_some() {
         log::info!("{} {}", shared.counters, shared.upstreams.counted());
     }
 }
 
 /// Reads anew what it is told whenever it is asked to. Where discovery is takes effect at once, all else at the
 /// next start; a file that makes no sense changes nothing.
-async fn reload(mut asked: Signal, discovery: watch::Sender<SocketAddr>) {
-    while asked.recv().await.is_some() {
+async fn reload_config(mut signal: Signal, discovery: watch::Sender<SocketAddr>) {
+    while signal.recv().await.is_some() {
         match Config::read() {
             Ok(config) => {
                 log::info!("told anew: discovery at {}", config.discovery);
@@ -238,11 +243,11 @@
         shared.process_upstream_events();
         let due = shared.router.borrow_mut().tick(shared.clock.now());
         let pool = shared.router.borrow().pool_size();
-        shared.metrics.pool(pool);
+        shared.metrics.set_pool_size(pool);
         shared.wake_requests();
         match due {
-            Some(due) => sleep_until(shared.clock.at(due).min(Instant::now() + LOOK)).await,
-            None => sleep(LOOK).await,
+            Some(due) => sleep_until(shared.clock.at(due).min(Instant::now() + MAX_TICK_INTERVAL)).await,
+            None => sleep(MAX_TICK_INTERVAL).await,
         }
     }
 }
--- a/balancer/src/shared.rs
+++ b/balancer/src/shared.rs
@@ -14,7 +14,7 @@
 use crate::budget::ResourceBudget;
 use crate::clock::Clock;
 use crate::counters::Counters;
-use crate::discovery::Rings;
+use crate::discovery::HostRegions;
 use crate::metrics::Metrics;
 use crate::upstream::{UpstreamEvent, Upstreams};
 
@@ -25,7 +25,7 @@
     /// The deployment's names, and the numbers that the policy knows them by.
     pub names: RefCell<NameTable>,
     /// Which listed hosts make the ring; none where the operators gave no map of regions.
-    pub regions: Option<RefCell<Rings>>,
+    pub regions: Option<RefCell<HostRegions>>,
     /// Cache hosts and the origin, with the connections to them.
     pub upstreams: Rc<Upstreams>,
     /// The process's one clock.
@@ -69,7 +69,7 @@
 
     /// The endpoint list is filtered by this map of regions from now on.
     pub fn with_regions(self, map: Option<RegionMap>) -> Shared {
-        Shared { regions: map.map(|map| RefCell::new(Rings::new(map))), ..self }
+        Shared { regions: map.map(|map| RefCell::new(HostRegions::new(map))), ..self }
     }
 
     /// Wakes the tasks of requests for which something was decided while another request was reported on.
--- a/balancer/src/takeover.rs
+++ b/balancer/src/takeover.rs
@@ -8,15 +8,15 @@
 use std::time::{Duration, Instant};
 
 use basaltwood::types::LearnedLimit;
-use basaltwood_handover as knowledge;
+use basaltwood_handover as handover;
 
 /// A new process keeps to what the old one left free until that has made room.
-const SETTLING: Duration = Duration::from_millis(500);
+const SETTLING_TIME: Duration = Duration::from_millis(500);
 /// What is older than this was left before a kill, or by nobody of this balancer.
-const FRESH: Duration = Duration::from_secs(3);
+const MAX_RECORD_AGE: Duration = Duration::from_secs(3);
 /// At the start: a seat may be locked for a moment by the other's look.
-const TRIES: u32 = 20;
-const BETWEEN_TRIES: Duration = Duration::from_millis(2);
+const ACQUIRE_ATTEMPTS: u32 = 20;
+const ACQUIRE_INTERVAL: Duration = Duration::from_millis(2);
 
 /// How much of the limits this process may use now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,81 +38,85 @@
     }
 }
 
-pub struct ProcessSlots {
+pub struct ProcessSlot {
     /// The own seat, locked, and the other's file; none where the folder can't serve.
-    taken: Option<(File, PathBuf)>,
-    /// What the process that sits alone has learnt.
-    learnt: PathBuf,
-    since: Instant,
+    held: Option<(File, PathBuf)>,
+    /// What the process that is alone has learned.
+    record_path: PathBuf,
+    started_at: Instant,
 }
 
-impl ProcessSlots {
+impl ProcessSlot {
     /// Takes a seat of the balancer at this address in a folder. Without one nothing tells whether another process
     /// lives, so half is all there is.
-    pub fn take(folder: Option<&Path>, address: SocketAddr) -> ProcessSlots {
-        let since = Instant::now();
+    pub fn acquire(folder: Option<&Path>, address: SocketAddr) -> ProcessSlot {
+        let started_at = Instant::now();
         let Some(folder) = folder else {
             log::warn!("TMPDIR is not set; only half of the limits is used");
-            return ProcessSlots { taken: None, learnt: PathBuf::new(), since };
+            return ProcessSlot { held: None, record_path: PathBuf::new(), started_at };
         };
-        let learnt = folder.join(format!("basaltwood-{address}-learnt"));
+        let record_path = folder.join(format!("basaltwood-{address}-learnt"));
         let files = [0, 1].map(|seat| folder.join(format!("basaltwood-{address}-{seat}")));
-        for _ in 0..TRIES {
+        for _ in 0..ACQUIRE_ATTEMPTS {
             for own in 0..2 {
-                match lock(&files[own]) {
+                match try_lock(&files[own]) {
                     Ok(Some(seat)) => {
-                        return ProcessSlots { taken: Some((seat, files[1 - own].clone())), learnt, since }
+                        return ProcessSlot {
+                            held: Some((seat, files[1 - own].clone())),
+                            record_path,
+                            started_at,
+                        }
                     }
                     Ok(None) => {}
                     Err(cause) => {
                         log::warn!("{}: {cause}; only half of the limits is used", files[own].display());
-                        return ProcessSlots { taken: None, learnt, since };
+                        return ProcessSlot { held: None, record_path, started_at };
                     }
                 }
             }
-            std::thread::sleep(BETWEEN_TRIES);
+            std::thread::sleep(ACQUIRE_INTERVAL);
         }
         log::warn!("both seats in {} are taken; only half of the limits is used", folder.display());
-        ProcessSlots { taken: None, learnt, since }
+        ProcessSlot { held: None, record_path, started_at }
     }
 
-    /// Leaves what was learnt for a process that may come, whole or not at all.
-    pub fn leave(&self, record: &[u8]) -> io::Result<()> {
-        let fresh = self.learnt.with_extension("new");
+    /// Leaves what was learned for a process that may come, whole or not at all.
+    pub fn write_record(&self, record: &[u8]) -> io::Result<()> {
+        let fresh = self.record_path.with_extension("new");
         std::fs::write(&fresh, record)?;
-        std::fs::rename(&fresh, &self.learnt)
+        std::fs::rename(&fresh, &self.record_path)
     }
 
     /// What another process left a moment ago; nothing where none did.
     ///
     /// # Errors
     /// One line on what lies there and is of no use.
-    pub fn found(&self) -> Result<Vec<LearnedLimit>, String> {
-        let named = |cause: &dyn std::fmt::Display| format!("{}: {cause}", self.learnt.display());
-        let Ok(file) = std::fs::metadata(&self.learnt) else { return Ok(Vec::new()) };
+    pub fn read_record(&self) -> Result<Vec<LearnedLimit>, String> {
+        let named = |cause: &dyn std::fmt::Display| format!("{}: {cause}", self.record_path.display());
+        let Ok(file) = std::fs::metadata(&self.record_path) else { return Ok(Vec::new()) };
         let age = file.modified().map(|at| at.elapsed().unwrap_or_default());
-        if age.map_err(|cause| named(&cause))? > FRESH {
+        if age.map_err(|cause| named(&cause))? > MAX_RECORD_AGE {
             return Err(named(&"too old to be of use"));
         }
-        if file.len() > knowledge::LONGEST as u64 {
+        if file.len() > handover::LONGEST as u64 {
             return Err(named(&"too long a record"));
         }
-        let bytes = std::fs::read(&self.learnt).map_err(|cause| named(&cause))?;
-        knowledge::read(&bytes).map_err(|cause| named(&cause))
+        let bytes = std::fs::read(&self.record_path).map_err(|cause| named(&cause))?;
+        handover::read(&bytes).map_err(|cause| named(&cause))
     }
 
-    pub fn share(&self) -> LimitShare {
-        let Some((_, other)) = &self.taken else { return LimitShare::Half };
-        match lock(other) {
+    pub fn limit_share(&self) -> LimitShare {
+        let Some((_, other)) = &self.held else { return LimitShare::Half };
+        match try_lock(other) {
             Ok(Some(_)) => LimitShare::Alone,
-            _ if self.since.elapsed() < SETTLING => LimitShare::Beginning,
+            _ if self.started_at.elapsed() < SETTLING_TIME => LimitShare::Beginning,
             _ => LimitShare::Half,
         }
     }
 }
 
 /// Locks a seat; `None` where another process has it.
-fn lock(path: &Path) -> io::Result<Option<File>> {
+fn try_lock(path: &Path) -> io::Result<Option<File>> {
     let file = OpenOptions::new().create(true).truncate(false).write(true).open(path)?;
     match file.try_lock() {
         Ok(()) => Ok(Some(file)),
@@ -129,18 +133,19 @@
     fn two_seats_share_and_a_third_keeps_to_half() {
         let folder = std::env::temp_dir().join(format!("basaltwood-seats-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        let take = |folder: &Path| ProcessSlots::take(Some(folder), SocketAddr::from(([127, 0, 0, 1], 6379)));
+        let take =
+            |folder: &Path| ProcessSlot::acquire(Some(folder), SocketAddr::from(([127, 0, 0, 1], 6379)));
         let old = take(&folder);
-        assert_eq!(old.share(), LimitShare::Alone);
+        assert_eq!(old.limit_share(), LimitShare::Alone);
         let new = take(&folder);
-        assert_eq!(new.share(), LimitShare::Beginning);
-        let later = old.since.checked_sub(SETTLING).expect("some time has passed");
-        let old = ProcessSlots { since: later, ..old };
-        assert_eq!(old.share(), LimitShare::Half);
-        assert_eq!(take(&folder).share(), LimitShare::Half);
+        assert_eq!(new.limit_share(), LimitShare::Beginning);
+        let later = old.started_at.checked_sub(SETTLING_TIME).expect("some time has passed");
+        let old = ProcessSlot { started_at: later, ..old };
+        assert_eq!(old.limit_share(), LimitShare::Half);
+        assert_eq!(take(&folder).limit_share(), LimitShare::Half);
         drop(old);
-        assert_eq!(new.share(), LimitShare::Alone);
-        assert_eq!(take(Path::new("/nonexistent")).share(), LimitShare::Half);
+        assert_eq!(new.limit_share(), LimitShare::Alone);
+        assert_eq!(take(Path::new("/nonexistent")).limit_share(), LimitShare::Half);
         std::fs::remove_dir_all(&folder).expect("it goes");
         for whole in [32, 97, 384, 1024] {
             assert!(LimitShare::Alone.of(whole) + LimitShare::Beginning.of(whole) <= whole);
--- a/balancer/src/upstream/mod.rs
+++ b/balancer/src/upstream/mod.rs
@@ -27,7 +27,7 @@
 use tokio::time::{timeout, timeout_at, Instant};
 
 use crate::budget::{DescriptorPermit, ResourceBudget};
-use crate::clock::{span, Clock};
+use crate::clock::{duration, Clock};
 use crate::counters::Counters;
 use crate::metrics::Metrics;
 use crate::read;
@@ -387,7 +387,7 @@
         let address =
             self.hosts.borrow().get(&host).map(|place| place.address).ok_or(AttemptOutcome::NotSent)?;
         let permit = self.permit().ok_or(AttemptOutcome::NotSent)?;
-        let bound = Instant::now() + span(self.bounds.connect_timeout);
+        let bound = Instant::now() + duration(self.bounds.connect_timeout);
         let outcome = self.open(Some(permit), address, until.min(bound), MOST).await;
         opening.1 = None;
         let now = self.clock.now();
@@ -463,7 +463,7 @@
         }
         let id = held.id;
         self.pools.borrow_mut().request_sent(self.clock.now(), id);
-        self.metrics.tried();
+        self.metrics.attempt_sent();
         self.carrying.borrow_mut().insert(id, ticket);
         loop {
             let Some(link) = &mut held.link else { return (AttemptOutcome::NotSent, None) };
--- a/balancer/tests/config.rs
+++ b/balancer/tests/config.rs
@@ -21,7 +21,7 @@
         let file = if map.is_empty() { "".into() } else { write("regions.toml", &text) };
         std::env::set_var("BASALTWOOD_REGIONS", file);
         let read = Config::read().expect("it makes sense");
-        told.push((read.regions.is_some(), read.policy.balancers, read.fleet));
+        told.push((read.region_map.is_some(), read.policy.balancers, read.fleet_size));
     }
     assert_eq!(told, [(false, 2, 2), (true, 519, 2), (true, 2, 2)]);
 }
