--- a/balancer/src/config.rs
+++ b/balancer/src/config.rs
@@ -1,7 +1,7 @@
-//! What a balancer is told at its start, from the file that PROXY_CONFIG names, and the operators' map of
-//! regions.
+//! The configuration that a balancer reads at its start, and again at SIGHUP: the JSON file that `PROXY_CONFIG`
+//! names, variables of the environment, and the operators' map of regions.
 
-use std::io::ErrorKind;
+use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -12,16 +12,83 @@
 
 use crate::discovery::EndpointList;
 
-/// Where the map of regions is looked for, from the working directory, unless `$BASALTWOOD_REGIONS` names
-/// another file.
+/// The map of regions, from the working directory, unless `$BASALTWOOD_REGIONS` names another file.
 const DEFAULT_REGION_MAP: &str = "deploy/regions.toml";
+/// What `limits.memory_mb` may be, in MB.
+const MEMORY_MB: std::ops::Range<f64> = 8.0..1e9;
+/// The least that `limits.sockets` may be.
+const MIN_SOCKETS: usize = 32;
+
+/// Why there is no configuration to start with, or to change to. It displays as one line that names the file and
+/// the field or line.
+#[derive(Debug, thiserror::Error)]
+pub enum ConfigError {
+    /// The variable that names the configuration file is missing.
+    #[error("PROXY_CONFIG is not set")]
+    NotSet,
+    /// The configuration file can't be read.
+    #[error("PROXY_CONFIG {path}: {cause}")]
+    Unreadable {
+        /// The file, as `PROXY_CONFIG` names it.
+        path: String,
+        /// What the system says.
+        cause: io::Error,
+    },
+    /// The configuration file, or a variable that belongs to it, holds what is of no use.
+    #[error("PROXY_CONFIG {path}: {cause}")]
+    Invalid {
+        /// The file, as `PROXY_CONFIG` names it.
+        path: String,
+        /// The field and what is wrong with it.
+        cause: InvalidConfig,
+    },
+    /// The map of regions is there, or was named, and can't be read.
+    #[error("{file}: {cause}: mend $BASALTWOOD_REGIONS or the file, or remove both")]
+    UnreadableRegionMap {
+        /// The map's file.
+        file: String,
+        /// What the system says.
+        cause: io::Error,
+    },
+    /// The map of regions contradicts itself or its form.
+    #[error("{0}")]
+    InvalidRegionMap(String),
+}
+
+/// What is wrong in the configuration file, or in a variable of the environment that belongs to it.
+#[derive(Debug, thiserror::Error)]
+pub enum InvalidConfig {
+    /// No JSON, or a field of the wrong type.
+    #[error(transparent)]
+    Json(#[from] serde_path_to_error::Error<serde_json::Error>),
+    /// A field that is to be an address with a port.
+    #[error("{field} {text:?} is no address with a port")]
+    Address {
+        /// The field's name in the file.
+        field: &'static str,
+        /// What it holds.
+        text: String,
+    },
+    /// `PROXY_INHERITED_FD` is no number.
+    #[error("PROXY_INHERITED_FD {text:?} is no descriptor's number")]
+    Descriptor {
+        /// What it holds.
+        text: String,
+    },
+    /// The process could not serve within its limits.
+    #[error("limits: at least 8 MB and 32 sockets are needed")]
+    Limits,
+    /// The operators' settings object makes no sense.
+    #[error("{0}")]
+    Settings(String),
+}
 
 #[derive(Deserialize)]
 struct ConfigFile {
     name: String,
     listen: String,
     discovery: String,
-    /// Where operators call; without it none can.
+    /// Where operators call; without it, and without `PROXY_MGMT`, none can.
     #[serde(default, rename = "mgmt")]
     admin: Option<String>,
     seed: String,
@@ -45,49 +112,60 @@
     }
 }
 
+impl ResourceLimits {
+    fn suffice(&self) -> bool {
+        MEMORY_MB.contains(&self.memory_mb) && self.sockets >= MIN_SOCKETS
+    }
+
+    fn memory_bytes(&self) -> usize {
+        (self.memory_mb * 1024.0 * 1024.0) as usize
+    }
+}
+
+/// All that a balancer is configured with.
 pub struct Config {
+    /// The balancer's name in the log.
     pub name: String,
+    /// Where clients connect.
     pub listen: SocketAddr,
+    /// Where the list of hosts is watched.
     pub discovery: SocketAddr,
+    /// Where operators call; none can without it.
     pub admin: Option<SocketAddr>,
-    /// The clients' listening socket, where the platform holds it.
+    /// The descriptor of the clients' listening socket, where the platform holds it.
     pub inherited_descriptor: Option<u16>,
     /// A folder that every process of this balancer sees.
     pub shared_folder: Option<PathBuf>,
+    /// The memory that the process is to keep to, in bytes.
     pub memory_bytes: usize,
+    /// The descriptors that the process is to keep to.
     pub max_sockets: usize,
+    /// The hosts that serve until discovery answers.
     pub known_endpoints: EndpointList,
-    /// For the module and the pools: its balancers are those that a host deals with, the own region's where the
-    /// map says.
+    /// For the policy and the connection pools. Its number of balancers is of those that a host deals with: the own
+    /// region's, where the map of regions says how many these are.
     pub policy: PolicyConfig,
     /// All balancers that ask discovery as this one does.
     pub fleet_size: u32,
-    /// None where there are no regions.
+    /// None where the operators gave no map of regions.
     pub region_map: Option<RegionMap>,
+    /// The deployment's names, and the numbers that the policy knows them by.
     pub names: NameTable,
+    /// Bounds of connections and open requests.
     pub runtime_limits: RuntimeLimits,
 }
 
-/// Reads the operators' map; none where there is no file and none was named.
-fn read_region_map(named: Option<String>) -> Result<Option<RegionMap>, String> {
-    let file = named.as_deref().unwrap_or(DEFAULT_REGION_MAP);
-    match std::fs::read_to_string(file) {
-        Ok(text) => RegionMap::parse(file, &text).map(Some),
-        Err(cause) if named.is_none() && cause.kind() == ErrorKind::NotFound => Ok(None),
-        Err(cause) => Err(format!("{file}: {cause}: mend $BASALTWOOD_REGIONS or the file, or remove both")),
-    }
-}
-
-/// A variable of the environment; an empty one is none.
-fn env_variable(name: &str) -> Option<String> {
-    std::env::var(name).ok().filter(|text| !text.is_empty())
-}
-
 impl Config {
-    pub fn read() -> Result<Config, String> {
-        let path = std::env::var("PROXY_CONFIG").map_err(|_| "PROXY_CONFIG is not set".to_owned())?;
-        let text = std::fs::read_to_string(&path).map_err(|cause| format!("PROXY_CONFIG {path}: {cause}"))?;
-        let mut config = Config::parse(&text).map_err(|cause| format!("PROXY_CONFIG {path}: {cause}"))?;
+    /// Reads the configuration from the environment and the files that it names.
+    ///
+    /// # Errors
+    /// [`ConfigError`] where a file is missing, can't be read, or makes no sense.
+    pub fn read() -> Result<Config, ConfigError> {
+        let path = std::env::var("PROXY_CONFIG").map_err(|_| ConfigError::NotSet)?;
+        let mut config = match std::fs::read_to_string(&path) {
+            Ok(text) => Config::parse(&text).map_err(|cause| ConfigError::Invalid { path, cause })?,
+            Err(cause) => return Err(ConfigError::Unreadable { path, cause }),
+        };
         config.region_map = read_region_map(env_variable("BASALTWOOD_REGIONS"))?;
         if let Some(balancers) = config.region_map.as_ref().and_then(RegionMap::balancers) {
             config.policy.balancers = balancers;
@@ -95,37 +173,23 @@
         Ok(config)
     }
 
-    fn parse(text: &str) -> Result<Config, String> {
-        // The line names the field too: a place in a file of one line helps nobody.
+    fn parse(text: &str) -> Result<Config, InvalidConfig> {
+        // The message names the field too: a line and column in a file of one line helps nobody.
         let reader = &mut serde_json::Deserializer::from_str(text);
-        let file: ConfigFile = serde_path_to_error::deserialize(reader).map_err(|cause| cause.to_string())?;
-        let address = |what: &str, text: &str| {
-            text.parse::<SocketAddr>().map_err(|_| format!("{what} {text:?} is no address with a port"))
-        };
+        let file: ConfigFile = serde_path_to_error::deserialize(reader)?;
         let admin = file.admin.or_else(|| env_variable("PROXY_MGMT"));
-        let admin = admin.map(|text| address("mgmt", &text)).transpose()?;
-        let inherited_descriptor = env_variable("PROXY_INHERITED_FD").map(|text| {
-            text.parse().map_err(|_| format!("PROXY_INHERITED_FD {text:?} is no descriptor's number"))
-        });
-        let seed = u64::from_str_radix(&file.seed, 16).unwrap_or_else(|_| RingPosition::of(&file.seed).0);
-        if !(8.0..1e9).contains(&file.limits.memory_mb) || file.limits.sockets < 32 {
-            return Err("limits: at least 8 MB and 32 sockets are needed".to_owned());
+        let admin = admin.map(|text| parse_address("mgmt", &text)).transpose()?;
+        if !file.limits.suffice() {
+            return Err(InvalidConfig::Limits);
         }
-        let mut policy = file.settings.policy_config(seed)?;
-        file.settings
-            .ignored_capabilities()
-            .iter()
-            .for_each(|what| log::info!("allowed and not used, {what}"));
-        // Calling a push off closes its connection, since none can be told from the next on it: the host works on
-        // all the same, and the next push waits for a new one. So a push runs on, and ends as what it was.
-        policy.capabilities.cancellation = false;
+        let policy = policy_config(&file.settings, &file.seed)?;
         Ok(Config {
-            listen: address("listen", &file.listen)?,
-            discovery: address("discovery", &file.discovery)?,
+            listen: parse_address("listen", &file.listen)?,
+            discovery: parse_address("discovery", &file.discovery)?,
             admin,
-            inherited_descriptor: inherited_descriptor.transpose()?,
+            inherited_descriptor: inherited_descriptor()?,
             shared_folder: env_variable("TMPDIR").map(PathBuf::from),
-            memory_bytes: (file.limits.memory_mb * 1024.0 * 1024.0) as usize,
+            memory_bytes: file.limits.memory_bytes(),
             max_sockets: file.limits.sockets,
             known_endpoints: file.known,
             fleet_size: policy.balancers,
@@ -137,3 +201,46 @@
         })
     }
 }
+
+/// A variable of the environment; an empty one counts as not set.
+fn env_variable(name: &str) -> Option<String> {
+    std::env::var(name).ok().filter(|text| !text.is_empty())
+}
+
+fn parse_address(field: &'static str, text: &str) -> Result<SocketAddr, InvalidConfig> {
+    text.parse().map_err(|_| InvalidConfig::Address { field, text: text.to_owned() })
+}
+
+fn inherited_descriptor() -> Result<Option<u16>, InvalidConfig> {
+    let Some(text) = env_variable("PROXY_INHERITED_FD") else { return Ok(None) };
+    let descriptor = text.parse().map_err(|_| InvalidConfig::Descriptor { text })?;
+    Ok(Some(descriptor))
+}
+
+/// The policy's parameters. A seed that is no hexadecimal number is hashed as a name is.
+fn policy_config(settings: &OperatorSettings, seed: &str) -> Result<PolicyConfig, InvalidConfig> {
+    let seed = u64::from_str_radix(seed, 16).unwrap_or_else(|_| RingPosition::of(seed).0);
+    let policy = settings.policy_config(seed).map_err(|cause| InvalidConfig::Settings(cause.to_string()));
+    let mut policy = policy?;
+    for capability in settings.ignored_capabilities() {
+        log::info!("allowed and not used, {capability}");
+    }
+    // A host can't tell a cancelled attempt from the next one on its connection, so cancelling would close the
+    // connection: the host works on all the same, and the next attempt waits for a new connection. So an attempt
+    // runs on, and its outcome counts as what it was.
+    policy.capabilities.cancellation = false;
+    Ok(policy)
+}
+
+/// Reads the operators' map of regions; none where no file was named and none lies at the default place.
+fn read_region_map(named: Option<String>) -> Result<Option<RegionMap>, ConfigError> {
+    let file = named.as_deref().unwrap_or(DEFAULT_REGION_MAP);
+    match std::fs::read_to_string(file) {
+        Ok(text) => match RegionMap::parse(file, &text) {
+            Ok(map) => Ok(Some(map)),
+            Err(cause) => Err(ConfigError::InvalidRegionMap(cause.to_string())),
+        },
+        Err(cause) if named.is_none() && cause.kind() == io::ErrorKind::NotFound => Ok(None),
+        Err(cause) => Err(ConfigError::UnreadableRegionMap { file: file.to_owned(), cause }),
+    }
+}
