--- /dev/null
+++ b/balancer/src/discovery/client.rs
@@ -0,0 +1,130 @@
+//! One call to discovery, over HTTP/1.1, on a connection that is kept from call to call.
+
+use std::io;
+use std::net::SocketAddr;
+
+use basaltwood::types::Micros;
+use basaltwood_membership::{WatchError, WatchSchedule};
+use basaltwood_wire::buffer::Buffer;
+use basaltwood_wire::http::{self, Answer};
+use tokio::io::AsyncWriteExt;
+use tokio::net::TcpStream;
+use tokio::time::{timeout_at, Instant};
+
+use super::EndpointList;
+use crate::clock::duration;
+use crate::read;
+use crate::shared::Shared;
+use crate::upstream::UpstreamConnection;
+
+/// The longest list that is read, in bytes.
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
+/// What an answer's head may take beside the list, in bytes.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
+
+/// Discovery at one address.
+pub struct DiscoveryClient {
+    address: SocketAddr,
+    /// Kept while calls succeed.
+    connection: Option<UpstreamConnection>,
+}
+
+impl DiscoveryClient {
+    /// A client that has no connection yet.
+    pub fn new(address: SocketAddr) -> DiscoveryClient {
+        DiscoveryClient { address, connection: None }
+    }
+
+    /// Asks for what changed since the version that the schedule knows, or for the whole list. The call began at
+    /// `began`, and is bounded by the schedule's timeouts from then on. A connection on which a call failed is closed.
+    pub async fn fetch(
+        &mut self,
+        shared: &Shared,
+        schedule: &WatchSchedule,
+        began: Instant,
+    ) -> Result<EndpointList, WatchError> {
+        let list = self.call(shared, schedule, began).await;
+        if list.is_err() {
+            self.connection = None;
+        }
+        list
+    }
+
+    async fn call(
+        &mut self,
+        shared: &Shared,
+        schedule: &WatchSchedule,
+        began: Instant,
+    ) -> Result<EndpointList, WatchError> {
+        let connection = match &mut self.connection {
+            Some(open) => open,
+            none => none.insert(connect(shared, self.address, schedule, began).await?),
+        };
+        let path = request_path(schedule, began);
+        let request = http::request("GET", &path, &self.address.to_string(), &[], None);
+        let call_ends = began + duration(schedule.call_timeout());
+        let UpstreamConnection { stream, buffer, .. } = connection;
+        let answer = match timeout_at(call_ends, exchange(stream, buffer, &request)).await {
+            Ok(answer) => answer?,
+            Err(_) => return Err(WatchError::TimedOut("it is silent".to_owned())),
+        };
+        buffer.consume(answer.used);
+        if !answer.keep {
+            self.connection = None;
+        }
+        read_list(&answer)
+    }
+}
+
+async fn connect(
+    shared: &Shared,
+    address: SocketAddr,
+    schedule: &WatchSchedule,
+    began: Instant,
+) -> Result<UpstreamConnection, WatchError> {
+    let until = began + duration(schedule.response_timeout().min(schedule.call_timeout()));
+    // Its descriptor is set aside, as no budget is asked for one: where clients and hosts hold all others, a drain
+    // must be read still.
+    let opening = shared.upstreams.open(None, address, until, MAX_BODY_BYTES + MAX_HEAD_BYTES);
+    opening.await.map_err(connection_failed)
+}
+
+/// The list as it is, or what changes after the known version: discovery holds that call while nothing does.
+fn request_path(schedule: &WatchSchedule, began: Instant) -> String {
+    let Some(version) = schedule.known_version() else { return "/v1/servers".to_owned() };
+    let connecting_took = began.elapsed().as_micros() as Micros;
+    let hold_ms = schedule.hold_for(connecting_took) / 1000;
+    format!("/v1/servers?from={version}&hold_ms={hold_ms}")
+}
+
+async fn exchange(stream: &mut TcpStream, buffer: &mut Buffer, request: &[u8]) -> Result<Answer, WatchError> {
+    stream.write_all(request).await.map_err(connection_failed)?;
+    loop {
+        let bytes_read = read(stream, buffer).await.map_err(connection_failed)?;
+        if bytes_read == 0 {
+            return Err(WatchError::TimedOut("it closed the connection".to_owned()));
+        }
+        let answer = http::answer(buffer.bytes(), MAX_BODY_BYTES).map_err(WatchError::InvalidResponse)?;
+        if let Some(answer) = answer {
+            return Ok(answer);
+        }
+    }
+}
+
+/// A connection that fails is no answer: what is known of the list still holds.
+fn connection_failed(cause: io::Error) -> WatchError {
+    WatchError::TimedOut(cause.to_string())
+}
+
+fn read_list(answer: &Answer) -> Result<EndpointList, WatchError> {
+    match answer.status {
+        200 => serde_json::from_slice(&answer.body)
+            .map_err(|cause| WatchError::InvalidResponse(cause.to_string())),
+        // It is asked for more than it can serve, or it is broken: calling again at once would make that worse.
+        429 | 500.. => {
+            let retry_after = answer.retry_after.map(|seconds| Micros::from(seconds) * 1_000_000);
+            Err(WatchError::Unavailable { cause: format!("status {}", answer.status), retry_after })
+        }
+        status => Err(WatchError::InvalidResponse(format!("status {status}"))),
+    }
+}
--- /dev/null
+++ b/balancer/src/discovery/endpoints.rs
@@ -0,0 +1,254 @@
+//! The list of hosts: the form in which discovery writes it, and how it is applied.
+
+use std::net::SocketAddr;
+
+use basaltwood::types::{Endpoint, Lifecycle, Micros};
+use basaltwood_regions::{ListedHost, RegionEvent, Regions};
+use basaltwood_settings::{self as settings, micros};
+use serde::Deserialize;
+
+use crate::shared::Shared;
+
+/// A start that lies further ahead than this is no host's.
+const MAX_START_AHEAD: Micros = 3_600_000_000;
+/// Starts as discovery may give them, in ms since 1970: past these a number is no time.
+const START_MS: std::ops::Range<f64> = 0.0..1e15;
+/// Weights that a host may have; one with another counts as having none.
+const WEIGHTS: std::ops::Range<f64> = 1e-3..1e6;
+/// How much of an entry that is refused the log shows.
+const MAX_LOGGED_CHARS: usize = 200;
+
+/// The list, or changes to it, as discovery writes it. Entries are read one by one, so that an invalid one spoils no
+/// other.
+#[derive(Default, Deserialize)]
+pub struct EndpointList {
+    /// The list's version.
+    generation: u64,
+    /// It names every host that there is.
+    #[serde(default)]
+    reset: bool,
+    #[serde(default)]
+    instances: Vec<serde_json::Value>,
+}
+
+impl EndpointList {
+    /// Whether it names every host that there is, and not changes only.
+    pub fn is_whole(&self) -> bool {
+        self.reset
+    }
+}
+
+#[derive(Default, Deserialize)]
+#[serde(rename_all = "camelCase")]
+struct Instance {
+    instance_id: String,
+    #[serde(default)]
+    host_port: String,
+    #[serde(default)]
+    zone: Option<String>,
+    #[serde(default)]
+    machine_type: Option<String>,
+    #[serde(default)]
+    cell: Option<u32>,
+    lifecycle: String,
+    #[serde(default)]
+    weight: Option<f64>,
+    #[serde(default)]
+    started_at_ms: Option<f64>,
+}
+
+/// Why an entry of the list is left out.
+#[derive(Debug, thiserror::Error)]
+enum InvalidInstance {
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    #[error("unknown lifecycle {0}")]
+    Lifecycle(String),
+    #[error("{0:?} is no address with a port")]
+    Address(String),
+    #[error("an absurd start")]
+    Start,
+}
+
+/// What an entry says of a host beside its name, zone and lifecycle.
+#[derive(Clone)]
+pub struct HostDetails {
+    /// None where no new attempts go to the host.
+    address: Option<SocketAddr>,
+    /// On this process's clock.
+    started_at: Option<Micros>,
+    weight: Option<f64>,
+    cell: Option<u32>,
+}
+
+/// Which listed hosts make this balancer's ring.
+pub type HostRegions = Regions<HostDetails>;
+
+/// Applies a list to the policy and to the connections to hosts; `whole` where it names every host that there is. The
+/// list's version.
+pub fn apply_list(shared: &Shared, list: EndpointList, whole: bool) -> u64 {
+    let now = shared.clock.now();
+    let hosts = valid_hosts(shared, list.instances, now);
+    let listed = hosts.len();
+    // A host outside the ring gets no number, and so nothing else.
+    let hosts = match &shared.regions {
+        Some(regions) => keep_ring_hosts(shared, &mut regions.borrow_mut(), whole, hosts),
+        None => hosts,
+    };
+    let endpoints: Vec<Endpoint> = hosts.into_iter().map(|host| register(shared, host)).collect();
+    shared.counters.endpoint_lists.add();
+    log::debug!("list {}: {} entries{}", list.generation, listed, if whole { ", all there are" } else { "" });
+    shared.router.borrow_mut().update_endpoints(now, whole, endpoints);
+    // Before any request's task runs, and also for hosts that a whole list does not name.
+    shared.upstreams.settle(|host| shared.router.borrow().accepts_attempts(host));
+    shared.wake_requests();
+    forget_released_hosts(shared);
+    if let Some(regions) = &shared.regions {
+        shared.metrics.set_regions(&regions.borrow());
+    }
+    list.generation
+}
+
+/// The entries that make sense; the others are counted and logged.
+fn valid_hosts(
+    shared: &Shared,
+    instances: Vec<serde_json::Value>,
+    now: Micros,
+) -> Vec<ListedHost<HostDetails>> {
+    let mut hosts = Vec::with_capacity(instances.len());
+    for value in instances {
+        match parse_instance(shared, &value, now) {
+            Ok(host) => hosts.push(host),
+            Err(cause) => {
+                shared.counters.endpoints_refused.add();
+                let shown: String = value.to_string().chars().take(MAX_LOGGED_CHARS).collect();
+                log::warn!("list entry {shown}: {cause}");
+            }
+        }
+    }
+    hosts
+}
+
+/// What of a list the policy is to be told where there are regions.
+fn keep_ring_hosts(
+    shared: &Shared,
+    regions: &mut HostRegions,
+    whole: bool,
+    hosts: Vec<ListedHost<HostDetails>>,
+) -> Vec<ListedHost<HostDetails>> {
+    let update = regions.apply(whole, hosts);
+    for event in &update.events {
+        match event {
+            RegionEvent::UnknownZone(zone) => {
+                shared.counters.regions_zones_unnamed.add();
+                let zone = zone.as_deref().map_or("no zone".to_owned(), |zone| format!("zone {zone:?}"));
+                log::warn!("regions: the list has hosts of {zone}, which no region names: not used here");
+            }
+            RegionEvent::RingChanged { before, now } => {
+                shared.counters.regions_rings.add();
+                log::warn!("regions: the ring is region {now:?} from now on, {before:?} before");
+            }
+        }
+    }
+    shared.counters.regions_hosts_in.add_many(update.hosts_added);
+    shared.counters.regions_hosts_out.add_many(update.hosts_removed);
+    update.entries
+}
+
+/// The host as the policy knows it. Its address goes to the upstream connections.
+fn register(shared: &Shared, host: ListedHost<HostDetails>) -> Endpoint {
+    let ListedHost { host: name, zone, origin, lifecycle, details } = host;
+    let endpoint = shared.names.borrow_mut().endpoint(&settings::EndpointRecord {
+        host: &name,
+        zone: zone.as_deref(),
+        kind: None,
+        cell: details.cell,
+        lifecycle,
+        weight: details.weight,
+        started_at: details.started_at,
+    });
+    if let Some(address) = details.address {
+        shared.upstreams.place(endpoint.host, address, origin);
+    }
+    if lifecycle != Lifecycle::Up {
+        let ends = if lifecycle == Lifecycle::Draining { "leaving" } else { "left" };
+        log::debug!("host {} ({name}) is {ends}", endpoint.host.0);
+    }
+    Endpoint { origin, ..endpoint }
+}
+
+/// Drops what is known of hosts that have gone: hosts come and go all day.
+fn forget_released_hosts(shared: &Shared) {
+    for host in shared.router.borrow().released_hosts() {
+        let mut names = shared.names.borrow_mut();
+        // The policy names every host whose number is free, also those whose names were forgotten before.
+        if names.hosts.forget(host.0) {
+            if let Some(regions) = &shared.regions {
+                regions.borrow_mut().forget(&names.hosts.texts[host.0 as usize]);
+            }
+            shared.upstreams.forget(host);
+            shared.counters.hosts_released.add();
+        }
+    }
+}
+
+fn parse_instance(
+    shared: &Shared,
+    value: &serde_json::Value,
+    now: Micros,
+) -> Result<ListedHost<HostDetails>, InvalidInstance> {
+    let instance = match Instance::deserialize(value) {
+        Ok(instance) => instance,
+        Err(cause) => ending_instance(value).ok_or(cause)?,
+    };
+    let lifecycle = match instance.lifecycle.as_str() {
+        "active" => Lifecycle::Up,
+        "leaving" => Lifecycle::Draining,
+        "left" => Lifecycle::Gone,
+        _ => return Err(InvalidInstance::Lifecycle(instance.lifecycle)),
+    };
+    let address = instance.host_port.parse::<SocketAddr>().ok().filter(|address| address.port() > 0);
+    let started_at = start_time(shared, instance.started_at_ms, now);
+    // A host that gets no new attempts needs no address, and no start.
+    if lifecycle == Lifecycle::Up {
+        if address.is_none() {
+            return Err(InvalidInstance::Address(instance.host_port));
+        }
+        if started_at.is_err() {
+            return Err(InvalidInstance::Start);
+        }
+    }
+    let weight = instance.weight.filter(|weight| WEIGHTS.contains(weight));
+    Ok(ListedHost {
+        host: instance.instance_id.into(),
+        zone: instance.zone.map(Into::into),
+        origin: shared.names.borrow().is_origin(instance.machine_type.as_deref()),
+        lifecycle,
+        details: HostDetails { address, started_at: started_at.unwrap_or(None), weight, cell: instance.cell },
+    })
+}
+
+/// An entry that ends a host's use counts whatever else it says: a drain that is lost for an invalid address would
+/// break rule 3.
+fn ending_instance(value: &serde_json::Value) -> Option<Instance> {
+    let text = |name: &str| value.get(name)?.as_str().map(str::to_owned);
+    let lifecycle = text("lifecycle").filter(|lifecycle| lifecycle != "active")?;
+    Some(Instance { instance_id: text("instanceId")?, lifecycle, ..Instance::default() })
+}
+
+/// A host's start on this process's clock; 0 ms counts as not told.
+fn start_time(
+    shared: &Shared,
+    started_at_ms: Option<f64>,
+    now: Micros,
+) -> Result<Option<Micros>, InvalidInstance> {
+    let Some(ms) = started_at_ms.filter(|&ms| ms != 0.0) else { return Ok(None) };
+    if !START_MS.contains(&ms) {
+        return Err(InvalidInstance::Start);
+    }
+    let started_at = shared.clock.from_unix(micros(ms));
+    if started_at >= now + MAX_START_AHEAD {
+        return Err(InvalidInstance::Start);
+    }
+    Ok(Some(started_at))
+}
--- /dev/null
+++ b/balancer/src/discovery/watch.rs
@@ -0,0 +1,129 @@
+//! The watch: calls discovery for as long as the process lives, and applies each list that comes.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use basaltwood::types::Micros;
+use basaltwood_membership::{WatchError, WatchSchedule};
+use tokio::sync::watch;
+use tokio::time::{sleep_until, Instant};
+
+use super::client::DiscoveryClient;
+use super::{apply_list, EndpointList};
+use crate::clock::duration;
+use crate::shared::Shared;
+
+/// From the beginning of one call to the beginning of the next at least: a discovery that holds no call must not
+/// keep the balancer busy.
+const MIN_CALL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// The watch of the list, at whichever address discovery has.
+pub struct ListWatch {
+    shared: Rc<Shared>,
+    address: watch::Receiver<SocketAddr>,
+    schedule: WatchSchedule,
+}
+
+/// The watch at one address.
+struct WatchAt<'a> {
+    shared: &'a Shared,
+    schedule: &'a mut WatchSchedule,
+    client: DiscoveryClient,
+    state: WatchState,
+}
+
+enum WatchState {
+    /// A call is due, or under way.
+    Calling,
+    /// The next call begins at this time.
+    Pausing(Instant),
+}
+
+impl ListWatch {
+    /// A watch whose first call is made as soon as it runs.
+    pub fn new(
+        shared: Rc<Shared>,
+        address: watch::Receiver<SocketAddr>,
+        schedule: WatchSchedule,
+    ) -> ListWatch {
+        ListWatch { shared, address, schedule }
+    }
+
+    /// Watches for ever. Where discovery's address changes the call under way is cancelled and its connection closed,
+    /// so that nothing is taken from two places.
+    pub async fn run(mut self) {
+        loop {
+            let address = *self.address.borrow_and_update();
+            let watch_at = WatchAt {
+                shared: &self.shared,
+                schedule: &mut self.schedule,
+                client: DiscoveryClient::new(address),
+                state: WatchState::Calling,
+            };
+            tokio::select! {
+                () = watch_at.run() => {}
+                moved = self.address.changed() => match moved {
+                    Ok(()) => self.schedule.discovery_moved(),
+                    Err(_) => return,
+                },
+            }
+        }
+    }
+}
+
+impl WatchAt<'_> {
+    /// Goes from call to pause and back, for ever.
+    async fn run(mut self) {
+        loop {
+            self.state = match self.state {
+                WatchState::Calling => WatchState::Pausing(self.call().await),
+                WatchState::Pausing(until) => {
+                    sleep_until(until).await;
+                    WatchState::Calling
+                }
+            };
+        }
+    }
+
+    /// Makes one call; when the next one is due.
+    async fn call(&mut self) -> Instant {
+        let began = Instant::now();
+        log::debug!("asks discovery from {:?}", self.schedule.known_version());
+        match self.client.fetch(self.shared, self.schedule, began).await {
+            Ok(list) => {
+                self.succeeded(list);
+                began + MIN_CALL_INTERVAL
+            }
+            Err(error) => {
+                let pause = self.failed(&error, began);
+                Instant::now() + duration(pause)
+            }
+        }
+    }
+
+    fn succeeded(&mut self, list: EndpointList) {
+        if self.schedule.consecutive_failures() > 0 {
+            log::info!("discovery answers again");
+        }
+        let whole = list.is_whole() || self.schedule.known_version().is_none();
+        let version = apply_list(self.shared, list, whole);
+        self.schedule.succeeded(version, whole);
+    }
+
+    /// The list stays as it is; how long to wait before the next call.
+    fn failed(&mut self, error: &WatchError, began: Instant) -> Micros {
+        let counters = &self.shared.counters;
+        match error {
+            WatchError::Unavailable { .. } => counters.discovery_unavailable.add(),
+            WatchError::TimedOut(_) => counters.discovery_timeouts.add(),
+            WatchError::InvalidResponse(_) => counters.discovery_invalid.add(),
+        }
+        // The first of a series only: a discovery that is down must not fill the log.
+        if self.schedule.consecutive_failures() == 0 {
+            log::warn!("discovery: {}; the list stays as it is", error.cause());
+        }
+        let call_took = began.elapsed().as_micros() as Micros;
+        self.schedule.failed(error, call_took)
+    }
+}
--- a/balancer/src/process.rs
+++ b/balancer/src/process.rs
@@ -19,7 +19,7 @@
 use crate::clock::{duration, Clock};
 use crate::config::Config;
 use crate::counters::Counters;
-use crate::discovery;
+use crate::discovery::{self, ListWatch};
 use crate::downstream;
 use crate::lifecycle::Phase;
 use crate::listener;
@@ -139,7 +139,8 @@
             known_version: Some(known),
             drain_grace: grace,
         });
-        tasks.spawn_local(discovery::watch(shared.clone(), discovery.subscribe(), schedule));
+        let list_watch = ListWatch::new(shared.clone(), discovery.subscribe(), schedule);
+        tasks.spawn_local(list_watch.run());
         tasks.spawn_local(tick(shared.clone()));
         tasks.spawn_local(shared.clone().forward_upstream_events());
         log::info!("{} listens on {}", config.name, listener.local_addr().map_err(failed)?);
--- a/balancer/tests/sockets.rs
+++ b/balancer/tests/sockets.rs
@@ -401,7 +401,7 @@
     discovery.tell(&entries);
     trace.push(discovery.peer.next());
     for _ in absurd {
-        trace.push(after(&program.logged("list entry"), "discovery] "));
+        trace.push(after(&program.logged("list entry"), "endpoints] "));
     }
     trace.push(ask("id2"));
     // The draining host's idle connection was closed.
