--- a/balancer/src/takeover.rs
+++ b/balancer/src/takeover.rs
@@ -1,7 +1,8 @@
-//! Two processes of one balancer, while one replaces the other, share its limits. Each takes a seat, a locked file in a folder
-//! that both see: the lock ends with its process, killed or not, where a file with its number would lie.
+//! Two processes of one balancer, while one replaces the other, share its limits. Each holds a slot, a locked file in
+//! a folder that both see: the lock ends with its process, killed or not, where a file with the process's number would
+//! be left behind. The process that is alone records the limits that it learned, and a new one begins with them.
 
-use std::fs::{File, OpenOptions};
+use std::fs::{File, OpenOptions, TryLockError};
 use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -10,11 +11,14 @@
 use basaltwood::types::LearnedLimit;
 use basaltwood_handover as handover;
 
-/// A new process keeps to what the old one left free until that has made room.
+#[cfg(test)]
+mod tests;
+
+/// For so long a new process keeps to what the old one left free: the old one needs that time to come down to half.
 const SETTLING_TIME: Duration = Duration::from_millis(500);
-/// What is older than this was left before a kill, or by nobody of this balancer.
+/// An older record was left before a kill, or by no process of this balancer.
 const MAX_RECORD_AGE: Duration = Duration::from_secs(3);
-/// At the start: a seat may be locked for a moment by the other's look.
+/// How often a slot is tried for at the start: it may be locked for a moment while the other process looks at it.
 const ACQUIRE_ATTEMPTS: u32 = 20;
 const ACQUIRE_INTERVAL: Duration = Duration::from_millis(2);
 
@@ -23,12 +27,14 @@
 pub enum LimitShare {
     /// All but what a new process begins with.
     Alone,
-    /// What the old one left.
+    /// What the old process left free.
     Beginning,
+    /// Two processes live, or nothing tells whether they do.
     Half,
 }
 
 impl LimitShare {
+    /// This share of a limit.
     pub fn of(self, whole: usize) -> usize {
         match self {
             LimitShare::Alone => whole - whole / 3,
@@ -38,76 +44,90 @@
     }
 }
 
+/// This process's place among the processes of its balancer.
 pub struct ProcessSlot {
-    /// The own seat, locked, and the other's file; none where the folder can't serve.
-    held: Option<(File, PathBuf)>,
-    /// What the process that is alone has learned.
-    record_path: PathBuf,
+    /// None where the folder can't serve.
+    held: Option<HeldSlot>,
+    /// The record of learned limits; none without a folder.
+    record: Option<PathBuf>,
     started_at: Instant,
 }
 
+struct HeldSlot {
+    /// Locked for as long as it is open.
+    _own: File,
+    /// The slot of the other process.
+    other: PathBuf,
+}
+
+/// Why this process has no slot.
+#[derive(Debug, thiserror::Error)]
+enum SlotError {
+    #[error("TMPDIR is not set")]
+    NoFolder,
+    #[error("{}: {cause}", path.display())]
+    Unusable { path: PathBuf, cause: io::Error },
+    #[error("both slots in {} are taken", folder.display())]
+    AllTaken { folder: PathBuf },
+}
+
+/// A record of learned limits that is of no use: its file and why.
+#[derive(Debug, thiserror::Error)]
+#[error("{}: {cause}", path.display())]
+pub struct RecordError {
+    path: PathBuf,
+    cause: UnusableRecord,
+}
+
+#[derive(Debug, thiserror::Error)]
+enum UnusableRecord {
+    #[error("too old to be of use")]
+    TooOld,
+    #[error("too long a record")]
+    TooLong,
+    #[error(transparent)]
+    Unreadable(#[from] io::Error),
+    #[error("{0}")]
+    Malformed(String),
+}
+
 impl ProcessSlot {
-    /// Takes a seat of the balancer at this address in a folder. Without one nothing tells whether another process
-    /// lives, so half is all there is.
+    /// Takes a slot of the balancer at this address in a folder. Without one nothing tells whether another process
+    /// lives, so this one uses half of the limits.
     pub fn acquire(folder: Option<&Path>, address: SocketAddr) -> ProcessSlot {
         let started_at = Instant::now();
-        let Some(folder) = folder else {
-            log::warn!("TMPDIR is not set; only half of the limits is used");
-            return ProcessSlot { held: None, record_path: PathBuf::new(), started_at };
-        };
-        let record_path = folder.join(format!("basaltwood-{address}-learnt"));
-        let files = [0, 1].map(|seat| folder.join(format!("basaltwood-{address}-{seat}")));
-        for _ in 0..ACQUIRE_ATTEMPTS {
-            for own in 0..2 {
-                match try_lock(&files[own]) {
-                    Ok(Some(seat)) => {
-                        return ProcessSlot {
-                            held: Some((seat, files[1 - own].clone())),
-                            record_path,
-                            started_at,
-                        }
-                    }
-                    Ok(None) => {}
-                    Err(cause) => {
-                        log::warn!("{}: {cause}; only half of the limits is used", files[own].display());
-                        return ProcessSlot { held: None, record_path, started_at };
-                    }
-                }
-            }
-            std::thread::sleep(ACQUIRE_INTERVAL);
-        }
-        log::warn!("both seats in {} are taken; only half of the limits is used", folder.display());
-        ProcessSlot { held: None, record_path, started_at }
+        let held = HeldSlot::acquire(folder, address)
+            .inspect_err(|cause| log::warn!("{cause}; only half of the limits is used"))
+            .ok();
+        let record = folder.map(|folder| folder.join(format!("basaltwood-{address}-learnt")));
+        ProcessSlot { held, record, started_at }
     }
 
-    /// Leaves what was learned for a process that may come, whole or not at all.
-    pub fn write_record(&self, record: &[u8]) -> io::Result<()> {
-        let fresh = self.record_path.with_extension("new");
-        std::fs::write(&fresh, record)?;
-        std::fs::rename(&fresh, &self.record_path)
+    /// Records learned limits for a process that may replace this one, whole or not at all.
+    ///
+    /// # Errors
+    /// What the system says where the folder takes no file.
+    pub fn write_record(&self, bytes: &[u8]) -> io::Result<()> {
+        let Some(record) = &self.record else { return Ok(()) };
+        let unfinished = record.with_extension("new");
+        std::fs::write(&unfinished, bytes)?;
+        std::fs::rename(&unfinished, record)
     }
 
-    /// What another process left a moment ago; nothing where none did.
+    /// The limits that another process recorded a moment ago; nothing where none did.
     ///
     /// # Errors
-    /// One line on what lies there and is of no use.
-    pub fn read_record(&self) -> Result<Vec<LearnedLimit>, String> {
-        let named = |cause: &dyn std::fmt::Display| format!("{}: {cause}", self.record_path.display());
-        let Ok(file) = std::fs::metadata(&self.record_path) else { return Ok(Vec::new()) };
-        let age = file.modified().map(|at| at.elapsed().unwrap_or_default());
-        if age.map_err(|cause| named(&cause))? > MAX_RECORD_AGE {
-            return Err(named(&"too old to be of use"));
-        }
-        if file.len() > handover::LONGEST as u64 {
-            return Err(named(&"too long a record"));
-        }
-        let bytes = std::fs::read(&self.record_path).map_err(|cause| named(&cause))?;
-        handover::read(&bytes).map_err(|cause| named(&cause))
+    /// One line on a record that is there and of no use.
+    pub fn read_record(&self) -> Result<Vec<LearnedLimit>, RecordError> {
+        let Some(path) = &self.record else { return Ok(Vec::new()) };
+        let Ok(metadata) = std::fs::metadata(path) else { return Ok(Vec::new()) };
+        read_fresh_record(path, &metadata).map_err(|cause| RecordError { path: path.clone(), cause })
     }
 
+    /// This process's share of the limits, by whether another process holds the other slot now.
     pub fn limit_share(&self) -> LimitShare {
-        let Some((_, other)) = &self.held else { return LimitShare::Half };
-        match try_lock(other) {
+        let Some(held) = &self.held else { return LimitShare::Half };
+        match try_lock(&held.other) {
             Ok(Some(_)) => LimitShare::Alone,
             _ if self.started_at.elapsed() < SETTLING_TIME => LimitShare::Beginning,
             _ => LimitShare::Half,
@@ -115,41 +135,43 @@
     }
 }
 
-/// Locks a seat; `None` where another process has it.
+impl HeldSlot {
+    fn acquire(folder: Option<&Path>, address: SocketAddr) -> Result<HeldSlot, SlotError> {
+        let folder = folder.ok_or(SlotError::NoFolder)?;
+        let slot = |number: u32| folder.join(format!("basaltwood-{address}-{number}"));
+        for _ in 0..ACQUIRE_ATTEMPTS {
+            for (own, other) in [(slot(0), slot(1)), (slot(1), slot(0))] {
+                match try_lock(&own) {
+                    Ok(Some(file)) => return Ok(HeldSlot { _own: file, other }),
+                    Ok(None) => {}
+                    Err(cause) => return Err(SlotError::Unusable { path: own, cause }),
+                }
+            }
+            std::thread::sleep(ACQUIRE_INTERVAL);
+        }
+        Err(SlotError::AllTaken { folder: folder.to_owned() })
+    }
+}
+
+/// Locks a slot's file for as long as the result is open; none where another process holds it.
 fn try_lock(path: &Path) -> io::Result<Option<File>> {
     let file = OpenOptions::new().create(true).truncate(false).write(true).open(path)?;
     match file.try_lock() {
         Ok(()) => Ok(Some(file)),
-        Err(std::fs::TryLockError::WouldBlock) => Ok(None),
-        Err(std::fs::TryLockError::Error(cause)) => Err(cause),
+        Err(TryLockError::WouldBlock) => Ok(None),
+        Err(TryLockError::Error(cause)) => Err(cause),
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn two_seats_share_and_a_third_keeps_to_half() {
-        let folder = std::env::temp_dir().join(format!("basaltwood-seats-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
-        let take =
-            |folder: &Path| ProcessSlot::acquire(Some(folder), SocketAddr::from(([127, 0, 0, 1], 6379)));
-        let old = take(&folder);
-        assert_eq!(old.limit_share(), LimitShare::Alone);
-        let new = take(&folder);
-        assert_eq!(new.limit_share(), LimitShare::Beginning);
-        let later = old.started_at.checked_sub(SETTLING_TIME).expect("some time has passed");
-        let old = ProcessSlot { started_at: later, ..old };
-        assert_eq!(old.limit_share(), LimitShare::Half);
-        assert_eq!(take(&folder).limit_share(), LimitShare::Half);
-        drop(old);
-        assert_eq!(new.limit_share(), LimitShare::Alone);
-        assert_eq!(take(Path::new("/nonexistent")).limit_share(), LimitShare::Half);
-        std::fs::remove_dir_all(&folder).expect("it goes");
-        for whole in [32, 97, 384, 1024] {
-            assert!(LimitShare::Alone.of(whole) + LimitShare::Beginning.of(whole) <= whole);
-            assert!(2 * LimitShare::Half.of(whole) <= whole);
-        }
+fn read_fresh_record(path: &Path, metadata: &std::fs::Metadata) -> Result<Vec<LearnedLimit>, UnusableRecord> {
+    // One that was written ahead of the clock counts as new.
+    let age = metadata.modified()?.elapsed().unwrap_or_default();
+    if age > MAX_RECORD_AGE {
+        return Err(UnusableRecord::TooOld);
+    }
+    if metadata.len() > handover::LONGEST as u64 {
+        return Err(UnusableRecord::TooLong);
     }
+    let bytes = std::fs::read(path)?;
+    handover::read(&bytes).map_err(|cause| UnusableRecord::Malformed(cause.to_string()))
 }
