--- a/balancer/src/clock.rs
+++ b/balancer/src/clock.rs
@@ -33,7 +33,7 @@
 
     /// A Unix time on this clock. The wall clock is read at the start only: were it read again after somebody set it,
     /// the same start of a host would look like a new one.
-    pub fn from_unix(&self, unix: Micros) -> Micros {
+    pub fn time_at_unix(&self, unix: Micros) -> Micros {
         unix - self.unix_at_start
     }
 }
--- a/balancer/src/discovery/endpoints.rs
+++ b/balancer/src/discovery/endpoints.rs
@@ -246,7 +246,7 @@
     if !START_MS.contains(&ms) {
         return Err(InvalidInstance::Start);
     }
-    let started_at = shared.clock.from_unix(micros(ms));
+    let started_at = shared.clock.time_at_unix(micros(ms));
     if started_at >= now + MAX_START_AHEAD {
         return Err(InvalidInstance::Start);
     }
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -21,21 +21,36 @@
 use std::io;
 
 use basaltwood_wire::buffer::Buffer;
+use process::Process;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
 pub use config::{Config, ConfigError, InvalidConfig};
+pub use listener::{InheritedError, ListenError};
+pub use process::StartError;
 
-/// Serves until it is told to end (SIGTERM, SIGINT), on a runtime of its own in this thread.
+/// Why [`run`] ended other than by a signal. It displays as one line.
+#[derive(Debug, thiserror::Error)]
+pub enum RunError {
+    /// The system gives no runtime.
+    #[error("the runtime: {0}")]
+    Runtime(io::Error),
+    /// The process could not start, so it served nobody.
+    #[error(transparent)]
+    Start(#[from] StartError),
+    /// A task that runs from start to exit ended. Open requests got their final answers all the same.
+    #[error("a part of the balancer failed; it ends")]
+    TaskFailed,
+}
+
+/// Serves until a signal to end (SIGTERM, SIGINT), on a runtime of its own in this thread.
 ///
 /// # Errors
-/// One line where it can't listen, or where a part of it failed.
-pub fn run(config: Config) -> Result<(), String> {
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .map_err(|cause| format!("the runtime: {cause}"))?;
+/// [`RunError`] where it can't listen, or where a part of it failed.
+pub fn run(config: Config) -> Result<(), RunError> {
+    let mut builder = tokio::runtime::Builder::new_current_thread();
+    let runtime = builder.enable_all().build().map_err(RunError::Runtime)?;
     let local = tokio::task::LocalSet::new();
-    local.block_on(&runtime, async { process::Process::start(config)?.run().await })
+    local.block_on(&runtime, async { Process::start(config)?.run().await })
 }
 
 /// Reads once into a connection's buffer; 0 at the end of the stream. Nothing is lost where this is cancelled.
--- /dev/null
+++ b/balancer/src/process/start.rs
@@ -0,0 +1,148 @@
+//! The phase `Starting`: puts the process together. The known list serves from the first request on.
+
+use std::io;
+use std::rc::Rc;
+use std::time::Duration;
+
+use basaltwood::types::PolicyConfig;
+use basaltwood_connection_pool::{ConnectionPools, PoolConfig};
+use basaltwood_membership::{WatchConfig, WatchSchedule};
+use basaltwood_settings::{NameTable, RuntimeLimits};
+use tokio::sync::watch;
+use tokio::task::JoinSet;
+
+use super::limit_sharing::LimitSharing;
+use super::{tasks, Process, Shutdown, Signals};
+use crate::admin::{self, AdminServer};
+use crate::budget::ResourceBudget;
+use crate::clock::{duration, Clock};
+use crate::config::Config;
+use crate::counters::Counters;
+use crate::discovery::{self, ListWatch};
+use crate::lifecycle::Phase;
+use crate::listener::{self, ListenError};
+use crate::metrics::Metrics;
+use crate::shared::Shared;
+use crate::takeover::{LimitShare, ProcessSlot};
+use crate::upstream::Upstreams;
+
+/// Accepted requests are answered for as long as the longest one may take, and no longer than this.
+const MAX_ANSWER_TIME: Duration = Duration::from_millis(3_000);
+
+/// Why the process does not start. It displays as one line.
+#[derive(Debug, thiserror::Error)]
+pub enum StartError {
+    /// It can't listen.
+    #[error(transparent)]
+    Listen(#[from] ListenError),
+    /// The system refuses a signal's handler, or a socket's address.
+    #[error(transparent)]
+    System(#[from] io::Error),
+}
+
+impl Process {
+    /// Puts the process together, with the known list in force, and listens.
+    ///
+    /// # Errors
+    /// [`StartError`] where it can't listen, or the system refuses something.
+    pub fn start(config: Config) -> Result<Process, StartError> {
+        let shutdown = Shutdown::new(&config);
+        let budget = resource_budget(&config);
+        let pools = connection_pools(&config);
+        let shared = shared_state(&config.policy, config.names, config.runtime_limits, pools, budget);
+        if let Some(map) = &config.region_map {
+            log::info!("regions: map {:08x}, own region {:?}", map.version(), map.own());
+        }
+        let shared = Rc::new(shared.with_regions(config.region_map));
+        let signals = Signals::register()?;
+        let known_version = discovery::apply_list(&shared, config.known_endpoints, true);
+        let listener = match config.inherited_descriptor {
+            Some(descriptor) => listener::inherited(descriptor, config.listen)?,
+            None => listener::bind("listen", config.listen)?,
+        };
+        let mut tasks = JoinSet::new();
+        if config.inherited_descriptor.is_some() {
+            let slot = ProcessSlot::acquire(config.shared_folder.as_deref(), config.listen);
+            restore_limits(&shared, &slot);
+            let sharing = LimitSharing::new(shared.clone(), slot, config.max_sockets, config.memory_bytes);
+            tasks.spawn_local(sharing.run());
+        }
+        if let Some(address) = config.admin {
+            let listener = listener::bind("mgmt", address)?;
+            log::info!("mgmt on {}", listener.local_addr()?);
+            tasks.spawn_local(AdminServer::new(shared.clone(), shutdown.phase.clone()).accept(listener));
+        }
+        let discovery = watch::Sender::new(config.discovery);
+        let schedule = WatchSchedule::new(WatchConfig {
+            seed: config.policy.seed,
+            balancers: config.fleet_size,
+            known_version: Some(known_version),
+            drain_grace: config.runtime_limits.drain_grace,
+        });
+        let list_watch = ListWatch::new(shared.clone(), discovery.subscribe(), schedule);
+        tasks.spawn_local(list_watch.run());
+        tasks.spawn_local(tasks::tick(shared.clone()));
+        tasks.spawn_local(shared.clone().forward_upstream_events());
+        log::info!("{} listens on {}", config.name, listener.local_addr()?);
+        Ok(Process { shared, listener, signals, shutdown, discovery, tasks })
+    }
+}
+
+impl Shutdown {
+    fn new(config: &Config) -> Shutdown {
+        let time_limits = config.policy.classes.iter().map(|class| class.time_limit);
+        let longest = time_limits.max().map_or(MAX_ANSWER_TIME, duration);
+        Shutdown {
+            phase: Rc::new(watch::Sender::new(Phase::Starting)),
+            first_phase: match config.inherited_descriptor {
+                Some(_) => Phase::Takeover,
+                None => Phase::Draining,
+            },
+            answer_time: longest.min(MAX_ANSWER_TIME),
+        }
+    }
+}
+
+/// Where another process of this balancer may be at work: what that one leaves free of the descriptors until it is
+/// known whether it is, and half of the memory, of which a part can't change hands.
+fn resource_budget(config: &Config) -> Rc<ResourceBudget> {
+    let (sockets, memory_bytes) = match config.inherited_descriptor {
+        Some(_) => (LimitShare::Beginning.of(config.max_sockets), LimitShare::Half.of(config.memory_bytes)),
+        None => (config.max_sockets, config.memory_bytes),
+    };
+    let reserved_descriptors = if config.admin.is_some() { admin::RESERVED_DESCRIPTORS } else { 0 };
+    ResourceBudget::new(sockets, reserved_descriptors, memory_bytes)
+}
+
+fn connection_pools(config: &Config) -> ConnectionPools {
+    ConnectionPools::new(PoolConfig {
+        seed: config.policy.seed,
+        balancers: config.policy.balancers,
+        idle_timeout: config.runtime_limits.idle_timeout,
+        connect_timeout: config.runtime_limits.connect_timeout,
+        max_connections: config.max_sockets,
+    })
+}
+
+/// What connections and requests share, before there are any.
+fn shared_state(
+    policy: &PolicyConfig,
+    names: NameTable,
+    limits: RuntimeLimits,
+    pools: ConnectionPools,
+    budget: Rc<ResourceBudget>,
+) -> Shared {
+    let clock = Rc::new(Clock::start());
+    let counters = Rc::new(Counters::default());
+    let metrics = Metrics::new(names.class_names());
+    let upstreams = Upstreams::new(limits, pools, budget.clone(), counters.clone(), metrics, clock.clone());
+    Shared::new(policy, names, limits.max_open_requests, upstreams, clock, counters, budget)
+}
+
+/// Begins with the limits that the process which this one replaces learned.
+fn restore_limits(shared: &Shared, slot: &ProcessSlot) {
+    match slot.read_record() {
+        Ok(limits) => shared.router.borrow_mut().restore_limits(shared.clock.now(), limits),
+        Err(cause) => log::warn!("{cause}; it begins with no learned limits"),
+    }
+}
--- /dev/null
+++ b/balancer/src/process/tasks.rs
@@ -0,0 +1,56 @@
+//! Small tasks that run from start to exit.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::signal::unix::Signal;
+use tokio::sync::watch;
+use tokio::time::{sleep_until, Instant};
+
+use crate::config::Config;
+use crate::shared::Shared;
+
+/// From one look at connections and timers to the next at most.
+const MAX_TICK_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Prints the counters at each of these signals.
+pub async fn print_counters(shared: Rc<Shared>, mut signal: Signal) {
+    while signal.recv().await.is_some() {
+        log::info!("{} {}", shared.counters, shared.upstreams.counted());
+    }
+}
+
+/// Reads the configuration again at each of these signals. Discovery's address takes effect at once, all else at the
+/// next start; an invalid configuration changes nothing.
+pub async fn reload_config(mut signal: Signal, discovery: watch::Sender<SocketAddr>) {
+    while signal.recv().await.is_some() {
+        match Config::read() {
+            Ok(config) => {
+                log::info!("configuration reloaded: discovery at {}", config.discovery);
+                discovery.send_if_modified(|address| {
+                    let moved = *address != config.discovery;
+                    *address = config.discovery;
+                    moved
+                });
+            }
+            Err(cause) => log::warn!("{cause}; all stays as it is"),
+        }
+    }
+}
+
+/// Looks after connections and has the policy's timers run, in this order: a stop of this process itself must be known
+/// before any host's silence is judged.
+pub async fn tick(shared: Rc<Shared>) {
+    loop {
+        shared.upstreams.tick();
+        shared.process_upstream_events();
+        let due = shared.router.borrow_mut().tick(shared.clock.now());
+        let pool_size = shared.router.borrow().pool_size();
+        shared.metrics.set_pool_size(pool_size);
+        shared.wake_requests();
+        let latest = Instant::now() + MAX_TICK_INTERVAL;
+        let next = due.map_or(latest, |due| shared.clock.at(due).min(latest));
+        sleep_until(next).await;
+    }
+}
