--- a/admin/src/lib.rs
+++ b/admin/src/lib.rs
@@ -3,7 +3,7 @@
 
 use std::fmt::Write;
 
-use basaltwood_wire::http::{self, Refused};
+use basaltwood_wire::http;
 use bytes::Bytes;
 
 /// The largest body that a call may bring; none of them needs one.
@@ -22,7 +22,7 @@
 
 /// Why a call is none, as HTTP tells it.
 #[derive(Debug, PartialEq, Eq)]
-pub struct RequestError {
+pub struct AdminRequestError {
     pub status: u16,
     /// The method that would do.
     pub allow: Option<&'static str>,
@@ -39,15 +39,15 @@
 ///
 /// # Errors
 /// What is to be answered where it can become none any more.
-pub fn parse_request(bytes: &[u8]) -> Result<Option<AdminRequest>, RequestError> {
-    let refused = |status, allow| Err(RequestError { status, allow });
-    let request = match http::asked(bytes, MAX_BODY_BYTES) {
+pub fn parse_request(bytes: &[u8]) -> Result<Option<AdminRequest>, AdminRequestError> {
+    let refused = |status, allow| Err(AdminRequestError { status, allow });
+    let request = match http::parse_request(bytes, MAX_BODY_BYTES) {
         Ok(Some(request)) => request,
         Ok(None) => return Ok(None),
-        Err(Refused::Senseless(_)) => return refused(400, None),
-        Err(Refused::NoLength) => return refused(411, None),
-        Err(Refused::BodyTooLong) => return refused(413, None),
-        Err(Refused::HeadTooLong) => return refused(431, None),
+        Err(http::RequestError::Malformed(_)) => return refused(400, None),
+        Err(http::RequestError::LengthRequired) => return refused(411, None),
+        Err(http::RequestError::BodyTooLong) => return refused(413, None),
+        Err(http::RequestError::HeadTooLong) => return refused(431, None),
     };
     let path = request.path.split('?').next().unwrap_or_default();
     match ROUTES.iter().find(|route| route.0 == path) {
@@ -62,14 +62,14 @@
     render_response(status, None, text)
 }
 
-pub fn error_response(error: &RequestError) -> Bytes {
+pub fn error_response(error: &AdminRequestError) -> Bytes {
     render_response(error.status, error.allow, "")
 }
 
 fn render_response(status: u16, allow: Option<&str>, text: &str) -> Bytes {
     let mut headers = vec![("Content-Type", "text/plain; version=0.0.4"), ("Connection", "close")];
     headers.extend(allow.map(|method| ("Allow", method)));
-    http::answered(status, &headers, text.as_bytes())
+    http::encode_response(status, &headers, text.as_bytes())
 }
 
 /// Figures in Prometheus' text format.
--- a/balancer/src/admin.rs
+++ b/balancer/src/admin.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use basaltwood_admin::{
-    error_response, parse_request, response, AdminRequest, RequestError, MAX_REQUEST_BYTES,
+    error_response, parse_request, response, AdminRequest, AdminRequestError, MAX_REQUEST_BYTES,
 };
 use basaltwood_wire::buffer::Buffer;
 use bytes::Bytes;
@@ -106,7 +106,7 @@
                 match read(&mut stream, &mut buffer).await {
                     Ok(1..) => {}
                     Err(cause) if cause.kind() == std::io::ErrorKind::InvalidData => {
-                        return Some(Err(RequestError { status: 431, allow: None }));
+                        return Some(Err(AdminRequestError { status: 431, allow: None }));
                     }
                     _ => return None,
                 }
--- a/balancer/src/config.rs
+++ b/balancer/src/config.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 
 use basaltwood::types::{PolicyConfig, RingPosition};
-use basaltwood_regions::RegionMap;
+use basaltwood_regions::{RegionMap, RegionMapError};
 use basaltwood_settings::{NameTable, OperatorSettings, RuntimeLimits};
 use serde::Deserialize;
 
@@ -51,8 +51,8 @@
         cause: io::Error,
     },
     /// The map of regions contradicts itself or its form.
-    #[error("{0}")]
-    InvalidRegionMap(String),
+    #[error(transparent)]
+    InvalidRegionMap(#[from] RegionMapError),
 }
 
 /// What is wrong in the configuration file, or in a variable of the environment that belongs to it.
@@ -236,10 +236,7 @@
 fn read_region_map(named: Option<String>) -> Result<Option<RegionMap>, ConfigError> {
     let file = named.as_deref().unwrap_or(DEFAULT_REGION_MAP);
     match std::fs::read_to_string(file) {
-        Ok(text) => match RegionMap::parse(file, &text) {
-            Ok(map) => Ok(Some(map)),
-            Err(cause) => Err(ConfigError::InvalidRegionMap(cause.to_string())),
-        },
+        Ok(text) => Ok(Some(RegionMap::parse(file, &text)?)),
         Err(cause) if named.is_none() && cause.kind() == io::ErrorKind::NotFound => Ok(None),
         Err(cause) => Err(ConfigError::UnreadableRegionMap { file: file.to_owned(), cause }),
     }
--- a/balancer/src/discovery/client.rs
+++ b/balancer/src/discovery/client.rs
@@ -6,7 +6,7 @@
 use basaltwood::types::Micros;
 use basaltwood_membership::{WatchError, WatchSchedule};
 use basaltwood_wire::buffer::Buffer;
-use basaltwood_wire::http::{self, Answer};
+use basaltwood_wire::http::{self, Response};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::time::{timeout_at, Instant};
@@ -61,15 +61,15 @@
             none => none.insert(connect(shared, self.address, schedule, began).await?),
         };
         let path = request_path(schedule, began);
-        let request = http::request("GET", &path, &self.address.to_string(), &[], None);
+        let request = http::encode_request("GET", &path, &self.address.to_string(), &[], None);
         let call_ends = began + duration(schedule.call_timeout());
         let UpstreamConnection { stream, buffer, .. } = connection;
         let answer = match timeout_at(call_ends, exchange(stream, buffer, &request)).await {
             Ok(answer) => answer?,
             Err(_) => return Err(WatchError::TimedOut("it is silent".to_owned())),
         };
-        buffer.consume(answer.used);
-        if !answer.keep {
+        buffer.consume(answer.consumed);
+        if !answer.keep_alive {
             self.connection = None;
         }
         read_list(&answer)
@@ -85,7 +85,7 @@
     let until = began + duration(schedule.response_timeout().min(schedule.call_timeout()));
     // Its descriptor is set aside, as no budget is asked for one: where clients and hosts hold all others, a drain
     // must be read still.
-    let opening = shared.upstreams.open(None, address, until, MAX_BODY_BYTES + MAX_HEAD_BYTES);
+    let opening = shared.upstreams.connect(None, address, until, MAX_BODY_BYTES + MAX_HEAD_BYTES);
     opening.await.map_err(connection_failed)
 }
 
@@ -97,14 +97,19 @@
     format!("/v1/servers?from={version}&hold_ms={hold_ms}")
 }
 
-async fn exchange(stream: &mut TcpStream, buffer: &mut Buffer, request: &[u8]) -> Result<Answer, WatchError> {
+async fn exchange(
+    stream: &mut TcpStream,
+    buffer: &mut Buffer,
+    request: &[u8],
+) -> Result<Response, WatchError> {
     stream.write_all(request).await.map_err(connection_failed)?;
     loop {
         let bytes_read = read(stream, buffer).await.map_err(connection_failed)?;
         if bytes_read == 0 {
             return Err(WatchError::TimedOut("it closed the connection".to_owned()));
         }
-        let answer = http::answer(buffer.bytes(), MAX_BODY_BYTES).map_err(WatchError::InvalidResponse)?;
+        let answer =
+            http::parse_response(buffer.bytes(), MAX_BODY_BYTES).map_err(WatchError::InvalidResponse)?;
         if let Some(answer) = answer {
             return Ok(answer);
         }
@@ -116,7 +121,7 @@
     WatchError::TimedOut(cause.to_string())
 }
 
-fn read_list(answer: &Answer) -> Result<EndpointList, WatchError> {
+fn read_list(answer: &Response) -> Result<EndpointList, WatchError> {
     match answer.status {
         200 => serde_json::from_slice(&answer.body)
             .map_err(|cause| WatchError::InvalidResponse(cause.to_string())),
--- a/balancer/src/discovery/endpoints.rs
+++ b/balancer/src/discovery/endpoints.rs
@@ -100,7 +100,7 @@
     log::debug!("list {}: {} entries{}", list.generation, listed, if whole { ", all there are" } else { "" });
     shared.router.borrow_mut().update_endpoints(now, whole, endpoints);
     // Before any request's task runs, and also for hosts that a whole list does not name.
-    shared.upstreams.settle(|host| shared.router.borrow().accepts_attempts(host));
+    shared.upstreams.update_accepting_hosts(|host| shared.router.borrow().accepts_attempts(host));
     shared.wake_requests();
     forget_released_hosts(shared);
     if let Some(regions) = &shared.regions {
@@ -168,7 +168,7 @@
         started_at: details.started_at,
     });
     if let Some(address) = details.address {
-        shared.upstreams.place(endpoint.host, address, origin);
+        shared.upstreams.update_host(endpoint.host, address, origin);
     }
     if lifecycle != Lifecycle::Up {
         let ends = if lifecycle == Lifecycle::Draining { "leaving" } else { "left" };
@@ -182,11 +182,11 @@
     for host in shared.router.borrow().released_hosts() {
         let mut names = shared.names.borrow_mut();
         // The policy names every host whose number is free, also those whose names were forgotten before.
-        if names.hosts.forget(host.0) {
+        if names.hosts.release(host.0) {
             if let Some(regions) = &shared.regions {
-                regions.borrow_mut().forget(&names.hosts.texts[host.0 as usize]);
+                regions.borrow_mut().forget(&names.hosts.names[host.0 as usize]);
             }
-            shared.upstreams.forget(host);
+            shared.upstreams.forget_host(host);
             shared.counters.hosts_released.add();
         }
     }
--- a/balancer/src/process/limit_sharing.rs
+++ b/balancer/src/process/limit_sharing.rs
@@ -60,7 +60,7 @@
 
     fn record_limits(&mut self) {
         self.recorded_at = Instant::now();
-        let record = handover::written(&self.shared.router.borrow().learned_limits());
+        let record = handover::encode(&self.shared.router.borrow().learned_limits());
         // Without a record the next process learns anew; a full folder must not end this one.
         if let Err(cause) = self.slot.write_record(&record) {
             log::debug!("learned limits are not recorded: {cause}");
@@ -72,13 +72,13 @@
         log::info!("of the limits: {share:?}");
         let sockets = share.of(self.max_sockets);
         self.shared.budget.set_limits(sockets, share.of(self.memory_bytes));
-        self.shared.upstreams.allow(sockets);
+        self.shared.upstreams.set_max_connections(sockets);
     }
 
     /// Idle connections to hosts go first, then clients that stand idle.
     fn close_excess_connections(&self) {
         let budget = &self.shared.budget;
-        while budget.excess_connections() > 0 && self.shared.upstreams.drop_idle() {}
+        while budget.excess_connections() > 0 && self.shared.upstreams.close_idle_connection() {}
         for _ in 0..budget.excess_connections() {
             budget.shed_client();
         }
--- a/balancer/src/process/mod.rs
+++ b/balancer/src/process/mod.rs
@@ -89,7 +89,7 @@
             _ = tasks.join_next() => Err(RunError::TaskFailed),
         };
         shutdown.run(&shared).await;
-        log::info!("{} {}", shared.counters, shared.upstreams.counted());
+        log::info!("{} {}", shared.counters, shared.upstreams.pool_stats());
         outcome
     }
 }
--- a/balancer/src/process/tasks.rs
+++ b/balancer/src/process/tasks.rs
@@ -17,7 +17,7 @@
 /// Prints the counters at each of these signals.
 pub async fn print_counters(shared: Rc<Shared>, mut signal: Signal) {
     while signal.recv().await.is_some() {
-        log::info!("{} {}", shared.counters, shared.upstreams.counted());
+        log::info!("{} {}", shared.counters, shared.upstreams.pool_stats());
     }
 }
 
--- a/balancer/src/takeover.rs
+++ b/balancer/src/takeover.rs
@@ -87,8 +87,8 @@
     TooLong,
     #[error(transparent)]
     Unreadable(#[from] io::Error),
-    #[error("{0}")]
-    Malformed(String),
+    #[error(transparent)]
+    Malformed(#[from] handover::RecordError),
 }
 
 impl ProcessSlot {
@@ -169,9 +169,9 @@
     if age > MAX_RECORD_AGE {
         return Err(UnusableRecord::TooOld);
     }
-    if metadata.len() > handover::LONGEST as u64 {
+    if metadata.len() > handover::MAX_RECORD_BYTES as u64 {
         return Err(UnusableRecord::TooLong);
     }
     let bytes = std::fs::read(path)?;
-    handover::read(&bytes).map_err(|cause| UnusableRecord::Malformed(cause.to_string()))
+    Ok(handover::decode(&bytes)?)
 }
