--- a/balancer/src/counters.rs
+++ b/balancer/src/counters.rs
@@ -1,15 +1,17 @@
-//! Counts of what is taken in, sent and answered; printed on SIGUSR1 and at exit.
+//! Counts of what is received, sent and answered; printed in the log on SIGUSR1 and at exit.
 
 use std::cell::Cell;
 use std::fmt;
 
 use basaltwood::types::AttemptOutcome;
 
+/// Defines [`Counters`] with these fields, which are printed in this order and by these names.
 macro_rules! counters {
     ($($name:ident),* $(,)?) => {
+        /// The process's counters.
         #[derive(Default)]
         pub struct Counters {
-            $(pub $name: Count,)*
+            $(pub $name: Counter,)*
         }
 
         impl fmt::Display for Counters {
@@ -22,14 +24,17 @@
     };
 }
 
+/// A number that only rises while the process lives.
 #[derive(Default)]
-pub struct Count(Cell<u64>);
+pub struct Counter(Cell<u64>);
 
-impl Count {
+impl Counter {
+    /// One more.
     pub fn add(&self) {
         self.add_many(1);
     }
 
+    /// So many more.
     pub fn add_many(&self, more: usize) {
         self.0.set(self.0.get() + more as u64);
     }
@@ -41,22 +46,25 @@
     // Out: what requests were answered with; `abandoned` where the client had gone.
     succeeded, rejected, failed, abandoned,
     // Attempts, and how they ended.
-    attempts, attempts_succeeded, attempts_missed, attempts_error, attempts_rejected, attempts_timed_out, attempts_unreachable,
-    attempts_connection_lost, attempts_connection_fault, attempts_cancelled, attempts_not_sent,
+    attempts, attempts_succeeded, attempts_missed, attempts_error, attempts_rejected, attempts_timed_out,
+    attempts_unreachable, attempts_connection_lost, attempts_connection_fault, attempts_cancelled,
+    attempts_not_sent,
     // Long values that their host did not give whole.
     values_truncated,
     // Connections to hosts: opened, used again, found closed.
     connections_opened, connections_reused, connections_stale,
-    // The list; calls for it that were refused for now, came to nothing, or were answered with nonsense.
-    endpoint_lists, discovery_unavailable, discovery_timeouts, discovery_invalid, endpoints_refused, hosts_released,
+    // The list; calls for it that were refused for now, came to nothing, or were answered with what is no list.
+    endpoint_lists, discovery_unavailable, discovery_timeouts, discovery_invalid, endpoints_refused,
+    hosts_released,
     // Regions: how often the ring became another one's; hosts that came into it, and that were taken out of it
     // while up; zones that no region names.
     regions_rings, regions_hosts_in, regions_hosts_out, regions_zones_unnamed,
 }
 
 impl Counters {
-    pub fn ended(&self, end: AttemptOutcome) {
-        let count = match end {
+    /// An attempt ended in this way.
+    pub fn attempt_ended(&self, outcome: AttemptOutcome) {
+        let counter = match outcome {
             AttemptOutcome::Succeeded => &self.attempts_succeeded,
             AttemptOutcome::Miss => &self.attempts_missed,
             AttemptOutcome::Error => &self.attempts_error,
@@ -68,6 +76,6 @@
             AttemptOutcome::ConnectionFault => &self.attempts_connection_fault,
             AttemptOutcome::Cancelled => &self.attempts_cancelled,
         };
-        count.add();
+        counter.add();
     }
 }
--- a/balancer/src/requests.rs
+++ b/balancer/src/requests.rs
@@ -144,7 +144,7 @@
     fn cancel_attempt(&mut self, attempt: AttemptNumber) -> Vec<RequestAction> {
         let Some(task) = self.in_flight.remove(&attempt) else { return Vec::new() };
         task.abort();
-        self.shared.counters.ended(AttemptOutcome::Cancelled);
+        self.shared.counters.attempt_ended(AttemptOutcome::Cancelled);
         self.report(attempt, AttemptOutcome::Cancelled)
     }
 
@@ -161,7 +161,7 @@
         if self.in_flight.remove(&attempt).is_none() {
             return Vec::new();
         }
-        self.shared.counters.ended(outcome);
+        self.shared.counters.attempt_ended(outcome);
         log::debug!("request {} attempt {}: {outcome:?}", self.id.0, attempt.0);
         self.value = value;
         self.report(attempt, outcome)
