--- a/admin/tests/calls.rs
+++ b/admin/tests/calls.rs
@@ -1,10 +1,10 @@
-//! Calls and figures as bytes.
+//! Requests, answers and metrics as bytes.
 
-use basaltwood_admin::{error_response, parse_request, response, MetricsPage};
+use basaltwood_admin::{error_response, parse_request, response, MetricKind, MetricsPage, Sample};
 use expect_test::expect;
 
 #[test]
-fn calls_are_read_whatever_their_pieces_and_refused_in_http_s_terms() {
+fn request_cut_anywhere_is_read_as_the_whole_or_refused_by_its_status() {
     let long = format!("GET /_vars HTTP/1.1\r\nX: {}", "x".repeat(17 * 1024));
     let mut lines = Vec::new();
     for text in [
@@ -22,7 +22,7 @@
         &long,
     ] {
         let whole = parse_request(text.as_bytes());
-        // However it is cut, what comes before its end is no call and no error that the whole is not.
+        // However it is cut, what comes before its end is no request and no error that the whole is not.
         for end in 0..text.len() {
             let part = parse_request(&text.as_bytes()[..end]);
             assert!(matches!(part, Ok(None)) || part == whole, "{text:?} cut at {end}: {part:?}");
@@ -49,17 +49,20 @@
 }
 
 #[test]
-fn figures_are_written_with_their_labels_escaped() {
+fn metrics_page_with_labels_escapes_their_texts() {
     let mut page = MetricsPage::default();
-    let samples = [(Some(("kind", "read")), 812), (Some(("kind", "a\"b\\c\nd")), 0)];
-    page.add("edge_proxy_ok", "counter", "Ops acked.", samples);
-    page.add("edge_proxy_active", "gauge", "Ops in hand.", [(None, 14)]);
+
+    let by_kind = [Sample::labelled("kind", "read", 812), Sample::labelled("kind", "a\"b\\c\nd", 0)];
+    page.add("edge_proxy_ok", MetricKind::Counter, "Requests that succeeded.", by_kind);
+    let active = [Sample::unlabelled(14)];
+    page.add("edge_proxy_active", MetricKind::Gauge, "Requests that are open.", active);
+
     expect![[r#"
-        # HELP edge_proxy_ok Ops acked.
+        # HELP edge_proxy_ok Requests that succeeded.
         # TYPE edge_proxy_ok counter
         edge_proxy_ok{kind="read"} 812
         edge_proxy_ok{kind="a\"b\\c\nd"} 0
-        # HELP edge_proxy_active Ops in hand.
+        # HELP edge_proxy_active Requests that are open.
         # TYPE edge_proxy_active gauge
         edge_proxy_active 14
     "#]]
--- a/balancer/src/admin.rs
+++ b/balancer/src/admin.rs
@@ -1,7 +1,8 @@
-//! The operators' front: one call to a connection, answered at once from what stands ready, whatever clients do.
+//! The operators' interface: one request to a connection, answered at once from what is at hand, whatever clients do.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
+use std::io;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -20,45 +21,55 @@
 use crate::read;
 use crate::shared::Shared;
 
-/// Callers at a time.
+/// Callers that are connected at a time.
 const MAX_CALLERS: usize = 10;
-/// Descriptors set aside for this front: the listener, callers, and one that is not yet among them.
+/// Descriptors set aside for this interface: the listener, callers, and one that is not yet counted among them.
 pub const RESERVED_DESCRIPTORS: usize = MAX_CALLERS + 2;
-/// So long a caller is not closed to make room: what it sent may not have been read yet.
+/// For so long a caller is not evicted: what it sent may not have been read yet.
 const MIN_CALLER_TIME: Duration = Duration::from_millis(50);
-/// A call is whole by then.
+/// A request is whole by then.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// For the answer to be taken, and the caller's end to come: a close over unread bytes would reset the connection and
+/// For the answer to be taken and the caller's end to come: a close over unread bytes would reset the connection and
 /// could take the answer along.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
+/// After a connection could not be accepted, as where descriptors are short.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+/// HTTP's "Request Timeout".
+const STATUS_REQUEST_TIMEOUT: u16 = 408;
+/// HTTP's "Request Header Fields Too Large".
+const STATUS_HEAD_TOO_LARGE: u16 = 431;
 
+/// Serves operators on a listener of their own.
 pub struct AdminServer {
     shared: Rc<Shared>,
     phase: Rc<watch::Sender<Phase>>,
+    /// Connected callers, the one that connected first in front.
     callers: RefCell<VecDeque<Caller>>,
-    next: Cell<u64>,
+    next_caller: Cell<u64>,
 }
 
-/// A connection, the one that stands longest first.
 struct Caller {
     number: u64,
     accepted_at: Instant,
     task: AbortHandle,
 }
 
-/// Takes a caller off the books, however its task ends.
-struct CallerGuard(Rc<AdminServer>, u64);
+/// Removes a caller from those that are connected, however its task ends.
+struct CallerGuard {
+    server: Rc<AdminServer>,
+    number: u64,
+}
 
 impl Drop for CallerGuard {
     fn drop(&mut self) {
-        self.0.callers.borrow_mut().retain(|caller| caller.number != self.1);
+        self.server.callers.borrow_mut().retain(|caller| caller.number != self.number);
     }
 }
 
 impl AdminServer {
+    /// An interface that nobody calls yet; it reads and changes this phase.
     pub fn new(shared: Rc<Shared>, phase: Rc<watch::Sender<Phase>>) -> Rc<AdminServer> {
-        Rc::new(AdminServer { shared, phase, callers: RefCell::default(), next: Cell::new(0) })
+        Rc::new(AdminServer { shared, phase, callers: RefCell::default(), next_caller: Cell::new(0) })
     }
 
     /// Accepts for ever.
@@ -66,11 +77,8 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    self.make_room().await;
-                    let number = self.next.replace(self.next.get() + 1);
-                    let task = spawn_local(self.clone().serve(CallerGuard(self.clone(), number), stream));
-                    let caller = Caller { number, accepted_at: Instant::now(), task: task.abort_handle() };
-                    self.callers.borrow_mut().push_back(caller);
+                    self.evict_callers().await;
+                    self.clone().connected(stream);
                 }
                 Err(cause) => {
                     log::warn!("accept at mgmt: {cause}");
@@ -80,78 +88,95 @@
         }
     }
 
-    /// Callers that say nothing stay for seconds and must not keep others out: the one that stands longest goes.
-    async fn make_room(&self) {
-        while self.callers.borrow().len() >= MAX_CALLERS {
-            let evictable_at =
-                self.callers.borrow().front().map(|oldest| oldest.accepted_at + MIN_CALLER_TIME);
-            if let Some(evictable_at) = evictable_at {
-                sleep_until(evictable_at).await;
+    fn connected(self: Rc<AdminServer>, stream: TcpStream) {
+        let number = self.next_caller.replace(self.next_caller.get() + 1);
+        let guard = CallerGuard { server: self.clone(), number };
+        let task = spawn_local(self.clone().serve(guard, stream)).abort_handle();
+        self.callers.borrow_mut().push_back(Caller { number, accepted_at: Instant::now(), task });
+    }
+
+    /// Until one more caller may be connected, the one that connected first goes: callers that send nothing stay for
+    /// seconds and must not keep others out.
+    async fn evict_callers(&self) {
+        while self.is_full() {
+            let oldest = self.callers.borrow().front().map(|caller| caller.accepted_at);
+            if let Some(accepted_at) = oldest {
+                sleep_until(accepted_at + MIN_CALLER_TIME).await;
             }
-            if self.callers.borrow().len() >= MAX_CALLERS {
+            // Callers may have gone in the meantime.
+            if self.is_full() {
                 let oldest = self.callers.borrow_mut().pop_front();
                 oldest.inspect(|oldest| oldest.task.abort());
             }
         }
     }
 
+    fn is_full(&self) -> bool {
+        self.callers.borrow().len() >= MAX_CALLERS
+    }
+
     async fn serve(self: Rc<AdminServer>, _guard: CallerGuard, mut stream: TcpStream) {
-        let mut buffer = Buffer::new(MAX_REQUEST_BYTES);
-        let whole = async {
-            loop {
-                if let Some(request) = parse_request(buffer.bytes()).transpose() {
-                    return Some(request);
-                }
-                // Longer than any call without being one is too long a head.
-                match read(&mut stream, &mut buffer).await {
-                    Ok(1..) => {}
-                    Err(cause) if cause.kind() == std::io::ErrorKind::InvalidData => {
-                        return Some(Err(AdminRequestError { status: 431, allow: None }));
-                    }
-                    _ => return None,
-                }
-            }
-        };
-        let response = match timeout(REQUEST_TIMEOUT, whole).await {
+        let answer = match timeout(REQUEST_TIMEOUT, read_request(&mut stream)).await {
             Ok(Some(Ok(request))) => self.respond(request),
             Ok(Some(Err(error))) => error_response(&error),
-            // It went before its call was whole.
             Ok(None) => return,
-            Err(_) => response(408, ""),
+            Err(_) => response(STATUS_REQUEST_TIMEOUT, ""),
         };
-        let _ = timeout(LINGER_TIMEOUT, async {
-            if stream.write_all(&response).await.is_ok() && stream.shutdown().await.is_ok() {
-                let mut rest = [0; 1024];
-                while matches!(stream.read(&mut rest).await, Ok(1..)) {}
-            }
-        })
-        .await;
+        // Whether the answer is taken is the caller's affair.
+        let _ = timeout(LINGER_TIMEOUT, send_and_close(&mut stream, &answer)).await;
     }
 
     fn respond(&self, request: AdminRequest) -> Bytes {
         match request {
-            AdminRequest::Ready => match *self.phase.borrow() {
-                Phase::Serving | Phase::LameDuck if self.shared.metrics.has_hosts() => {
-                    response(200, "ready\n")
-                }
-                _ => response(503, "not ready\n"),
-            },
+            AdminRequest::Ready if self.is_ready() => response(200, "ready\n"),
+            AdminRequest::Ready => response(503, "not ready\n"),
             AdminRequest::Vars => response(200, self.shared.metrics.render().text()),
             AdminRequest::LameDuckOn => self.enter_phase(Phase::LameDuck),
             AdminRequest::LameDuckOff => self.enter_phase(Phase::Serving),
         }
     }
 
-    /// Between serving and the drain; a balancer that begins or ends stays with that.
+    fn is_ready(&self) -> bool {
+        let serves = matches!(*self.phase.borrow(), Phase::Serving | Phase::LameDuck);
+        serves && self.shared.metrics.has_hosts()
+    }
+
+    /// Goes between `Serving` and `LameDuck`; a balancer that starts or ends stays with that.
     fn enter_phase(&self, next: Phase) -> Bytes {
-        let now = *self.phase.borrow();
-        if !matches!(now, Phase::Serving | Phase::LameDuck) {
+        let current = *self.phase.borrow();
+        if !matches!(current, Phase::Serving | Phase::LameDuck) {
             return response(503, "not now\n");
         }
-        if now != next {
+        if current != next {
             log::info!("{next:?}");
             self.phase.send_replace(next);
         }
         response(200, "done\n")
     }
 }
+
+/// The request, or why it is refused; none where the caller went before it was whole.
+async fn read_request(stream: &mut TcpStream) -> Option<Result<AdminRequest, AdminRequestError>> {
+    let mut buffer = Buffer::new(MAX_REQUEST_BYTES);
+    loop {
+        if let Some(request) = parse_request(buffer.bytes()).transpose() {
+            return Some(request);
+        }
+        match read(stream, &mut buffer).await {
+            Ok(1..) => {}
+            // The buffer is full, and what is longer than any request without being one has too long a head.
+            Err(cause) if cause.kind() == io::ErrorKind::InvalidData => {
+                return Some(Err(AdminRequestError { status: STATUS_HEAD_TOO_LARGE, allow: None }));
+            }
+            _ => return None,
+        }
+    }
+}
+
+async fn send_and_close(stream: &mut TcpStream, answer: &[u8]) -> io::Result<()> {
+    stream.write_all(answer).await?;
+    stream.shutdown().await?;
+    let mut discarded = [0; 1024];
+    while stream.read(&mut discarded).await? > 0 {}
+    Ok(())
+}
--- a/balancer/src/metrics.rs
+++ b/balancer/src/metrics.rs
@@ -1,139 +1,183 @@
-//! The figures that operators fetch, counted where peers see them.
+//! The metrics that operators fetch, counted where peers see them.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
 use basaltwood::types::{PoolSize, RequestClassId};
-use basaltwood_admin::MetricsPage;
+use basaltwood_admin::{MetricKind, MetricsPage, Sample};
 use basaltwood_regions::{RegionCounts, Regions};
 
-/// How an op ended for its client.
+/// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
+    /// Its value was written.
     Ok,
+    /// It was rejected: trying again is harmless.
     Shed,
+    /// It failed.
     Error,
 }
 
+/// The metrics of this process.
 pub struct Metrics {
-    classes: Vec<String>,
-    /// By category, in the order of `RequestOutcome`.
-    ended: RefCell<Vec<[u64; 3]>>,
-    attempts: Cell<u64>,
+    /// The request classes' names, in the order of their ids.
+    class_names: Vec<String>,
+    /// By class.
+    outcomes: RefCell<Vec<OutcomeCounts>>,
+    attempts_sent: Cell<u64>,
     active_requests: Cell<u64>,
-    /// Cache hosts listed, and those of them that are avoided.
-    pool: Cell<PoolSize>,
-    /// None where there are no regions.
+    pool_size: Cell<PoolSize>,
+    /// None where the operators gave no map of regions.
     regions: RefCell<Option<RegionMetrics>>,
 }
 
-/// How many hosts of the list lie where, each region's name with whether it is the ring, the map's version.
+/// How often requests of one class ended in each way.
+#[derive(Clone, Copy, Default)]
+struct OutcomeCounts {
+    ok: u64,
+    shed: u64,
+    error: u64,
+}
+
 struct RegionMetrics {
     counts: RegionCounts,
-    names: Vec<(String, bool)>,
+    /// By region, its name and whether its hosts are this balancer's ring.
+    rings: Vec<(String, bool)>,
     /// The map's, as eight digits.
-    version: String,
+    map_version: String,
 }
 
-/// An op that was taken and has not ended for its client. Dropped without an outcome it was abandoned, and counts as
-/// none: every way out of an op passes here once.
-pub struct ActiveRequest(Rc<Metrics>, RequestClassId);
+/// A request that has come and has not ended for its client. Dropped without an outcome it was abandoned, and counts
+/// as none: every way out of a request passes here once.
+pub struct ActiveRequest {
+    metrics: Rc<Metrics>,
+    class: RequestClassId,
+}
 
 impl ActiveRequest {
+    /// The request has ended for its client.
     pub fn finish(self, outcome: RequestOutcome) {
-        if let Some(ended) = self.0.ended.borrow_mut().get_mut(usize::from(self.1 .0)) {
-            ended[outcome as usize] += 1;
+        let mut outcomes = self.metrics.outcomes.borrow_mut();
+        if let Some(counts) = outcomes.get_mut(usize::from(self.class.0)) {
+            match outcome {
+                RequestOutcome::Ok => counts.ok += 1,
+                RequestOutcome::Shed => counts.shed += 1,
+                RequestOutcome::Error => counts.error += 1,
+            }
         }
     }
 }
 
 impl Drop for ActiveRequest {
     fn drop(&mut self) {
-        self.0.active_requests.set(self.0.active_requests.get() - 1);
+        let active = &self.metrics.active_requests;
+        active.set(active.get() - 1);
     }
 }
 
 impl Metrics {
-    /// Each category stands at 0 from the start.
-    pub fn new(classes: Vec<String>) -> Rc<Metrics> {
-        let ended = RefCell::new(vec![[0; 3]; classes.len()]);
-        let (attempts, active_requests, pool) = (Cell::default(), Cell::default(), Cell::default());
-        Rc::new(Metrics { classes, ended, attempts, active_requests, pool, regions: RefCell::default() })
+    /// Metrics that all stand at 0; each request class shows from the start.
+    pub fn new(class_names: Vec<String>) -> Rc<Metrics> {
+        Rc::new(Metrics {
+            outcomes: RefCell::new(vec![OutcomeCounts::default(); class_names.len()]),
+            class_names,
+            attempts_sent: Cell::default(),
+            active_requests: Cell::default(),
+            pool_size: Cell::default(),
+            regions: RefCell::default(),
+        })
     }
 
+    /// A request of this class has come.
     pub fn request_started(self: &Rc<Metrics>, class: RequestClassId) -> ActiveRequest {
         self.active_requests.set(self.active_requests.get() + 1);
-        ActiveRequest(self.clone(), class)
+        ActiveRequest { metrics: self.clone(), class }
     }
 
-    /// A push was written whole, to a cache host or the origin.
+    /// An attempt was written whole, to a cache host or the origin.
     pub fn attempt_sent(&self) {
-        self.attempts.set(self.attempts.get() + 1);
+        self.attempts_sent.set(self.attempts_sent.get() + 1);
     }
 
-    pub fn set_pool_size(&self, pool: PoolSize) {
-        self.pool.set(pool);
+    /// How many cache hosts are listed, and how many of these are ejected.
+    pub fn set_pool_size(&self, pool_size: PoolSize) {
+        self.pool_size.set(pool_size);
     }
 
+    /// Where the listed hosts lie, and which region is the ring.
     pub fn set_regions<T: Clone>(&self, regions: &Regions<T>) {
-        let ring = |name: &String| (name.clone(), name == regions.ring());
-        let names = regions.map().names().iter().map(ring).collect();
-        let version = format!("{:08x}", regions.map().version());
-        self.regions.replace(Some(RegionMetrics { counts: regions.counts(), names, version }));
+        let is_ring = |name: &String| (name.clone(), name == regions.ring());
+        self.regions.replace(Some(RegionMetrics {
+            counts: regions.counts(),
+            rings: regions.map().names().iter().map(is_ring).collect(),
+            map_version: format!("{:08x}", regions.map().version()),
+        }));
     }
 
-    /// There are hosts to route by.
+    /// Whether there are cache hosts to route to.
     pub fn has_hosts(&self) -> bool {
-        self.pool.get().listed > 0
+        self.pool_size.get().listed > 0
     }
 
-    /// The page of figures, from counts that stand ready.
+    /// The page of all metrics, from counts that are at hand.
     pub fn render(&self) -> MetricsPage {
         let mut page = MetricsPage::default();
-        let ended = self.ended.borrow();
-        for (name, help, which) in [
-            ("edge_proxy_ok", "Ops whose value was written to the client.", RequestOutcome::Ok),
-            ("edge_proxy_shed", "Ops refused: trying again is harmless.", RequestOutcome::Shed),
-            ("edge_proxy_errors", "Ops that failed.", RequestOutcome::Error),
-        ] {
-            let by_kind = self.classes.iter().zip(ended.iter());
-            let samples = by_kind.map(|(kind, ended)| (Some(("kind", kind.as_str())), ended[which as usize]));
-            page.add(name, "counter", help, samples);
-        }
-        let PoolSize { listed, ejected } = self.pool.get();
-        for (name, kind, help, number) in [
-            (
-                "edge_proxy_tries",
-                "counter",
-                "Pushes written whole, to cache hosts and the origin.",
-                self.attempts.get(),
-            ),
-            ("edge_proxy_active", "gauge", "Ops taken and not ended.", self.active_requests.get()),
-            ("edge_proxy_pool_size", "gauge", "Cache hosts in the list.", listed as u64),
-            ("edge_proxy_pool_ejected", "gauge", "Listed cache hosts that are avoided now.", ejected as u64),
-        ] {
-            page.add(name, kind, help, [(None, number)]);
-        }
-        if let Some(RegionMetrics { counts, names, version }) = &*self.regions.borrow() {
-            let help = "1 for the version of the map: the CRC-32 of all that it says but for the own region.";
-            let sample = (Some(("version", version.as_str())), 1);
-            page.add("edge_proxy_regions_map", "gauge", help, [sample]);
-            let rings = names.iter().map(|(name, ring)| (Some(("region", name.as_str())), u64::from(*ring)));
-            let help = "1 for the region whose hosts are this balancer's ring.";
-            page.add("edge_proxy_regions_ring", "gauge", help, rings);
-            for (name, help, number) in [
-                ("edge_proxy_regions_hosts_ring", "Listed cache hosts of the ring's region.", counts.in_ring),
-                (
-                    "edge_proxy_regions_hosts_outside",
-                    "Listed cache hosts of no use here.",
-                    counts.outside_ring,
-                ),
-                ("edge_proxy_regions_hosts_unnamed", "Of those, in no region's zone.", counts.unmapped_hosts),
-                ("edge_proxy_regions_zones_unnamed", "Zones seen in no region.", counts.unmapped_zones),
-            ] {
-                page.add(name, "gauge", help, [(None, number as u64)]);
-            }
+        self.add_outcomes(&mut page);
+        self.add_totals(&mut page);
+        if let Some(regions) = &*self.regions.borrow() {
+            regions.add_to(&mut page);
         }
         page
     }
+
+    fn add_outcomes(&self, page: &mut MetricsPage) {
+        let outcomes = self.outcomes.borrow();
+        let mut add = |name: &str, help: &str, count: fn(&OutcomeCounts) -> u64| {
+            let by_class = self.class_names.iter().zip(outcomes.iter());
+            let samples = by_class.map(|(class, counts)| Sample::labelled("kind", class, count(counts)));
+            page.add(name, MetricKind::Counter, help, samples);
+        };
+        add("edge_proxy_ok", "Ops whose value was written to the client.", |counts| counts.ok);
+        add("edge_proxy_shed", "Ops refused: trying again is harmless.", |counts| counts.shed);
+        add("edge_proxy_errors", "Ops that failed.", |counts| counts.error);
+    }
+
+    fn add_totals(&self, page: &mut MetricsPage) {
+        let mut add = |name: &str, kind: MetricKind, help: &str, value: u64| {
+            page.add(name, kind, help, [Sample::unlabelled(value)]);
+        };
+        let PoolSize { listed, ejected } = self.pool_size.get();
+        let sent = "Pushes written whole, to cache hosts and the origin.";
+        add("edge_proxy_tries", MetricKind::Counter, sent, self.attempts_sent.get());
+        let active = "Ops taken and not ended.";
+        add("edge_proxy_active", MetricKind::Gauge, active, self.active_requests.get());
+        let in_list = "Cache hosts in the list.";
+        add("edge_proxy_pool_size", MetricKind::Gauge, in_list, listed as u64);
+        let avoided = "Listed cache hosts that are avoided now.";
+        add("edge_proxy_pool_ejected", MetricKind::Gauge, avoided, ejected as u64);
+    }
+}
+
+impl RegionMetrics {
+    fn add_to(&self, page: &mut MetricsPage) {
+        let help = "1 for the version of the map: the CRC-32 of all that it says but for the own region.";
+        let version = Sample::labelled("version", &self.map_version, 1);
+        page.add("edge_proxy_regions_map", MetricKind::Gauge, help, [version]);
+        let help = "1 for the region whose hosts are this balancer's ring.";
+        let rings = self.rings.iter();
+        let rings = rings.map(|(name, is_ring)| Sample::labelled("region", name, u64::from(*is_ring)));
+        page.add("edge_proxy_regions_ring", MetricKind::Gauge, help, rings);
+        let mut add = |name: &str, help: &str, count: usize| {
+            page.add(name, MetricKind::Gauge, help, [Sample::unlabelled(count as u64)]);
+        };
+        let counts = &self.counts;
+        let ring = "Listed cache hosts of the ring's region.";
+        add("edge_proxy_regions_hosts_ring", ring, counts.in_ring);
+        let outside = "Listed cache hosts of no use here.";
+        add("edge_proxy_regions_hosts_outside", outside, counts.outside_ring);
+        let unnamed = "Of those, in no region's zone.";
+        add("edge_proxy_regions_hosts_unnamed", unnamed, counts.unmapped_hosts);
+        let zones = "Zones seen in no region.";
+        add("edge_proxy_regions_zones_unnamed", zones, counts.unmapped_zones);
+    }
 }
--- a/balancer/src/takeover.rs
+++ b/balancer/src/takeover.rs
@@ -74,7 +74,7 @@
 /// A record of learned limits that is of no use: its file and why.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {cause}", path.display())]
-pub struct RecordError {
+pub struct RecordFileError {
     path: PathBuf,
     cause: UnusableRecord,
 }
@@ -118,10 +118,10 @@
     ///
     /// # Errors
     /// One line on a record that is there and of no use.
-    pub fn read_record(&self) -> Result<Vec<LearnedLimit>, RecordError> {
+    pub fn read_record(&self) -> Result<Vec<LearnedLimit>, RecordFileError> {
         let Some(path) = &self.record else { return Ok(Vec::new()) };
         let Ok(metadata) = std::fs::metadata(path) else { return Ok(Vec::new()) };
-        read_fresh_record(path, &metadata).map_err(|cause| RecordError { path: path.clone(), cause })
+        read_fresh_record(path, &metadata).map_err(|cause| RecordFileError { path: path.clone(), cause })
     }
 
     /// This process's share of the limits, by whether another process holds the other slot now.
