--- a/admin/src/lib.rs
+++ b/admin/src/lib.rs
@@ -1,7 +1,8 @@
-//! What operators call at a balancer, as bytes: [`parse_request`] reads a request from the front of a buffer,
-//! [`response`] and [`error_response`] write answers, and [`MetricsPage`] writes metrics in Prometheus' text format.
+//! The admin interface of a balancer as bytes: [`parse_request`] reads a request from the front of
+//! a buffer, [`response`] and [`error_response`] encode answers, and [`MetricsPage`] writes metrics
+//! in Prometheus' text format.
 //!
-//! It is pure: it opens nothing, waits for nothing, counts nothing.
+//! It is pure: it does no I/O, never waits, and counts nothing itself.
 
 mod metrics_page;
 mod request;
--- a/admin/src/metrics_page.rs
+++ b/admin/src/metrics_page.rs
@@ -2,10 +2,10 @@
 
 use std::fmt::{self, Write};
 
-/// How a metric's samples follow each other in time.
+/// How a metric changes over time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MetricKind {
-    /// It only rises while the process lives.
+    /// It only rises while the process runs.
     Counter,
     /// It rises and falls.
     Gauge,
@@ -20,7 +20,7 @@
     }
 }
 
-/// One number of a metric, with the label that tells it from the metric's other samples.
+/// One value of a metric, with the label that distinguishes it from the metric's other samples.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sample<'a> {
     label: Option<(&'a str, &'a str)>,
@@ -33,7 +33,7 @@
         Sample { label: None, value }
     }
 
-    /// A sample whose label has this name and this text.
+    /// A sample with a label of this name and text.
     pub fn labelled(name: &'a str, text: &'a str, value: u64) -> Sample<'a> {
         Sample { label: Some((name, text)), value }
     }
@@ -52,7 +52,7 @@
         help: &str,
         samples: impl IntoIterator<Item = Sample<'a>>,
     ) {
-        // Writing into a String can't fail.
+        // Writing to a String can't fail.
         let _ = write!(self.0, "# HELP {name} {help}\n# TYPE {name} {kind}\n");
         for Sample { label, value } in samples {
             self.0.push_str(name);
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The page as it is sent.
+    /// The page so far.
     pub fn text(&self) -> &str {
         &self.0
     }
--- a/admin/src/request.rs
+++ b/admin/src/request.rs
@@ -1,33 +1,33 @@
-//! Operators' requests and their answers, over HTTP/1.1.
+//! Admin requests and their answers in HTTP/1.1.
 
 use basaltwood_wire::http;
 use bytes::Bytes;
 
 /// The largest body that a request may bring; none of them needs one.
 pub const MAX_BODY_BYTES: usize = 8 * 1024;
-/// The largest request, head and body.
+/// The largest request, head and body together.
 pub const MAX_REQUEST_BYTES: usize = 32 * 1024;
 
-/// What an operator asks for.
+/// A request to the admin interface.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminRequest {
     /// Whether the balancer can serve: `GET /_ready`.
     Ready,
     /// The metrics: `GET /_vars`.
     Vars,
-    /// Clients are to be sent away: `POST /_lameduck/on`.
+    /// Begin to drain clients: `POST /_lameduck/on`.
     LameDuckOn,
-    /// Clients are to be served as ever again: `POST /_lameduck/off`.
+    /// Stop draining clients: `POST /_lameduck/off`.
     LameDuckOff,
 }
 
-/// Why a request is refused, as HTTP tells it.
+/// Why a request is refused, in HTTP's terms.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("refused with HTTP status {status}")]
 pub struct AdminRequestError {
     /// The answer's status.
     pub status: u16,
-    /// The method that would do, where it is the method that is wrong.
+    /// The allowed method, if the method is wrong.
     pub allow: Option<&'static str>,
 }
 
@@ -44,10 +44,11 @@
     Route { path: "/_lameduck/off", method: "POST", request: AdminRequest::LameDuckOff },
 ];
 
-/// Reads a whole request at the front; `None` while it is not whole.
+/// Parses a request from the front of the buffer; `None` while it is incomplete.
 ///
 /// # Errors
-/// [`AdminRequestError`] where the bytes can become no request any more, or one that nobody answers.
+/// [`AdminRequestError`] if the bytes can't become a valid request, or one of an unknown path or
+/// method.
 pub fn parse_request(bytes: &[u8]) -> Result<Option<AdminRequest>, AdminRequestError> {
     let request = http::parse_request(bytes, MAX_BODY_BYTES).map_err(|error| {
         let status = match error {
@@ -70,12 +71,12 @@
     }
 }
 
-/// The answer to a request: the last on its connection.
+/// The answer to a request. It closes the connection.
 pub fn response(status: u16, text: &str) -> Bytes {
     encode_response(status, None, text)
 }
 
-/// The answer to a request that is refused, likewise the last.
+/// The answer to a refused request. It closes the connection.
 pub fn error_response(error: &AdminRequestError) -> Bytes {
     encode_response(error.status, error.allow, "")
 }
--- a/balancer/src/admin.rs
+++ b/balancer/src/admin.rs
@@ -1,4 +1,5 @@
-//! The operators' interface: one request to a connection, answered at once from what is at hand, whatever clients do.
+//! The admin interface: one request per connection, answered at once without waiting for any client
+//! or host.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -21,29 +22,30 @@
 use crate::read;
 use crate::shared::Shared;
 
-/// Callers that are connected at a time.
+/// Callers that may be connected at a time.
 const MAX_CALLERS: usize = 10;
-/// Descriptors set aside for this interface: the listener, callers, and one that is not yet counted among them.
+/// Descriptors reserved for this interface: the listener, the callers, and one that is accepted and
+/// not yet counted as a caller.
 pub const RESERVED_DESCRIPTORS: usize = MAX_CALLERS + 2;
-/// For so long a caller is not evicted: what it sent may not have been read yet.
+/// How long a caller is safe from eviction: its request may be on its way.
 const MIN_CALLER_TIME: Duration = Duration::from_millis(50);
-/// A request is whole by then.
+/// The time in which a whole request must arrive.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// For the answer to be taken and the caller's end to come: a close over unread bytes would reset the connection and
-/// could take the answer along.
+/// The time for writing the answer and for the caller to close. Closing over unread bytes would
+/// reset the connection, and the answer could be lost.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
-/// After a connection could not be accepted, as where descriptors are short.
+/// The pause after a failed accept, for example when descriptors are short.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 /// HTTP's "Request Timeout".
 const STATUS_REQUEST_TIMEOUT: u16 = 408;
 /// HTTP's "Request Header Fields Too Large".
 const STATUS_HEAD_TOO_LARGE: u16 = 431;
 
-/// Serves operators on a listener of their own.
+/// Serves operators on their own listener.
 pub struct AdminServer {
     shared: Rc<Shared>,
     phase: Rc<watch::Sender<Phase>>,
-    /// Connected callers, the one that connected first in front.
+    /// Connected callers, the oldest in front.
     callers: RefCell<VecDeque<Caller>>,
     next_caller: Cell<u64>,
 }
@@ -54,7 +56,7 @@
     task: AbortHandle,
 }
 
-/// Removes a caller from those that are connected, however its task ends.
+/// Removes a caller from the connected ones when its task ends or is aborted.
 struct CallerGuard {
     server: Rc<AdminServer>,
     number: u64,
@@ -67,7 +69,7 @@
 }
 
 impl AdminServer {
-    /// An interface that nobody calls yet; it reads and changes this phase.
+    /// An interface that reads and changes this phase.
     pub fn new(shared: Rc<Shared>, phase: Rc<watch::Sender<Phase>>) -> Rc<AdminServer> {
         Rc::new(AdminServer { shared, phase, callers: RefCell::default(), next_caller: Cell::new(0) })
     }
@@ -95,15 +97,15 @@
         self.callers.borrow_mut().push_back(Caller { number, accepted_at: Instant::now(), task });
     }
 
-    /// Until one more caller may be connected, the one that connected first goes: callers that send nothing stay for
-    /// seconds and must not keep others out.
+    /// Evicts the oldest caller until one more may connect: callers that send nothing stay for
+    /// seconds, and must not keep others out.
     async fn evict_callers(&self) {
         while self.is_full() {
             let oldest = self.callers.borrow().front().map(|caller| caller.accepted_at);
             if let Some(accepted_at) = oldest {
                 sleep_until(accepted_at + MIN_CALLER_TIME).await;
             }
-            // Callers may have gone in the meantime.
+            // Callers may have left during the wait.
             if self.is_full() {
                 let oldest = self.callers.borrow_mut().pop_front();
                 oldest.inspect(|oldest| oldest.task.abort());
@@ -122,7 +124,7 @@
             Ok(None) => return,
             Err(_) => response(STATUS_REQUEST_TIMEOUT, ""),
         };
-        // Whether the answer is taken is the caller's affair.
+        // A caller that does not read its answer loses it.
         let _ = timeout(LINGER_TIMEOUT, send_and_close(&mut stream, &answer)).await;
     }
 
@@ -141,7 +143,7 @@
         serves && self.shared.metrics.has_hosts()
     }
 
-    /// Goes between `Serving` and `LameDuck`; a balancer that starts or ends stays with that.
+    /// Switches between `Serving` and `LameDuck`; refused while the process starts or ends.
     fn enter_phase(&self, next: Phase) -> Bytes {
         let current = *self.phase.borrow();
         if !matches!(current, Phase::Serving | Phase::LameDuck) {
@@ -155,7 +157,7 @@
     }
 }
 
-/// The request, or why it is refused; none where the caller went before it was whole.
+/// The request, or why it is refused; none if the caller closed before it was whole.
 async fn read_request(stream: &mut TcpStream) -> Option<Result<AdminRequest, AdminRequestError>> {
     let mut buffer = Buffer::new(MAX_REQUEST_BYTES);
     loop {
@@ -164,7 +166,7 @@
         }
         match read(stream, &mut buffer).await {
             Ok(1..) => {}
-            // The buffer is full, and what is longer than any request without being one has too long a head.
+            // The buffer is full and holds no whole request.
             Err(cause) if cause.kind() == io::ErrorKind::InvalidData => {
                 return Some(Err(AdminRequestError { status: STATUS_HEAD_TOO_LARGE, allow: None }));
             }
--- a/balancer/src/clock.rs
+++ b/balancer/src/clock.rs
@@ -1,4 +1,4 @@
-//! The process's one clock: whole microseconds since its start, monotonic. Unix times are mapped to it once.
+//! The process's monotonic clock, in microseconds since the start.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -7,10 +7,10 @@
 #[cfg(test)]
 mod tests;
 
-/// A clock that begins at 0 when the process starts.
+/// The clock that all times within the process refer to.
 pub struct Clock {
     start: Instant,
-    /// The Unix time at which this clock stood at 0.
+    /// The Unix time of this clock's zero.
     unix_at_start: Micros,
 }
 
@@ -26,19 +26,19 @@
         self.start.elapsed().as_micros() as Micros
     }
 
-    /// The runtime's instant of a time on this clock.
+    /// A time on this clock as the runtime's instant.
     pub fn at(&self, time: Micros) -> tokio::time::Instant {
         (self.start + duration(time)).into()
     }
 
-    /// A Unix time on this clock. The wall clock is read at the start only: were it read again after somebody set it,
-    /// the same start of a host would look like a new one.
+    /// A Unix time on this clock. The wall clock is read at the start only: if it were read again
+    /// after it was set, an unchanged start time of a host would look like a restart.
     pub fn time_at_unix(&self, unix: Micros) -> Micros {
         unix - self.unix_at_start
     }
 }
 
-/// A span of time as the runtime wants it; a negative one is none.
+/// Converts a span of time for the runtime; a negative one becomes zero.
 pub fn duration(micros: Micros) -> Duration {
     Duration::from_micros(u64::try_from(micros).unwrap_or(0))
 }
--- a/balancer/src/config.rs
+++ b/balancer/src/config.rs
@@ -1,5 +1,5 @@
-//! The configuration that a balancer reads at its start, and again at SIGHUP: the JSON file that `PROXY_CONFIG`
-//! names, variables of the environment, and the operators' map of regions.
+//! The configuration that a balancer reads at its start, and again at SIGHUP: the JSON file that
+//! `PROXY_CONFIG` names, variables of the environment, and the operators' map of regions.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,13 +14,13 @@
 
 /// The map of regions, from the working directory, unless `$BASALTWOOD_REGIONS` names another file.
 const DEFAULT_REGION_MAP: &str = "deploy/regions.toml";
-/// What `limits.memory_mb` may be, in MB.
+/// The range of `limits.memory_mb`, in MB.
 const MEMORY_MB: std::ops::Range<f64> = 8.0..1e9;
-/// The least that `limits.sockets` may be.
+/// The smallest `limits.sockets` that a process can serve with.
 const MIN_SOCKETS: usize = 32;
 
-/// Why there is no configuration to start with, or to change to. It displays as one line that names the file and
-/// the field or line.
+/// Why the configuration can't be read. Displayed, it is one line that names the file and the field
+/// or line at fault.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The variable that names the configuration file is missing.
@@ -31,10 +31,10 @@
     Unreadable {
         /// The file, as `PROXY_CONFIG` names it.
         path: String,
-        /// What the system says.
+        /// The system's error.
         cause: io::Error,
     },
-    /// The configuration file, or a variable that belongs to it, holds what is of no use.
+    /// The configuration file, or a variable that belongs to it, is invalid.
     #[error("PROXY_CONFIG {path}: {cause}")]
     Invalid {
         /// The file, as `PROXY_CONFIG` names it.
@@ -42,15 +42,15 @@
         /// The field and what is wrong with it.
         cause: InvalidConfig,
     },
-    /// The map of regions is there, or was named, and can't be read.
+    /// The map of regions exists, or was named, and can't be read.
     #[error("{file}: {cause}: mend $BASALTWOOD_REGIONS or the file, or remove both")]
     UnreadableRegionMap {
         /// The map's file.
         file: String,
-        /// What the system says.
+        /// The system's error.
         cause: io::Error,
     },
-    /// The map of regions contradicts itself or its form.
+    /// The map of regions is invalid.
     #[error(transparent)]
     InvalidRegionMap(#[from] RegionMapError),
 }
@@ -58,10 +58,10 @@
 /// What is wrong in the configuration file, or in a variable of the environment that belongs to it.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidConfig {
-    /// No JSON, or a field of the wrong type.
+    /// The file is no JSON, or a field has the wrong type.
     #[error(transparent)]
     Json(#[from] serde_path_to_error::Error<serde_json::Error>),
-    /// A field that is to be an address with a port.
+    /// A field that should hold an address with a port.
     #[error("{field} {text:?} is no address with a port")]
     Address {
         /// The field's name in the file.
@@ -69,16 +69,16 @@
         /// What it holds.
         text: String,
     },
-    /// `PROXY_INHERITED_FD` is no number.
+    /// `PROXY_INHERITED_FD` is not a number.
     #[error("PROXY_INHERITED_FD {text:?} is no descriptor's number")]
     Descriptor {
         /// What it holds.
         text: String,
     },
-    /// The process could not serve within its limits.
+    /// The limits are too small to serve within.
     #[error("limits: at least 8 MB and 32 sockets are needed")]
     Limits,
-    /// The operators' settings object makes no sense.
+    /// The operators' settings object is invalid.
     #[error("{0}")]
     Settings(String),
 }
@@ -88,7 +88,7 @@
     name: String,
     listen: String,
     discovery: String,
-    /// Where operators call; without it, and without `PROXY_MGMT`, none can.
+    /// The address of the admin interface; without it, and without `PROXY_MGMT`, there is none.
     #[serde(default, rename = "mgmt")]
     admin: Option<String>,
     seed: String,
@@ -122,36 +122,37 @@
     }
 }
 
-/// All that a balancer is configured with.
+/// The configuration of one balancer process.
 pub struct Config {
     /// The balancer's name in the log.
     pub name: String,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// Where the list of hosts is watched.
+    /// The address of discovery, where the list of hosts is watched.
     pub discovery: SocketAddr,
-    /// Where operators call; none can without it.
+    /// The address of the admin interface, if there is one.
     pub admin: Option<SocketAddr>,
-    /// The descriptor of the clients' listening socket, where the platform holds it.
+    /// The descriptor of the clients' listening socket, if the platform holds it and the process
+    /// inherits it.
     pub inherited_descriptor: Option<u16>,
-    /// A folder that every process of this balancer sees.
+    /// A folder that all processes of this balancer share.
     pub shared_folder: Option<PathBuf>,
-    /// The memory that the process is to keep to, in bytes.
+    /// The memory limit of the process, in bytes.
     pub memory_bytes: usize,
-    /// The descriptors that the process is to keep to.
+    /// The limit on open sockets of the process.
     pub max_sockets: usize,
-    /// The hosts that serve until discovery answers.
+    /// The hosts to use until discovery answers.
     pub known_endpoints: EndpointList,
-    /// For the policy and the connection pools. Its number of balancers is of those that a host deals with: the own
-    /// region's, where the map of regions says how many these are.
+    /// The parameters of the policy and the connection pools. Its number of balancers counts those
+    /// that send to the same hosts: the own region's, if the map of regions gives their number.
     pub policy: PolicyConfig,
-    /// All balancers that ask discovery as this one does.
+    /// The number of balancers that call the same discovery.
     pub fleet_size: u32,
-    /// None where the operators gave no map of regions.
+    /// None if the operators gave no map of regions.
     pub region_map: Option<RegionMap>,
-    /// The deployment's names, and the numbers that the policy knows them by.
+    /// The deployment's names with the ids that the policy uses for them.
     pub names: NameTable,
-    /// Bounds of connections and open requests.
+    /// Limits on connections and open requests.
     pub runtime_limits: RuntimeLimits,
 }
 
@@ -159,7 +160,7 @@
     /// Reads the configuration from the environment and the files that it names.
     ///
     /// # Errors
-    /// [`ConfigError`] where a file is missing, can't be read, or makes no sense.
+    /// [`ConfigError`] if a file is missing, can't be read or is invalid.
     pub fn read() -> Result<Config, ConfigError> {
         let path = std::env::var("PROXY_CONFIG").map_err(|_| ConfigError::NotSet)?;
         let mut config = match std::fs::read_to_string(&path) {
@@ -174,7 +175,7 @@
     }
 
     fn parse(text: &str) -> Result<Config, InvalidConfig> {
-        // The message names the field too: a line and column in a file of one line helps nobody.
+        // With its path, as a line and column are of no help in a file of one line.
         let reader = &mut serde_json::Deserializer::from_str(text);
         let file: ConfigFile = serde_path_to_error::deserialize(reader)?;
         let admin = file.admin.or_else(|| env_variable("PROXY_MGMT"));
@@ -202,7 +203,7 @@
     }
 }
 
-/// A variable of the environment; an empty one counts as not set.
+/// A variable of the environment; an empty one counts as unset.
 fn env_variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|text| !text.is_empty())
 }
@@ -217,7 +218,7 @@
     Ok(Some(descriptor))
 }
 
-/// The policy's parameters. A seed that is no hexadecimal number is hashed as a name is.
+/// The policy's parameters. A seed that is not a hexadecimal number is hashed.
 fn policy_config(settings: &OperatorSettings, seed: &str) -> Result<PolicyConfig, InvalidConfig> {
     let seed = u64::from_str_radix(seed, 16).unwrap_or_else(|_| RingPosition::of(seed).0);
     let policy = settings.policy_config(seed).map_err(|cause| InvalidConfig::Settings(cause.to_string()));
@@ -225,14 +226,15 @@
     for capability in settings.ignored_capabilities() {
         log::info!("allowed and not used, {capability}");
     }
-    // A host can't tell a cancelled attempt from the next one on its connection, so cancelling would close the
-    // connection: the host works on all the same, and the next attempt waits for a new connection. So an attempt
-    // runs on, and its outcome counts as what it was.
+    // RESP2 has no way to cancel: the connection would have to be closed, the host would work on
+    // all the same, and the next attempt would wait for a new connection. So an attempt that the
+    // policy could cancel runs to its end, and its outcome counts for what it is.
     policy.capabilities.cancellation = false;
     Ok(policy)
 }
 
-/// Reads the operators' map of regions; none where no file was named and none lies at the default place.
+/// Reads the operators' map of regions; none if no file is named and there is none at the default
+/// path.
 fn read_region_map(named: Option<String>) -> Result<Option<RegionMap>, ConfigError> {
     let file = named.as_deref().unwrap_or(DEFAULT_REGION_MAP);
     match std::fs::read_to_string(file) {
--- a/balancer/src/counters.rs
+++ b/balancer/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counts of what is received, sent and answered; printed in the log on SIGUSR1 and at exit.
+//! Counters of events, printed to the log on SIGUSR1 and at exit.
 
 use std::cell::Cell;
 use std::fmt;
@@ -34,29 +34,31 @@
         self.add_many(1);
     }
 
-    /// So many more.
+    /// `more` more.
     pub fn add_many(&self, more: usize) {
         self.0.set(self.0.get() + more as u64);
     }
 }
 
 counters! {
-    // In: clients and what they sent.
+    // Clients and what they sent: accepted, closed to make way for others, closed for being slow,
+    // requests, commands that are no request.
     clients, clients_shed, clients_slow, requests, malformed,
-    // Out: what requests were answered with; `abandoned` where the client had gone.
+    // How requests ended; `abandoned` if the client had gone.
     succeeded, rejected, failed, abandoned,
     // Attempts, and how they ended.
     attempts, attempts_succeeded, attempts_missed, attempts_error, attempts_rejected, attempts_timed_out,
     attempts_unreachable, attempts_connection_lost, attempts_connection_fault, attempts_cancelled,
     attempts_not_sent,
-    // Long values that their host did not give whole.
+    // Long values of which the host did not send the whole.
     values_truncated,
-    // Connections to hosts: opened, used again, found closed.
+    // Connections to hosts: opened, reused, found closed when they were to be reused.
     connections_opened, connections_reused, connections_stale,
-    // The list; calls for it that were refused for now, came to nothing, or were answered with what is no list.
+    // Lists that were applied; calls to discovery that were refused for now, timed out or lost, or
+    // got an invalid response; entries left out as invalid; hosts that are gone and forgotten.
     endpoint_lists, discovery_unavailable, discovery_timeouts, discovery_invalid, endpoints_refused,
     hosts_released,
-    // Regions: how often the ring became another one's; hosts that came into it, and that were taken out of it
+    // Regions: changes of the ring to another region; hosts that were added to the ring, or removed
     // while up; zones that no region names.
     regions_rings, regions_hosts_in, regions_hosts_out, regions_zones_unnamed,
 }
--- a/balancer/src/discovery/client.rs
+++ b/balancer/src/discovery/client.rs
@@ -1,4 +1,4 @@
-//! One call to discovery, over HTTP/1.1, on a connection that is kept from call to call.
+//! One call to discovery over HTTP/1.1, on a connection that is kept from call to call.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,15 +17,15 @@
 use crate::shared::Shared;
 use crate::upstream::UpstreamConnection;
 
-/// The longest list that is read, in bytes.
+/// The longest list that is read.
 const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
-/// What an answer's head may take beside the list, in bytes.
+/// Buffer space for a response's head, beside the list.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 
 /// Discovery at one address.
 pub struct DiscoveryClient {
     address: SocketAddr,
-    /// Kept while calls succeed.
+    /// Closed when a call fails.
     connection: Option<UpstreamConnection>,
 }
 
@@ -35,8 +35,12 @@
         DiscoveryClient { address, connection: None }
     }
 
-    /// Asks for what changed since the version that the schedule knows, or for the whole list. The call began at
-    /// `began`, and is bounded by the schedule's timeouts from then on. A connection on which a call failed is closed.
+    /// Fetches the changes since the version that the schedule knows, or the whole list if it knows
+    /// none. The schedule's timeouts count from `began`.
+    ///
+    /// # Errors
+    /// [`WatchError`] if discovery refuses, does not answer in time, or sends an invalid response.
+    /// The connection is closed then.
     pub async fn fetch(
         &mut self,
         shared: &Shared,
@@ -83,13 +87,14 @@
     began: Instant,
 ) -> Result<UpstreamConnection, WatchError> {
     let until = began + duration(schedule.response_timeout().min(schedule.call_timeout()));
-    // Its descriptor is set aside, as no budget is asked for one: where clients and hosts hold all others, a drain
-    // must be read still.
+    // Without a permit of the budget, which leaves a descriptor aside for this connection: drains
+    // must be read even while clients and hosts hold all other descriptors.
     let opening = shared.upstreams.connect(None, address, until, MAX_BODY_BYTES + MAX_HEAD_BYTES);
     opening.await.map_err(connection_failed)
 }
 
-/// The list as it is, or what changes after the known version: discovery holds that call while nothing does.
+/// The path of the whole list, or of the changes since the known version, which discovery holds
+/// until there are some.
 fn request_path(schedule: &WatchSchedule, began: Instant) -> String {
     let Some(version) = schedule.known_version() else { return "/v1/servers".to_owned() };
     let connecting_took = began.elapsed().as_micros() as Micros;
@@ -116,7 +121,7 @@
     }
 }
 
-/// A connection that fails is no answer: what is known of the list still holds.
+/// A connection failure counts as no answer: the known version still holds.
 fn connection_failed(cause: io::Error) -> WatchError {
     WatchError::TimedOut(cause.to_string())
 }
@@ -125,7 +130,7 @@
     match answer.status {
         200 => serde_json::from_slice(&answer.body)
             .map_err(|cause| WatchError::InvalidResponse(cause.to_string())),
-        // It is asked for more than it can serve, or it is broken: calling again at once would make that worse.
+        // Overloaded or broken: calling again at once would make that worse.
         429 | 500.. => {
             let retry_after = answer.retry_after.map(|seconds| Micros::from(seconds) * 1_000_000);
             Err(WatchError::Unavailable { cause: format!("status {}", answer.status), retry_after })
--- a/balancer/src/discovery/endpoints.rs
+++ b/balancer/src/discovery/endpoints.rs
@@ -1,4 +1,4 @@
-//! The list of hosts: the form in which discovery writes it, and how it is applied.
+//! The list of hosts: its JSON form, and how it is applied.
 
 use std::net::SocketAddr;
 
@@ -9,22 +9,22 @@
 
 use crate::shared::Shared;
 
-/// A start that lies further ahead than this is no host's.
+/// A host's start time further in the future than this is invalid.
 const MAX_START_AHEAD: Micros = 3_600_000_000;
-/// Starts as discovery may give them, in ms since 1970: past these a number is no time.
+/// Valid start times, in ms since 1970.
 const START_MS: std::ops::Range<f64> = 0.0..1e15;
-/// Weights that a host may have; one with another counts as having none.
+/// Valid weights; any other counts as not given.
 const WEIGHTS: std::ops::Range<f64> = 1e-3..1e6;
-/// How much of an entry that is refused the log shows.
+/// How much of an invalid entry the log shows.
 const MAX_LOGGED_CHARS: usize = 200;
 
-/// The list, or changes to it, as discovery writes it. Entries are read one by one, so that an invalid one spoils no
-/// other.
+/// The list, or changes to it, as discovery writes it. Entries are parsed one by one, so that an
+/// invalid one does not invalidate the others.
 #[derive(Default, Deserialize)]
 pub struct EndpointList {
     /// The list's version.
     generation: u64,
-    /// It names every host that there is.
+    /// The list is complete, not a change to the previous one.
     #[serde(default)]
     reset: bool,
     #[serde(default)]
@@ -32,7 +32,7 @@
 }
 
 impl EndpointList {
-    /// Whether it names every host that there is, and not changes only.
+    /// Whether the list is complete, not a change to the previous one.
     pub fn is_whole(&self) -> bool {
         self.reset
     }
@@ -57,7 +57,7 @@
     started_at_ms: Option<f64>,
 }
 
-/// Why an entry of the list is left out.
+/// Why an entry of the list is ignored.
 #[derive(Debug, thiserror::Error)]
 enum InvalidInstance {
     #[error(transparent)]
@@ -70,10 +70,10 @@
     Start,
 }
 
-/// What an entry says of a host beside its name, zone and lifecycle.
+/// An entry's fields beside name, zone and lifecycle.
 #[derive(Clone)]
 pub struct HostDetails {
-    /// None where no new attempts go to the host.
+    /// None only for hosts that get no new attempts.
     address: Option<SocketAddr>,
     /// On this process's clock.
     started_at: Option<Micros>,
@@ -81,16 +81,16 @@
     cell: Option<u32>,
 }
 
-/// Which listed hosts make this balancer's ring.
+/// Which listed hosts form this balancer's ring.
 pub type HostRegions = Regions<HostDetails>;
 
-/// Applies a list to the policy and to the connections to hosts; `whole` where it names every host that there is. The
-/// list's version.
+/// Applies a list to the policy and to the upstream connections; `whole` if it is complete. Returns
+/// the list's version.
 pub fn apply_list(shared: &Shared, list: EndpointList, whole: bool) -> u64 {
     let now = shared.clock.now();
     let hosts = valid_hosts(shared, list.instances, now);
     let listed = hosts.len();
-    // A host outside the ring gets no number, and so nothing else.
+    // Hosts outside the ring get no id, so no connection and no memory.
     let hosts = match &shared.regions {
         Some(regions) => keep_ring_hosts(shared, &mut regions.borrow_mut(), whole, hosts),
         None => hosts,
@@ -99,7 +99,7 @@
     shared.counters.endpoint_lists.add();
     log::debug!("list {}: {} entries{}", list.generation, listed, if whole { ", all there are" } else { "" });
     shared.router.borrow_mut().update_endpoints(now, whole, endpoints);
-    // Before any request's task runs, and also for hosts that a whole list does not name.
+    // Before any request's task runs, and also for hosts that are missing in a complete list.
     shared.upstreams.update_accepting_hosts(|host| shared.router.borrow().accepts_attempts(host));
     shared.wake_requests();
     forget_released_hosts(shared);
@@ -109,7 +109,7 @@
     list.generation
 }
 
-/// The entries that make sense; the others are counted and logged.
+/// The valid entries; the others are counted and logged.
 fn valid_hosts(
     shared: &Shared,
     instances: Vec<serde_json::Value>,
@@ -129,7 +129,7 @@
     hosts
 }
 
-/// What of a list the policy is to be told where there are regions.
+/// The updates of hosts that are in the ring, or leave it.
 fn keep_ring_hosts(
     shared: &Shared,
     regions: &mut HostRegions,
@@ -155,7 +155,7 @@
     update.entries
 }
 
-/// The host as the policy knows it. Its address goes to the upstream connections.
+/// Assigns the host its id, and passes its address to the upstream connections.
 fn register(shared: &Shared, host: ListedHost<HostDetails>) -> Endpoint {
     let ListedHost { host: name, zone, origin, lifecycle, details } = host;
     let endpoint = shared.names.borrow_mut().endpoint(&settings::EndpointRecord {
@@ -177,11 +177,11 @@
     Endpoint { origin, ..endpoint }
 }
 
-/// Drops what is known of hosts that have gone: hosts come and go all day.
+/// Frees all memory of hosts that are gone: hosts are replaced all day.
 fn forget_released_hosts(shared: &Shared) {
     for host in shared.router.borrow().released_hosts() {
         let mut names = shared.names.borrow_mut();
-        // The policy names every host whose number is free, also those whose names were forgotten before.
+        // The policy names every free id, also those that were released before.
         if names.hosts.release(host.0) {
             if let Some(regions) = &shared.regions {
                 regions.borrow_mut().forget(&names.hosts.names[host.0 as usize]);
@@ -209,7 +209,7 @@
     };
     let address = instance.host_port.parse::<SocketAddr>().ok().filter(|address| address.port() > 0);
     let started_at = start_time(shared, instance.started_at_ms, now);
-    // A host that gets no new attempts needs no address, and no start.
+    // A host that gets no new attempts needs neither address nor start time.
     if lifecycle == Lifecycle::Up {
         if address.is_none() {
             return Err(InvalidInstance::Address(instance.host_port));
@@ -228,15 +228,15 @@
     })
 }
 
-/// An entry that ends a host's use counts whatever else it says: a drain that is lost for an invalid address would
-/// break rule 3.
+/// Reads no more than name and lifecycle from an entry that drains or removes a host. Such an entry
+/// counts even if other fields are invalid: losing a drain would break rule 3.
 fn ending_instance(value: &serde_json::Value) -> Option<Instance> {
     let text = |name: &str| value.get(name)?.as_str().map(str::to_owned);
     let lifecycle = text("lifecycle").filter(|lifecycle| lifecycle != "active")?;
     Some(Instance { instance_id: text("instanceId")?, lifecycle, ..Instance::default() })
 }
 
-/// A host's start on this process's clock; 0 ms counts as not told.
+/// A host's start time on this process's clock; 0 ms counts as not given.
 fn start_time(
     shared: &Shared,
     started_at_ms: Option<f64>,
--- a/balancer/src/discovery/mod.rs
+++ b/balancer/src/discovery/mod.rs
@@ -1,7 +1,7 @@
-//! The list of hosts, watched at discovery from start to exit. What is known at the start serves until discovery
-//! answers.
+//! The list of hosts, watched at discovery from start to exit. The configuration's known list is
+//! used until discovery answers.
 //!
-//! [`client`] makes one call, [`endpoints`] reads a list and applies it, [`watch`] calls again and again.
+//! [`client`] makes one call, [`endpoints`] parses and applies a list, [`watch`] is the loop.
 
 mod client;
 mod endpoints;
--- a/balancer/src/discovery/watch.rs
+++ b/balancer/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! The watch: calls discovery for as long as the process lives, and applies each list that comes.
+//! The watch loop: calls discovery as long as the process lives, and applies each list.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,11 +14,11 @@
 use crate::clock::duration;
 use crate::shared::Shared;
 
-/// From the beginning of one call to the beginning of the next at least: a discovery that holds no call must not
-/// keep the balancer busy.
+/// The shortest time from the start of one call to the start of the next: a discovery that does not
+/// hold calls must not keep the balancer busy.
 const MIN_CALL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The watch of the list, at whichever address discovery has.
+/// The watch of the list, at discovery's current address.
 pub struct ListWatch {
     shared: Rc<Shared>,
     address: watch::Receiver<SocketAddr>,
@@ -34,14 +34,14 @@
 }
 
 enum WatchState {
-    /// A call is due, or under way.
+    /// A call is due or in progress.
     Calling,
-    /// The next call begins at this time.
+    /// The next call starts at this time.
     Pausing(Instant),
 }
 
 impl ListWatch {
-    /// A watch whose first call is made as soon as it runs.
+    /// A watch that makes its first call as soon as it runs.
     pub fn new(
         shared: Rc<Shared>,
         address: watch::Receiver<SocketAddr>,
@@ -50,8 +50,8 @@
         ListWatch { shared, address, schedule }
     }
 
-    /// Watches for ever. Where discovery's address changes the call under way is cancelled and its connection closed,
-    /// so that nothing is taken from two places.
+    /// Watches for ever. When discovery's address changes, the current call is cancelled and its
+    /// connection closed, so that lists of two discoveries never mix.
     pub async fn run(mut self) {
         loop {
             let address = *self.address.borrow_and_update();
@@ -73,7 +73,7 @@
 }
 
 impl WatchAt<'_> {
-    /// Goes from call to pause and back, for ever.
+    /// Alternates between call and pause, for ever.
     async fn run(mut self) {
         loop {
             self.state = match self.state {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Makes one call; when the next one is due.
+    /// Makes one call; returns when the next one is due.
     async fn call(&mut self) -> Instant {
         let began = Instant::now();
         log::debug!("asks discovery from {:?}", self.schedule.known_version());
@@ -111,7 +111,7 @@
         self.schedule.succeeded(version, whole);
     }
 
-    /// The list stays as it is; how long to wait before the next call.
+    /// Counts and logs a failed call; returns how long to wait before the next.
     fn failed(&mut self, error: &WatchError, began: Instant) -> Micros {
         let counters = &self.shared.counters;
         match error {
@@ -119,7 +119,7 @@
             WatchError::TimedOut(_) => counters.discovery_timeouts.add(),
             WatchError::InvalidResponse(_) => counters.discovery_invalid.add(),
         }
-        // The first of a series only: a discovery that is down must not fill the log.
+        // Only the first failure of a series: a discovery that is down must not fill the log.
         if self.schedule.consecutive_failures() == 0 {
             log::warn!("discovery: {}; the list stays as it is", error.cause());
         }
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -1,5 +1,8 @@
-//! The balancer on sockets: clients, cache hosts, origin and discovery around basaltwood's decisions. A program reads
-//! its [`Config`] and calls [`run`], which serves until a signal ends it. This crate decides nothing about requests.
+//! The balancer on sockets: clients, cache hosts, origin and discovery around the decisions of
+//! `basaltwood`.
+//!
+//! A program reads its [`Config`] and calls [`run`], which serves until a signal ends it. This
+//! crate decides nothing about requests.
 
 mod admin;
 mod budget;
@@ -28,16 +31,16 @@
 pub use listener::{InheritedError, ListenError};
 pub use process::StartError;
 
-/// Why [`run`] ended other than by a signal. It displays as one line.
+/// Why [`run`] ended other than by a signal. Displayed, it is one line.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The system gives no runtime.
+    /// The runtime could not be built.
     #[error("the runtime: {0}")]
     Runtime(io::Error),
-    /// The process could not start, so it served nobody.
+    /// The process could not start.
     #[error(transparent)]
     Start(#[from] StartError),
-    /// A task that runs from start to exit ended. Open requests got their final answers all the same.
+    /// A background task panicked. Open requests got their final answers before the end.
     #[error("a part of the balancer failed; it ends")]
     TaskFailed,
 }
@@ -45,7 +48,7 @@
 /// Serves until a signal to end (SIGTERM, SIGINT), on a runtime of its own in this thread.
 ///
 /// # Errors
-/// [`RunError`] where it can't listen, or where a part of it failed.
+/// [`RunError`] if the process can't start, or if a background task fails.
 pub fn run(config: Config) -> Result<(), RunError> {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime = builder.enable_all().build().map_err(RunError::Runtime)?;
@@ -53,7 +56,7 @@
     local.block_on(&runtime, async { Process::start(config)?.run().await })
 }
 
-/// Reads once into a connection's buffer; 0 at the end of the stream. Nothing is lost where this is cancelled.
+/// Reads once into a connection's buffer; 0 at the end of the stream. It is cancel safe.
 async fn read(from: &mut (impl AsyncRead + Unpin), buffer: &mut Buffer) -> io::Result<usize> {
     from.read_buf(buffer.unfilled()?).await
 }
--- a/balancer/src/lifecycle.rs
+++ b/balancer/src/lifecycle.rs
@@ -1,35 +1,37 @@
-//! Where the program is between start and exit.
+//! The phases of the process between start and exit.
 
-/// A phase of the program. Operators' calls and signals lead from one to the next; connections close by it.
+/// A phase of the process. Signals and admin requests lead from one to the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// Reads its configuration and begins to listen.
     Starting,
     /// Takes and answers requests.
     Serving,
-    /// Operators send clients away: what comes is served, and connections are closed after their next answer. It is
-    /// left again for `Serving`.
+    /// Operators drain this balancer: requests are still served, and each connection is closed
+    /// after its next answer. It can be left for `Serving` again.
     LameDuck,
-    /// After a signal to end: takes what still comes, answers it, and closes connections once they were of use.
+    /// After a signal to end: accepts and answers for a while, and closes connections once they
+    /// have been served.
     Draining,
-    /// After a signal to end where another process accepts: each connection is closed after its next answer.
+    /// After a signal to end, if another process accepts: each connection is closed after its next
+    /// answer.
     Takeover,
-    /// Nothing new is taken; connections are closed as soon as they are owed nothing.
+    /// Nothing new is accepted; connections are closed as soon as no answer is owed on them.
     Closing,
-    /// Whatever was open has its final answer, what still comes is rejected; connections are closed once those answers
-    /// are written.
+    /// All open requests have got their final answers and new ones are rejected; connections are
+    /// closed once those answers are written.
     Flushing,
-    /// Nothing is owed any more.
+    /// No connection is left.
     Ended,
 }
 
 impl Phase {
-    /// Whether clients are to go elsewhere.
+    /// Whether clients are to be sent to other balancers.
     pub fn drains_clients(self) -> bool {
         !matches!(self, Phase::Starting | Phase::Serving)
     }
 
-    /// Whether connections of clients are accepted.
+    /// Whether clients' connections are accepted.
     pub fn accepts_connections(self) -> bool {
         matches!(self, Phase::Starting | Phase::Serving | Phase::LameDuck | Phase::Draining)
     }
--- a/balancer/src/listener.rs
+++ b/balancer/src/listener.rs
@@ -1,5 +1,5 @@
-//! Where clients and operators connect: a socket bound here, or one that the platform holds and every process of this
-//! balancer inherits.
+//! Listening sockets: bound by this process, or held by the platform and inherited by every process
+//! of the balancer.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,10 +8,11 @@
 use socket2::SockRef;
 use tokio::net::{TcpListener, TcpSocket};
 
-/// Connections that the system holds until they are accepted.
+/// The length of the system's queue of connections that wait to be accepted.
 const BACKLOG: u32 = 1024;
 
-/// Why the process can't listen. It displays as one line that names the field or variable.
+/// Why the process can't listen. Displayed, it is one line that names the field or variable at
+/// fault.
 #[derive(Debug, thiserror::Error)]
 pub enum ListenError {
     /// An address can't be bound.
@@ -21,10 +22,10 @@
         field: &'static str,
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The system's error.
         cause: io::Error,
     },
-    /// The inherited descriptor is of no use.
+    /// The inherited descriptor can't be used.
     #[error("PROXY_INHERITED_FD {descriptor}: {cause}")]
     Inherited {
         /// The descriptor's number.
@@ -37,55 +38,55 @@
 /// What is wrong with an inherited descriptor.
 #[derive(Debug, thiserror::Error)]
 pub enum InheritedError {
-    /// It is closed, or a file, or a socket of another kind.
+    /// It is closed, or a file, or another kind of socket.
     #[error("it is no socket that listens")]
     NotListening,
-    /// It listens where the configuration does not say.
+    /// It listens at another address than the configured one.
     #[error("it listens on {actual}, not on {configured}")]
     OtherAddress {
-        /// Where it listens.
+        /// The address it listens at.
         actual: SocketAddr,
-        /// Where the configuration has clients connect.
+        /// The address that the configuration gives.
         configured: SocketAddr,
     },
-    /// The system refuses something.
+    /// A system call failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// Binds and listens at the address that a field of the configuration gave.
+/// Binds and listens at the address from this field of the configuration.
 ///
 /// # Errors
-/// [`ListenError::Bind`] where the system refuses.
+/// [`ListenError::Bind`] if the system refuses.
 pub fn bind(field: &'static str, address: SocketAddr) -> Result<TcpListener, ListenError> {
     bind_and_listen(address).map_err(|cause| ListenError::Bind { field, address, cause })
 }
 
 fn bind_and_listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    // A restart takes its address over at once.
+    // So that a restarted process can bind at once.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(BACKLOG)
 }
 
-/// Serves a listening socket that was inherited as this descriptor. It is never shut down: that would end it for every
-/// process that holds it.
+/// Takes the listening socket that was inherited as this descriptor. Never shut it down: that would
+/// end it for every process that holds it.
 ///
 /// # Errors
-/// [`ListenError::Inherited`] where that is no socket which listens at this address.
+/// [`ListenError::Inherited`] if the descriptor is not a socket that listens at this address.
 pub fn inherited(descriptor: u16, address: SocketAddr) -> Result<TcpListener, ListenError> {
     take_inherited(descriptor, address).map_err(|cause| ListenError::Inherited { descriptor, cause })
 }
 
 fn take_inherited(descriptor: u16, address: SocketAddr) -> Result<TcpListener, InheritedError> {
-    // listenfd reads the descriptor's number from variables as systemd sets them.
+    // listenfd reads the descriptor's number from the variables that systemd sets.
     std::env::remove_var("LISTEN_PID");
     std::env::set_var("LISTEN_FDS", "1");
     std::env::set_var("LISTEN_FDS_FIRST_FD", descriptor.to_string());
     let taken = ListenFd::from_env().take_tcp_listener(0);
     std::env::remove_var("LISTEN_FDS_FIRST_FD");
-    // What is open under this number may be anything, a file of the platform's included.
+    // Anything may be open under this number, also a file of the platform.
     let listener = taken.ok().flatten().ok_or(InheritedError::NotListening)?;
     if !SockRef::from(&listener).is_listener().unwrap_or(false) {
         return Err(InheritedError::NotListening);
--- a/balancer/src/metrics.rs
+++ b/balancer/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics that operators fetch, counted where peers see them.
+//! The metrics that operators fetch, counted where clients and hosts see the event.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -10,9 +10,9 @@
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Its value was written.
+    /// Its answer was written whole.
     Ok,
-    /// It was rejected: trying again is harmless.
+    /// It was rejected; a retry by the client is harmless.
     Shed,
     /// It failed.
     Error,
@@ -27,7 +27,7 @@
     attempts_sent: Cell<u64>,
     active_requests: Cell<u64>,
     pool_size: Cell<PoolSize>,
-    /// None where the operators gave no map of regions.
+    /// None if the operators gave no map of regions.
     regions: RefCell<Option<RegionMetrics>>,
 }
 
@@ -41,21 +41,21 @@
 
 struct RegionMetrics {
     counts: RegionCounts,
-    /// By region, its name and whether its hosts are this balancer's ring.
+    /// Each region's name, and whether its hosts form this balancer's ring.
     rings: Vec<(String, bool)>,
-    /// The map's, as eight digits.
+    /// Eight hexadecimal digits.
     map_version: String,
 }
 
-/// A request that has come and has not ended for its client. Dropped without an outcome it was abandoned, and counts
-/// as none: every way out of a request passes here once.
+/// An open request, from its arrival to its end for the client. One that is dropped without an
+/// outcome was abandoned by its client, and counts as no outcome.
 pub struct ActiveRequest {
     metrics: Rc<Metrics>,
     class: RequestClassId,
 }
 
 impl ActiveRequest {
-    /// The request has ended for its client.
+    /// The request ended for its client with this outcome.
     pub fn finish(self, outcome: RequestOutcome) {
         let mut outcomes = self.metrics.outcomes.borrow_mut();
         if let Some(counts) = outcomes.get_mut(usize::from(self.class.0)) {
@@ -76,7 +76,7 @@
 }
 
 impl Metrics {
-    /// Metrics that all stand at 0; each request class shows from the start.
+    /// Metrics that all are 0. Each request class is shown from the start.
     pub fn new(class_names: Vec<String>) -> Rc<Metrics> {
         Rc::new(Metrics {
             outcomes: RefCell::new(vec![OutcomeCounts::default(); class_names.len()]),
@@ -88,23 +88,23 @@
         })
     }
 
-    /// A request of this class has come.
+    /// A request of this class arrived.
     pub fn request_started(self: &Rc<Metrics>, class: RequestClassId) -> ActiveRequest {
         self.active_requests.set(self.active_requests.get() + 1);
         ActiveRequest { metrics: self.clone(), class }
     }
 
-    /// An attempt was written whole, to a cache host or the origin.
+    /// An attempt was written whole to a cache host or the origin.
     pub fn attempt_sent(&self) {
         self.attempts_sent.set(self.attempts_sent.get() + 1);
     }
 
-    /// How many cache hosts are listed, and how many of these are ejected.
+    /// Sets how many cache hosts are listed, and how many of these are ejected.
     pub fn set_pool_size(&self, pool_size: PoolSize) {
         self.pool_size.set(pool_size);
     }
 
-    /// Where the listed hosts lie, and which region is the ring.
+    /// Sets how many listed hosts are in and outside the ring, and which region the ring is.
     pub fn set_regions<T: Clone>(&self, regions: &Regions<T>) {
         let is_ring = |name: &String| (name.clone(), name == regions.ring());
         self.regions.replace(Some(RegionMetrics {
@@ -119,7 +119,7 @@
         self.pool_size.get().listed > 0
     }
 
-    /// The page of all metrics, from counts that are at hand.
+    /// The page of all metrics. It costs no more than writing it: all counts are kept up to date.
     pub fn render(&self) -> MetricsPage {
         let mut page = MetricsPage::default();
         self.add_outcomes(&mut page);
--- a/balancer/src/process/limit_sharing.rs
+++ b/balancer/src/process/limit_sharing.rs
@@ -1,4 +1,5 @@
-//! Keeps this process to its share of the limits while another process of the same balancer lives.
+//! Keeps this process within its share of the limits while another process of the same balancer
+//! lives.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,26 +10,26 @@
 use crate::shared::Shared;
 use crate::takeover::{LimitShare, ProcessSlot};
 
-/// Between looks at whether another process lives.
+/// Between two checks whether another process lives.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// How often learned limits are recorded for a process that may replace this one.
+/// How often learned limits are recorded for a successor.
 const RECORD_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Divides the limits with the other process of this balancer.
+/// Shares the limits with the other process of this balancer.
 pub struct LimitSharing {
     shared: Rc<Shared>,
     slot: ProcessSlot,
-    /// The balancer's limit of descriptors.
+    /// The limit on sockets of both processes.
     max_sockets: usize,
-    /// The balancer's limit of memory.
+    /// The memory limit of both processes.
     memory_bytes: usize,
-    /// The share that is in force.
+    /// The share in force; none before the first check.
     share: Option<LimitShare>,
     recorded_at: Instant,
 }
 
 impl LimitSharing {
-    /// For limits that are this balancer's, whichever of its processes uses them.
+    /// `max_sockets` and `memory_bytes` are the limits of both processes together.
     pub fn new(
         shared: Rc<Shared>,
         slot: ProcessSlot,
@@ -38,7 +39,7 @@
         LimitSharing { shared, slot, max_sockets, memory_bytes, share: None, recorded_at: Instant::now() }
     }
 
-    /// Looks for the other process again and again, for ever.
+    /// Checks for the other process periodically, for ever.
     pub async fn run(mut self) {
         loop {
             self.check();
@@ -48,7 +49,8 @@
 
     fn check(&mut self) {
         let share = self.slot.limit_share();
-        // Of two processes it is the old one that has learned, and its last record stands for as long as it is of use.
+        // While two processes live no record is written: the old one has learned more, and its last
+        // record stays valid as long as it is useful.
         if share == LimitShare::Alone && self.recorded_at.elapsed() >= RECORD_INTERVAL {
             self.record_limits();
         }
@@ -61,7 +63,7 @@
     fn record_limits(&mut self) {
         self.recorded_at = Instant::now();
         let record = handover::encode(&self.shared.router.borrow().learned_limits());
-        // Without a record the next process learns anew; a full folder must not end this one.
+        // Without a record the successor learns anew; a full disk must not end this process.
         if let Err(cause) = self.slot.write_record(&record) {
             log::debug!("learned limits are not recorded: {cause}");
         }
@@ -75,7 +77,7 @@
         self.shared.upstreams.set_max_connections(sockets);
     }
 
-    /// Idle connections to hosts go first, then clients that stand idle.
+    /// Closes idle connections to hosts first, then idle clients.
     fn close_excess_connections(&self) {
         let budget = &self.shared.budget;
         while budget.excess_connections() > 0 && self.shared.upstreams.close_idle_connection() {}
--- a/balancer/src/process/mod.rs
+++ b/balancer/src/process/mod.rs
@@ -1,6 +1,6 @@
-//! The process from start to exit, phase by phase.
+//! The process from start to exit, phase by phase: named states of one object.
 //!
-//! [`start`] puts its parts together, [`tasks`] and [`limit_sharing`] are what runs beside the connections.
+//! [`start`] assembles it; [`tasks`] and [`limit_sharing`] run in the background.
 
 mod limit_sharing;
 mod start;
@@ -23,23 +23,23 @@
 
 pub use start::StartError;
 
-/// Clients go on coming for a while after SIGTERM; for so long they are accepted.
+/// How long clients are accepted after SIGTERM, as they keep connecting for a while.
 const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(600);
-/// Operators kill a balancer so long after the time for answers at the earliest.
+/// Operators kill a balancer no sooner than this after the time for answers.
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// So long before that every open request gets its final answer: one that may take longer than the process has must
-/// not go without, and what ends in that very instant has to be written too.
+/// How long before that kill every open request gets its final answer: a request with a longer
+/// deadline needs one too, and the last answers have to be written.
 const FLUSH_TIME: Duration = Duration::from_millis(200);
 
-/// A process that listens and serves nobody yet.
+/// A process that listens and does not serve yet.
 pub struct Process {
     shared: Rc<Shared>,
     listener: TcpListener,
     signals: Signals,
     shutdown: Shutdown,
-    /// Where discovery is, for the watch.
+    /// Discovery's address, for the watch.
     discovery: watch::Sender<SocketAddr>,
-    /// What runs from start to exit. None of it ends by itself but by a fault of its own.
+    /// Background tasks. None ends before the exit unless it panics.
     tasks: JoinSet<()>,
 }
 
@@ -51,7 +51,8 @@
 }
 
 impl Signals {
-    /// Takes the signals over. It comes before the process listens: until then SIGHUP would end the program.
+    /// Registers the handlers. Until then SIGHUP would end the program, so this comes before it
+    /// listens.
     fn register() -> std::io::Result<Signals> {
         Ok(Signals {
             terminate: signal(SignalKind::terminate())?,
@@ -62,17 +63,17 @@
     }
 }
 
-/// The way from the signal to end to the exit.
+/// The phases from the signal to end to the exit.
 struct Shutdown {
     phase: Rc<watch::Sender<Phase>>,
-    /// The phase that a signal to end begins.
+    /// The phase that a signal to end starts.
     first_phase: Phase,
-    /// For so long accepted requests are answered at most.
+    /// How long accepted requests may take to be answered.
     answer_time: Duration,
 }
 
 impl Process {
-    /// Serves until a signal to end, or until a task fails, and then goes through the phases to the exit.
+    /// Serves until a signal to end, or until a background task fails, and then shuts down.
     ///
     /// # Errors
     /// [`RunError::TaskFailed`].
@@ -85,7 +86,8 @@
         let outcome = tokio::select! {
             _ = signals.terminate.recv() => Ok(()),
             _ = signals.interrupt.recv() => Ok(()),
-            // Without its timers or its list a balancer would limp on unnoticed.
+            // Without its timers or its list the balancer would serve badly, and nobody would
+            // notice.
             _ = tasks.join_next() => Err(RunError::TaskFailed),
         };
         shutdown.run(&shared).await;
@@ -100,11 +102,12 @@
         log::info!("{next:?}");
     }
 
-    /// Goes through the phases that are left, until no connection of a client is.
+    /// Goes through the remaining phases, until no client is connected.
     async fn run(&self, shared: &Shared) {
         self.enter(self.first_phase);
         let deadline = Instant::now() + self.answer_time + KILL_DELAY - FLUSH_TIME;
-        // Where another process accepts nothing is gained by an early end, and half commands are read to their end.
+        // In a takeover there is no hurry, and commands that have arrived in part are read to their
+        // end.
         if self.first_phase == Phase::Draining {
             sleep_until(deadline.min(Instant::now() + ACCEPT_AFTER_SIGTERM)).await;
             self.enter(Phase::Closing);
@@ -113,13 +116,13 @@
             self.enter(Phase::Flushing);
             shared.router.borrow_mut().shut_down(shared.clock.now());
             shared.wake_requests();
-            // Only a client that does not take its answer is left to wait for, and it is cut off by itself.
+            // Only clients that don't read their answers are left; their connections time out.
             self.connections_closed().await;
         }
         self.enter(Phase::Ended);
     }
 
-    /// Each connection holds a receiver for as long as it lives, and ends once it owes nothing.
+    /// Each connection holds a receiver of the phase until it closes.
     async fn connections_closed(&self) {
         self.phase.closed().await;
     }
--- a/balancer/src/process/start.rs
+++ b/balancer/src/process/start.rs
@@ -1,4 +1,5 @@
-//! The phase `Starting`: puts the process together. The known list serves from the first request on.
+//! The phase `Starting`: assembles the process, with the configuration's known list in force from
+//! the first request on.
 
 use std::io;
 use std::rc::Rc;
@@ -26,25 +27,26 @@
 use crate::takeover::{LimitShare, ProcessSlot};
 use crate::upstream::Upstreams;
 
-/// Accepted requests are answered for as long as the longest one may take, and no longer than this.
+/// At shutdown requests are answered as long as the longest deadline allows, and no longer than
+/// this.
 const MAX_ANSWER_TIME: Duration = Duration::from_millis(3_000);
 
-/// Why the process does not start. It displays as one line.
+/// Why the process can't start. Displayed, it is one line.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// It can't listen.
     #[error(transparent)]
     Listen(#[from] ListenError),
-    /// The system refuses a signal's handler, or a socket's address.
+    /// A signal handler or a socket's address could not be had.
     #[error(transparent)]
     System(#[from] io::Error),
 }
 
 impl Process {
-    /// Puts the process together, with the known list in force, and listens.
+    /// Assembles the process and listens.
     ///
     /// # Errors
-    /// [`StartError`] where it can't listen, or the system refuses something.
+    /// [`StartError`] if it can't listen, or if a system call fails.
     pub fn start(config: Config) -> Result<Process, StartError> {
         let shutdown = Shutdown::new(&config);
         let budget = resource_budget(&config);
@@ -103,8 +105,9 @@
     }
 }
 
-/// Where another process of this balancer may be at work: what that one leaves free of the descriptors until it is
-/// known whether it is, and half of the memory, of which a part can't change hands.
+/// The budget at the start. If another process of this balancer may live, it covers the descriptors
+/// that this one leaves free, until [`LimitSharing`] finds out; and half of the memory, as a part
+/// of the memory budget is fixed at the start.
 fn resource_budget(config: &Config) -> Rc<ResourceBudget> {
     let (sockets, memory_bytes) = match config.inherited_descriptor {
         Some(_) => (LimitShare::Beginning.of(config.max_sockets), LimitShare::Half.of(config.memory_bytes)),
@@ -124,7 +127,7 @@
     })
 }
 
-/// What connections and requests share, before there are any.
+/// The state that connections and requests will share.
 fn shared_state(
     policy: &PolicyConfig,
     names: NameTable,
@@ -139,7 +142,7 @@
     Shared::new(policy, names, limits.max_open_requests, upstreams, clock, counters, budget)
 }
 
-/// Begins with the limits that the process which this one replaces learned.
+/// Starts with the concurrency limits that the predecessor has learned.
 fn restore_limits(shared: &Shared, slot: &ProcessSlot) {
     match slot.read_record() {
         Ok(limits) => shared.router.borrow_mut().restore_limits(shared.clock.now(), limits),
--- a/balancer/src/process/tasks.rs
+++ b/balancer/src/process/tasks.rs
@@ -1,4 +1,4 @@
-//! Small tasks that run from start to exit.
+//! Background tasks: printing counters, reloading, timers.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,18 +11,18 @@
 use crate::config::Config;
 use crate::shared::Shared;
 
-/// From one look at connections and timers to the next at most.
+/// The longest time from one tick to the next.
 const MAX_TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Prints the counters at each of these signals.
+/// Prints the counters at each signal.
 pub async fn print_counters(shared: Rc<Shared>, mut signal: Signal) {
     while signal.recv().await.is_some() {
         log::info!("{} {}", shared.counters, shared.upstreams.pool_stats());
     }
 }
 
-/// Reads the configuration again at each of these signals. Discovery's address takes effect at once, all else at the
-/// next start; an invalid configuration changes nothing.
+/// Reloads the configuration at each signal. Only discovery's address takes effect at once, all
+/// else at the next start; an invalid configuration changes nothing.
 pub async fn reload_config(mut signal: Signal, discovery: watch::Sender<SocketAddr>) {
     while signal.recv().await.is_some() {
         match Config::read() {
@@ -39,8 +39,8 @@
     }
 }
 
-/// Looks after connections and has the policy's timers run, in this order: a stop of this process itself must be known
-/// before any host's silence is judged.
+/// Runs the timers of the connections and then of the policy. The order matters: a stall of this
+/// process itself must be noticed before it is taken for the silence of hosts.
 pub async fn tick(shared: Rc<Shared>) {
     loop {
         shared.upstreams.tick();
--- a/balancer/src/takeover.rs
+++ b/balancer/src/takeover.rs
@@ -1,6 +1,8 @@
-//! Two processes of one balancer, while one replaces the other, share its limits. Each holds a slot, a locked file in
-//! a folder that both see: the lock ends with its process, killed or not, where a file with the process's number would
-//! be left behind. The process that is alone records the limits that it learned, and a new one begins with them.
+//! How two processes of one balancer share its limits while one replaces the other.
+//!
+//! Each holds a slot: a locked file in a folder that both see. A lock ends with its process even if
+//! that is killed, whereas a file with a process id would be left behind. A process that is alone
+//! records the concurrency limits that it has learned, and its successor starts with them.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io;
@@ -14,22 +16,24 @@
 #[cfg(test)]
 mod tests;
 
-/// For so long a new process keeps to what the old one left free: the old one needs that time to come down to half.
+/// How long a new process keeps to what the old one left free, which needs that time to get down to
+/// half.
 const SETTLING_TIME: Duration = Duration::from_millis(500);
-/// An older record was left before a kill, or by no process of this balancer.
+/// The age past which a record is from before a crash, or from an unrelated process.
 const MAX_RECORD_AGE: Duration = Duration::from_secs(3);
-/// How often a slot is tried for at the start: it may be locked for a moment while the other process looks at it.
+/// How often a slot is tried: it may be locked for a moment while the other process checks it.
 const ACQUIRE_ATTEMPTS: u32 = 20;
+/// Between two tries.
 const ACQUIRE_INTERVAL: Duration = Duration::from_millis(2);
 
-/// How much of the limits this process may use now.
+/// How much of the balancer's limits this process may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitShare {
-    /// All but what a new process begins with.
+    /// No other process lives: all but the share that a new one starts with.
     Alone,
-    /// What the old process left free.
+    /// This process has just started beside another: what that one leaves free.
     Beginning,
-    /// Two processes live, or nothing tells whether they do.
+    /// Two processes live, or it is unknown whether they do.
     Half,
 }
 
@@ -44,23 +48,23 @@
     }
 }
 
-/// This process's place among the processes of its balancer.
+/// The slot of this process among the processes of its balancer.
 pub struct ProcessSlot {
-    /// None where the folder can't serve.
+    /// None if no slot could be acquired.
     held: Option<HeldSlot>,
-    /// The record of learned limits; none without a folder.
+    /// The file of learned limits; none without a folder.
     record: Option<PathBuf>,
     started_at: Instant,
 }
 
 struct HeldSlot {
-    /// Locked for as long as it is open.
+    /// Locked as long as it is open.
     _own: File,
     /// The slot of the other process.
     other: PathBuf,
 }
 
-/// Why this process has no slot.
+/// Why no slot could be acquired.
 #[derive(Debug, thiserror::Error)]
 enum SlotError {
     #[error("TMPDIR is not set")]
@@ -71,7 +75,7 @@
     AllTaken { folder: PathBuf },
 }
 
-/// A record of learned limits that is of no use: its file and why.
+/// Why a record of learned limits can't be used.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {cause}", path.display())]
 pub struct RecordFileError {
@@ -92,8 +96,8 @@
 }
 
 impl ProcessSlot {
-    /// Takes a slot of the balancer at this address in a folder. Without one nothing tells whether another process
-    /// lives, so this one uses half of the limits.
+    /// Acquires a slot of the balancer that listens at this address. Without a slot it is unknown
+    /// whether another process lives, so this one uses half of the limits.
     pub fn acquire(folder: Option<&Path>, address: SocketAddr) -> ProcessSlot {
         let started_at = Instant::now();
         let held = HeldSlot::acquire(folder, address)
@@ -103,10 +107,10 @@
         ProcessSlot { held, record, started_at }
     }
 
-    /// Records learned limits for a process that may replace this one, whole or not at all.
+    /// Records learned limits for a successor, atomically.
     ///
     /// # Errors
-    /// What the system says where the folder takes no file.
+    /// The system's error if the file can't be written.
     pub fn write_record(&self, bytes: &[u8]) -> io::Result<()> {
         let Some(record) = &self.record else { return Ok(()) };
         let unfinished = record.with_extension("new");
@@ -114,17 +118,18 @@
         std::fs::rename(&unfinished, record)
     }
 
-    /// The limits that another process recorded a moment ago; nothing where none did.
+    /// The limits that another process has recorded within [`MAX_RECORD_AGE`]; empty if there is no
+    /// record.
     ///
     /// # Errors
-    /// One line on a record that is there and of no use.
+    /// [`RecordFileError`] if there is a record that can't be used.
     pub fn read_record(&self) -> Result<Vec<LearnedLimit>, RecordFileError> {
         let Some(path) = &self.record else { return Ok(Vec::new()) };
         let Ok(metadata) = std::fs::metadata(path) else { return Ok(Vec::new()) };
         read_fresh_record(path, &metadata).map_err(|cause| RecordFileError { path: path.clone(), cause })
     }
 
-    /// This process's share of the limits, by whether another process holds the other slot now.
+    /// The share of the limits to use now, by whether another process holds the other slot.
     pub fn limit_share(&self) -> LimitShare {
         let Some(held) = &self.held else { return LimitShare::Half };
         match try_lock(&held.other) {
@@ -153,7 +158,7 @@
     }
 }
 
-/// Locks a slot's file for as long as the result is open; none where another process holds it.
+/// Locks a slot's file as long as the result is open; none if another process holds it.
 fn try_lock(path: &Path) -> io::Result<Option<File>> {
     let file = OpenOptions::new().create(true).truncate(false).write(true).open(path)?;
     match file.try_lock() {
@@ -164,7 +169,7 @@
 }
 
 fn read_fresh_record(path: &Path, metadata: &std::fs::Metadata) -> Result<Vec<LearnedLimit>, UnusableRecord> {
-    // One that was written ahead of the clock counts as new.
+    // A time in the future, after the wall clock was set back, counts as now.
     let age = metadata.modified()?.elapsed().unwrap_or_default();
     if age > MAX_RECORD_AGE {
         return Err(UnusableRecord::TooOld);
