--- a/balancer/tests/config.rs
+++ b/balancer/tests/config.rs
@@ -1,4 +1,5 @@
-//! What the library reads from the environment. Alone in its process, whose environment it sets.
+//! What the library reads from the environment. The only test of its process, whose environment it
+//! sets.
 
 #[path = "../../tests/common/mod.rs"]
 mod common;
@@ -6,22 +7,25 @@
 use basaltwood_balancer::Config;
 use common::managed;
 
-/// Limits and paces are sums over the balancers that a host deals with; discovery is asked by all.
+/// Limits and rates are sums over the balancers that send to the same hosts; all of the fleet call
+/// discovery.
 #[test]
-fn the_map_tells_how_many_balancers_a_host_deals_with() {
+fn balancers_in_the_region_map_replace_the_fleet_size_for_the_policy_only() {
     let folder = tempfile::tempdir().expect("a folder");
     let write = |name: &str, text: &str| {
         std::fs::write(folder.path().join(name), text).expect("a file");
         folder.path().join(name)
     };
-    std::env::set_var("PROXY_CONFIG", write("told.json", &managed(&[], [192, 1024])));
-    let mut told = Vec::new();
+    std::env::set_var("PROXY_CONFIG", write("config.json", &managed(&[], [192, 1024])));
+    let mut seen = Vec::new();
+
     for map in ["", "zones = [\"n1\"]\nbalancers = 519", "zones = [\"n1\"]"] {
         let text = format!("own = \"north\"\n[[region]]\nname = \"north\"\n{map}");
         let file = if map.is_empty() { "".into() } else { write("regions.toml", &text) };
         std::env::set_var("BASALTWOOD_REGIONS", file);
-        let read = Config::read().expect("it makes sense");
-        told.push((read.region_map.is_some(), read.policy.balancers, read.fleet_size));
+        let config = Config::read().expect("it is valid");
+        seen.push((config.region_map.is_some(), config.policy.balancers, config.fleet_size));
     }
-    assert_eq!(told, [(false, 2, 2), (true, 519, 2), (true, 2, 2)]);
+
+    assert_eq!(seen, [(false, 2, 2), (true, 519, 2), (true, 2, 2)]);
 }
--- a/balancer/tests/replaced.rs
+++ b/balancer/tests/host_churn.rs
@@ -1,5 +1,6 @@
-//! A day on which hosts and clients are replaced thousands of times: what is known of one that has gone goes too, so that
-//! memory levels off. Tables by host, by connection, by id and by key all count into it.
+//! A day on which hosts and clients are replaced thousands of times: what is kept of one that has
+//! gone is freed, so that memory levels off. Tables by host, by connection, by id and by key all
+//! count into it.
 
 #[path = "../../tests/common/mod.rs"]
 mod common;
@@ -7,21 +8,23 @@
 use common::*;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_basaltwood-balancer");
-/// Hosts that stand there at a time; each list replaces all of them.
-const AT_A_TIME: usize = 24;
+/// Hosts in each list; the next list replaces all of them.
+const HOSTS: usize = 24;
+/// Lists after the first one.
 const LISTS: usize = 160;
-/// By then whatever is kept of the present hosts, clients and keys is there.
+/// After so many lists memory has reached what the present hosts, clients and keys need.
 const SETTLED: usize = 40;
 
 #[test]
-fn hosts_and_clients_replaced_thousands_of_times_leave_nothing_behind() {
+fn memory_after_thousands_of_replaced_hosts_and_clients_is_level() {
     let host = Peer::host(|_| hit("v"));
     let discovery = Discovery::start();
     let hosts = |round: usize| -> Vec<String> {
-        (0..AT_A_TIME).map(|nth| entry(&format!("h{round}-{nth}"), host.address, "active")).collect()
+        (0..HOSTS).map(|nth| entry(&format!("h{round}-{nth}"), host.address, "active")).collect()
     };
     let program = Program::start(BINARY, discovery.peer.address, &hosts(0), 256);
     let mut settled = (0, 0);
+
     for round in 1..=LISTS {
         let mut clients: Vec<Client> = (0..12).map(|_| program.client()).collect();
         for (nth, client) in clients.iter_mut().enumerate() {
@@ -30,15 +33,16 @@
         }
         drop(clients);
         discovery.tell(&hosts(round));
-        // The call after it says that this list was read.
+        // Its next call shows that it has read this list.
         while !discovery.peer.next().contains(&format!("from={}&", round + 1)) {}
         if round == SETTLED {
             settled = (program.memory_kb(), program.descriptors());
         }
     }
-    let forgotten = ((LISTS - 1) * AT_A_TIME) as u64;
-    program.counts("hosts_released", forgotten);
+
+    let released = ((LISTS - 1) * HOSTS) as u64;
+    program.counts("hosts_released", released);
     let (memory, descriptors) = (program.memory_kb(), program.descriptors());
     assert!(memory <= settled.0 + 1_024, "{} kB after {SETTLED} lists, {memory} kB at the end", settled.0);
-    assert!(descriptors <= settled.1 + AT_A_TIME, "{} descriptors, then {descriptors}", settled.1);
+    assert!(descriptors <= settled.1 + HOSTS, "{} descriptors, then {descriptors}", settled.1);
 }
--- a/balancer/tests/starts.rs
+++ b/balancer/tests/starts.rs
@@ -1,11 +1,11 @@
-//! Starts and returns under want: processes that start while nothing answers them, and a crowd of idle clients that holds the
-//! descriptors while discovery is away.
+//! Starts under adverse conditions: processes that start while neither discovery nor hosts answer,
+//! and idle clients that hold the descriptors while discovery is down.
 
 #[path = "../../tests/common/mod.rs"]
 mod common;
 
 use std::io::{ErrorKind, Read, Write};
-use std::net::TcpStream;
+use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::thread;
@@ -15,72 +15,85 @@
 
 const BINARY: &str = env!("CARGO_BIN_EXE_basaltwood-balancer");
 
-/// Nine in ten restarted processes are to be ready within 10 s. Discovery is silent, every host hangs, and all start in one
-/// instant: a start that waited for any of them would never be ready.
+/// A process that listens, with the address of its admin interface read from the log.
+fn serving(mut program: Program) -> Program {
+    program.mgmt = program.logged("mgmt on").rsplit(' ').next().expect("an address").to_owned();
+    program.serving()
+}
+
+/// The configuration of a program with an admin interface, with discovery at this address.
+fn config_with_discovery(known: &[String], discovery: SocketAddr) -> String {
+    let config = managed(known, [192, 64]);
+    config.replace(r#""discovery":"127.0.0.1:1""#, &format!(r#""discovery":"{discovery}""#))
+}
+
+/// Nine in ten restarted processes must be ready within 10 s. Discovery is silent, every host
+/// hangs, and all start at once: a start that waited for any of them would never be ready.
 #[test]
-fn nine_in_ten_that_start_together_are_ready_in_time_whoever_is_silent() {
-    const TOGETHER: usize = 40;
+fn forty_processes_started_at_once_with_silent_peers_are_ready_in_time() {
+    const PROCESSES: usize = 40;
     let (discovery, host) = (Peer::http(|_| Says::Nothing), Peer::host(|_| Says::Nothing));
     let known: Vec<String> = (0..8).map(|nth| entry(&format!("h{nth}"), host.address, "active")).collect();
-    let told = managed(&known, [192, 64])
-        .replace(r#""discovery":"127.0.0.1:1""#, &format!(r#""discovery":"{}""#, discovery.address));
+    let config = config_with_discovery(&known, discovery.address);
+
     let began = Instant::now();
-    let started: Vec<Program> = (0..TOGETHER).map(|_| Program::told(BINARY, &told)).collect();
-    let mut took: Vec<Duration> = Vec::new();
-    for mut program in started {
-        program.mgmt = program.logged("mgmt on").rsplit(' ').next().expect("an address").to_owned();
-        let program = program.serving();
-        // In the order in which they were started, so that one that is late makes no other late.
+    let started: Vec<Program> = (0..PROCESSES).map(|_| Program::told(BINARY, &config)).collect();
+    let mut ready_after: Vec<Duration> = Vec::new();
+    // In the order in which they were started, so that a late one does not delay the others.
+    for program in started {
+        let program = serving(program);
         assert_eq!(program.call("GET /_ready HTTP/1.1\r\n\r\n"), (200, "ready\n".to_owned()));
         assert_eq!(program.client().asks(&["PING"]), "+PONG");
-        took.push(began.elapsed());
+        ready_after.push(began.elapsed());
     }
-    took.sort();
-    let nine_in_ten = took[TOGETHER * 9 / 10 - 1];
-    assert!(nine_in_ten < Duration::from_secs(10), "{took:?}");
+
+    ready_after.sort();
+    let nine_in_ten = ready_after[PROCESSES * 9 / 10 - 1];
+    assert!(nine_in_ten < Duration::from_secs(10), "{ready_after:?}");
 }
 
-/// Idle clients hold every descriptor that clients may while discovery is away, more of them than there is room for, and they come
-/// again. The list is in force in time at its return, operators are answered, and an op has its push.
+/// While discovery is down, more idle clients than are allowed hold every descriptor that clients
+/// may, and they reconnect when closed. At discovery's return the list is applied in time, admin
+/// requests are answered, and requests get their attempts.
 #[test]
-fn a_crowd_of_idle_clients_holds_up_neither_the_list_nor_operators_nor_pushes() {
-    let back = Arc::new(AtomicBool::new(false));
-    let there = back.clone();
+fn crowd_of_idle_clients_delays_neither_list_nor_admin_nor_attempts() {
+    let discovery_up = Arc::new(AtomicBool::new(false));
+    let is_up = discovery_up.clone();
     let (a, b) = (Peer::host(|_| hit("from a")), Peer::host(|_| hit("from b")));
     let entries = [entry("a", a.address, "leaving"), entry("b", b.address, "active")].join(",");
-    let discovery = Peer::http(move |asked| match there.load(Ordering::Relaxed) {
-        true if asked.contains("from=2&") => Says::Nothing,
+    let discovery = Peer::http(move |request| match is_up.load(Ordering::Relaxed) {
+        true if request.contains("from=2&") => Says::Nothing,
         true => http_answer(200, &format!(r#"{{"generation":2,"reset":false,"instances":[{entries}]}}"#)),
         false => Says::Last(String::new()),
     });
     let known = [entry("a", a.address, "active"), entry("b", b.address, "active")];
-    let told = managed(&known, [192, 64])
-        .replace(r#""discovery":"127.0.0.1:1""#, &format!(r#""discovery":"{}""#, discovery.address));
-    let mut program = Program::told(BINARY, &told);
-    program.mgmt = program.logged("mgmt on").rsplit(' ').next().expect("an address").to_owned();
-    let program = program.serving();
-    let gone = Arc::new(AtomicBool::new(false));
-    let crowd: Vec<_> = (0..4).map(|_| thread::spawn(crowd(program.address.clone(), gone.clone()))).collect();
+    let program = serving(Program::told(BINARY, &config_with_discovery(&known, discovery.address)));
+    let stop = Arc::new(AtomicBool::new(false));
+    let crowd = || thread::spawn(idle_clients(program.address.clone(), stop.clone()));
+    let crowds: Vec<_> = (0..4).map(|_| crowd()).collect();
     program.counts("clients", 200);
-    back.store(true, Ordering::Relaxed);
+
+    discovery_up.store(true, Ordering::Relaxed);
     let since = Instant::now();
     program.counts("endpoint_lists", 2);
     assert!(since.elapsed() < Duration::from_secs(6), "the list came after {:?}", since.elapsed());
+
     assert_eq!(program.call("GET /_ready HTTP/1.1\r\n\r\n").0, 200);
-    // Idle ones make room for one that asks.
+    // Idle clients make way for one that sends a request.
     for nth in 0..4 {
         let (key, id) = (format!("k{nth}"), format!("id{nth}"));
         assert_eq!(program.client().asks(&["CACHE.GET", &key, &id, "c=read,d=1900"]), "from b");
     }
     assert!(a.quiet(), "nothing goes to the host that leaves");
-    gone.store(true, Ordering::Relaxed);
-    crowd.into_iter().for_each(|part| part.join().expect("it goes"));
+    stop.store(true, Ordering::Relaxed);
+    crowds.into_iter().for_each(|crowd| crowd.join().expect("it stops"));
 }
 
-/// Clients that stand idle, half of them after a `PING`, and come again whenever they are sent away, until they are told to go.
-fn crowd(address: String, gone: Arc<AtomicBool>) -> impl FnOnce() {
+/// Idle clients, half of them after a `PING`, that reconnect whenever they are closed, until
+/// `stop`.
+fn idle_clients(address: String, stop: Arc<AtomicBool>) -> impl FnOnce() {
     move || {
-        let come = |nth: usize| {
+        let connect = |nth: usize| {
             let mut stream = TcpStream::connect(&address).ok()?;
             stream.set_nonblocking(true).ok()?;
             if nth.is_multiple_of(2) {
@@ -88,18 +101,18 @@
             }
             Some(stream)
         };
-        let mut all: Vec<Option<TcpStream>> = (0..24).map(come).collect();
-        while !gone.load(Ordering::Relaxed) {
-            for (nth, one) in all.iter_mut().enumerate() {
-                let stays = one.as_mut().is_some_and(|stream| match stream.read(&mut [0; 64]) {
+        let mut clients: Vec<Option<TcpStream>> = (0..24).map(connect).collect();
+        while !stop.load(Ordering::Relaxed) {
+            for (nth, client) in clients.iter_mut().enumerate() {
+                let is_open = client.as_mut().is_some_and(|stream| match stream.read(&mut [0; 64]) {
                     Ok(read) => read > 0,
                     Err(cause) => cause.kind() == ErrorKind::WouldBlock,
                 });
-                if !stays {
-                    *one = come(nth);
+                if !is_open {
+                    *client = connect(nth);
                 }
             }
-            // Often enough that a place that comes free is taken at once.
+            // Often enough that a freed descriptor is taken at once.
             thread::sleep(Duration::from_millis(2));
         }
     }
--- /dev/null
+++ b/balancer/tests/takeover.rs
@@ -0,0 +1,220 @@
+//! A process of a balancer is replaced by another that inherits the clients' listening socket: no
+//! request is lost, and both together keep to the balancer's limits.
+
+#[path = "../../tests/common/mod.rs"]
+mod common;
+
+use std::collections::HashSet;
+use std::net::TcpListener;
+use std::path::{Path, PathBuf};
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::Arc;
+use std::thread::{spawn, JoinHandle};
+use std::time::{Duration, Instant};
+
+use common::*;
+use expect_test::expect;
+
+const BINARY: &str = env!("CARGO_BIN_EXE_basaltwood-balancer");
+const LAME_DUCK_ON: &str = "POST /_lameduck/on HTTP/1.1\r\n\r\n";
+const READY: &str = "GET /_ready HTTP/1.1\r\n\r\n";
+
+/// A platform that holds the clients' listening socket, and starts processes that inherit it.
+struct Platform {
+    listener: TcpListener,
+    folder: PathBuf,
+    config: String,
+}
+
+impl Platform {
+    fn new(name: &str, hosts: &[(&str, &Peer)]) -> Platform {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let address = listener.local_addr().expect("an address").to_string();
+        let known: Vec<String> =
+            hosts.iter().map(|(name, peer)| entry(name, peer.address, "active")).collect();
+        let config = managed(&known, [192, 192])
+            .replace(r#""listen":"127.0.0.1:0""#, &format!(r#""listen":"{address}""#));
+        let folder = std::env::temp_dir().join(format!("basaltwood-{name}-{}", std::process::id()));
+        std::fs::create_dir_all(&folder).expect("a folder");
+        Platform { listener, folder, config }
+    }
+
+    /// Starts a process and waits until it is ready.
+    fn start(&self) -> Program {
+        let program = self.start_in(&self.folder);
+        assert_eq!(program.call(READY).0, 200);
+        program
+    }
+
+    fn start_in(&self, folder: &Path) -> Program {
+        let mut program = Program::inheriting(BINARY, &self.config, &self.listener, folder);
+        program.mgmt = program.logged("mgmt on").rsplit(' ').next().expect("an address").to_owned();
+        program.address = self.listener.local_addr().expect("an address").to_string();
+        program.logged("Serving");
+        program
+    }
+}
+
+impl Drop for Platform {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.folder);
+    }
+}
+
+/// What a client saw under steady load.
+struct LoadResult {
+    unexpected: Vec<String>,
+    served: u32,
+}
+
+/// Sends one request after another until `stop`, on a new connection whenever the old one was
+/// closed after an answer. Clients with an even name use each connection once, the others keep
+/// theirs.
+fn steady_client(address: String, name: usize, stop: Arc<AtomicBool>) -> JoinHandle<LoadResult> {
+    spawn(move || {
+        let keeps_connection = !name.is_multiple_of(2);
+        let (mut unexpected, mut served, mut sent) = (Vec::new(), 0, 0);
+        let mut client = Client::at(&address);
+        while !stop.load(Ordering::Relaxed) {
+            sent += 1;
+            let id = format!("c{name}-{sent}");
+            let command = ["CACHE.GET", "k", &id, "c=once,d=900"];
+            let mut answer = client.asks(&command);
+            if answer == "closed" && keeps_connection {
+                // A close may cross a request on a kept connection. It was not read, so it is sent
+                // once more.
+                client = Client::at(&address);
+                answer = client.asks(&command);
+            }
+            match &answer[..] {
+                "v" => served += 1,
+                // A limit that is learned under this load may reject a request.
+                "-BUSY 400" => {}
+                _ => unexpected.push(format!("{id}: {answer}")),
+            }
+            if !keeps_connection || client.over() {
+                client = Client::at(&address);
+            }
+        }
+        LoadResult { unexpected, served }
+    })
+}
+
+#[test]
+fn process_replaced_three_times_under_load_loses_no_request() {
+    let host = Peer::host(|_| hit("v"));
+    let platform = Platform::new("replaced", &[("a", &host)]);
+    let mut old = platform.start();
+    let stop = Arc::new(AtomicBool::new(false));
+    let clients: Vec<_> = (0..6).map(|name| steady_client(old.address.clone(), name, stop.clone())).collect();
+    for _ in 0..3 {
+        let new = platform.start();
+        new.logged("Beginning");
+        new.logged("Half");
+        let both = old.descriptors() + new.descriptors();
+        assert!(both <= 192, "{both} descriptors");
+        old.signal("TERM");
+        assert_eq!(old.ended().code(), Some(0));
+        new.logged("Alone");
+        old = new;
+    }
+    stop.store(true, Ordering::Relaxed);
+    let mut served = 0;
+    for client in clients {
+        let result = client.join().expect("it ends");
+        assert_eq!(result.unexpected, Vec::<String>::new());
+        served += result.served;
+    }
+    // A process that is killed leaves nothing behind that hinders the next one.
+    drop(old);
+    let next = platform.start();
+    next.logged("Alone");
+    assert_eq!(next.client().asks(&["CACHE.GET", "k", "last", "c=once,d=900"]), "v");
+    assert!(served > 100, "only {served} were served");
+    // Each request that was served reached the host once, none twice.
+    let mut ids = HashSet::new();
+    while ids.len() <= served as usize {
+        let command = host.next();
+        if command != "closed" {
+            let id = command.split(' ').nth(2).expect("an id").to_owned();
+            assert!(ids.insert(id), "{command} came twice");
+        }
+    }
+}
+
+#[test]
+fn connections_open_or_idle_at_a_takeover_are_answered_before_they_close() {
+    let (release, host) = gated_host();
+    let platform = Platform::new("in-hand", &[("a", &host)]);
+    let mut old = platform.start();
+    let (mut slow, mut kept) = (old.client(), old.client());
+    assert_eq!(kept.asks(&["PING"]), "+PONG");
+    slow.get("slow", "id1", "c=read,d=1900");
+    host.next();
+    // The old process may be in lame-duck mode.
+    old.call(LAME_DUCK_ON);
+    assert_eq!(kept.answer(), "closed");
+    let new = platform.start();
+    old.signal("TERM");
+    old.logged("Takeover");
+    // From now on the new process answers, and is not in lame-duck mode.
+    let mut late = new.client();
+    let mut trace = vec![late.asks(&["PING"]), late.asks(&["CACHE.GET", "k", "id2", "c=once,d=900"])];
+    release.send(()).expect("it waits");
+    trace.extend([slow.answer(), slow.answer(), format!("{:?}", old.ended().code())]);
+    trace.push(late.asks(&["CACHE.GET", "k", "id3", "c=once,d=900"]));
+    assert_eq!(trace, ["+PONG", "v", "v", "closed", "Some(0)", "v"]);
+}
+
+#[test]
+fn process_without_a_shared_folder_serves_with_half_of_the_limits() {
+    let host = Peer::host(|_| hit("v"));
+    let platform = Platform::new("no-folder", &[("a", &host)]);
+    let program = platform.start_in(Path::new("/nonexistent"));
+    program.logged("Half");
+    assert_eq!(program.client().asks(&["CACHE.GET", "k", "id1", "c=once,d=900"]), "v");
+}
+
+#[test]
+fn inherited_descriptor_that_is_not_our_listener_ends_the_start_with_one_line() {
+    let platform = Platform::new("wrong", &[]);
+    let other = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let actual = other.local_addr().expect("an address").to_string();
+    let configured = platform.listener.local_addr().expect("an address").to_string();
+    let mut lines = Vec::new();
+    for descriptor in ["5", "9", "five"] {
+        let mut program =
+            Program::inheriting_as(BINARY, &platform.config, &other, &platform.folder, descriptor);
+        let code = program.ended().code();
+        let line = program.rest().pop().expect("a line");
+        let line = line.replace(&actual, "ACTUAL").replace(&configured, "CONFIGURED");
+        let cause = line.split_once("PROXY_INHERITED_FD").expect("it names the variable").1;
+        lines.push(format!("{code:?} {cause}"));
+    }
+    expect![[r#"
+        Some(1)  5: it listens on ACTUAL, not on CONFIGURED
+        Some(1)  9: it is no socket that listens
+        Some(1)  "five" is no descriptor's number"#]]
+    .assert_eq(&lines.join("\n"));
+}
+
+#[test]
+fn learned_limits_are_recorded_and_an_invalid_record_is_ignored() {
+    let host = Peer::host(|_| hit("v"));
+    let platform = Platform::new("learnt", &[("a", &host)]);
+    let address = platform.listener.local_addr().expect("an address");
+    let record = platform.folder.join(format!("basaltwood-{address}-learnt"));
+    std::fs::write(&record, "nonsense").expect("a file");
+    let program = Program::inheriting(BINARY, &platform.config, &platform.listener, &platform.folder);
+    program.logged("a record that is not whole; it begins with no learned limits");
+    // Once a second the program records its limits, atomically.
+    let began = Instant::now();
+    while std::fs::read(&record).is_ok_and(|bytes| bytes == b"nonsense") {
+        assert!(began.elapsed() < Duration::from_secs(15), "nothing was recorded");
+        std::thread::yield_now();
+    }
+    let bytes = std::fs::read(&record).expect("a record");
+    let limits = basaltwood_handover::decode(&bytes).expect("a valid record");
+    assert_eq!(limits.len(), 1);
+    assert!(limits[0].limit > 1.0, "{limits:?}");
+}
