--- a/balancer/src/config.rs
+++ b/balancer/src/config.rs
@@ -7,7 +7,7 @@
 
 use basaltwood::types::{PolicyConfig, RingPosition};
 use basaltwood_regions::{RegionMap, RegionMapError};
-use basaltwood_settings::{NameTable, OperatorSettings, RuntimeLimits};
+use basaltwood_settings::{NameTable, OperatorSettings, RuntimeLimits, SettingsError};
 use serde::Deserialize;
 
 use crate::discovery::EndpointList;
@@ -79,8 +79,8 @@
     #[error("limits: at least 8 MB and 32 sockets are needed")]
     Limits,
     /// The operators' settings object is invalid.
-    #[error("{0}")]
-    Settings(String),
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
 }
 
 #[derive(Deserialize)]
@@ -221,8 +221,7 @@
 /// The policy's parameters. A seed that is not a hexadecimal number is hashed.
 fn policy_config(settings: &OperatorSettings, seed: &str) -> Result<PolicyConfig, InvalidConfig> {
     let seed = u64::from_str_radix(seed, 16).unwrap_or_else(|_| RingPosition::of(seed).0);
-    let policy = settings.policy_config(seed).map_err(|cause| InvalidConfig::Settings(cause.to_string()));
-    let mut policy = policy?;
+    let mut policy = settings.policy_config(seed)?;
     for capability in settings.ignored_capabilities() {
         log::info!("allowed and not used, {capability}");
     }
