--- a/balancer/tests/regions.rs
+++ b/balancer/tests/regions.rs
@@ -1,4 +1,5 @@
-//! Rings by region on sockets: with an operators' map, what goes to which host, and what is never opened.
+//! Rings by region on sockets: with an operators' map, what goes to which host, and what is never
+//! opened.
 
 #[path = "../../tests/common/mod.rs"]
 mod common;
@@ -28,85 +29,89 @@
 zones = ["s1"]
 "#;
 
-/// An entry of the list in a zone.
-fn at(name: &str, zone: &str, address: SocketAddr, lifecycle: &str) -> String {
+/// An entry of the list, with a zone.
+fn zoned_entry(name: &str, zone: &str, address: SocketAddr, lifecycle: &str) -> String {
     entry(name, address, lifecycle).replace(r#""zone":"a""#, &format!(r#""zone":"{zone}""#))
 }
 
-/// What a program is told that operators can call, with a discovery and these settings.
-fn told(discovery: SocketAddr, known: &[String], settings: &str) -> String {
+/// The configuration of a program with an admin interface.
+fn config(discovery: SocketAddr, known: &[String], settings: &str) -> String {
     let text = managed(known, [192, 1024]).replace("127.0.0.1:1\"", &format!("{discovery}\""));
     text.replace(SETTINGS, settings)
 }
 
-fn started(discovery: SocketAddr, known: &[String], settings: &str) -> Program {
-    started_by(MAP, discovery, known, settings)
+fn start(discovery: SocketAddr, known: &[String], settings: &str) -> Program {
+    start_with_map(MAP, discovery, known, settings)
 }
 
-fn started_by(map: &str, discovery: SocketAddr, known: &[String], settings: &str) -> Program {
-    let mut program = Program::in_regions(BINARY, &told(discovery, known, settings), map);
+fn start_with_map(map: &str, discovery: SocketAddr, known: &[String], settings: &str) -> Program {
+    let mut program = Program::in_regions(BINARY, &config(discovery, known, settings), map);
     program.mgmt = program.logged("mgmt on").rsplit(' ').next().expect("an address").to_owned();
     program.serving()
 }
 
-/// The map with this least number of hosts in the north.
-fn least(hosts: u32) -> String {
+/// The map with this minimum of hosts in the north.
+fn map_with_min_hosts(hosts: u32) -> String {
     MAP.replace(r#"zones = ["n1", "n2"]"#, &format!("zones = [\"n1\", \"n2\"]\nhosts = {hosts}"))
 }
 
-/// The same entry of a host that has started just now.
+/// The same entry for a host that has just started.
 fn just_started(entry: &str) -> String {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).expect("a time after it");
     entry.replace(r#""startedAtMs":0"#, &format!(r#""startedAtMs":{}"#, since.as_millis()))
 }
 
-fn named(name: &'static str) -> Peer {
+fn host_named(name: &'static str) -> Peer {
     Peer::host(move |_| hit(name))
 }
 
-/// Waits until the list of this version has been read, as the call after it says.
-fn read(discovery: &Peer, version: usize) {
+/// Waits until the list of this version has been read, which the next call shows.
+fn wait_until_read(discovery: &Peer, version: usize) {
     while !discovery.next().contains(&format!("from={version}&")) {}
 }
 
-/// A place that answers nobody; whether somebody came.
-struct Untouched(TcpListener, SocketAddr);
+/// A listener that answers nobody, and knows whether somebody connected.
+struct UntouchedListener {
+    listener: TcpListener,
+    address: SocketAddr,
+}
 
-impl Untouched {
-    fn start() -> Untouched {
+impl UntouchedListener {
+    fn start() -> UntouchedListener {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         listener.set_nonblocking(true).expect("a socket");
         let address = listener.local_addr().expect("an address");
-        Untouched(listener, address)
+        UntouchedListener { listener, address }
     }
 
-    fn untouched(&self) -> bool {
-        matches!(self.0.accept(), Err(cause) if cause.kind() == ErrorKind::WouldBlock)
+    fn is_untouched(&self) -> bool {
+        matches!(self.listener.accept(), Err(cause) if cause.kind() == ErrorKind::WouldBlock)
     }
 }
 
-/// A host that refuses connections until it is opened, and counts those that it has taken.
-struct Refusing {
+/// A host that refuses connections until it is opened, and counts those it has accepted.
+struct RefusingHost {
     socket: Socket,
     address: SocketAddr,
-    taken: Arc<AtomicU32>,
+    accepted: Arc<AtomicU32>,
 }
 
-impl Refusing {
-    fn start() -> Refusing {
+impl RefusingHost {
+    fn start() -> RefusingHost {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
         let address = socket.local_addr().expect("an address").as_socket().expect("of IPv4");
-        Refusing { socket, address, taken: Arc::default() }
+        RefusingHost { socket, address, accepted: Arc::default() }
     }
 
-    /// From now on it has a value for every key, its name; how many connections it has taken.
+    /// From now on it answers every key with its name. Returns how many connections it has
+    /// accepted.
     fn opened(self, name: &'static str) -> Arc<AtomicU32> {
         self.socket.listen(128).expect("it listens");
-        let (listener, taken) = (TcpListener::from(self.socket), self.taken.clone());
+        let (listener, accepted) = (TcpListener::from(self.socket), self.accepted.clone());
         thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
-                taken.fetch_add(1, Ordering::SeqCst);
+                accepted.fetch_add(1, Ordering::SeqCst);
                 thread::spawn(move || {
                     let mut reading = BufReader::new(stream.try_clone().expect("a second handle"));
                     while read_command(&mut reading).is_ok() {
@@ -118,61 +123,65 @@
                 });
             }
         });
-        self.taken
+        self.accepted
     }
 }
 
-/// Who answers reads of many keys. They are asked for again until all these have answered; whoever else does
-/// is told too, but for refusals that are not awaited: a machine that stands still for a moment has pushes
-/// time out, and their host left for a while.
-fn who(program: &Program, awaited: &[&str]) -> String {
+/// The names of the hosts that answer reads of many keys, which are repeated until all awaited ones
+/// have answered. Others that answer are in it too, but not rejections that are not awaited: if the
+/// machine stalls for a moment, attempts time out, and their host is avoided for a while.
+fn answering_hosts(program: &Program, awaited: &[&str]) -> String {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let (began, mut client) = (Instant::now(), program.client());
-    let mut all = BTreeSet::new();
-    while all.is_empty() || !awaited.iter().all(|name| all.contains(*name)) {
+    let mut answers = BTreeSet::new();
+    while answers.is_empty() || !awaited.iter().all(|name| answers.contains(*name)) {
         for nth in 0..60 {
             let id = format!("id{}", NEXT.fetch_add(1, Ordering::Relaxed));
             let answer = client.asks(&["CACHE.GET", &format!("k{nth}"), &id, "c=read,d=900"]);
             if !answer.starts_with('-') || awaited.contains(&answer.as_str()) {
-                all.insert(answer);
+                answers.insert(answer);
             }
         }
-        assert!(began.elapsed() < Duration::from_secs(15), "only {all:?} of {awaited:?} answered");
+        assert!(began.elapsed() < Duration::from_secs(15), "only {answers:?} of {awaited:?} answered");
     }
-    all.into_iter().collect::<Vec<_>>().join(" ")
+    answers.into_iter().collect::<Vec<_>>().join(" ")
 }
 
 #[test]
-fn only_hosts_of_the_own_region_are_sent_to_or_opened() {
-    let (a, b) = (named("a"), Peer::host(|asked| if asked.contains("lacked") { miss() } else { hit("b") }));
-    let outside = [Untouched::start(), Untouched::start(), Untouched::start()];
+fn hosts_outside_the_own_region_are_never_connected_to() {
+    let (a, b) =
+        (host_named("a"), Peer::host(|command| if command.contains("lacked") { miss() } else { hit("b") }));
+    let outside = [UntouchedListener::start(), UntouchedListener::start(), UntouchedListener::start()];
     let origin = Peer::http(|_| http_answer(200, "fetched"));
     let discovery = Discovery::start();
     let known = [
-        at("a", "n1", a.address, "active"),
-        at("b", "n2", b.address, "active"),
-        at("c", "s1", outside[0].1, "active"),
-        at("d", "x1", outside[1].1, "active"),
-        at("e", "x1", outside[2].1, "active"),
-        at("origin", "s1", origin.address, "active"),
+        zoned_entry("a", "n1", a.address, "active"),
+        zoned_entry("b", "n2", b.address, "active"),
+        zoned_entry("c", "s1", outside[0].address, "active"),
+        zoned_entry("d", "x1", outside[1].address, "active"),
+        zoned_entry("e", "x1", outside[2].address, "active"),
+        zoned_entry("origin", "s1", origin.address, "active"),
     ];
-    let program = started(discovery.peer.address, &known, SETTINGS);
-    let mut trace = vec![who(&program, &["a", "b"])];
+    let program = start(discovery.peer.address, &known, SETTINGS);
+    let mut trace = vec![answering_hosts(&program, &["a", "b"])];
     discovery.tell(&known);
-    read(&discovery.peer, 2);
-    trace.push(who(&program, &["a", "b"]));
-    // A key whose home is b: its value comes from the origin, which lies in the south.
-    let lacked = (0..).map(|nth| format!("lacked{nth}"));
+    wait_until_read(&discovery.peer, 2);
+    trace.push(answering_hosts(&program, &["a", "b"]));
+    // For a key whose home is b: its value comes from the origin, which is in the south.
+    let missing = (0..60).map(|nth| format!("lacked{nth}"));
     let mut client = program.client();
-    let fetched = lacked.take(60).enumerate().any(|(nth, key)| {
+    let fetched = missing.enumerate().any(|(nth, key)| {
         client.asks(&["CACHE.GET", &key, &format!("id{nth}"), "c=read,d=900"]) == "fetched"
     });
     trace.push(format!("fetched: {fetched}"));
-    let figures = program.figures("edge_proxy_regions_hosts_ring 2");
-    trace.extend(figures.lines().filter(|line| line.contains("regions_")).map(str::to_owned));
+    let metrics = program.figures("edge_proxy_regions_hosts_ring 2");
+    trace.extend(metrics.lines().filter(|line| line.contains("regions_")).map(str::to_owned));
     let line = program.counts("endpoint_lists", 2);
     trace.extend(line.split(' ').filter(|word| word.starts_with("regions_")).map(str::to_owned));
-    assert!(outside.iter().all(Untouched::untouched), "a connection was opened to a host outside");
+    assert!(
+        outside.iter().all(UntouchedListener::is_untouched),
+        "a connection was opened to a host outside the ring"
+    );
     expect![[r#"
         a b
         a b
@@ -192,48 +201,50 @@
 }
 
 #[test]
-fn a_drain_of_a_ring_host_binds_whatever_zone_its_entry_names() {
-    for absurd in [
+fn drain_of_a_ring_host_with_any_zone_in_its_entry_is_honoured() {
+    for invalid in [
         r#"{"instanceId":"a","lifecycle":"leaving"}"#,
         r#"{"instanceId":"a","zone":"absurd","hostPort":"::","lifecycle":"left"}"#,
         r#"{"instanceId":"a","zone":"s1","lifecycle":"leaving"}"#,
         r#"{"instanceId":"a","zone":[],"hostPort":7,"lifecycle":"leaving"}"#,
     ] {
-        let (a, b) = (named("a"), named("b"));
+        let (a, b) = (host_named("a"), host_named("b"));
         let discovery = Discovery::start();
-        let known = [at("a", "n1", a.address, "active"), at("b", "n2", b.address, "active")];
-        let program = started(discovery.peer.address, &known, SETTINGS);
-        assert_eq!(who(&program, &["a", "b"]), "a b");
-        discovery.tell(&[absurd.to_owned(), known[1].clone()]);
-        read(&discovery.peer, 2);
+        let known =
+            [zoned_entry("a", "n1", a.address, "active"), zoned_entry("b", "n2", b.address, "active")];
+        let program = start(discovery.peer.address, &known, SETTINGS);
+        assert_eq!(answering_hosts(&program, &["a", "b"]), "a b");
+        discovery.tell(&[invalid.to_owned(), known[1].clone()]);
+        wait_until_read(&discovery.peer, 2);
         let line = program.counts("endpoint_lists", 2);
         assert!(line.contains(" endpoints_refused=0 "), "{line}");
-        assert_eq!(who(&program, &["b"]), "b", "{absurd}");
+        assert_eq!(answering_hosts(&program, &["b"]), "b", "{invalid}");
     }
 }
 
-/// One push is out at `a`, and others wait there; what they get once the list has it in another region.
+/// One attempt is in flight at `a`, and others wait there, when the list moves it to another
+/// region.
 #[test]
-fn a_host_that_is_moved_out_gets_nothing_more() {
+fn host_moved_out_of_the_ring_gets_no_further_attempts() {
     let (release, a) = breaking_host();
     let b = Peer::host(|_| hit("from b"));
     let discovery = Discovery::start();
-    let known = [at("a", "n1", a.address, "active")];
-    let program = started(discovery.peer.address, &known, &patient_settings());
+    let known = [zoned_entry("a", "n1", a.address, "active")];
+    let program = start(discovery.peer.address, &known, &patient_settings());
     let (mut slow, mut trace) = one_attempt_in_flight(&program, &a);
     let (mut read, mut once) = (program.client(), program.client());
     read.get("k", "id2", "c=read,d=9000");
     once.get("l", "id3", "c=once,d=9000");
     program.counts("requests", 4);
-    let b_up = at("b", "n2", b.address, "active");
-    discovery.tell(&[at("a", "s1", a.address, "active"), b_up.clone()]);
+    let b_up = zoned_entry("b", "n2", b.address, "active");
+    discovery.tell(&[zoned_entry("a", "s1", a.address, "active"), b_up.clone()]);
     trace.extend([read.answer(), once.answer()]);
     release.send(()).expect("it waits");
     trace.extend([slow.answer(), a.next()]);
     let line = program.counts("attempts_not_sent", 2);
     assert!(line.contains(" attempts_not_sent=2 ") && line.contains(" regions_hosts_out=1 "), "{line}");
-    trace.push(who(&program, &["from b"]));
-    assert!(a.quiet(), "nothing came after it was moved out");
+    trace.push(answering_hosts(&program, &["from b"]));
+    assert!(a.quiet(), "nothing was sent after it was moved out");
     expect![[r#"
         CACHE.GET break id0 c=read,d=..
         closed
@@ -248,15 +259,18 @@
 }
 
 #[test]
-fn a_host_that_is_moved_in_is_used_and_its_drain_while_it_was_outside_binds() {
-    let (a, b, c) = (named("a"), named("b"), named("c"));
+fn host_moved_into_the_ring_is_used_unless_it_drained_outside() {
+    let (a, b, c) = (host_named("a"), host_named("b"), host_named("c"));
     let discovery = Discovery::start();
-    let list = |a_in: &str, told: &str, c_in: &str| {
-        let (a, b) = (at("a", a_in, a.address, told), at("b", "n2", b.address, "active"));
-        [a, b, at("c", c_in, c.address, "active")]
+    let list = |zone_of_a: &str, lifecycle_of_a: &str, zone_of_c: &str| {
+        let (a, b) = (
+            zoned_entry("a", zone_of_a, a.address, lifecycle_of_a),
+            zoned_entry("b", "n2", b.address, "active"),
+        );
+        [a, b, zoned_entry("c", zone_of_c, c.address, "active")]
     };
-    let program = started(discovery.peer.address, &list("n1", "active", "s1"), SETTINGS);
-    let mut trace = vec![who(&program, &["a", "b"])];
+    let program = start(discovery.peer.address, &list("n1", "active", "s1"), SETTINGS);
+    let mut trace = vec![answering_hosts(&program, &["a", "b"])];
     for (round, (list, awaited)) in [
         (list("s1", "active", "n2"), ["b", "c"]),
         (list("s1", "leaving", "n2"), ["b", "c"]),
@@ -267,8 +281,8 @@
     .enumerate()
     {
         discovery.tell(list);
-        read(&discovery.peer, round + 2);
-        trace.push(who(&program, awaited));
+        wait_until_read(&discovery.peer, round + 2);
+        trace.push(answering_hosts(&program, awaited));
     }
     expect![[r#"
         a b
@@ -282,25 +296,27 @@
 const SIX: [&str; 6] = ["n0", "n1", "n2", "n3", "n4", "n5"];
 const SOUTH: [&str; 2] = ["s0", "s1"];
 
-/// Who serves, with this map, as these hosts of the north's six are up one list after the other, all of them
-/// at first; and the counters of regions.
-fn six(map: &str, lists: &[&[&str]]) -> String {
-    let (north, south) = (SIX.map(named), SOUTH.map(named));
+/// The hosts that serve while these of the north's six are up, one list after another, with all of
+/// them up at first; and the counters of regions.
+fn trace_of_six_hosts(map: &str, lists: &[&[&str]]) -> String {
+    let (north, south) = (SIX.map(host_named), SOUTH.map(host_named));
     let discovery = Discovery::start();
     let list = |up: &[&str]| -> Vec<String> {
         let lifecycle = |name| if up.contains(name) { "active" } else { "leaving" };
-        let north = SIX.iter().zip(&north).map(|(name, peer)| at(name, "n1", peer.address, lifecycle(name)));
-        let south = SOUTH.iter().zip(&south).map(|(name, peer)| at(name, "s1", peer.address, "active"));
+        let north =
+            SIX.iter().zip(&north).map(|(name, peer)| zoned_entry(name, "n1", peer.address, lifecycle(name)));
+        let south =
+            SOUTH.iter().zip(&south).map(|(name, peer)| zoned_entry(name, "s1", peer.address, "active"));
         north.chain(south).collect()
     };
-    let program = started_by(map, discovery.peer.address, &list(&SIX), SETTINGS);
-    let mut trace = vec![who(&program, &SIX)];
+    let program = start_with_map(map, discovery.peer.address, &list(&SIX), SETTINGS);
+    let mut trace = vec![answering_hosts(&program, &SIX)];
     for (round, up) in lists.iter().enumerate() {
         discovery.tell(&list(up));
-        read(&discovery.peer, round + 2);
-        let least = if map.contains("hosts = 4") { 4 } else { 1 };
-        let awaited = if up.len() < least { &SOUTH[..] } else { up };
-        trace.push(format!("{}: {}", up.len(), who(&program, awaited)));
+        wait_until_read(&discovery.peer, round + 2);
+        let min_hosts = if map.contains("hosts = 4") { 4 } else { 1 };
+        let awaited = if up.len() < min_hosts { &SOUTH[..] } else { up };
+        trace.push(format!("{}: {}", up.len(), answering_hosts(&program, awaited)));
     }
     let line = program.counts("endpoint_lists", lists.len() as u64 + 1);
     trace.extend(line.split(' ').filter(|word| word.starts_with("regions_")).map(str::to_owned));
@@ -308,7 +324,7 @@
 }
 
 #[test]
-fn a_region_of_six_loses_one_four_all_and_comes_back_host_by_host() {
+fn region_that_loses_and_regains_hosts_serves_with_any_that_is_up() {
     let lists = [&["n0", "n1", "n2", "n3", "n4"][..], &["n0"], &[], &["n3"], &["n3", "n1"], &SIX];
     expect![[r#"
         n0 n1 n2 n3 n4 n5
@@ -322,12 +338,13 @@
         regions_hosts_in=9
         regions_hosts_out=2
         regions_zones_unnamed=0"#]]
-    .assert_eq(&six(MAP, &lists));
+    .assert_eq(&trace_of_six_hosts(MAP, &lists));
 }
 
-/// With a least number the next region serves until so many are back, and again once there are fewer.
+/// With a minimum the next region serves until so many hosts are up, and again once there are
+/// fewer.
 #[test]
-fn a_region_of_six_with_a_least_of_four_is_served_by_the_next_below_it() {
+fn region_below_its_minimum_of_hosts_is_served_by_the_next() {
     let lists = [
         &["n0", "n1", "n2", "n3"][..],
         &["n0", "n1", "n2"],
@@ -352,52 +369,55 @@
         regions_hosts_in=12
         regions_hosts_out=5
         regions_zones_unnamed=0"#]]
-    .assert_eq(&six(&least(4), &lists));
+    .assert_eq(&trace_of_six_hosts(&map_with_min_hosts(4), &lists));
 }
 
-/// The first host that is up again has all of the region's keys, and is held to what it surely bears: the
-/// rest is nacked.
+/// The first host that is up again gets all of the region's keys, and is limited to its minimum
+/// capacity: the other requests are rejected.
 #[test]
-fn a_region_that_comes_back_cold_refuses_what_its_hosts_do_not_bear() {
-    let (a, b) = (named("a"), named("b"));
+fn region_back_with_one_cold_host_rejects_what_exceeds_its_capacity() {
+    let (a, b) = (host_named("a"), host_named("b"));
     let discovery = Discovery::start();
-    let south = at("b", "s1", b.address, "active");
-    let program =
-        started(discovery.peer.address, &[at("a", "n1", a.address, "leaving"), south.clone()], SETTINGS);
-    let mut trace = vec![who(&program, &["b"])];
-    discovery.tell(&[just_started(&at("a", "n1", a.address, "active")), south]);
-    read(&discovery.peer, 2);
-    trace.push(who(&program, &["-BUSY 400", "a"]));
+    let south = zoned_entry("b", "s1", b.address, "active");
+    let program = start(
+        discovery.peer.address,
+        &[zoned_entry("a", "n1", a.address, "leaving"), south.clone()],
+        SETTINGS,
+    );
+    let mut trace = vec![answering_hosts(&program, &["b"])];
+    discovery.tell(&[just_started(&zoned_entry("a", "n1", a.address, "active")), south]);
+    wait_until_read(&discovery.peer, 2);
+    trace.push(answering_hosts(&program, &["-BUSY 400", "a"]));
     expect![[r#"
         b
         -BUSY 400 a"#]]
     .assert_eq(&trace.join("\n"));
 }
 
-/// The same region with a least number of hosts: nothing goes to its first one, cold as it is.
+/// The same region with a minimum of hosts: nothing goes to its first one.
 #[test]
-fn a_first_cold_host_below_the_least_is_not_even_opened() {
-    let (first, b) = (Untouched::start(), named("b"));
+fn first_cold_host_below_the_minimum_is_not_connected_to() {
+    let (first, b) = (UntouchedListener::start(), host_named("b"));
     let discovery = Discovery::start();
-    let south = at("b", "s1", b.address, "active");
-    let known = [at("a", "n1", first.1, "leaving"), south.clone()];
-    let program = started_by(&least(2), discovery.peer.address, &known, SETTINGS);
-    let mut trace = vec![who(&program, &["b"])];
-    discovery.tell(&[just_started(&at("a", "n1", first.1, "active")), south]);
-    read(&discovery.peer, 2);
-    trace.push(who(&program, &["b"]));
-    assert!(first.untouched(), "a connection was opened to a host of a ring that does not stand");
+    let south = zoned_entry("b", "s1", b.address, "active");
+    let known = [zoned_entry("a", "n1", first.address, "leaving"), south.clone()];
+    let program = start_with_map(&map_with_min_hosts(2), discovery.peer.address, &known, SETTINGS);
+    let mut trace = vec![answering_hosts(&program, &["b"])];
+    discovery.tell(&[just_started(&zoned_entry("a", "n1", first.address, "active")), south]);
+    wait_until_read(&discovery.peer, 2);
+    trace.push(answering_hosts(&program, &["b"]));
+    assert!(first.is_untouched(), "a connection was opened to a host of a region below its minimum");
     assert_eq!(trace, ["b", "b"]);
 }
 
-/// Changes that name one host each: what is known of the others is there when the ring becomes theirs.
+/// Changes that name one host each: the other hosts are known when the ring changes to them.
 #[test]
-fn changes_to_the_list_tell_the_same() {
-    let (a, b) = (named("a"), named("b"));
+fn list_changes_of_single_hosts_have_the_same_effect_as_whole_lists() {
+    let (a, b) = (host_named("a"), host_named("b"));
     let state = Arc::new((Mutex::new(Vec::<String>::new()), Condvar::new()));
     let shared = state.clone();
-    let discovery = Peer::http(move |asked| {
-        let from = asked.split_once("from=").and_then(|found| found.1.split('&').next()?.parse().ok());
+    let discovery = Peer::http(move |request| {
+        let from = request.split_once("from=").and_then(|found| found.1.split('&').next()?.parse().ok());
         let (from, hold) = (from.unwrap_or(1), Duration::from_secs(3));
         let changes = shared.0.lock().expect("a lock");
         let changes = shared.1.wait_timeout_while(changes, hold, |changes| changes.len() < from);
@@ -405,28 +425,28 @@
         let (version, change) = changes.get(from - 1).map_or((from, ""), |change| (from + 1, change));
         http_answer(200, &format!(r#"{{"generation":{version},"reset":false,"instances":[{change}]}}"#))
     });
-    let known = [at("a", "n1", a.address, "active"), at("b", "s1", b.address, "active")];
-    let program = started(discovery.address, &known, SETTINGS);
-    let mut trace = vec![who(&program, &["a"])];
+    let known = [zoned_entry("a", "n1", a.address, "active"), zoned_entry("b", "s1", b.address, "active")];
+    let program = start(discovery.address, &known, SETTINGS);
+    let mut trace = vec![answering_hosts(&program, &["a"])];
     for (round, (change, awaited)) in [
         (r#"{"instanceId":"a","lifecycle":"leaving"}"#.to_owned(), "b"),
-        (at("a", "n2", a.address, "active"), "a"),
-        (at("a", "absurd", a.address, "left"), "b"),
-        (at("c", "n1", a.address, "active"), "a"),
-        (at("d", "n1", a.address, "active"), "a"),
-        (at("d", "n1", a.address, "left"), "a"),
-        // Of a host that is forgotten nothing is left to be ended.
+        (zoned_entry("a", "n2", a.address, "active"), "a"),
+        (zoned_entry("a", "absurd", a.address, "left"), "b"),
+        (zoned_entry("c", "n1", a.address, "active"), "a"),
+        (zoned_entry("d", "n1", a.address, "active"), "a"),
+        (zoned_entry("d", "n1", a.address, "left"), "a"),
+        // A host that was forgotten has nothing left to drain.
         (r#"{"instanceId":"d","lifecycle":"leaving"}"#.to_owned(), "a"),
         (r#"{"instanceId":"d","lifecycle":"left"}"#.to_owned(), "a"),
-        (at("c", "", a.address, "leaving"), "b"),
+        (zoned_entry("c", "", a.address, "leaving"), "b"),
     ]
     .iter()
     .enumerate()
     {
         state.0.lock().expect("a lock").push(change.clone());
         state.1.notify_all();
-        read(&discovery, round + 2);
-        trace.push(who(&program, &[awaited]));
+        wait_until_read(&discovery, round + 2);
+        trace.push(answering_hosts(&program, &[awaited]));
     }
     let line = program.counts("hosts_released", 6);
     trace.extend(line.split(' ').filter(|word| word.starts_with("hosts_released")).map(str::to_owned));
@@ -446,13 +466,13 @@
 }
 
 #[test]
-fn a_map_without_sense_ends_the_start_with_one_line() {
+fn invalid_region_map_ends_the_start_with_one_line() {
     let text = managed(&[], [192, 1024]);
     let mut lines = Vec::new();
     let mut refused = |mut program: Program| {
         let code = program.ended().code();
         let log: Vec<String> =
-            program.rest().iter().map(|line| after(line, "basaltwood-balancer: ")).collect();
+            program.rest().iter().map(|line| text_after(line, "basaltwood-balancer: ")).collect();
         lines.push(format!("{code:?} {}", log.join(" / ")));
     };
     for map in
@@ -472,17 +492,18 @@
     .assert_eq(&lines.join("\n"));
 }
 
-/// Named or not, a file that is there counts; none changes nothing.
+/// Without a file at the default path there are no regions; a file there counts though no variable
+/// names it.
 #[test]
-fn a_map_is_looked_for_where_the_platform_starts_the_program() {
-    let (a, b) = (named("a"), named("b"));
-    let known = [at("a", "n1", a.address, "active"), at("b", "s1", b.address, "active")];
-    let text = told(nowhere(), &known, SETTINGS);
+fn region_map_at_the_default_path_is_read_from_the_working_directory() {
+    let (a, b) = (host_named("a"), host_named("b"));
+    let known = [zoned_entry("a", "n1", a.address, "active"), zoned_entry("b", "s1", b.address, "active")];
+    let text = config(nowhere(), &known, SETTINGS);
     let folder = tempfile::tempdir().expect("a folder");
     let serve = |folder: &Path, awaited: &[&str]| {
         let program = Program::told_in(BINARY, &text, folder).serving();
         let line = program.counts("endpoint_lists", 1);
-        (who(&program, awaited), line.contains(" regions_rings=0 "))
+        (answering_hosts(&program, awaited), line.contains(" regions_rings=0 "))
     };
     assert_eq!(serve(folder.path(), &["a", "b"]), ("a b".to_owned(), true));
     std::fs::create_dir(folder.path().join("deploy")).expect("a folder");
@@ -490,11 +511,11 @@
     assert_eq!(serve(folder.path(), &["a"]), ("a".to_owned(), true));
 }
 
-/// The own region's hosts are up by the list and can't be reached, one hangs and one refuses, while the other
-/// region's would answer: each op ends for its client in its time, nothing goes over there, and the region
-/// serves again once its hosts answer.
+/// The own region's hosts are up by the list and unreachable, one hangs and one refuses, while the
+/// other region's host would answer: each request ends for its client in time, nothing is sent to
+/// the other region, and the own region serves again once its hosts answer.
 #[test]
-fn a_region_that_cannot_be_reached_waits_for_no_other_and_serves_again() {
+fn unreachable_region_fails_in_time_without_the_other_and_serves_again() {
     let hangs = Arc::new((Mutex::new(false), Condvar::new()));
     let shared = hangs.clone();
     let a = Peer::host(move |_| {
@@ -502,15 +523,15 @@
         drop(shared.1.wait_while(hangs, |hangs| *hangs).expect("a lock"));
         hit("a")
     });
-    let (b, south) = (Refusing::start(), Refusing::start());
+    let (b, south) = (RefusingHost::start(), RefusingHost::start());
     let known = [
-        at("a", "n1", a.address, "active"),
-        at("b", "n2", b.address, "active"),
-        at("s", "s1", south.address, "active"),
+        zoned_entry("a", "n1", a.address, "active"),
+        zoned_entry("b", "n2", b.address, "active"),
+        zoned_entry("s", "s1", south.address, "active"),
     ];
-    let (address, taken) = (south.address, south.opened("s"));
-    let program = started(nowhere(), &known, SETTINGS);
-    let mut trace = vec![who(&program, &["a"])];
+    let (address, accepted) = (south.address, south.opened("s"));
+    let program = start(nowhere(), &known, SETTINGS);
+    let mut trace = vec![answering_hosts(&program, &["a"])];
     *hangs.0.lock().expect("a lock") = true;
     let began = Instant::now();
     let mut clients: Vec<Client> = (0..24).map(|_| program.client()).collect();
@@ -521,18 +542,18 @@
     let took = began.elapsed();
     let refused = cut.iter().filter(|answer| answer.starts_with("-BUSY") || *answer == "-ERR dead-lettered");
     trace.push(format!("cut: {} of {} without a value", refused.count(), cut.len()));
-    assert!(took < Duration::from_secs(2), "ops of 0.4 s took {took:?}");
+    assert!(took < Duration::from_secs(2), "requests of 0.4 s took {took:?}");
     *hangs.0.lock().expect("a lock") = false;
     hangs.1.notify_all();
     b.opened("b");
-    trace.push(who(&program, &["a", "b"]));
+    trace.push(answering_hosts(&program, &["a", "b"]));
     let line = program.counts("requests", 24);
     trace.extend(line.split(' ').filter(|word| word.starts_with("regions_rings")).map(str::to_owned));
-    assert_eq!(taken.load(Ordering::SeqCst), 0, "a connection went to the other region");
-    // It was there all the time.
+    assert_eq!(accepted.load(Ordering::SeqCst), 0, "a connection was opened to the other region");
+    // The other region could have answered all the time.
     let mut there = Client::at(&address.to_string());
     there.get("k", "id", "c=read,d=400");
-    trace.push(format!("over there: {}, by connection {}", there.answer(), taken.load(Ordering::SeqCst)));
+    trace.push(format!("over there: {}, by connection {}", there.answer(), accepted.load(Ordering::SeqCst)));
     println!("cut for {took:?}, in all {:?}", began.elapsed());
     expect![[r#"
         a
@@ -543,35 +564,38 @@
     .assert_eq(&trace.join("\n"));
 }
 
-/// A zone is moved from the north to the south, and some balancers have the map before and others the one
-/// after: each uses its own ring, and a drain of the host that both use binds at both.
+/// A zone is moved from the north to the south, and some balancers have the old map and others the
+/// new one: each uses its own ring, and a drain of the host that both use is honoured by both.
 #[test]
 fn balancers_with_maps_of_two_versions_use_each_its_own_ring() {
-    let (a, b, c) = (named("a"), named("b"), named("c"));
+    let (a, b, c) = (host_named("a"), host_named("b"), host_named("c"));
     let discovery = Discovery::start();
-    let list = |told: &str| {
-        let (a, b) = (at("a", "n1", a.address, "active"), at("b", "n2", b.address, told));
-        vec![a, b, at("c", "s1", c.address, "active")]
+    let list = |lifecycle_of_b: &str| {
+        let (a, b) =
+            (zoned_entry("a", "n1", a.address, "active"), zoned_entry("b", "n2", b.address, lifecycle_of_b));
+        vec![a, b, zoned_entry("c", "s1", c.address, "active")]
     };
     let moved = MAP.replace(r#""n1", "n2""#, r#""n1""#).replace(r#""s1""#, r#""s1", "n2""#);
     let moved_south = moved.replace("own = \"north\"", "own = \"south\"");
     let programs = [MAP, &moved, &moved_south]
-        .map(|map| started_by(map, discovery.peer.address, &list("active"), SETTINGS));
+        .map(|map| start_with_map(map, discovery.peer.address, &list("active"), SETTINGS));
     let mut trace = Vec::new();
     let awaited = [&["a", "b"][..], &["a"], &["b", "c"]];
     for (program, awaited) in programs.iter().zip(awaited) {
-        let figures = program.figures("edge_proxy_regions_hosts_unnamed 0");
-        trace.extend(figures.lines().filter(|line| line.starts_with("regions_map")).map(str::to_owned));
-        trace.push(who(program, awaited));
+        let metrics = program.figures("edge_proxy_regions_hosts_unnamed 0");
+        trace.extend(metrics.lines().filter(|line| line.starts_with("regions_map")).map(str::to_owned));
+        trace.push(answering_hosts(program, awaited));
     }
-    // What nobody uses shows when this list is in force.
-    let drained = [list("leaving"), vec![at("x", "x1", nowhere(), "active")]].concat();
+    // The metric of a host that nobody uses shows when this list has been applied.
+    let drained = [list("leaving"), vec![zoned_entry("x", "x1", nowhere(), "active")]].concat();
     discovery.tell(&drained);
     for program in &programs {
         program.figures("edge_proxy_regions_hosts_unnamed 1");
     }
     while b.seen().is_some() {}
-    trace.extend(programs.iter().zip(["a", "a", "c"]).map(|(program, awaited)| who(program, &[awaited])));
+    trace.extend(
+        programs.iter().zip(["a", "a", "c"]).map(|(program, awaited)| answering_hosts(program, &[awaited])),
+    );
     let later: Vec<String> = std::iter::from_fn(|| b.seen()).filter(|seen| seen != "closed").collect();
     assert!(later.is_empty(), "{later:?} came after its drain");
     expect![[r#"
@@ -587,20 +611,20 @@
     .assert_eq(&trace.join("\n"));
 }
 
-/// In the log's line of the start, and as a figure.
+/// In the log's line at the start, and as a metric.
 #[test]
-fn copies_of_one_map_show_the_same_version() {
-    let a = named("a");
-    let known = [at("a", "n1", a.address, "active"), at("b", "s1", a.address, "active")];
-    let text = told(nowhere(), &known, SETTINGS);
+fn copies_of_one_map_for_different_regions_show_the_same_version() {
+    let a = host_named("a");
+    let known = [zoned_entry("a", "n1", a.address, "active"), zoned_entry("b", "s1", a.address, "active")];
+    let text = config(nowhere(), &known, SETTINGS);
     let versions = |map: &str| {
         let mut program = Program::in_regions(BINARY, &text, map);
         let line = program.logged("regions: map");
         program.mgmt = program.logged("mgmt on").rsplit(' ').next().expect("an address").to_owned();
         let program = program.serving();
-        let figures = program.figures("edge_proxy_regions_hosts_ring 1");
-        let figure = figures.lines().find(|line| line.starts_with("regions_map")).expect("a figure");
-        format!("{} / {figure}", line.split_once("regions: ").expect("its part").1)
+        let metrics = program.figures("edge_proxy_regions_hosts_ring 1");
+        let metric = metrics.lines().find(|line| line.starts_with("regions_map")).expect("a metric");
+        format!("{} / {metric}", line.split_once("regions: ").expect("its part").1)
     };
     let south = MAP.replace("own = \"north\"", "# The south's copy.\nown = \"south\"");
     let other = MAP.replace("\"n2\"", "\"n3\"");
@@ -611,8 +635,8 @@
     .assert_eq(&[MAP, &south, &other].map(versions).join("\n"));
 }
 
-/// What follows the file's name or the program's in a line.
-fn after(line: &str, part: &str) -> String {
+/// What follows the file's name or the program's name in a line.
+fn text_after(line: &str, part: &str) -> String {
     let line = line.split_once(part).map_or(line, |found| found.1);
     line.split_once(".toml").map_or(line, |found| found.1).to_owned()
 }
