--- a/balancer/src/config.rs
+++ b/balancer/src/config.rs
@@ -1,32 +1,99 @@
-//! What a balancer is told at its start, from the file that PROXY_CONFIG names, and the operators' map of
-//! regions.
+//! The configuration that a balancer reads at its start, and again at SIGHUP: the JSON file that
+//! `PROXY_CONFIG` names, variables of the environment, and the operators' map of regions.
 
-use std::io::ErrorKind;
+use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 use basaltwood::types::{PolicyConfig, RingPosition};
-use basaltwood_regions::RegionMap;
-use basaltwood_settings::{NameTable, OperatorSettings, RuntimeLimits};
+use basaltwood_regions::{RegionMap, RegionMapError};
+use basaltwood_settings::{NameTable, OperatorSettings, RuntimeLimits, SettingsError};
 use serde::Deserialize;
 
 use crate::discovery::EndpointList;
 
-/// Where the map of regions is looked for, from the working directory, unless `$BASALTWOOD_REGIONS` names
-/// another file.
-const REGIONS: &str = "deploy/regions.toml";
+/// The map of regions, from the working directory, unless `$BASALTWOOD_REGIONS` names another file.
+const DEFAULT_REGION_MAP: &str = "deploy/regions.toml";
+/// The range of `limits.memory_mb`, in MB.
+const MEMORY_MB: std::ops::Range<f64> = 8.0..1e9;
+/// The smallest `limits.sockets` that a process can serve with.
+const MIN_SOCKETS: usize = 32;
+
+/// Why the configuration can't be read. Displayed, it is one line that names the file and the field
+/// or line at fault.
+#[derive(Debug, thiserror::Error)]
+pub enum ConfigError {
+    /// The variable that names the configuration file is missing.
+    #[error("PROXY_CONFIG is not set")]
+    NotSet,
+    /// The configuration file can't be read.
+    #[error("PROXY_CONFIG {path}: {cause}")]
+    Unreadable {
+        /// The file, as `PROXY_CONFIG` names it.
+        path: String,
+        /// The system's error.
+        cause: io::Error,
+    },
+    /// The configuration file, or a variable that belongs to it, is invalid.
+    #[error("PROXY_CONFIG {path}: {cause}")]
+    Invalid {
+        /// The file, as `PROXY_CONFIG` names it.
+        path: String,
+        /// The field and what is wrong with it.
+        cause: InvalidConfig,
+    },
+    /// The map of regions exists, or was named, and can't be read.
+    #[error("{file}: {cause}: mend $BASALTWOOD_REGIONS or the file, or remove both")]
+    UnreadableRegionMap {
+        /// The map's file.
+        file: String,
+        /// The system's error.
+        cause: io::Error,
+    },
+    /// The map of regions is invalid.
+    #[error(transparent)]
+    InvalidRegionMap(#[from] RegionMapError),
+}
+
+/// What is wrong in the configuration file, or in a variable of the environment that belongs to it.
+#[derive(Debug, thiserror::Error)]
+pub enum InvalidConfig {
+    /// The file is no JSON, or a field has the wrong type.
+    #[error(transparent)]
+    Json(#[from] serde_path_to_error::Error<serde_json::Error>),
+    /// A field that should hold an address with a port.
+    #[error("{field} {text:?} is no address with a port")]
+    Address {
+        /// The field's name in the file.
+        field: &'static str,
+        /// What it holds.
+        text: String,
+    },
+    /// `PROXY_INHERITED_FD` is not a number.
+    #[error("PROXY_INHERITED_FD {text:?} is no descriptor's number")]
+    Descriptor {
+        /// What it holds.
+        text: String,
+    },
+    /// The limits are too small to serve within.
+    #[error("limits: at least 8 MB and 32 sockets are needed")]
+    Limits,
+    /// The operators' settings object is invalid.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+}
 
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     name: String,
     listen: String,
     discovery: String,
-    /// Where operators call; without it none can.
-    #[serde(default)]
-    mgmt: Option<String>,
+    /// The address of the admin interface; without it, and without `PROXY_MGMT`, there is none.
+    #[serde(default, rename = "mgmt")]
+    admin: Option<String>,
     seed: String,
     #[serde(default)]
-    limits: Limits,
+    limits: ResourceLimits,
     #[serde(default)]
     known: EndpointList,
     settings: OperatorSettings,
@@ -34,106 +101,144 @@
 
 #[derive(Deserialize)]
 #[serde(default)]
-struct Limits {
+struct ResourceLimits {
     memory_mb: f64,
     sockets: usize,
 }
 
-impl Default for Limits {
-    fn default() -> Limits {
-        Limits { memory_mb: 192.0, sockets: 1024 }
+impl Default for ResourceLimits {
+    fn default() -> ResourceLimits {
+        ResourceLimits { memory_mb: 192.0, sockets: 1024 }
     }
 }
 
+impl ResourceLimits {
+    fn suffice(&self) -> bool {
+        MEMORY_MB.contains(&self.memory_mb) && self.sockets >= MIN_SOCKETS
+    }
+
+    fn memory_bytes(&self) -> usize {
+        (self.memory_mb * 1024.0 * 1024.0) as usize
+    }
+}
+
+/// The configuration of one balancer process.
 pub struct Config {
+    /// The balancer's name in the log.
     pub name: String,
+    /// The address that clients connect to.
     pub listen: SocketAddr,
+    /// The address of discovery, where the list of hosts is watched.
     pub discovery: SocketAddr,
-    pub mgmt: Option<SocketAddr>,
-    /// The clients' listening socket, where the platform holds it.
-    pub inherited: Option<u16>,
-    /// A folder that every process of this balancer sees.
-    pub folder: Option<PathBuf>,
-    pub memory: usize,
-    pub sockets: usize,
-    pub known: EndpointList,
-    /// For the module and the pools: its balancers are those that a host deals with, the own region's where the
-    /// map says.
+    /// The address of the admin interface, if there is one.
+    pub admin: Option<SocketAddr>,
+    /// The descriptor of the clients' listening socket, if the platform holds it and the process
+    /// inherits it.
+    pub inherited_descriptor: Option<u16>,
+    /// A folder that all processes of this balancer share.
+    pub shared_folder: Option<PathBuf>,
+    /// The memory limit of the process, in bytes.
+    pub memory_bytes: usize,
+    /// The limit on open sockets of the process.
+    pub max_sockets: usize,
+    /// The hosts to use until discovery answers.
+    pub known_endpoints: EndpointList,
+    /// The parameters of the policy and the connection pools. Its number of balancers counts those
+    /// that send to the same hosts: the own region's, if the map of regions gives their number.
     pub policy: PolicyConfig,
-    /// All balancers that ask discovery as this one does.
-    pub fleet: u32,
-    /// None where there are no regions.
-    pub regions: Option<RegionMap>,
+    /// The number of balancers that call the same discovery.
+    pub fleet_size: u32,
+    /// None if the operators gave no map of regions.
+    pub region_map: Option<RegionMap>,
+    /// The deployment's names with the ids that the policy uses for them.
     pub names: NameTable,
-    pub limits: RuntimeLimits,
-}
-
-/// Reads the operators' map; none where there is no file and none was named.
-fn regions(named: Option<String>) -> Result<Option<RegionMap>, String> {
-    let file = named.as_deref().unwrap_or(REGIONS);
-    match std::fs::read_to_string(file) {
-        Ok(text) => RegionMap::parse(file, &text).map(Some).map_err(|error| error.to_string()),
-        Err(cause) if named.is_none() && cause.kind() == ErrorKind::NotFound => Ok(None),
-        Err(cause) => Err(format!("{file}: {cause}: mend $BASALTWOOD_REGIONS or the file, or remove both")),
-    }
-}
-
-/// A variable of the environment; an empty one is none.
-fn set(name: &str) -> Option<String> {
-    std::env::var(name).ok().filter(|text| !text.is_empty())
+    /// Limits on connections and open requests.
+    pub runtime_limits: RuntimeLimits,
 }
 
 impl Config {
-    pub fn read() -> Result<Config, String> {
-        let path = std::env::var("PROXY_CONFIG").map_err(|_| "PROXY_CONFIG is not set".to_owned())?;
-        let text = std::fs::read_to_string(&path).map_err(|cause| format!("PROXY_CONFIG {path}: {cause}"))?;
-        let mut config = Config::parse(&text).map_err(|cause| format!("PROXY_CONFIG {path}: {cause}"))?;
-        config.regions = regions(set("BASALTWOOD_REGIONS"))?;
-        if let Some(balancers) = config.regions.as_ref().and_then(RegionMap::balancers) {
+    /// Reads the configuration from the environment and the files that it names.
+    ///
+    /// # Errors
+    /// [`ConfigError`] if a file is missing, can't be read or is invalid.
+    pub fn read() -> Result<Config, ConfigError> {
+        let path = std::env::var("PROXY_CONFIG").map_err(|_| ConfigError::NotSet)?;
+        let mut config = match std::fs::read_to_string(&path) {
+            Ok(text) => Config::parse(&text).map_err(|cause| ConfigError::Invalid { path, cause })?,
+            Err(cause) => return Err(ConfigError::Unreadable { path, cause }),
+        };
+        config.region_map = read_region_map(env_variable("BASALTWOOD_REGIONS"))?;
+        if let Some(balancers) = config.region_map.as_ref().and_then(RegionMap::balancers) {
             config.policy.balancers = balancers;
         }
         Ok(config)
     }
 
-    fn parse(text: &str) -> Result<Config, String> {
-        // The line names the field too: a place in a file of one line helps nobody.
+    fn parse(text: &str) -> Result<Config, InvalidConfig> {
+        // With its path, as a line and column are of no help in a file of one line.
         let reader = &mut serde_json::Deserializer::from_str(text);
-        let file: File = serde_path_to_error::deserialize(reader).map_err(|cause| cause.to_string())?;
-        let address = |what: &str, text: &str| {
-            text.parse::<SocketAddr>().map_err(|_| format!("{what} {text:?} is no address with a port"))
-        };
-        let mgmt = file.mgmt.or_else(|| set("PROXY_MGMT"));
-        let mgmt = mgmt.map(|text| address("mgmt", &text)).transpose()?;
-        let inherited = set("PROXY_INHERITED_FD").map(|text| {
-            text.parse().map_err(|_| format!("PROXY_INHERITED_FD {text:?} is no descriptor's number"))
-        });
-        let seed = u64::from_str_radix(&file.seed, 16).unwrap_or_else(|_| RingPosition::of(&file.seed).0);
-        if !(8.0..1e9).contains(&file.limits.memory_mb) || file.limits.sockets < 32 {
-            return Err("limits: at least 8 MB and 32 sockets are needed".to_owned());
+        let file: ConfigFile = serde_path_to_error::deserialize(reader)?;
+        let admin = file.admin.or_else(|| env_variable("PROXY_MGMT"));
+        let admin = admin.map(|text| parse_address("mgmt", &text)).transpose()?;
+        if !file.limits.suffice() {
+            return Err(InvalidConfig::Limits);
         }
-        let mut policy = file.settings.policy_config(seed).map_err(|error| error.to_string())?;
-        file.settings
-            .ignored_capabilities()
-            .iter()
-            .for_each(|what| log::info!("allowed and not used, {what}"));
-        // Calling a push off closes its connection, since none can be told from the next on it: the host works on
-        // all the same, and the next push waits for a new one. So a push runs on, and ends as what it was.
-        policy.capabilities.cancellation = false;
+        let policy = policy_config(&file.settings, &file.seed)?;
         Ok(Config {
-            listen: address("listen", &file.listen)?,
-            discovery: address("discovery", &file.discovery)?,
-            mgmt,
-            inherited: inherited.transpose()?,
-            folder: set("TMPDIR").map(PathBuf::from),
-            memory: (file.limits.memory_mb * 1024.0 * 1024.0) as usize,
-            sockets: file.limits.sockets,
-            known: file.known,
-            fleet: policy.balancers,
+            listen: parse_address("listen", &file.listen)?,
+            discovery: parse_address("discovery", &file.discovery)?,
+            admin,
+            inherited_descriptor: inherited_descriptor()?,
+            shared_folder: env_variable("TMPDIR").map(PathBuf::from),
+            memory_bytes: file.limits.memory_bytes(),
+            max_sockets: file.limits.sockets,
+            known_endpoints: file.known,
+            fleet_size: policy.balancers,
             policy,
-            regions: None,
+            region_map: None,
             names: NameTable::new(&file.settings),
-            limits: file.settings.runtime_limits(),
+            runtime_limits: file.settings.runtime_limits(),
             name: file.name,
         })
     }
 }
+
+/// A variable of the environment; an empty one counts as unset.
+fn env_variable(name: &str) -> Option<String> {
+    std::env::var(name).ok().filter(|text| !text.is_empty())
+}
+
+fn parse_address(field: &'static str, text: &str) -> Result<SocketAddr, InvalidConfig> {
+    text.parse().map_err(|_| InvalidConfig::Address { field, text: text.to_owned() })
+}
+
+fn inherited_descriptor() -> Result<Option<u16>, InvalidConfig> {
+    let Some(text) = env_variable("PROXY_INHERITED_FD") else { return Ok(None) };
+    let descriptor = text.parse().map_err(|_| InvalidConfig::Descriptor { text })?;
+    Ok(Some(descriptor))
+}
+
+/// The policy's parameters. A seed that is not a hexadecimal number is hashed.
+fn policy_config(settings: &OperatorSettings, seed: &str) -> Result<PolicyConfig, InvalidConfig> {
+    let seed = u64::from_str_radix(seed, 16).unwrap_or_else(|_| RingPosition::of(seed).0);
+    let mut policy = settings.policy_config(seed)?;
+    for capability in settings.ignored_capabilities() {
+        log::info!("allowed and not used, {capability}");
+    }
+    // RESP2 has no way to cancel: the connection would have to be closed, the host would work on
+    // all the same, and the next attempt would wait for a new connection. So an attempt that the
+    // policy could cancel runs to its end, and its outcome counts for what it is.
+    policy.capabilities.cancellation = false;
+    Ok(policy)
+}
+
+/// Reads the operators' map of regions; none if no file is named and there is none at the default
+/// path.
+fn read_region_map(named: Option<String>) -> Result<Option<RegionMap>, ConfigError> {
+    let file = named.as_deref().unwrap_or(DEFAULT_REGION_MAP);
+    match std::fs::read_to_string(file) {
+        Ok(text) => Ok(Some(RegionMap::parse(file, &text)?)),
+        Err(cause) if named.is_none() && cause.kind() == io::ErrorKind::NotFound => Ok(None),
+        Err(cause) => Err(ConfigError::UnreadableRegionMap { file: file.to_owned(), cause }),
+    }
+}
--- a/balancer/src/downstream/reply.rs
+++ b/balancer/src/downstream/reply.rs
@@ -49,7 +49,7 @@
         let outcome = match &answer {
             FinalAnswer::Succeeded(_) => RequestOutcome::Ok,
             FinalAnswer::Rejected { .. } => RequestOutcome::Shed,
-            FinalAnswer::Failed => RequestOutcome::Errors,
+            FinalAnswer::Failed => RequestOutcome::Error,
         };
         let text = encode(&answer);
         let stream = match answer {
@@ -101,7 +101,7 @@
 
     fn end_request(&mut self) {
         if let Some((request, outcome)) = self.request.take() {
-            request.ended(outcome);
+            request.finish(outcome);
         }
     }
 
@@ -122,7 +122,7 @@
                 OutputEvent::ChunkReady
             }
             None => {
-                self.request = self.request.take().map(|(request, _)| (request, RequestOutcome::Errors));
+                self.request = self.request.take().map(|(request, _)| (request, RequestOutcome::Error));
                 self.end_request();
                 OutputEvent::StreamBroken
             }
--- a/balancer/src/listener.rs
+++ b/balancer/src/listener.rs
@@ -1,48 +1,100 @@
-//! Where clients connect: a socket bound here, or one that the platform holds and every process of this balancer inherits.
+//! Listening sockets: bound by this process, or held by the platform and inherited by every process
+//! of the balancer.
 
+use std::io;
 use std::net::SocketAddr;
 
 use listenfd::ListenFd;
 use socket2::SockRef;
 use tokio::net::{TcpListener, TcpSocket};
 
-/// Binds and listens.
+/// The length of the system's queue of connections that wait to be accepted.
+const BACKLOG: u32 = 1024;
+
+/// Why the process can't listen. Displayed, it is one line that names the field or variable at
+/// fault.
+#[derive(Debug, thiserror::Error)]
+pub enum ListenError {
+    /// An address can't be bound.
+    #[error("{field} on {address}: {cause}")]
+    Bind {
+        /// The configuration's field that gave the address.
+        field: &'static str,
+        /// The address.
+        address: SocketAddr,
+        /// The system's error.
+        cause: io::Error,
+    },
+    /// The inherited descriptor can't be used.
+    #[error("PROXY_INHERITED_FD {descriptor}: {cause}")]
+    Inherited {
+        /// The descriptor's number.
+        descriptor: u16,
+        /// What is wrong with it.
+        cause: InheritedError,
+    },
+}
+
+/// What is wrong with an inherited descriptor.
+#[derive(Debug, thiserror::Error)]
+pub enum InheritedError {
+    /// It is closed, or a file, or another kind of socket.
+    #[error("it is no socket that listens")]
+    NotListening,
+    /// It listens at another address than the configured one.
+    #[error("it listens on {actual}, not on {configured}")]
+    OtherAddress {
+        /// The address it listens at.
+        actual: SocketAddr,
+        /// The address that the configuration gives.
+        configured: SocketAddr,
+    },
+    /// A system call failed.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+}
+
+/// Binds and listens at the address from this field of the configuration.
 ///
 /// # Errors
-/// One line with the address.
-pub fn bound(what: &str, address: SocketAddr) -> Result<TcpListener, String> {
-    let listen = || {
-        let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-        // A restart takes its address over at once.
-        socket.set_reuseaddr(true)?;
-        socket.bind(address)?;
-        socket.listen(1024)
-    };
-    listen().map_err(|cause: std::io::Error| format!("{what} on {address}: {cause}"))
+/// [`ListenError::Bind`] if the system refuses.
+pub fn bind(field: &'static str, address: SocketAddr) -> Result<TcpListener, ListenError> {
+    bind_and_listen(address).map_err(|cause| ListenError::Bind { field, address, cause })
 }
 
-/// Serves a listening socket that was inherited as this descriptor. It is never shut down: that would end it for every
-/// process that holds it.
+fn bind_and_listen(address: SocketAddr) -> io::Result<TcpListener> {
+    let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+    // So that a restarted process can bind at once.
+    socket.set_reuseaddr(true)?;
+    socket.bind(address)?;
+    socket.listen(BACKLOG)
+}
+
+/// Takes the listening socket that was inherited as this descriptor. Never shut it down: that would
+/// end it for every process that holds it.
 ///
 /// # Errors
-/// One line where that is no socket which listens at this address.
-pub fn inherited(descriptor: u16, address: SocketAddr) -> Result<TcpListener, String> {
-    let named = |cause: &dyn std::fmt::Display| format!("PROXY_INHERITED_FD {descriptor}: {cause}");
-    let none = "it is no socket that listens";
+/// [`ListenError::Inherited`] if the descriptor is not a socket that listens at this address.
+pub fn inherited(descriptor: u16, address: SocketAddr) -> Result<TcpListener, ListenError> {
+    take_inherited(descriptor, address).map_err(|cause| ListenError::Inherited { descriptor, cause })
+}
+
+fn take_inherited(descriptor: u16, address: SocketAddr) -> Result<TcpListener, InheritedError> {
+    // listenfd reads the descriptor's number from the variables that systemd sets.
     std::env::remove_var("LISTEN_PID");
     std::env::set_var("LISTEN_FDS", "1");
     std::env::set_var("LISTEN_FDS_FIRST_FD", descriptor.to_string());
     let taken = ListenFd::from_env().take_tcp_listener(0);
     std::env::remove_var("LISTEN_FDS_FIRST_FD");
-    // What is open under this number may be anything, a file of the platform's included.
-    let listener = taken.ok().flatten().ok_or_else(|| named(&none))?;
+    // Anything may be open under this number, also a file of the platform.
+    let listener = taken.ok().flatten().ok_or(InheritedError::NotListening)?;
     if !SockRef::from(&listener).is_listener().unwrap_or(false) {
-        return Err(named(&none));
+        return Err(InheritedError::NotListening);
     }
-    let there = listener.local_addr().map_err(|cause| named(&cause))?;
-    if there != address {
-        return Err(named(&format_args!("it listens on {there}, not on {address}")));
+    let actual = listener.local_addr()?;
+    if actual != address {
+        return Err(InheritedError::OtherAddress { actual, configured: address });
     }
-    listener.set_nonblocking(true).map_err(|cause| named(&cause))?;
-    TcpListener::from_std(listener).map_err(|cause| named(&cause))
+    listener.set_nonblocking(true)?;
+    Ok(TcpListener::from_std(listener)?)
 }
--- a/balancer/src/upstream/checkout.rs
+++ b/balancer/src/upstream/checkout.rs
@@ -10,7 +10,7 @@
 
 use super::{AttemptKey, UpstreamConnection, UpstreamEvent, Upstreams};
 use crate::budget::DescriptorPermit;
-use crate::clock::span;
+use crate::clock::duration;
 
 /// A connection that an attempt has. Dropped with the connection still in it, because the attempt
 /// was cancelled or failed, it closes the connection and reports it to the pools as abandoned.
@@ -152,7 +152,7 @@
         let guard = ConnectGuard { upstreams: self, id: Some(id) };
         let address = self.address(host).ok_or(AttemptOutcome::NotSent)?;
         let permit = self.host_descriptor().ok_or(AttemptOutcome::NotSent)?;
-        let connect_deadline = Instant::now() + span(self.limits.connect_timeout);
+        let connect_deadline = Instant::now() + duration(self.limits.connect_timeout);
         let until = deadline.min(connect_deadline);
         let connected = UpstreamConnection::connect(Some(permit), address, until, MAX_BUFFERED_MESSAGE).await;
         guard.disarm();
--- a/balancer/src/upstream/exchange.rs
+++ b/balancer/src/upstream/exchange.rs
@@ -104,7 +104,7 @@
         let id = checked_out.id();
         let upstreams = self.upstreams;
         upstreams.pools.borrow_mut().request_sent(upstreams.clock.now(), id);
-        upstreams.metrics.tried();
+        upstreams.metrics.attempt_sent();
         upstreams.in_flight.borrow_mut().insert(id, self.attempt);
     }
 
