--- a/balancer/src/admin.rs
+++ b/balancer/src/admin.rs
@@ -1,11 +1,15 @@
-//! The operators' front: one call to a connection, answered at once from what stands ready, whatever clients do.
+//! The admin interface: one request per connection, answered at once without waiting for any client
+//! or host.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
+use std::io;
 use std::rc::Rc;
 use std::time::Duration;
 
-use basaltwood_admin::{answered, call, refused, Call, Refusal, MOST};
+use basaltwood_admin::{
+    error_response, parse_request, response, AdminRequest, AdminRequestError, MAX_REQUEST_BYTES,
+};
 use basaltwood_wire::buffer::Buffer;
 use bytes::Bytes;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -18,135 +22,163 @@
 use crate::read;
 use crate::shared::Shared;
 
-/// Callers at a time.
-const CALLERS: usize = 10;
-/// Descriptors set aside for this front: the listener, callers, and one that is not yet among them.
-pub const DESCRIPTORS: usize = CALLERS + 2;
-/// So long a caller is not closed to make room: what it sent may not have been read yet.
-const UNHEARD: Duration = Duration::from_millis(50);
-/// A call is whole by then.
-const WHOLE: Duration = Duration::from_secs(2);
-/// For the answer to be taken, and the caller's end to come: a close over unread bytes would reset the connection and
-/// could take the answer along.
-const LINGER: Duration = Duration::from_millis(200);
-const AGAIN: Duration = Duration::from_millis(20);
-
-pub struct Front {
+/// Callers that may be connected at a time.
+const MAX_CALLERS: usize = 10;
+/// Descriptors reserved for this interface: the listener, the callers, and one that is accepted and
+/// not yet counted as a caller.
+pub const RESERVED_DESCRIPTORS: usize = MAX_CALLERS + 2;
+/// How long a caller is safe from eviction: its request may be on its way.
+const MIN_CALLER_TIME: Duration = Duration::from_millis(50);
+/// The time in which a whole request must arrive.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// The time for writing the answer and for the caller to close. Closing over unread bytes would
+/// reset the connection, and the answer could be lost.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
+/// The pause after a failed accept, for example when descriptors are short.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+/// HTTP's "Request Timeout".
+const STATUS_REQUEST_TIMEOUT: u16 = 408;
+/// HTTP's "Request Header Fields Too Large".
+const STATUS_HEAD_TOO_LARGE: u16 = 431;
+
+/// Serves operators on their own listener.
+pub struct AdminServer {
     shared: Rc<Shared>,
     phase: Rc<watch::Sender<Phase>>,
+    /// Connected callers, the oldest in front.
     callers: RefCell<VecDeque<Caller>>,
-    next: Cell<u64>,
+    next_caller: Cell<u64>,
 }
 
-/// A connection, the one that stands longest first.
 struct Caller {
     number: u64,
-    since: Instant,
+    accepted_at: Instant,
     task: AbortHandle,
 }
 
-/// Takes a caller off the books, however its task ends.
-struct Place(Rc<Front>, u64);
+/// Removes a caller from the connected ones when its task ends or is aborted.
+struct CallerGuard {
+    server: Rc<AdminServer>,
+    number: u64,
+}
 
-impl Drop for Place {
+impl Drop for CallerGuard {
     fn drop(&mut self) {
-        self.0.callers.borrow_mut().retain(|caller| caller.number != self.1);
+        self.server.callers.borrow_mut().retain(|caller| caller.number != self.number);
     }
 }
 
-impl Front {
-    pub fn new(shared: Rc<Shared>, phase: Rc<watch::Sender<Phase>>) -> Rc<Front> {
-        Rc::new(Front { shared, phase, callers: RefCell::default(), next: Cell::new(0) })
+impl AdminServer {
+    /// An interface that reads and changes this phase.
+    pub fn new(shared: Rc<Shared>, phase: Rc<watch::Sender<Phase>>) -> Rc<AdminServer> {
+        Rc::new(AdminServer { shared, phase, callers: RefCell::default(), next_caller: Cell::new(0) })
     }
 
     /// Accepts for ever.
-    pub async fn accept(self: Rc<Front>, listener: TcpListener) {
+    pub async fn accept(self: Rc<AdminServer>, listener: TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    self.room().await;
-                    let number = self.next.replace(self.next.get() + 1);
-                    let task = spawn_local(self.clone().serve(Place(self.clone(), number), stream));
-                    let caller = Caller { number, since: Instant::now(), task: task.abort_handle() };
-                    self.callers.borrow_mut().push_back(caller);
+                    self.evict_callers().await;
+                    self.clone().connected(stream);
                 }
                 Err(cause) => {
                     log::warn!("accept at mgmt: {cause}");
-                    sleep(AGAIN).await;
+                    sleep(ACCEPT_RETRY_INTERVAL).await;
                 }
             }
         }
     }
 
-    /// Callers that say nothing stay for seconds and must not keep others out: the one that stands longest goes.
-    async fn room(&self) {
-        while self.callers.borrow().len() >= CALLERS {
-            let heard = self.callers.borrow().front().map(|oldest| oldest.since + UNHEARD);
-            if let Some(heard) = heard {
-                sleep_until(heard).await;
+    fn connected(self: Rc<AdminServer>, stream: TcpStream) {
+        let number = self.next_caller.replace(self.next_caller.get() + 1);
+        let guard = CallerGuard { server: self.clone(), number };
+        let task = spawn_local(self.clone().serve(guard, stream)).abort_handle();
+        self.callers.borrow_mut().push_back(Caller { number, accepted_at: Instant::now(), task });
+    }
+
+    /// Evicts the oldest caller until one more may connect: callers that send nothing stay for
+    /// seconds, and must not keep others out.
+    async fn evict_callers(&self) {
+        while self.is_full() {
+            let oldest = self.callers.borrow().front().map(|caller| caller.accepted_at);
+            if let Some(accepted_at) = oldest {
+                sleep_until(accepted_at + MIN_CALLER_TIME).await;
             }
-            if self.callers.borrow().len() >= CALLERS {
+            // Callers may have left during the wait.
+            if self.is_full() {
                 let oldest = self.callers.borrow_mut().pop_front();
                 oldest.inspect(|oldest| oldest.task.abort());
             }
         }
     }
 
-    async fn serve(self: Rc<Front>, _place: Place, mut stream: TcpStream) {
-        let mut buffer = Buffer::new(MOST);
-        let whole = async {
-            loop {
-                if let Some(called) = call(buffer.bytes()).transpose() {
-                    return Some(called);
-                }
-                // Longer than any call without being one is too long a head.
-                match read(&mut stream, &mut buffer).await {
-                    Ok(1..) => {}
-                    Err(cause) if cause.kind() == std::io::ErrorKind::InvalidData => {
-                        return Some(Err(Refusal { status: 431, allow: None }));
-                    }
-                    _ => return None,
-                }
-            }
-        };
-        let answer = match timeout(WHOLE, whole).await {
-            Ok(Some(Ok(call))) => self.answer(call),
-            Ok(Some(Err(refusal))) => refused(&refusal),
-            // It went before its call was whole.
+    fn is_full(&self) -> bool {
+        self.callers.borrow().len() >= MAX_CALLERS
+    }
+
+    async fn serve(self: Rc<AdminServer>, _guard: CallerGuard, mut stream: TcpStream) {
+        let answer = match timeout(REQUEST_TIMEOUT, read_request(&mut stream)).await {
+            Ok(Some(Ok(request))) => self.respond(request),
+            Ok(Some(Err(error))) => error_response(&error),
             Ok(None) => return,
-            Err(_) => answered(408, ""),
+            Err(_) => response(STATUS_REQUEST_TIMEOUT, ""),
         };
-        let _ = timeout(LINGER, async {
-            if stream.write_all(&answer).await.is_ok() && stream.shutdown().await.is_ok() {
-                let mut rest = [0; 1024];
-                while matches!(stream.read(&mut rest).await, Ok(1..)) {}
-            }
-        })
-        .await;
+        // A caller that does not read its answer loses it.
+        let _ = timeout(LINGER_TIMEOUT, send_and_close(&mut stream, &answer)).await;
     }
 
-    fn answer(&self, call: Call) -> Bytes {
-        match call {
-            Call::Ready => match *self.phase.borrow() {
-                Phase::Serving | Phase::LameDuck if self.shared.metrics.listed() => answered(200, "ready\n"),
-                _ => answered(503, "not ready\n"),
-            },
-            Call::Vars => answered(200, self.shared.metrics.page().text()),
-            Call::LameDuckOn => self.enter(Phase::LameDuck),
-            Call::LameDuckOff => self.enter(Phase::Serving),
+    fn respond(&self, request: AdminRequest) -> Bytes {
+        match request {
+            AdminRequest::Ready if self.is_ready() => response(200, "ready\n"),
+            AdminRequest::Ready => response(503, "not ready\n"),
+            AdminRequest::Vars => response(200, self.shared.metrics.render().text()),
+            AdminRequest::LameDuckOn => self.enter_phase(Phase::LameDuck),
+            AdminRequest::LameDuckOff => self.enter_phase(Phase::Serving),
         }
     }
 
-    /// Between serving and the drain; a balancer that begins or ends stays with that.
-    fn enter(&self, next: Phase) -> Bytes {
-        let now = *self.phase.borrow();
-        if !matches!(now, Phase::Serving | Phase::LameDuck) {
-            return answered(503, "not now\n");
+    fn is_ready(&self) -> bool {
+        let serves = matches!(*self.phase.borrow(), Phase::Serving | Phase::LameDuck);
+        serves && self.shared.metrics.has_hosts()
+    }
+
+    /// Switches between `Serving` and `LameDuck`; refused while the process starts or ends.
+    fn enter_phase(&self, next: Phase) -> Bytes {
+        let current = *self.phase.borrow();
+        if !matches!(current, Phase::Serving | Phase::LameDuck) {
+            return response(503, "not now\n");
         }
-        if now != next {
+        if current != next {
             log::info!("{next:?}");
             self.phase.send_replace(next);
         }
-        answered(200, "done\n")
+        response(200, "done\n")
     }
 }
+
+/// The request, or why it is refused; none if the caller closed before it was whole.
+async fn read_request(stream: &mut TcpStream) -> Option<Result<AdminRequest, AdminRequestError>> {
+    let mut buffer = Buffer::new(MAX_REQUEST_BYTES);
+    loop {
+        if let Some(request) = parse_request(buffer.bytes()).transpose() {
+            return Some(request);
+        }
+        match read(stream, &mut buffer).await {
+            Ok(1..) => {}
+            // The buffer is full and holds no whole request.
+            Err(cause) if cause.kind() == io::ErrorKind::InvalidData => {
+                return Some(Err(AdminRequestError { status: STATUS_HEAD_TOO_LARGE, allow: None }));
+            }
+            _ => return None,
+        }
+    }
+}
+
+async fn send_and_close(stream: &mut TcpStream, answer: &[u8]) -> io::Result<()> {
+    stream.write_all(answer).await?;
+    stream.shutdown().await?;
+    let mut discarded = [0; 1024];
+    while stream.read(&mut discarded).await? > 0 {}
+    Ok(())
+}
--- a/balancer/src/counters.rs
+++ b/balancer/src/counters.rs
@@ -1,15 +1,17 @@
-//! Counts of what is taken in, sent and answered; printed on SIGUSR1 and at exit.
+//! Counters of events, printed to the log on SIGUSR1 and at exit.
 
 use std::cell::Cell;
 use std::fmt;
 
 use basaltwood::types::AttemptOutcome;
 
+/// Defines [`Counters`] with these fields, which are printed in this order and by these names.
 macro_rules! counters {
     ($($name:ident),* $(,)?) => {
+        /// The process's counters.
         #[derive(Default)]
         pub struct Counters {
-            $(pub $name: Count,)*
+            $(pub $name: Counter,)*
         }
 
         impl fmt::Display for Counters {
@@ -22,41 +24,49 @@
     };
 }
 
+/// A number that only rises while the process lives.
 #[derive(Default)]
-pub struct Count(Cell<u64>);
+pub struct Counter(Cell<u64>);
 
-impl Count {
+impl Counter {
+    /// One more.
     pub fn add(&self) {
         self.add_many(1);
     }
 
+    /// `more` more.
     pub fn add_many(&self, more: usize) {
         self.0.set(self.0.get() + more as u64);
     }
 }
 
 counters! {
-    // In: clients and what they sent.
+    // Clients and what they sent: accepted, closed to make way for others, closed for being slow,
+    // requests, commands that are no request.
     clients, clients_shed, clients_slow, requests, malformed,
-    // Out: what requests were answered with; `abandoned` where the client had gone.
+    // How requests ended; `abandoned` if the client had gone.
     succeeded, rejected, failed, abandoned,
     // Attempts, and how they ended.
-    attempts, attempts_succeeded, attempts_missed, attempts_error, attempts_rejected, attempts_timed_out, attempts_unreachable,
-    attempts_connection_lost, attempts_connection_fault, attempts_cancelled, attempts_not_sent,
-    // Long values that their host did not give whole.
+    attempts, attempts_succeeded, attempts_missed, attempts_error, attempts_rejected, attempts_timed_out,
+    attempts_unreachable, attempts_connection_lost, attempts_connection_fault, attempts_cancelled,
+    attempts_not_sent,
+    // Long values of which the host did not send the whole.
     values_truncated,
-    // Connections to hosts: opened, used again, found closed.
+    // Connections to hosts: opened, reused, found closed when they were to be reused.
     connections_opened, connections_reused, connections_stale,
-    // The list; calls for it that were refused for now, came to nothing, or were answered with nonsense.
-    endpoint_lists, discovery_unavailable, discovery_timeouts, discovery_invalid, endpoints_refused, hosts_released,
-    // Regions: how often the ring became another one's; hosts that came into it, and that were taken out of it
+    // Lists that were applied; calls to discovery that were refused for now, timed out or lost, or
+    // got an invalid response; entries left out as invalid; hosts that are gone and forgotten.
+    endpoint_lists, discovery_unavailable, discovery_timeouts, discovery_invalid, endpoints_refused,
+    hosts_released,
+    // Regions: changes of the ring to another region; hosts that were added to the ring, or removed
     // while up; zones that no region names.
     regions_rings, regions_hosts_in, regions_hosts_out, regions_zones_unnamed,
 }
 
 impl Counters {
-    pub fn ended(&self, end: AttemptOutcome) {
-        let count = match end {
+    /// An attempt ended in this way.
+    pub fn attempt_ended(&self, outcome: AttemptOutcome) {
+        let counter = match outcome {
             AttemptOutcome::Succeeded => &self.attempts_succeeded,
             AttemptOutcome::Miss => &self.attempts_missed,
             AttemptOutcome::Error => &self.attempts_error,
@@ -68,6 +78,6 @@
             AttemptOutcome::ConnectionFault => &self.attempts_connection_fault,
             AttemptOutcome::Cancelled => &self.attempts_cancelled,
         };
-        count.add();
+        counter.add();
     }
 }
--- /dev/null
+++ b/balancer/src/discovery/client.rs
@@ -0,0 +1,140 @@
+//! One call to discovery over HTTP/1.1, on a connection that is kept from call to call.
+
+use std::io;
+use std::net::SocketAddr;
+
+use basaltwood::types::Micros;
+use basaltwood_membership::{WatchError, WatchSchedule};
+use basaltwood_wire::buffer::Buffer;
+use basaltwood_wire::http::{self, Response};
+use tokio::io::AsyncWriteExt;
+use tokio::net::TcpStream;
+use tokio::time::{timeout_at, Instant};
+
+use super::EndpointList;
+use crate::clock::duration;
+use crate::read;
+use crate::shared::Shared;
+use crate::upstream::UpstreamConnection;
+
+/// The longest list that is read.
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
+/// Buffer space for a response's head, beside the list.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
+
+/// Discovery at one address.
+pub struct DiscoveryClient {
+    address: SocketAddr,
+    /// Closed when a call fails.
+    connection: Option<UpstreamConnection>,
+}
+
+impl DiscoveryClient {
+    /// A client that has no connection yet.
+    pub fn new(address: SocketAddr) -> DiscoveryClient {
+        DiscoveryClient { address, connection: None }
+    }
+
+    /// Fetches the changes since the version that the schedule knows, or the whole list if it knows
+    /// none. The schedule's timeouts count from `began`.
+    ///
+    /// # Errors
+    /// [`WatchError`] if discovery refuses, does not answer in time, or sends an invalid response.
+    /// The connection is closed then.
+    pub async fn fetch(
+        &mut self,
+        shared: &Shared,
+        schedule: &WatchSchedule,
+        began: Instant,
+    ) -> Result<EndpointList, WatchError> {
+        let list = self.call(shared, schedule, began).await;
+        if list.is_err() {
+            self.connection = None;
+        }
+        list
+    }
+
+    async fn call(
+        &mut self,
+        shared: &Shared,
+        schedule: &WatchSchedule,
+        began: Instant,
+    ) -> Result<EndpointList, WatchError> {
+        let connection = match &mut self.connection {
+            Some(open) => open,
+            none => none.insert(connect(shared, self.address, schedule, began).await?),
+        };
+        let path = request_path(schedule, began);
+        let request = http::encode_request("GET", &path, &self.address.to_string(), &[], None);
+        let call_ends = began + duration(schedule.call_timeout());
+        let UpstreamConnection { stream, buffer, .. } = connection;
+        let answer = match timeout_at(call_ends, exchange(stream, buffer, &request)).await {
+            Ok(answer) => answer?,
+            Err(_) => return Err(WatchError::TimedOut("it is silent".to_owned())),
+        };
+        buffer.consume(answer.consumed);
+        if !answer.keep_alive {
+            self.connection = None;
+        }
+        read_list(&answer)
+    }
+}
+
+async fn connect(
+    shared: &Shared,
+    address: SocketAddr,
+    schedule: &WatchSchedule,
+    began: Instant,
+) -> Result<UpstreamConnection, WatchError> {
+    let until = began + duration(schedule.response_timeout().min(schedule.call_timeout()));
+    // Without a permit of the budget, which leaves a descriptor aside for this connection: drains
+    // must be read even while clients and hosts hold all other descriptors.
+    let opening = shared.upstreams.connect(None, address, until, MAX_BODY_BYTES + MAX_HEAD_BYTES);
+    opening.await.map_err(connection_failed)
+}
+
+/// The path of the whole list, or of the changes since the known version, which discovery holds
+/// until there are some.
+fn request_path(schedule: &WatchSchedule, began: Instant) -> String {
+    let Some(version) = schedule.known_version() else { return "/v1/servers".to_owned() };
+    let connecting_took = began.elapsed().as_micros() as Micros;
+    let hold_ms = schedule.hold_for(connecting_took) / 1000;
+    format!("/v1/servers?from={version}&hold_ms={hold_ms}")
+}
+
+async fn exchange(
+    stream: &mut TcpStream,
+    buffer: &mut Buffer,
+    request: &[u8],
+) -> Result<Response, WatchError> {
+    stream.write_all(request).await.map_err(connection_failed)?;
+    loop {
+        let bytes_read = read(stream, buffer).await.map_err(connection_failed)?;
+        if bytes_read == 0 {
+            return Err(WatchError::TimedOut("it closed the connection".to_owned()));
+        }
+        let answer = http::parse_response(buffer.bytes(), MAX_BODY_BYTES)
+            .map_err(|error| WatchError::InvalidResponse(error.to_string()))?;
+        if let Some(answer) = answer {
+            return Ok(answer);
+        }
+    }
+}
+
+/// A connection failure counts as no answer: the known version still holds.
+fn connection_failed(cause: io::Error) -> WatchError {
+    WatchError::TimedOut(cause.to_string())
+}
+
+fn read_list(answer: &Response) -> Result<EndpointList, WatchError> {
+    match answer.status {
+        200 => serde_json::from_slice(&answer.body)
+            .map_err(|cause| WatchError::InvalidResponse(cause.to_string())),
+        // Overloaded or broken: calling again at once would make that worse.
+        429 | 500.. => {
+            let retry_after = answer.retry_after.map(|seconds| Micros::from(seconds) * 1_000_000);
+            Err(WatchError::Unavailable { cause: format!("status {}", answer.status), retry_after })
+        }
+        status => Err(WatchError::InvalidResponse(format!("status {status}"))),
+    }
+}
--- a/balancer/src/downstream/accept.rs
+++ b/balancer/src/downstream/accept.rs
@@ -34,7 +34,7 @@
         // Never cut off between accepting and serving: a client that is let in must be served.
         let accepted = tokio::select! {
             biased;
-            now = phase.wait_for(|now| !now.accepts()), if !draining_backlog => match now {
+            now = phase.wait_for(|now| !now.accepts_connections()), if !draining_backlog => match now {
                 // The platform's socket goes on, and another process takes what waits there.
                 Ok(now) if *now == Phase::Takeover => return,
                 _ => {
--- a/balancer/src/downstream/connection.rs
+++ b/balancer/src/downstream/connection.rs
@@ -199,7 +199,7 @@
                 let (delivery, awaited) = oneshot::channel();
                 let mut memory = self.shared.budget.memory_guard();
                 memory.set(size);
-                let active = self.shared.metrics.take(new_request.class);
+                let active = self.shared.metrics.request_started(new_request.class);
                 self.pending.push_back(PendingReply::Awaited(awaited, active));
                 let task = requests::serve(self.shared.clone(), request, new_request, delivery, memory);
                 spawn_local(task);
@@ -254,7 +254,7 @@
         let awaits_memory = self.input.awaits_memory();
         let is_quiet = !awaits_memory && Instant::now() >= self.last_input_at + QUIET_PERIOD;
         let phase = *self.phase.borrow_and_update();
-        if phase.sends_away() {
+        if phase.drains_clients() {
             self.draining_since.get_or_insert_with(Instant::now);
         } else {
             self.draining_since = None;
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -1,5 +1,8 @@
-//! The balancer on sockets: clients, cache hosts, origin and discovery around basaltwood's decisions. A program reads
-//! what it is [`Config`] and calls [`run`], which serves until a signal ends it. This crate decides nothing about ops.
+//! The balancer on sockets: clients, cache hosts, origin and discovery around the decisions of
+//! `basaltwood`.
+//!
+//! A program reads its [`Config`] and calls [`run`], which serves until a signal ends it. This
+//! crate decides nothing about requests.
 
 mod admin;
 mod budget;
@@ -24,22 +27,36 @@
 use process::Process;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-pub use config::Config;
+pub use config::{Config, ConfigError, InvalidConfig};
+pub use listener::{InheritedError, ListenError};
+pub use process::StartError;
 
-/// Serves until it is told to end (SIGTERM, SIGINT), on a runtime of its own in this thread.
+/// Why [`run`] ended other than by a signal. Displayed, it is one line.
+#[derive(Debug, thiserror::Error)]
+pub enum RunError {
+    /// The runtime could not be built.
+    #[error("the runtime: {0}")]
+    Runtime(io::Error),
+    /// The process could not start.
+    #[error(transparent)]
+    Start(#[from] StartError),
+    /// A background task panicked. Open requests got their final answers before the end.
+    #[error("a part of the balancer failed; it ends")]
+    TaskFailed,
+}
+
+/// Serves until a signal to end (SIGTERM, SIGINT), on a runtime of its own in this thread.
 ///
 /// # Errors
-/// One line where it can't listen, or where a part of it failed.
-pub fn run(told: Config) -> Result<(), String> {
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .map_err(|cause| format!("the runtime: {cause}"))?;
+/// [`RunError`] if the process can't start, or if a background task fails.
+pub fn run(config: Config) -> Result<(), RunError> {
+    let mut builder = tokio::runtime::Builder::new_current_thread();
+    let runtime = builder.enable_all().build().map_err(RunError::Runtime)?;
     let local = tokio::task::LocalSet::new();
-    local.block_on(&runtime, async { Process::start(told)?.run().await })
+    local.block_on(&runtime, async { Process::start(config)?.run().await })
 }
 
-/// Reads once into a connection's buffer; 0 at the end of the stream. Nothing is lost where this is cut off.
+/// Reads once into a connection's buffer; 0 at the end of the stream. It is cancel safe.
 async fn read(from: &mut (impl AsyncRead + Unpin), buffer: &mut Buffer) -> io::Result<usize> {
     from.read_buf(buffer.unfilled()?).await
 }
--- /dev/null
+++ b/balancer/src/process/mod.rs
@@ -0,0 +1,129 @@
+//! The process from start to exit, phase by phase: named states of one object.
+//!
+//! [`start`] assembles it; [`tasks`] and [`limit_sharing`] run in the background.
+
+mod limit_sharing;
+mod start;
+mod tasks;
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::net::TcpListener;
+use tokio::signal::unix::{signal, Signal, SignalKind};
+use tokio::sync::watch;
+use tokio::task::JoinSet;
+use tokio::time::{sleep_until, timeout_at, Instant};
+
+use crate::downstream;
+use crate::lifecycle::Phase;
+use crate::shared::Shared;
+use crate::RunError;
+
+pub use start::StartError;
+
+/// How long clients are accepted after SIGTERM, as they keep connecting for a while.
+const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(600);
+/// Operators kill a balancer no sooner than this after the time for answers.
+const KILL_DELAY: Duration = Duration::from_millis(700);
+/// How long before that kill every open request gets its final answer: a request with a longer
+/// deadline needs one too, and the last answers have to be written.
+const FLUSH_TIME: Duration = Duration::from_millis(200);
+
+/// A process that listens and does not serve yet.
+pub struct Process {
+    shared: Rc<Shared>,
+    listener: TcpListener,
+    signals: Signals,
+    shutdown: Shutdown,
+    /// Discovery's address, for the watch.
+    discovery: watch::Sender<SocketAddr>,
+    /// Background tasks. None ends before the exit unless it panics.
+    tasks: JoinSet<()>,
+}
+
+struct Signals {
+    terminate: Signal,
+    interrupt: Signal,
+    print_counters: Signal,
+    reload: Signal,
+}
+
+impl Signals {
+    /// Registers the handlers. Until then SIGHUP would end the program, so this comes before it
+    /// listens.
+    fn register() -> std::io::Result<Signals> {
+        Ok(Signals {
+            terminate: signal(SignalKind::terminate())?,
+            interrupt: signal(SignalKind::interrupt())?,
+            print_counters: signal(SignalKind::user_defined1())?,
+            reload: signal(SignalKind::hangup())?,
+        })
+    }
+}
+
+/// The phases from the signal to end to the exit.
+struct Shutdown {
+    phase: Rc<watch::Sender<Phase>>,
+    /// The phase that a signal to end starts.
+    first_phase: Phase,
+    /// How long accepted requests may take to be answered.
+    answer_time: Duration,
+}
+
+impl Process {
+    /// Serves until a signal to end, or until a background task fails, and then shuts down.
+    ///
+    /// # Errors
+    /// [`RunError::TaskFailed`].
+    pub async fn run(self) -> Result<(), RunError> {
+        let Process { shared, listener, mut signals, shutdown, discovery, mut tasks } = self;
+        shutdown.enter(Phase::Serving);
+        tasks.spawn_local(downstream::accept(shared.clone(), listener, shutdown.phase.subscribe()));
+        tasks.spawn_local(tasks::print_counters(shared.clone(), signals.print_counters));
+        tasks.spawn_local(tasks::reload_config(signals.reload, discovery));
+        let outcome = tokio::select! {
+            _ = signals.terminate.recv() => Ok(()),
+            _ = signals.interrupt.recv() => Ok(()),
+            // Without its timers or its list the balancer would serve badly, and nobody would
+            // notice.
+            _ = tasks.join_next() => Err(RunError::TaskFailed),
+        };
+        shutdown.run(&shared).await;
+        log::info!("{} {}", shared.counters, shared.upstreams.pool_stats());
+        outcome
+    }
+}
+
+impl Shutdown {
+    fn enter(&self, next: Phase) {
+        self.phase.send_replace(next);
+        log::info!("{next:?}");
+    }
+
+    /// Goes through the remaining phases, until no client is connected.
+    async fn run(&self, shared: &Shared) {
+        self.enter(self.first_phase);
+        let deadline = Instant::now() + self.answer_time + KILL_DELAY - FLUSH_TIME;
+        // In a takeover there is no hurry, and commands that have arrived in part are read to their
+        // end.
+        if self.first_phase == Phase::Draining {
+            sleep_until(deadline.min(Instant::now() + ACCEPT_AFTER_SIGTERM)).await;
+            self.enter(Phase::Closing);
+        }
+        if timeout_at(deadline, self.connections_closed()).await.is_err() {
+            self.enter(Phase::Flushing);
+            shared.router.borrow_mut().shut_down(shared.clock.now());
+            shared.wake_requests();
+            // Only clients that don't read their answers are left; their connections time out.
+            self.connections_closed().await;
+        }
+        self.enter(Phase::Ended);
+    }
+
+    /// Each connection holds a receiver of the phase until it closes.
+    async fn connections_closed(&self) {
+        self.phase.closed().await;
+    }
+}
--- a/balancer/src/shared.rs
+++ b/balancer/src/shared.rs
@@ -14,9 +14,9 @@
 use crate::budget::ResourceBudget;
 use crate::clock::Clock;
 use crate::counters::Counters;
-use crate::discovery::Rings;
+use crate::discovery::HostRegions;
 use crate::metrics::Metrics;
-use crate::upstream::{UpstreamEvent, Upstreams};
+use crate::upstream::{AttemptKey, UpstreamEvent, Upstreams};
 
 /// All that serving a request takes. It lives from start to exit.
 pub struct Shared {
@@ -25,7 +25,7 @@
     /// The deployment's names, and the numbers that the policy knows them by.
     pub names: RefCell<NameTable>,
     /// Which listed hosts make the ring; none where the operators gave no map of regions.
-    pub regions: Option<RefCell<Rings>>,
+    pub regions: Option<RefCell<HostRegions>>,
     /// Cache hosts and the origin, with the connections to them.
     pub upstreams: Rc<Upstreams>,
     /// The process's one clock.
@@ -70,7 +70,7 @@
 
     /// The endpoint list is filtered by this map of regions from now on.
     pub fn with_regions(self, map: Option<RegionMap>) -> Shared {
-        Shared { regions: map.map(|map| RefCell::new(Rings::new(map))), ..self }
+        Shared { regions: map.map(|map| RefCell::new(HostRegions::new(map))), ..self }
     }
 
     /// Wakes the tasks of requests for which something was decided while another request was
@@ -109,10 +109,10 @@
             let now = self.clock.now();
             let mut router = self.router.borrow_mut();
             match event {
-                UpstreamEvent::AttemptInDoubt((request, attempt)) => {
+                UpstreamEvent::AttemptInDoubt(AttemptKey { request, attempt }) => {
                     router.attempt_in_doubt(now, request, attempt);
                 }
-                UpstreamEvent::NewConnection((request, attempt)) => {
+                UpstreamEvent::NewConnection(AttemptKey { request, attempt }) => {
                     router.attempt_on_new_connection(now, request, attempt);
                 }
                 UpstreamEvent::HostAlive(host) => router.host_alive(now, host),
--- a/testbed/src/scale/hollow.rs
+++ b/testbed/src/scale/hollow.rs
@@ -1,7 +1,7 @@
 //! Hollow balancers: the real facade, pools, membership and terms, and real connections to discovery and hosts.
 //! No clients: ops are drawn inside, at a set rate with Poisson arrivals on keys by Zipf's law.
 //!
-//! Each has its own seed and identity; all of a process share its thread. [`Hollow::takes_list`] is the one place
+//! Each has its own seed and identity; all of a process share its thread. `Hollow::takes_list` is the one place
 //! in which a list reaches the facade.
 
 use std::cell::RefCell;
@@ -220,7 +220,9 @@
 impl Hollow {
     fn new(spec: &HollowSpec, no: u32, clock: &Rc<Clock>, shared: &Rc<Shared>) -> Result<Rc<Hollow>, String> {
         let info = OperatorSettings::deserialize(&spec.settings).map_err(|cause| cause.to_string())?;
-        let terms = info.policy_config(RingPosition(spec.seed).mixed(u64::from(no)).0)?;
+        let terms = info
+            .policy_config(RingPosition(spec.seed).mixed(u64::from(no)).0)
+            .map_err(|error| error.to_string())?;
         let bounds = info.runtime_limits();
         let pools = ConnectionPools::new(basaltwood_connection_pool::PoolConfig {
             seed: terms.seed,
@@ -368,8 +370,8 @@
                     0 => return Err(WatchError::TimedOut("it closed the connection".to_owned())),
                     read => self.shared.count(|mark| mark.control_in += read as u64),
                 }
-                if let Some(answer) =
-                    http::parse_response(buffer.bytes(), MOST_BODY).map_err(WatchError::InvalidResponse)?
+                if let Some(answer) = http::parse_response(buffer.bytes(), MOST_BODY)
+                    .map_err(|error| WatchError::InvalidResponse(error.to_string()))?
                 {
                     return Ok(answer);
                 }
@@ -557,7 +559,10 @@
             }
             match resp::parse_reply(link.buffer.bytes()) {
                 Ok(None) => {}
-                Ok(Some((reply, used, keep))) => {
+                Ok(Some(resp::ParsedReply {
+                    reply,
+                    end: resp::MessageEnd { consumed: used, keep_alive: keep },
+                })) => {
                     link.buffer.consume(used);
                     let link = held.link.take();
                     if self.pools.borrow_mut().answered(now, id, keep) {
