--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -120,6 +120,7 @@
         }
     }
 
+    /// Takes one event from outside.
     fn handle_event(&mut self, event: PolicyEvent, mailboxes: &mut Mailboxes) {
         match event {
             PolicyEvent::Endpoints { complete, endpoints } => {
@@ -167,12 +168,10 @@
         }
     }
 
+    /// Hands each host what the list shows of it; starts the sweeps with the first list.
     fn update_endpoints(&mut self, complete: bool, endpoints: Vec<Endpoint>, mailboxes: &mut Mailboxes) {
-        let named: BTreeSet<HostId> = endpoints.iter().map(|endpoint| endpoint.host).collect();
-        let known = self.host_statuses.iter().filter_map(|status| status.endpoint.as_ref());
-        for endpoint in known.filter(|endpoint| complete && !named.contains(&endpoint.host)) {
-            let gone = Endpoint { lifecycle: Lifecycle::Gone, ..endpoint.clone() };
-            mailboxes.send_to_host(gone.host, HostMessage::Endpoint(gone));
+        if complete {
+            self.report_unnamed_gone(&endpoints, mailboxes);
         }
         for endpoint in endpoints {
             mailboxes.send_to_host(endpoint.host, HostMessage::Endpoint(endpoint));
@@ -187,11 +186,22 @@
         }
     }
 
+    /// What a complete list does not name is gone.
+    fn report_unnamed_gone(&self, endpoints: &[Endpoint], mailboxes: &mut Mailboxes) {
+        let named: BTreeSet<HostId> = endpoints.iter().map(|endpoint| endpoint.host).collect();
+        let known = self.host_statuses.iter().filter_map(|status| status.endpoint.as_ref());
+        for endpoint in known.filter(|endpoint| !named.contains(&endpoint.host)) {
+            let gone = Endpoint { lifecycle: Lifecycle::Gone, ..endpoint.clone() };
+            mailboxes.send_to_host(gone.host, HostMessage::Endpoint(gone));
+        }
+    }
+
     /// Counts a request of a tenant, where one is known.
     fn is_in_quota(&mut self, tenant: Option<TenantId>, now: Micros) -> bool {
         tenant.is_none_or(|tenant| self.tenant_quotas[tenant.0 as usize].admits(now))
     }
 
+    /// Hands each host that is listed its limit at the process that this one replaces.
     fn limits_learned(&mut self, limits: Vec<LearnedLimit>, mailboxes: &mut Mailboxes) {
         let position = |status: &HostStatus| status.endpoint.as_ref().map(|endpoint| endpoint.position);
         for learned in limits {
