--- a/balancer/src/discovery/client.rs
+++ b/balancer/src/discovery/client.rs
@@ -14,7 +14,6 @@
 use super::EndpointList;
 use crate::clock::duration;
 use crate::read;
-use crate::shared::Shared;
 use crate::upstream::UpstreamConnection;
 
 /// The longest list that is read.
@@ -43,26 +42,20 @@
     /// The connection is closed then.
     pub async fn fetch(
         &mut self,
-        shared: &Shared,
         schedule: &WatchSchedule,
         began: Instant,
     ) -> Result<EndpointList, WatchError> {
-        let list = self.call(shared, schedule, began).await;
+        let list = self.call(schedule, began).await;
         if list.is_err() {
             self.connection = None;
         }
         list
     }
 
-    async fn call(
-        &mut self,
-        shared: &Shared,
-        schedule: &WatchSchedule,
-        began: Instant,
-    ) -> Result<EndpointList, WatchError> {
+    async fn call(&mut self, schedule: &WatchSchedule, began: Instant) -> Result<EndpointList, WatchError> {
         let connection = match &mut self.connection {
             Some(open) => open,
-            none => none.insert(connect(shared, self.address, schedule, began).await?),
+            none => none.insert(connect(self.address, schedule, began).await?),
         };
         let path = request_path(schedule, began);
         let request = http::encode_request("GET", &path, &self.address.to_string(), &[], None);
@@ -81,7 +74,6 @@
 }
 
 async fn connect(
-    shared: &Shared,
     address: SocketAddr,
     schedule: &WatchSchedule,
     began: Instant,
@@ -89,7 +81,7 @@
     let until = began + duration(schedule.response_timeout().min(schedule.call_timeout()));
     // Without a permit of the budget, which leaves a descriptor aside for this connection: drains
     // must be read even while clients and hosts hold all other descriptors.
-    let opening = shared.upstreams.connect(None, address, until, MAX_BODY_BYTES + MAX_HEAD_BYTES);
+    let opening = UpstreamConnection::connect(None, address, until, MAX_BODY_BYTES + MAX_HEAD_BYTES);
     opening.await.map_err(connection_failed)
 }
 
--- a/balancer/src/discovery/watch.rs
+++ b/balancer/src/discovery/watch.rs
@@ -90,7 +90,7 @@
     async fn call(&mut self) -> Instant {
         let began = Instant::now();
         log::debug!("asks discovery from {:?}", self.schedule.known_version());
-        match self.client.fetch(self.shared, self.schedule, began).await {
+        match self.client.fetch(self.schedule, began).await {
             Ok(list) => {
                 self.succeeded(list);
                 began + MIN_CALL_INTERVAL
--- a/balancer/src/upstream/mod.rs
+++ b/balancer/src/upstream/mod.rs
@@ -17,7 +17,6 @@
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
-use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -26,9 +25,8 @@
 use basaltwood_settings::RuntimeLimits;
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
-use tokio::time::Instant;
 
-use crate::budget::{DescriptorPermit, ResourceBudget};
+use crate::budget::ResourceBudget;
 use crate::clock::Clock;
 use crate::counters::Counters;
 use crate::metrics::Metrics;
@@ -199,17 +197,6 @@
         self.hosts.borrow().get(&host).filter(|entry| entry.is_origin).map(|entry| entry.address)
     }
 
-    /// Opens a connection to discovery; see [`UpstreamConnection::connect`].
-    pub async fn connect(
-        &self,
-        permit: Option<DescriptorPermit>,
-        address: SocketAddr,
-        deadline: Instant,
-        max_buffered: usize,
-    ) -> io::Result<UpstreamConnection> {
-        UpstreamConnection::connect(permit, address, deadline, max_buffered).await
-    }
-
     /// Sets how many descriptors connections to hosts may take from now on.
     pub fn set_max_connections(&self, max_connections: usize) {
         self.pools.borrow_mut().set_max_connections(max_connections);
