--- a/balancer/src/process/start.rs
+++ b/balancer/src/process/start.rs
@@ -122,7 +122,6 @@
         seed: config.policy.seed,
         balancers: config.policy.balancers,
         idle_timeout: config.runtime_limits.idle_timeout,
-        connect_timeout: config.runtime_limits.connect_timeout,
         max_connections: config.max_sockets,
     })
 }
--- a/connection_pool/src/lib.rs
+++ b/connection_pool/src/lib.rs
@@ -48,8 +48,6 @@
     pub balancers: u32,
     /// Hosts close a connection that was idle for so long, by the settings.
     pub idle_timeout: Micros,
-    /// A connection that is not up by then will not come up.
-    pub connect_timeout: Micros,
     /// Descriptors that connections to hosts may take.
     pub max_connections: usize,
 }
--- a/connection_pool/tests/fleet_return.rs
+++ b/connection_pool/tests/fleet_return.rs
@@ -24,13 +24,7 @@
 
 impl Balancer {
     fn new(seed: u64, balancers: u32) -> Balancer {
-        let config = PoolConfig {
-            seed,
-            balancers,
-            idle_timeout: 15 * SECOND,
-            connect_timeout: 250 * MS,
-            max_connections: 1_000,
-        };
+        let config = PoolConfig { seed, balancers, idle_timeout: 15 * SECOND, max_connections: 1_000 };
         Balancer { pools: ConnectionPools::new(config), up: vec![0; HOSTS as usize] }
     }
 
--- a/connection_pool/tests/traces.rs
+++ b/connection_pool/tests/traces.rs
@@ -19,13 +19,7 @@
 
 impl Scenario {
     fn new(balancers: u32, max_connections: usize) -> Scenario {
-        let config = PoolConfig {
-            seed: 7,
-            balancers,
-            idle_timeout: 15 * SECOND,
-            connect_timeout: 250 * MS,
-            max_connections,
-        };
+        let config = PoolConfig { seed: 7, balancers, idle_timeout: 15 * SECOND, max_connections };
         let mut scenario = Scenario { pools: ConnectionPools::new(config), now: 0, trace: String::new() };
         scenario.pools.tick(0);
         scenario
--- a/testbed/src/scale/hollow.rs
+++ b/testbed/src/scale/hollow.rs
@@ -228,7 +228,6 @@
             seed: terms.seed,
             balancers: terms.balancers,
             idle_timeout: bounds.idle_timeout,
-            connect_timeout: bounds.connect_timeout,
             max_connections: spec.sockets,
         });
         let hollow = Rc::new(Hollow {
