--- a/balancer/tests/departed_clients.rs
+++ b/balancer/tests/departed_clients.rs
@@ -26,12 +26,14 @@
         client.get(&format!("slow{nth}"), &format!("in{nth}"), "c=once,d=1900");
     }
     program.counts("attempts", 8);
+
     // One that is accepted and waits for a descriptor, and two behind it.
     for nth in 0..3 {
         let mut client = program.client();
         client.get(&format!("gone{nth}"), &format!("out{nth}"), "c=once,d=1900");
         departure.apply(client);
     }
+
     // Each host holds at most so many requests back; there may be fewer.
     for (release, _) in &hosts {
         (0..8).for_each(|_| {
@@ -41,6 +43,7 @@
     inside.iter_mut().for_each(|client| assert_eq!(client.answer(), "v"));
     drop(inside);
     program.counts("clients", 11);
+
     // A client that comes after them is served.
     assert_eq!(program.client().asks(&["CACHE.GET", "after", "after", "c=once,d=1900"]), "v");
     let line = program.counts("succeeded", 9);
--- a/balancer/tests/drains.rs
+++ b/balancer/tests/drains.rs
@@ -31,6 +31,7 @@
     read.get("k", "id2", "c=read,d=9000");
     once.get("l", "id3", "c=once,d=9000");
     program.counts("requests", 4);
+
     let mut list = vec![entry("b", b.address, "active")];
     list.extend((!lifecycle.is_empty()).then(|| entry("a", a.address, lifecycle)));
     discovery.tell(&list);
@@ -39,6 +40,7 @@
     // What is in flight goes on; its connection is closed after it.
     trace.extend([slow.answer(), a.next()]);
     assert!(a.quiet(), "nothing came after the drain was announced");
+
     let line = program.counts("attempts_not_sent", 2);
     assert!(line.contains(" attempts_not_sent=2 "), "each of those that waited is counted once: {line}");
     trace.join("\n")
@@ -72,10 +74,12 @@
     let mut client = program.client();
     client.get("k", "id", "c=once,d=9000");
     program.counts("attempts", 1);
+
     discovery.tell(&[changed(a.address), entry("b", b.address, "active")]);
     program.counts("endpoint_lists", 2);
     // From here on the handshake can come to its end.
     let (_, wrote) = a.accept_all();
+
     let answer = client.answer();
     assert!(wrote.try_recv().is_err(), "a byte went where the handshake was");
     answer
@@ -115,7 +119,9 @@
         let discovery = Discovery::start();
         let known = [entry("a", a.address, "active"), entry("b", b.address, "active")];
         let program = Program::start(BINARY, discovery.peer.address, &known, 1024);
+
         discovery.tell(&[absurd.to_owned(), entry("b", b.address, "active")]);
+
         let line = program.counts("endpoint_lists", 2);
         assert!(line.contains(" endpoints_refused=0 "), "{line}");
         only_b_serves(&program, &a, absurd);
@@ -145,10 +151,12 @@
     let known = [entry("a", a.address, "active"), entry("b", b.address, "active")];
     let program = Program::start(BINARY, old.address, &known, 1024);
     let mut trace = vec![old.next(), old.next()];
+
     program.told_anew(&old.address.to_string(), &new.address.to_string());
     trace.extend([new.next(), new.next()]);
     program.counts("endpoint_lists", 3);
     only_b_serves(&program, &a, "nothing goes to the host that leaves");
+
     expect![[r#"
         GET /v1/servers?from=1&hold_ms=3000
         GET /v1/servers?from=40&hold_ms=3000
@@ -174,6 +182,7 @@
     let mut client = program.client();
     client.get(HOME_A, "slow", "c=once,d=9000");
     let mut trace = vec![a.next(), discovery.peer.next()];
+
     program.signal("TERM");
     program.logged("Draining");
     let up = ["a", "c"].into_iter().zip([a.address, c.address]).map(|(name, at)| entry(name, at, "active"));
@@ -182,6 +191,7 @@
     trace.push(discovery.peer.next());
     release.send(()).expect("it waits");
     trace.push(client.answer());
+
     assert!(program.ended().success());
     assert!(b.quiet(), "nothing goes to the host that leaves");
     expect![[r#"
@@ -248,6 +258,7 @@
     let before: Vec<String> = (0..2 * failed).map(|_| discovery.next()).collect();
     assert_eq!(before.iter().filter(|line| *line == "closed").count(), failed as usize, "{before:?}");
     let mut trace = vec![discovery.next()];
+
     let silent = Instant::now();
     program.counts("endpoint_lists", 2);
     assert!(silent.elapsed() < Duration::from_secs(6), "the change came after {:?}", silent.elapsed());
@@ -286,6 +297,7 @@
         let known = if leaves == "a" { vec![entry("a", a.address, "active")] } else { Vec::new() };
         let known = [known, vec![entry("b", b.address, "active")]].concat();
         let program = Program::start(BINARY, discovery.address, &known, 1024);
+
         let line = program.counts("endpoint_lists", 2);
         assert!(line.contains(" discovery_invalid=0 "), "{way}: {line}");
         only_b_serves(&program, &a, way);
@@ -305,6 +317,7 @@
     let (mut discovery, _) = listener.accept().expect("it asks");
     let mut clients: Vec<Client> = (0..4).map(|_| program.client()).collect();
     clients.iter_mut().for_each(|client| assert_eq!(client.asks(&["PING"]), "+PONG"));
+
     program.signal("STOP");
     for (nth, client) in clients.iter_mut().enumerate() {
         client.get(HOME_A, &format!("id{nth}"), "c=read,d=1900");
@@ -314,6 +327,7 @@
     let Says::Text(text) = http_answer(200, &body) else { panic!("a text") };
     discovery.write_all(text.as_bytes()).expect("it is taken");
     program.signal("CONT");
+
     clients.iter_mut().for_each(|client| assert_eq!(client.answer(), "from b"));
     // One whose request was read first may have dialled it; the list comes before the first byte.
     let sent: Vec<String> = std::iter::from_fn(|| a.seen()).filter(|seen| seen != "closed").collect();
@@ -340,6 +354,7 @@
     });
     let known = [entry("a", at, "active"), entry("c", gone, "active"), entry("b", b.address, "active")];
     let program = Program::start(BINARY, discovery.address, &known, 1024);
+
     let line = program.counts("endpoint_lists", 4);
     assert!(line.contains(" hosts_released=2"), "each host once, and one that drains is not gone: {line}");
     only_b_serves(&program, &a, "nothing goes to the host that leaves");
--- a/balancer/tests/long_values.rs
+++ b/balancer/tests/long_values.rs
@@ -63,10 +63,12 @@
     let mut client = get(&program, "k", "c=once,d=900");
     let (_, mut host) = requests.recv().expect("a request");
     host.write_all(format!("{}begin", head(LONG)).as_bytes()).expect("it is read");
+
     // The first bytes are there while the host still has nearly all.
     let first = format!("${LONG}\r\nbegin");
     assert_eq!(read_bytes(&mut client, first.len()), first.as_bytes());
     assert!(program.figures("edge_proxy_active 1").contains("ok{kind=\"once\"} 0"));
+
     // Past its deadline too: only the first bytes are timed.
     let rest: Vec<u8> = (0..LONG - 5).map(|at| at as u8).collect();
     let taken = spawn(move || {
@@ -80,6 +82,7 @@
     for byte in b"\r\n$3\r\nhit\r\n$-1\r\n" {
         host.write_all(&[*byte]).expect("it is read");
     }
+
     let (all, mut client) = taken.join().expect("it ends");
     assert!(all[..LONG - 5] == rest[..] && all.ends_with(b"\r\n"), "the value came as it was");
     assert!(program.figures("edge_proxy_active 0").contains("ok{kind=\"once\"} 1"));
@@ -104,10 +107,12 @@
         let (_, mut host) = requests.recv().expect("a request");
         host.write_all(format!("{}half", head(100_000)).as_bytes()).expect("it is read");
         assert_eq!(read_bytes(&mut client, 13), b"$100000\r\nhalf");
+
         host.shutdown(std::net::Shutdown::Both).expect("open");
         let mut rest = Vec::new();
         let _ = client.read_to_end(&mut rest);
         assert!(rest.is_empty(), "it is never filled up");
+
         let page = program.figures(&format!("edge_proxy_errors{{kind=\"{category}\"}} 1"));
         assert!(page.contains("tries 1") && page.contains("active 0"), "{page}");
         program.counts("values_truncated", 1);
@@ -127,6 +132,7 @@
         read_bytes(&mut client, begun);
         clients.push(client);
     }
+
     // 160 MiB are on their way. One that leaves then frees its window, the others get all of
     // theirs.
     drop(clients.pop());
@@ -168,10 +174,12 @@
             (value, client)
         })
         .collect();
+
     // Short ones have a part of their own.
     let mut short = begin_write(&program, "short", 3);
     short.raw(b"abc\r\n");
     assert_eq!(short.answer(), "3 of ab");
+
     // Some never go on: their memory is given back.
     writers.drain(..2).for_each(|(_, mut client)| {
         assert_eq!(client.answer(), "-ERR Protocol error: no whole command in time");
@@ -186,6 +194,7 @@
             })
         })
         .collect();
+
     for end in ends {
         let (got, wanted) = end.join().expect("it ends");
         assert_eq!(got, wanted);
@@ -206,11 +215,13 @@
             client
         })
         .collect();
+
     // All 60 are under way, more than a part for them holds; each is taken in its turn.
     for client in &mut writers {
         client.raw(&[b'x'; 59_000]);
         client.raw(b"\r\n");
     }
+
     // An answer each; how many the origin bears at once is for the policy to say.
     let answers: Vec<String> = writers.iter_mut().map(Client::answer).collect();
     assert!(answers.iter().all(|got| got == "60000" || got.starts_with("-BUSY")), "{answers:?}");
@@ -261,6 +272,7 @@
         } else {
             assert_eq!(client.answer(), "-ERR dead-lettered");
         }
+
         let line = program.counts(ended, 1);
         assert!(line.contains(" attempts=1 ") && line.contains(" attempts_timed_out=0 "), "{line}");
         let mut rest = Vec::new();
--- a/balancer/tests/mixed_fleet.rs
+++ b/balancer/tests/mixed_fleet.rs
@@ -55,11 +55,13 @@
     }
     let new = new.serving();
     let mut clients = [old.client(), new.client()];
+
     // Homes are the same for both.
     for client in &mut clients {
         client.get(HOME_A, "id0", "c=read,d=2000");
         trace.push(format!("its home: {}", client.answer()));
     }
+
     // Like traffic: what one gets the other gets.
     let mut served = [0, 0];
     for nth in 0..100 {
@@ -69,6 +71,7 @@
         }
     }
     trace.push(format!("served of 100: {served:?}"));
+
     // What may have run and must not run twice is answered at once, and no other host sees it.
     for (client, name) in clients.iter_mut().zip(["old", "new"]) {
         client.get("break", &format!("once-{name}"), "c=once,d=2000");
@@ -76,6 +79,7 @@
     }
     let broken = at_a[1].load(Ordering::SeqCst) + at_b[1].load(Ordering::SeqCst);
     assert_eq!(broken, 2, "each was sent once, wherever it went");
+
     discovery.tell(&[entry("a", a.address, "leaving"), entry("b", b.address, "active")]);
     // Once both have the list, neither sends it anything more.
     for program in [&old, &new] {
@@ -91,6 +95,7 @@
         }
     }
     assert_eq!(at_a[0].load(Ordering::SeqCst), before, "nothing goes to a host that both know to leave");
+
     expect![[r#"
         messages between balancers: each decides alone
         load reports to probes (eps, util): answer times tell enough
--- a/balancer/tests/races.rs
+++ b/balancer/tests/races.rs
@@ -33,11 +33,13 @@
     let mut client = program.client();
     client.get("k", "id", "c=once,d=9000");
     program.counts("attempts", 1);
+
     departure.apply(client);
     program.counts("attempts_cancelled", 1);
     let (_, wrote) = a.accept_all();
     let mut other = program.client();
     other.get("l", "id2", "c=once,d=9000");
+
     // The one that comes is the other's: its port is not that of the first.
     let ports = [wrote.recv().expect("the other's"), wrote.try_recv().unwrap_or(nowhere())];
     assert_eq!(ports[1], nowhere(), "nobody else wrote");
@@ -60,6 +62,7 @@
     let mut client = program.client();
     client.get("k", "id2", "c=read,d=9000");
     program.counts("requests", 3);
+
     departure.apply(client);
     program.counts("attempts_cancelled", 1);
     release.send(()).expect("it waits");
@@ -67,6 +70,7 @@
     // The next request there is another client's.
     trace.push(program.client().asks(&["CACHE.GET", "l", "id3", "c=read,d=9000"]));
     trace.push(a.next());
+
     expect![[r#"
         CACHE.GET break id0 c=read,d=..
         closed
@@ -90,12 +94,14 @@
     // The time stands first: stand-ins hide it anywhere else.
     waits.get("k", "id2", "d=9000,c=read");
     program.counts("requests", 3);
+
     // From here on, since its time counts from when the request is read.
     let began = Instant::now();
     // What has to pass is a part of the request's own time.
     thread::sleep(Duration::from_millis(400));
     let waited = began.elapsed().as_millis();
     release.send(()).expect("it waits");
+
     let request = a.next();
     let stated: u128 =
         request.split("d=").nth(1).and_then(|rest| rest.split(',').next()?.parse().ok()).expect("a time");
@@ -122,9 +128,11 @@
         let mut client = program.client();
         client.get(SLOW_AT_A, "id", "c=read,d=1900");
         host.next();
+
         departure.apply(client);
         program.counts("abandoned", 1);
         release.send(()).expect("it waits");
+
         let line = program.counts(ended, 1);
         assert!(line.contains(" attempts=1 ") && other.quiet() && origin.quiet(), "{ended}: {line}");
     }
@@ -141,12 +149,14 @@
     let began = Instant::now();
     client.get("k", "id", "c=once,d=1500");
     program.counts("attempts", 1);
+
     program.signal("STOP");
     let (accepted, _wrote) = a.accept_all();
     accepted.recv().expect("its handshake ends in the kernel");
     // What has to pass is the request's time itself.
     thread::sleep(Duration::from_millis(1_700).saturating_sub(began.elapsed()));
     program.signal("CONT");
+
     assert_eq!(client.answer(), "-ERR dead-lettered");
     let line = program.counts("failed", 1);
     assert!(line.contains(" attempts_timed_out=0 "), "nothing was written: {line}");
@@ -164,11 +174,13 @@
     let began = Instant::now();
     late.get("k", "id2", "c=once,d=300");
     program.counts("requests", 3);
+
     program.signal("STOP");
     release.send(()).expect("it waits");
     // What has to pass is the request's time itself.
     thread::sleep(Duration::from_millis(500).saturating_sub(began.elapsed()));
     program.signal("CONT");
+
     assert_eq!([slow.answer(), late.answer()], ["from a", "-ERR dead-lettered"]);
     let line = program.counts("failed", 1);
     assert!(line.contains(" attempts_timed_out=0 "), "nothing was written: {line}");
@@ -208,7 +220,9 @@
     }
     let line = program.counts("connections_opened", 8);
     assert!(line.contains(" endpoint_lists=1 "), "{line}");
+
     back.store(true, Ordering::Relaxed);
+
     let line = program.counts("endpoint_lists", 2);
     assert!(line.contains(" succeeded=0 ") && line.contains(" failed=0 "), "all is held still: {line}");
 }
@@ -233,6 +247,7 @@
         let mut asks = |key: &str| {
             client.asks(&["CACHE.GET", key, &format!("id-{key}"), &format!("c={category},d=1900")])
         };
+
         assert_eq!([asks("k1"), asks("k2"), asks("k3")], ["v1", "v2", expected], "{category}");
         // The same value for the same key, and for others from hosts that answer once, is no copy.
         assert_eq!([asks("k4"), asks("k4"), asks("k5")], ["v4", "v4", "v5"], "{category}");
--- a/connection_pool/tests/traces.rs
+++ b/connection_pool/tests/traces.rs
@@ -116,11 +116,13 @@
 #[test]
 fn two_stale_connections_in_a_row_close_idle_ones_as_old_and_spare_the_host() {
     let mut scenario = Scenario::new(2, 300);
+
     // Three in use together, all idle from now on.
     let three: Vec<ConnectionId> = (0..3).map(|_| scenario.send(0)).collect();
     scenario.now += 5 * MS;
     scenario.answer_all(&three);
     scenario.advance(600 * MS);
+
     // One loss may be chance; with the second the third goes too, and the next is new.
     for _ in 0..2 {
         let used = scenario.send(0);
@@ -128,6 +130,7 @@
         scenario.lose(used);
     }
     scenario.exchange(0);
+
     // An age at which connections were stale is not trusted any more, and is again in half a
     // minute.
     scenario.advance(700 * MS);
@@ -136,6 +139,7 @@
     scenario.exchange(0);
     scenario.advance(700 * MS);
     scenario.exchange(0);
+
     scenario.assert_trace(expect![[r#"
         0     h0 Open(ConnectionId(0))
         0     h0 Open(ConnectionId(1))
@@ -165,9 +169,11 @@
     for connection in three {
         scenario.lose(connection);
     }
+
     // Hosts 3 and 4 lose nothing: new connections are opened there.
     scenario.exchange(3);
     scenario.exchange(4);
+
     scenario.assert_trace(expect![[r#"
         0     h0 Open(ConnectionId(0))
         5     h1 Open(ConnectionId(1))
@@ -199,6 +205,7 @@
     scenario.lose(dead[1]);
     scenario.lose(dead[2]);
     scenario.exchange(4);
+
     scenario.assert_trace(expect![[r#"
         0     h0 Open(ConnectionId(0))
         5     h1 Open(ConnectionId(1))
@@ -228,6 +235,7 @@
     }
     scenario.advance(50 * MS);
     scenario.time_out(mute);
+
     // All silent at once: the host is at fault, and after the third timeout a late response is
     // awaited.
     let all: Vec<ConnectionId> = (0..3).map(|_| scenario.send(0)).collect();
@@ -236,6 +244,7 @@
         scenario.time_out(connection);
     }
     scenario.advance(100 * MS);
+
     // It responds late, on a connection from before: it is alive, and was not restarted.
     let kept = scenario.pools.late_response(scenario.now, all[2], true);
     scenario.record(&format!("late whole response, kept {kept}"));
@@ -247,6 +256,7 @@
     let kept = scenario.pools.late_response(scenario.now, slow, false);
     scenario.record(&format!("late malformed response, kept {kept}"));
     scenario.exchange(0);
+
     scenario.assert_trace(expect![[r#"
         0     h0 Open(ConnectionId(0))
         2     h0 Open(ConnectionId(1))
@@ -281,16 +291,19 @@
     scenario.advance(50 * MS);
     scenario.time_out(first);
     scenario.advance(50 * MS);
+
     // Its host answered others all along: it is not reported as alive again.
     let kept = scenario.pools.late_response(scenario.now, first, true);
     scenario.record(&format!("late whole response, kept {kept}"));
     scenario.send(0);
+
     // A warm connection that times out is slow by its host, which is not to work on what nobody
     // waits for.
     scenario.now += MS;
     scenario.exchange(0);
     scenario.advance(50 * MS);
     scenario.time_out(first);
+
     scenario.assert_trace(expect![[r#"
         0     h0 Open(ConnectionId(0))
         2     h0 Open(ConnectionId(1))
@@ -320,6 +333,7 @@
     scenario.advance(2 * SECOND);
     scenario.exchange(0);
     scenario.exchange(0);
+
     scenario.assert_trace(expect![[r#"
         0     connects
         100   connects
@@ -355,6 +369,7 @@
     };
     scenario.trace.clear();
     scenario.record(&format!("{refused:?} at {open} open"));
+
     // Other hosts are served all the same.
     scenario.exchange(5);
     match scenario.pools.checkout(scenario.now, HostId(5)) {
@@ -363,6 +378,7 @@
     }
     let checkout = scenario.pools.checkout(scenario.now, HostId(5));
     scenario.record(&format!("h5 {checkout:?}"));
+
     scenario.assert_trace(expect![[r#"
         205   Exhausted at 96 open
         205   h5 Reuse(ConnectionId(4))
@@ -380,6 +396,7 @@
         scenario.now += MS;
         scenario.exchange(0);
     }
+
     // The process stands still: no tick for two seconds.
     scenario.now += 2 * SECOND;
     let stalled = scenario.pools.tick(scenario.now);
@@ -391,6 +408,7 @@
     ));
     scenario.now += 5 * MS;
     scenario.pools.answered(scenario.now, out, true);
+
     scenario.assert_trace(expect![[r#"
         0     h0 Open(ConnectionId(0))
         1     h0 Open(ConnectionId(1))
@@ -413,6 +431,7 @@
     }
     scenario.advance(200 * MS);
     scenario.record(&format!("{mute:?} is {:?}", scenario.pools.state(mute)));
+
     scenario.assert_trace(expect![[r#"
         0     h0 Open(ConnectionId(0))
         5     h0 Reuse(ConnectionId(0))
@@ -445,6 +464,7 @@
         .collect();
     let evicted = scenario.pools.evict_idle();
     scenario.record(&format!("evicted: {evicted:?}, {} open", scenario.pools.open_connections()));
+
     scenario.assert_trace(expect![[r#"
         5050  [Close(ConnectionId(0)), Close(ConnectionId(1)), Close(ConnectionId(2)), Close(ConnectionId(3)), Close(ConnectionId(4))]
         7075  evicted: Some(ConnectionId(5)), 0 open
