--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -63,7 +63,8 @@
     pub fn open(&mut self, id: RequestId, mut request: OpenRequest, mailboxes: &mut Mailboxes) {
         let now = mailboxes.now;
         let class = &self.classes[request.class];
-        self.latency_objective += (class.latency_objective as f64 - self.latency_objective) / 64.0;
+        self.latency_objective +=
+            (class.latency_objective as f64 - self.latency_objective) / OBJECTIVE_REQUESTS;
         if !class.late_is_useful {
             request.expires_at = request.expires_at.min(now + class.latency_objective);
         }
