--- a/balancer/src/upstream/cache.rs
+++ b/balancer/src/upstream/cache.rs
@@ -31,13 +31,12 @@
 pub fn parse_response(bytes: &[u8]) -> Result<Option<ParsedResponse>, ResponseError> {
     if let Some(LongReply { start, length, trailing_elements }) = resp::parse_long_reply_head(bytes) {
         let parse_trailer: ParseTrailer = Box::new(move |bytes| {
-            let trailer =
-                resp::parse_after_long_value(bytes, trailing_elements).map_err(ResponseError::resp2)?;
+            let trailer = resp::parse_after_long_value(bytes, trailing_elements)?;
             Ok(trailer.map(|end| Trailer { length: end.consumed, reusable: end.keep_alive }))
         });
         return Ok(Some(ParsedResponse::LongValue(LongValueHead { start, length, parse_trailer })));
     }
-    let parsed = resp::parse_reply(bytes).map_err(ResponseError::resp2)?;
+    let parsed = resp::parse_reply(bytes)?;
     let Some(ParsedReply { reply, end }) = parsed else { return Ok(None) };
     let result = match reply {
         Reply::Value(range) => {
--- a/balancer/src/upstream/messages.rs
+++ b/balancer/src/upstream/messages.rs
@@ -3,6 +3,8 @@
 
 use std::io;
 
+use basaltwood_wire::http;
+use basaltwood_wire::resp::RespError;
 use bytes::Bytes;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -14,23 +16,11 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ResponseError {
     /// From a cache host: no RESP2 reply to one of our commands.
-    #[error("{0}")]
-    Resp2(String),
+    #[error(transparent)]
+    Resp2(#[from] RespError),
     /// From the origin: no HTTP/1.1 response whose end can be found.
-    #[error("{0}")]
-    Http(String),
-}
-
-impl ResponseError {
-    /// What the RESP2 parser found wrong.
-    pub fn resp2(cause: impl ToString) -> ResponseError {
-        ResponseError::Resp2(cause.to_string())
-    }
-
-    /// What the HTTP parser found wrong.
-    pub fn http(cause: impl ToString) -> ResponseError {
-        ResponseError::Http(cause.to_string())
-    }
+    #[error(transparent)]
+    Http(#[from] http::ResponseError),
 }
 
 /// A whole response at the front of a buffer.
--- a/balancer/src/upstream/origin.rs
+++ b/balancer/src/upstream/origin.rs
@@ -42,7 +42,7 @@
             return Ok(Some(ParsedResponse::LongValue(LongValueHead { start, length, parse_trailer })));
         }
     }
-    let parsed = http::parse_response(bytes, MAX_BUFFERED_VALUE).map_err(ResponseError::http)?;
+    let parsed = http::parse_response(bytes, MAX_BUFFERED_VALUE)?;
     let Some(response) = parsed else { return Ok(None) };
     let result = match response.status {
         200 => (AttemptOutcome::Succeeded, Some(Value::Whole(response.body))),
