--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -47,13 +47,12 @@
     }
 
     fn class_parameters(config: &PolicyConfig) -> Vec<ClassParameters> {
-        let top_weight = config.classes.iter().map(|class| class.priority_weight).fold(0.0, f64::max);
+        let top_weight = config.classes.iter().map(|class| class.priority_weight).fold(1e-9, f64::max);
         let classes = config.classes.iter().map(|class| ClassParameters {
             latency_objective: (class.latency_objective - 2 * config.tick).max(config.tick),
             late_is_useful: class.late_weight > 0.0,
-            limit_share: BASE_LIMIT_SHARE
-                + PRIORITY_LIMIT_SHARE * class.priority_weight / top_weight.max(1e-9),
-            max_retries: 1 + (PRIORITY_RETRIES * class.priority_weight / top_weight.max(1e-9)) as u32,
+            limit_share: BASE_LIMIT_SHARE + PRIORITY_LIMIT_SHARE * class.priority_weight / top_weight,
+            max_retries: 1 + (PRIORITY_RETRIES * class.priority_weight / top_weight) as u32,
             retry_safety: class.retry_safety,
         });
         classes.collect()
