--- /dev/null
+++ b/balancer/tests/sockets/config.rs
@@ -0,0 +1,52 @@
+//! The configuration at the start: what makes no sense ends the start with one line.
+
+use expect_test::expect;
+
+use crate::common::*;
+use crate::{after, BINARY};
+
+/// What it is told, with one more setting.
+fn settled(setting: &str) -> String {
+    format!(
+        r#"{{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{{"categories":[
+        {{"name":"read","targetLatencyMs":1,"ttlMs":1,"semantics":"retryable"}}],"limits":{{"maxPushes":1}},{setting},
+        "invariants":{{"coldFrom":1,"warmWithinMs":1,"tipMultiple":1,"tipAfterMs":1}}}}}}"#
+    )
+}
+
+#[test]
+fn what_it_is_told_at_its_start_must_make_sense() {
+    let mut lines = Vec::new();
+    for text in [
+        "{nonsense",
+        "{}",
+        r#"{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{"categories":[
+        {"name":"read","targetLatencyMs":1e300,"ttlMs":-1,"semantics":"retryable"}],"limits":{"maxPushes":1},
+        "invariants":{"coldFrom":1,"warmWithinMs":1,"tipMultiple":1,"tipAfterMs":1}}}"#,
+        r#"{"name":"n","listen":"here","discovery":"127.0.0.1:1","seed":"1","known":{"generation":1},
+        "settings":{"categories":[],"invariants":{"coldFrom":1,"warmWithinMs":1,"tipMultiple":1,"tipAfterMs":1},"limits":{"maxPushes":1}}}"#,
+        r#"{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{"categories":[
+        {"name":"read","targetLatencyMs":1,"ttlMs":1,"semantics":"retryable"}],"limits":{"maxPushes":1},"objectiveMix":{"tailMiss":7},
+        "invariants":{"coldFrom":1,"warmWithinMs":1,"tipMultiple":1,"tipAfterMs":1}}}"#,
+        &settled(r#""costs":{"probe":-0.5}"#),
+        &settled(r#""report":{"source":"sometimes"}"#),
+        &settled(r#""report":{"source":"on_probe","columns":"util"}"#),
+        &settled(r#""groupSize":-3"#),
+    ] {
+        let mut program = Program::told(BINARY, text);
+        let code = program.ended().code();
+        let log: Vec<String> = program.rest().iter().map(|line| after(line, ".json: ")).collect();
+        lines.push(format!("{code:?} {}", log.join(" / ")));
+    }
+    expect![[r#"
+        Some(1) key must be a string at line 1 column 2
+        Some(1) missing field `name` at line 1 column 2
+        Some(1) read: 1e300 ms is no span of time
+        Some(1) no categories
+        Some(1) objectiveMix.tailMiss is no part from 0 to 1
+        Some(1) costs.probe is -0.5: a price is 0 or more, leave it out for none
+        Some(1) report.source is sometimes: say inline, on_probe or off
+        Some(1) settings.report.columns: invalid type: string "util", expected a sequence at line 2 column 150
+        Some(1) settings.groupSize: invalid value: integer `-3`, expected u32 at line 2 column 118"#]]
+    .assert_eq(&lines.join("\n"));
+}
--- /dev/null
+++ b/balancer/tests/sockets/discovery.rs
@@ -0,0 +1,193 @@
+//! The watch of the endpoint list, and its move by a reload.
+
+use std::sync::Mutex;
+use std::time::{Duration, Instant};
+
+use expect_test::expect;
+
+use crate::common::*;
+use crate::{after, counted, BINARY};
+
+#[test]
+fn the_list_is_watched_from_what_is_known_and_an_absurd_entry_spoils_no_other() {
+    let (a, b) = (Peer::host(|_| hit("from a")), Peer::host(|_| hit("from b")));
+    let discovery = Discovery::start();
+    let known = [entry("a", a.address, "active")];
+    let program = Program::start(BINARY, discovery.peer.address, &known, 1024);
+    let mut client = program.client();
+    let mut ask = |id: &str| client.asks(&["CACHE.GET", HOME_A, id, "c=read,d=600"]);
+    // Discovery is silent so far.
+    let mut trace = vec![discovery.peer.next(), ask("id1")];
+    let absurd = [r#"{"instanceId":"c","hostPort":"::","lifecycle":"active"}"#, "7", r#"{"instanceId":[]}"#];
+    let mut entries = vec![entry("a", a.address, "leaving"), entry("b", b.address, "active")];
+    entries.extend(absurd.map(str::to_owned));
+    discovery.tell(&entries);
+    trace.push(discovery.peer.next());
+    for _ in absurd {
+        trace.push(after(&program.logged("list entry"), "endpoints] "));
+    }
+    trace.push(ask("id2"));
+    // The draining host's idle connection was closed.
+    trace.extend([a.next(), a.next(), b.next()]);
+    discovery.tell(&[entry("a", a.address, "active"), entry("b", b.address, "left")]);
+    trace.extend([discovery.peer.next(), ask("id3")]);
+    expect![[r#"
+        GET /v1/servers?from=1&hold_ms=3000
+        from a
+        GET /v1/servers?from=2&hold_ms=3000
+        list entry {"hostPort":"::","instanceId":"c","lifecycle":"active"}: "::" is no address with a port
+        list entry 7: invalid type: integer `7`, expected struct Instance
+        list entry {"instanceId":[]}: invalid type: sequence, expected a string
+        from b
+        CACHE.GET k2 id1 c=read,d=..
+        closed
+        CACHE.GET k2 id2 c=read,d=..
+        GET /v1/servers?from=3&hold_ms=3000
+        from a"#]]
+    .assert_eq(&trace.join("\n"));
+}
+
+/// What discovery would tell a balancer that has no call open counts as told: of many that are started together each asks
+/// in the instant of its start, however many there are.
+#[test]
+fn started_among_many_it_asks_discovery_at_once() {
+    let (a, b) = (Peer::host(|_| hit("from a")), Peer::host(|_| hit("from b")));
+    let discovery = Discovery::start();
+    discovery.tell(&[entry("a", a.address, "leaving"), entry("b", b.address, "active")]);
+    let known = [entry("a", a.address, "active"), entry("b", b.address, "active")];
+    let settings = SETTINGS.replace(r#""groupSize":2"#, r#""groupSize":300"#);
+    let program = Program::start_by(BINARY, discovery.peer.address, &known, [192, 1024], &settings);
+    let began = Instant::now();
+    program.counts("endpoint_lists", 2);
+    // Spread over all of them, this one's turn would come after several seconds.
+    assert!(began.elapsed() < Duration::from_millis(1_500), "it asked after {:?}", began.elapsed());
+    let mut client = program.client();
+    assert_eq!(client.asks(&["CACHE.GET", HOME_A, "id1", "c=read,d=600"]), "from b");
+    assert!(a.quiet(), "nothing goes to the host that leaves");
+}
+
+#[test]
+fn hosts_come_and_go_all_day_and_a_new_one_takes_an_old_address() {
+    let host = Peer::host(|asked| hit(asked.split(' ').nth(2).unwrap_or("")));
+    let discovery = Discovery::start();
+    let program = Program::start(BINARY, discovery.peer.address, &[], 1024);
+    let mut client = program.client();
+    for nth in 0..20 {
+        let old = entry(&format!("host-{nth}"), host.address, "left");
+        discovery.tell(&[old, entry(&format!("host-{}", nth + 1), host.address, "active")]);
+        program.counts("endpoint_lists", nth + 2);
+        let id = format!("id{nth}");
+        assert_eq!(client.asks(&["CACHE.GET", "k", &id, "c=once,d=600"]), id);
+    }
+    let line = program.counts("hosts_released", 20);
+    expect!["succeeded=20 attempts_succeeded=20 attempts_connection_lost=0 hosts_released=20"].assert_eq(
+        &counted(&line, &["succeeded", "attempts_succeeded", "attempts_connection_lost", "hosts_released"]),
+    );
+}
+
+#[test]
+fn silence_and_refusals_leave_the_watch_as_it_was_and_after_nonsense_the_whole_list_is_asked_for() {
+    let host = Peer::host(|_| hit("v"));
+    let list =
+        format!(r#"{{"generation":9,"reset":true,"instances":[{}]}}"#, entry("a", host.address, "active"));
+    let calls = Mutex::new(0);
+    let discovery = Peer::http(move |asked| match asked {
+        "GET /v1/servers" => http_answer(200, &list),
+        asked if asked.contains("from=9") => Says::Nothing,
+        _ => {
+            let mut calls = calls.lock().expect("a lock");
+            *calls += 1;
+            match *calls {
+                1 => Says::Last(String::new()),
+                2 => http_answer(503, ""),
+                // The body is cut: its end says so before it is whole.
+                3 => Says::Last("HTTP/1.1 200 so\r\nContent-Length: 900\r\n\r\n{".to_owned()),
+                4 => http_answer(429, ""),
+                _ => http_answer(200, "{\"generation\":"),
+            }
+        }
+    });
+    let program = Program::start(BINARY, discovery.address, &[], 1024);
+    let mut trace: Vec<String> = (0..12).map(|_| discovery.next()).collect();
+    trace.push(program.client().asks(&["CACHE.GET", "k", "id", "c=once,d=600"]));
+    expect![[r#"
+        GET /v1/servers?from=1&hold_ms=3000
+        closed
+        GET /v1/servers?from=1&hold_ms=2500
+        closed
+        GET /v1/servers?from=1&hold_ms=1500
+        closed
+        GET /v1/servers?from=1&hold_ms=500
+        closed
+        GET /v1/servers?from=1&hold_ms=500
+        closed
+        GET /v1/servers
+        GET /v1/servers?from=9&hold_ms=3000
+        v"#]]
+    .assert_eq(&trace.join("\n"));
+}
+
+#[test]
+fn told_anew_it_moves_its_watch_at_once_and_ops_go_on() {
+    let (release, wait) = gate();
+    let a = Peer::host(move |asked| {
+        wait(asked);
+        hit("from a")
+    });
+    let b = Peer::host(|_| hit("from b"));
+    let (old, new) = (Discovery::start(), Discovery::start());
+    let program = Program::start(BINARY, old.peer.address, &[entry("a", a.address, "active")], 1024);
+    let (mut client, mut slow) = (program.client(), program.client());
+    slow.get("slow", "id1", "c=once,d=3000");
+    let mut trace = vec![old.peer.next(), a.next()];
+    let (there, elsewhere) = (old.peer.address.to_string(), new.peer.address.to_string());
+    program.told_anew(&there, "nonsense");
+    trace.push(after(&program.logged("all stays as it is"), ".json: "));
+    assert!(old.peer.quiet(), "a file without sense ends no watch");
+    program.told_anew("nonsense", &elsewhere);
+    // All is asked for, and then what changes.
+    trace.extend([new.peer.next(), new.peer.next()]);
+    new.tell(&[entry("b", b.address, "active")]);
+    trace.push(new.peer.next());
+    trace.push(client.asks(&["CACHE.GET", HOME_A, "id2", "c=once,d=600"]));
+    release.send(()).expect("it waits");
+    // The one that is left sees its connection's end once it has no call to hold.
+    trace.extend([slow.answer(), old.peer.next()]);
+    expect![[r#"
+        GET /v1/servers?from=1&hold_ms=3000
+        CACHE.GET slow id1 c=once,d=..
+        discovery "nonsense" is no address with a port; all stays as it is
+        GET /v1/servers
+        GET /v1/servers?from=1&hold_ms=3000
+        GET /v1/servers?from=2&hold_ms=3000
+        from b
+        from a
+        closed"#]]
+    .assert_eq(&trace.join("\n"));
+}
+
+#[test]
+fn a_discovery_that_counts_otherwise_is_asked_for_the_whole_list() {
+    let discovery = Peer::http(|asked| match asked {
+        "GET /v1/servers" => http_answer(200, r#"{"generation":0,"reset":true,"instances":[]}"#),
+        asked if asked.contains("from=0") => Says::Nothing,
+        _ => http_answer(200, r#"{"generation":0,"reset":false,"instances":[]}"#),
+    });
+    let _program = Program::start(BINARY, discovery.address, &[], 1024);
+    let trace = [discovery.next(), discovery.next(), discovery.next()];
+    expect![[r#"
+        GET /v1/servers?from=1&hold_ms=3000
+        GET /v1/servers
+        GET /v1/servers?from=0&hold_ms=3000"#]]
+    .assert_eq(&trace.join("\n"));
+}
+
+#[test]
+fn a_discovery_that_holds_nothing_does_not_keep_it_busy() {
+    let discovery = Peer::http(|_| http_answer(200, r#"{"generation":9,"reset":false,"instances":[]}"#));
+    let began = Instant::now();
+    let program = Program::start(BINARY, discovery.address, &[], 1024);
+    (0..11).for_each(|_| drop(discovery.next()));
+    assert!(began.elapsed() >= Duration::from_millis(150), "ten calls in {:?}", began.elapsed());
+    assert_eq!(program.client().asks(&["PING"]), "+PONG");
+}
--- /dev/null
+++ b/balancer/tests/sockets/main.rs
@@ -0,0 +1,32 @@
+//! The program over sockets, by concern: it is started with stand-ins for what it connects to, and
+//! observed from their side.
+
+mod commands;
+#[path = "../../../tests/common/mod.rs"]
+mod common;
+mod config;
+mod discovery;
+mod hosts;
+mod limits;
+mod origin;
+mod shutdown;
+
+use common::*;
+
+pub(crate) const BINARY: &str = env!("CARGO_BIN_EXE_basaltwood-balancer");
+
+/// The program with what it knows at its start, and a discovery that is never there.
+pub(crate) fn program(known: &[(&str, &Peer)]) -> Program {
+    let known: Vec<String> = known.iter().map(|(name, peer)| entry(name, peer.address, "active")).collect();
+    Program::start(BINARY, nowhere(), &known, 1024)
+}
+
+/// The named counters of a line of them.
+pub(crate) fn counted(line: &str, names: &[&str]) -> String {
+    let of = |name: &&str| line.split(' ').find(|word| word.starts_with(&format!("{name}=")));
+    names.iter().filter_map(of).collect::<Vec<_>>().join(" ")
+}
+
+pub(crate) fn after(line: &str, mark: &str) -> String {
+    line.split_once(mark).map_or(line, |found| found.1).to_owned()
+}
