--- a/balancer/tests/admin.rs
+++ b/balancer/tests/admin.rs
@@ -28,10 +28,10 @@
 fn metrics_after_each_outcome_count_what_clients_and_hosts_saw() {
     let (release, released) = channel::<()>();
     let released = Mutex::new(released);
-    let host = Peer::host(move |asked| match asked.split(' ').nth(1) {
-        Some("busy") => Says::Text("-BUSY\r\n".to_owned()),
+    let host = Peer::host(move |request| match request.split(' ').nth(1) {
+        Some("busy") => Reply::Text("-BUSY\r\n".to_owned()),
         Some("lacked") => miss(),
-        Some("bad") => Says::Text("-ERR failed\r\n".to_owned()),
+        Some("bad") => Reply::Text("-ERR failed\r\n".to_owned()),
         Some("slow") => {
             let _ = released.lock().expect("a lock").recv();
             hit("late")
@@ -54,15 +54,15 @@
     .enumerate()
     {
         let [name, key, facts] = command;
-        let answer = client.asks(&[name, key, &format!("id{nth}"), facts]);
+        let answer = client.command(&[name, key, &format!("id{nth}"), facts]);
         assert!(answer.starts_with(expected), "{command:?}: {answer}");
     }
     // A request whose client goes counts as no outcome, and is no longer active.
     let mut departing = program.client();
     departing.get("slow", "gone", "c=read,d=1500");
-    program.figures("edge_proxy_active 1");
+    program.metrics("edge_proxy_active 1");
     drop(departing);
-    let page = program.figures("edge_proxy_active 0");
+    let page = program.metrics("edge_proxy_active 0");
     release.send(()).expect("it waits");
     expect![[r#"
         ok{kind="read"} 2
@@ -83,15 +83,15 @@
 
 #[test]
 fn silent_host_counts_as_ejected_until_it_is_tried_again() {
-    let (silent, healthy) = (Peer::host(|_| Says::Nothing), Peer::host(|_| hit("v")));
+    let (silent, healthy) = (Peer::host(|_| Reply::Nothing), Peer::host(|_| hit("v")));
     let program = program_with_admin(&[("a", &silent), ("b", &healthy)]);
 
     for nth in 0..4 {
-        program.client().asks(&["CACHE.GET", "k2", &format!("id{nth}"), "c=read,d=300"]);
+        program.client().command(&["CACHE.GET", "k2", &format!("id{nth}"), "c=read,d=300"]);
     }
-    assert!(program.figures("edge_proxy_pool_ejected 1").contains("pool_size 2"));
+    assert!(program.metrics("edge_proxy_pool_ejected 1").contains("pool_size 2"));
     // After a while it is tried again, so it is not ejected.
-    program.figures("edge_proxy_pool_ejected 0");
+    program.metrics("edge_proxy_pool_ejected 0");
 }
 
 #[test]
@@ -125,26 +125,26 @@
     let (release, host) = gated_host();
     let mut program = program_with_admin(&[("a", &host)]);
     let (mut idle, mut silent, mut busy) = (program.client(), program.client(), program.client());
-    assert_eq!(idle.asks(&["PING"]), "+PONG");
+    assert_eq!(idle.command(&["PING"]), "+PONG");
     busy.get("slow", "id1", "c=read,d=1900");
     host.next();
     assert_eq!([program.call(LAME_DUCK_ON).0, program.call(LAME_DUCK_ON).0], [200, 200]);
     let mut trace = vec![idle.answer()];
     // Clients that connect during it are served and closed; open requests are answered.
     let mut late = program.client();
-    trace.extend([late.asks(&["PING"]), late.answer()]);
+    trace.extend([late.command(&["PING"]), late.answer()]);
     let mut late = program.client();
-    trace.extend([late.asks(&["CACHE.GET", "k", "id2", "c=read,d=900"]), late.answer()]);
+    trace.extend([late.command(&["CACHE.GET", "k", "id2", "c=read,d=900"]), late.answer()]);
     release.send(()).expect("it waits");
     trace.extend([busy.answer(), busy.answer(), silent.answer()]);
     trace.push(program.call(READY).0.to_string());
     // Left, and left once more, it serves as before.
     trace.push(program.call(LAME_DUCK_OFF).0.to_string());
     let mut returning = program.client();
-    trace.push(returning.asks(&["PING"]));
-    trace.push(returning.asks(&["CACHE.GET", "k", "id3", "c=read,d=900"]));
+    trace.push(returning.command(&["PING"]));
+    trace.push(returning.command(&["CACHE.GET", "k", "id3", "c=read,d=900"]));
     trace.push(program.call(LAME_DUCK_OFF).0.to_string());
-    trace.push(returning.asks(&["PING"]));
+    trace.push(returning.command(&["PING"]));
     // SIGTERM in lame-duck mode ends the program as ever.
     program.call(LAME_DUCK_ON);
     program.signal("TERM");
@@ -201,12 +201,12 @@
         sent += 1;
     }
     assert!(answered >= 4 && began.elapsed() < Duration::from_secs(4), "{answered}, {:?}", began.elapsed());
-    program.figures("edge_proxy_active 0");
+    program.metrics("edge_proxy_active 0");
 }
 
 #[test]
 fn hosts_of_a_silent_zone_count_as_ejected() {
-    let silent: Vec<Peer> = (0..4).map(|_| Peer::host(|_| Says::Nothing)).collect();
+    let silent: Vec<Peer> = (0..4).map(|_| Peer::host(|_| Reply::Nothing)).collect();
     let healthy = Peer::host(|_| hit("v"));
     let mut known: Vec<String> = silent
         .iter()
@@ -223,7 +223,7 @@
         })
         .collect();
     // Three of them that lost an attempt leave the fourth suspected too.
-    assert!(program.figures("edge_proxy_pool_ejected 4").contains("pool_size 5"));
+    assert!(program.metrics("edge_proxy_pool_ejected 4").contains("pool_size 5"));
     drop(waiting);
 }
 
@@ -234,7 +234,7 @@
     for address in ["nowhere", &taken.address.to_string()] {
         let config = managed(&[], [192, 1024]);
         let config = config.replace(r#""mgmt":"127.0.0.1:0""#, &format!(r#""mgmt":"{address}""#));
-        let mut program = Program::told(BINARY, &config);
+        let mut program = Program::with_config(BINARY, &config);
         let code = program.ended().code();
         let log = program.rest();
         let line = log.last().expect("a line").replace(address, "ADDRESS");
--- a/balancer/tests/departed_clients.rs
+++ b/balancer/tests/departed_clients.rs
@@ -45,7 +45,7 @@
     program.counts("clients", 11);
 
     // A client that comes after them is served.
-    assert_eq!(program.client().asks(&["CACHE.GET", "after", "after", "c=once,d=1900"]), "v");
+    assert_eq!(program.client().command(&["CACHE.GET", "after", "after", "c=once,d=1900"]), "v");
     let line = program.counts("succeeded", 9);
     assert!(line.contains(" attempts=9 "), "{departure:?}: {line}");
     for (_, host) in &hosts {
--- a/balancer/tests/drains.rs
+++ b/balancer/tests/drains.rs
@@ -102,7 +102,7 @@
 fn only_b_serves(program: &Program, a: &Peer, what: &str) {
     for nth in 0..4 {
         let (key, id) = (format!("k{nth}"), format!("id{nth}"));
-        assert_eq!(program.client().asks(&["CACHE.GET", &key, &id, "c=read,d=600"]), "from b");
+        assert_eq!(program.client().command(&["CACHE.GET", &key, &id, "c=read,d=600"]), "from b");
     }
     assert!(a.quiet(), "{what}");
 }
@@ -138,21 +138,21 @@
     let list = format!(r#"{{"generation":3,"reset":true,"instances":[{entries}]}}"#);
     let new = Peer::http(move |request| match request {
         "GET /v1/servers" => http_answer(200, &list),
-        _ => Says::Nothing,
+        _ => Reply::Nothing,
     });
     let old = Peer::http(|request| {
         let news = r#"{"generation":40,"reset":false,"instances":[]}"#;
         if request.contains("from=1&") {
             http_answer(200, news)
         } else {
-            Says::Nothing
+            Reply::Nothing
         }
     });
     let known = [entry("a", a.address, "active"), entry("b", b.address, "active")];
     let program = Program::start(BINARY, old.address, &known, 1024);
     let mut trace = vec![old.next(), old.next()];
 
-    program.told_anew(&old.address.to_string(), &new.address.to_string());
+    program.reload_with(&old.address.to_string(), &new.address.to_string());
     trace.extend([new.next(), new.next()]);
     program.counts("endpoint_lists", 3);
     only_b_serves(&program, &a, "nothing goes to the host that leaves");
@@ -172,7 +172,7 @@
     let (release, wait) = gate();
     let a = Peer::host(move |request| {
         wait(request);
-        Says::Text("-BUSY\r\n".to_owned())
+        Reply::Text("-BUSY\r\n".to_owned())
     });
     let (b, c) = (Peer::host(|_| hit("from b")), Peer::host(|_| hit("from c")));
     let discovery = Discovery::start();
@@ -206,13 +206,13 @@
 /// has to be known by then.
 #[test]
 fn drain_behind_a_silent_watch_is_honoured_in_time() {
-    assert_honoured_in_time(0, |_| Says::Nothing, calls_without_failures());
+    assert_honoured_in_time(0, |_| Reply::Nothing, calls_without_failures());
 }
 
 /// A response that drips does not put the timeout off.
 #[test]
 fn drain_in_a_list_that_only_drips_is_honoured_in_time() {
-    assert_honoured_in_time(0, |news| Says::Drips(news, Duration::from_secs(1)), calls_without_failures());
+    assert_honoured_in_time(0, |news| Reply::Drips(news, Duration::from_secs(1)), calls_without_failures());
 }
 
 /// Whatever failed before: a change counts as announced 6 s after discovery had it and could be
@@ -225,7 +225,7 @@
         GET /v1/servers?from=1&hold_ms=500
         GET /v1/servers?from=2&hold_ms=3000
         closed"#]];
-    assert_honoured_in_time(4, |_| Says::Nothing, calls);
+    assert_honoured_in_time(4, |_| Reply::Nothing, calls);
 }
 
 /// The calls from the one that falls silent on, where none failed before.
@@ -238,7 +238,7 @@
 }
 
 /// So many calls are closed; the next gets `first`, and the one after brings the change.
-fn assert_honoured_in_time(failed: u32, first: fn(String) -> Says, expected: Expect) {
+fn assert_honoured_in_time(failed: u32, first: fn(String) -> Reply, expected: Expect) {
     let (_release, a) = breaking_host();
     let b = Peer::host(|_| hit("from b"));
     let entries = [entry("a", a.address, "leaving"), entry("b", b.address, "active")].join(",");
@@ -246,12 +246,12 @@
     let calls = AtomicU32::new(0);
     // The first that is not closed is never answered whole, and the one after the news not at all.
     let discovery = Peer::http(move |_| match calls.fetch_add(1, Ordering::Relaxed) {
-        call if call < failed => Says::Last(String::new()),
+        call if call < failed => Reply::Last(String::new()),
         call if call == failed => {
             first(format!("HTTP/1.1 200 so\r\nContent-Length: {}\r\n\r\n{news}", news.len()))
         }
         call if call == failed + 1 => http_answer(200, &news),
-        _ => Says::Nothing,
+        _ => Reply::Nothing,
     });
     let known = [entry("a", a.address, "active"), entry("b", b.address, "active")];
     let program = Program::start(BINARY, discovery.address, &known, 1024);
@@ -290,9 +290,9 @@
             _ => format!("{head}Content-Length: {}\r\n\r\n{list}", list.len()),
         };
         let discovery = Peer::http(move |request| match request.contains("from=1&") {
-            true if way == "dripping" => Says::Drips(whole.clone(), Duration::from_millis(1)),
-            true => Says::Text(whole.clone()),
-            false => Says::Nothing,
+            true if way == "dripping" => Reply::Drips(whole.clone(), Duration::from_millis(1)),
+            true => Reply::Text(whole.clone()),
+            false => Reply::Nothing,
         });
         let known = if leaves == "a" { vec![entry("a", a.address, "active")] } else { Vec::new() };
         let known = [known, vec![entry("b", b.address, "active")]].concat();
@@ -316,7 +316,7 @@
     let program = Program::start(BINARY, listener.local_addr().expect("an address"), &known, 1024);
     let (mut discovery, _) = listener.accept().expect("it asks");
     let mut clients: Vec<Client> = (0..4).map(|_| program.client()).collect();
-    clients.iter_mut().for_each(|client| assert_eq!(client.asks(&["PING"]), "+PONG"));
+    clients.iter_mut().for_each(|client| assert_eq!(client.command(&["PING"]), "+PONG"));
 
     program.signal("STOP");
     for (nth, client) in clients.iter_mut().enumerate() {
@@ -324,7 +324,7 @@
     }
     let leaves = entry("a", a.address, "leaving");
     let body = format!(r#"{{"generation":2,"reset":false,"instances":[{leaves}]}}"#);
-    let Says::Text(text) = http_answer(200, &body) else { panic!("a text") };
+    let Reply::Text(text) = http_answer(200, &body) else { panic!("a text") };
     discovery.write_all(text.as_bytes()).expect("it is taken");
     program.signal("CONT");
 
@@ -348,7 +348,7 @@
     ];
     let discovery = Peer::http(move |request| {
         let from = (1..=changes.len()).find(|from| request.contains(&format!("from={from}&")));
-        let Some(from) = from else { return Says::Nothing };
+        let Some(from) = from else { return Reply::Nothing };
         let (version, change) = (from + 1, &changes[from - 1]);
         http_answer(200, &format!(r#"{{"generation":{version},"reset":false,"instances":[{change}]}}"#))
     });
--- a/balancer/tests/endings.rs
+++ b/balancer/tests/endings.rs
@@ -1,5 +1,5 @@
-//! What is still owed when something ends: the process, a client's stay, a silent watch, an op's time. Each crossing is forced
-//! over sockets, and the program is seen from its peers' side.
+//! What is still owed when something ends: the process, or a client's connection. Each race is forced
+//! over sockets, and the program is observed from its peers' side.
 
 #[path = "../../tests/common/mod.rs"]
 mod common;
@@ -15,15 +15,15 @@
 
 const BINARY: &str = env!("CARGO_BIN_EXE_basaltwood-balancer");
 
-/// A host goes on with so many requests that it holds; there may be fewer.
-fn let_go(release: &Sender<()>, count: u32) {
+/// Releases up to `count` requests that a host holds back.
+fn release_up_to(release: &Sender<()>, count: u32) {
     for _ in 0..count {
         let _ = release.send(());
     }
 }
 
-/// Ops may take longer than the process has once it is told to end.
-fn unhurried() -> String {
+/// Requests may take longer than the process has after SIGTERM.
+fn settings_with_long_time_limits() -> String {
     SETTINGS.replace("\"ttlMs\":2000.0", "\"ttlMs\":9000.0,\"tardyBenefit\":1.0")
 }
 
@@ -31,12 +31,13 @@
     Program::start_by(BINARY, nowhere(), &[entry("a", host.address, "active")], limits, settings)
 }
 
-/// Operators kill a balancer 0.7 s after the longest time to live, and after 3.7 s where that is longer. What hosts that hang
-/// still owe by then is answered before: redeliverable ops are nacked, what may not run twice is dead-lettered.
+/// Operators kill a balancer 0.7 s after the longest time limit, and after 3.7 s where that is longer.
+/// Requests still open at hung hosts are answered before that: idempotent ones are rejected,
+/// at-most-once ones fail.
 #[test]
-fn told_to_end_it_gives_every_op_its_final_answer_however_long_that_may_take() {
-    let host = Peer::host(|_| Says::Nothing);
-    let mut program = program(&host, [192, 1024], &unhurried());
+fn shutdown_gives_every_open_request_its_final_answer() {
+    let host = Peer::host(|_| Reply::Nothing);
+    let mut program = program(&host, [192, 1024], &settings_with_long_time_limits());
     let (mut read, mut once) = (program.client(), program.client());
     read.get("k", "id1", "c=read,d=9000");
     once.get("l", "id2", "c=once,d=9000");
@@ -45,11 +46,12 @@
     let began = Instant::now();
     program.signal("TERM");
     program.logged("Flushing");
-    // What is asked now is turned away, and the connection ends with what it is owed.
+    // The final answers come, and then each connection closes.
     let mut trace = sent.to_vec();
     trace.extend([read.answer(), once.answer(), read.answer(), once.answer()]);
     trace.push(format!("{:?}", program.ended().code()));
-    // The phase begins 3.5 s after the signal; what is to be told apart here is the 9 s that the ops may take.
+    // The phase begins 3.5 s after the signal; the bound has to be below the 9 s that the requests may
+    // take.
     assert!(began.elapsed() < Duration::from_secs(8), "ended after {:?}", began.elapsed());
     expect![[r#"
         CACHE.GET k id1 c=read,d=..
@@ -62,40 +64,41 @@
     .assert_eq(&trace.join("\n"));
 }
 
-/// Clients that the kernel had taken before the listener went, and that wait for descriptors of others until then.
+/// Clients that the kernel had accepted before the listener closed, and that waited for descriptors.
 #[test]
-fn told_to_end_it_hears_those_whom_it_had_not_accepted_yet() {
+fn shutdown_answers_clients_not_yet_accepted() {
     let (hosts, known) = four_gated_hosts();
-    let mut program = Program::start_by(BINARY, nowhere(), &known, [192, 32], &unhurried());
-    // As many as there is room for, each owed an answer.
-    let mut inside: Vec<Client> = (0..8).map(|_| program.client()).collect();
-    for (nth, client) in inside.iter_mut().enumerate() {
+    let mut program =
+        Program::start_by(BINARY, nowhere(), &known, [192, 32], &settings_with_long_time_limits());
+    // As many clients as the limit allows, each owed an answer.
+    let mut accepted: Vec<Client> = (0..8).map(|_| program.client()).collect();
+    for (nth, client) in accepted.iter_mut().enumerate() {
         client.get(&format!("slow{nth}"), &format!("in{nth}"), "c=once,d=9000");
     }
     let line = program.counts("attempts", 8);
     assert!(line.contains(" rejected=0 "), "{line}");
-    let mut outside: Vec<Client> = (0..4).map(|_| program.client()).collect();
-    for (nth, client) in outside.iter_mut().enumerate() {
+    let mut waiting: Vec<Client> = (0..4).map(|_| program.client()).collect();
+    for (nth, client) in waiting.iter_mut().enumerate() {
         client.get("k", &format!("out{nth}"), "c=read,d=9000");
     }
     program.signal("TERM");
     program.logged("Closing");
-    hosts.iter().for_each(|host| let_go(&host.0, 8));
-    let mut answers: Vec<String> = inside.iter_mut().chain(&mut outside).map(Client::answer).collect();
-    // A final answer each; short of descriptors that may be a refusal, but no end without a word.
+    hosts.iter().for_each(|host| release_up_to(&host.0, 8));
+    let mut answers: Vec<String> = accepted.iter_mut().chain(&mut waiting).map(Client::answer).collect();
+    // Each gets a final answer; short of descriptors it may be a rejection, but never a bare close.
     answers.retain(|answer| answer != "v" && !answer.starts_with("-BUSY"));
     assert!(answers.is_empty(), "{answers:?}");
     assert!(program.ended().success());
 }
 
-/// So many commands that not all are begun, in one piece, and then it goes: what waits at the host is dropped, and what has not
-/// been begun never is.
+/// A client sends more commands than are begun at a time and leaves: those in flight are abandoned,
+/// and the others are never begun.
 #[test]
-fn one_that_sends_much_at_once_and_goes_has_nothing_begun_after_it() {
-    EACH_DEPARTURE.into_iter().for_each(gone_with_much_sent);
+fn departed_client_has_no_further_request_begun() {
+    EACH_DEPARTURE.into_iter().for_each(departs_with_many_commands_sent);
 }
 
-fn gone_with_much_sent(departure: Departure) {
+fn departs_with_many_commands_sent(departure: Departure) {
     let (release, host) = gated_host();
     let program = program(&host, [192, 1024], SETTINGS);
     let mut client = program.client();
@@ -104,21 +107,21 @@
     departure.apply(client);
     let line = program.counts("abandoned", 1);
     assert!(line.contains(" attempts_succeeded=0 "), "nothing was answered yet: {line}");
-    let_go(&release, 100);
-    // What is out runs on, and is answered to nobody.
+    release_up_to(&release, 100);
+    // Attempts in flight run on, and their responses go to nobody.
     program.counts("attempts_succeeded", 1);
-    assert_eq!(program.client().asks(&["PING"]), "+PONG");
+    assert_eq!(program.client().command(&["PING"]), "+PONG");
     let line = program.counts("requests", 32);
-    assert!(line.contains(" requests=32 "), "as many as may wait at a time, and none after: {line}");
+    assert!(line.contains(" requests=32 "), "as many as may be open at a time, and none after: {line}");
 }
 
-/// After `QUIT` nothing more is read of a connection; its end is seen all the same.
+/// After `QUIT` nothing more is read of a connection; its close is noticed all the same.
 #[test]
-fn one_that_quits_and_goes_before_its_answer_is_waited_for_no_longer() {
-    EACH_DEPARTURE.into_iter().for_each(gone_after_quit);
+fn departure_after_quit_abandons_the_request() {
+    EACH_DEPARTURE.into_iter().for_each(departs_after_quit);
 }
 
-fn gone_after_quit(departure: Departure) {
+fn departs_after_quit(departure: Departure) {
     let (release, host) = gated_host();
     let program = program(&host, [192, 1024], SETTINGS);
     let mut client = program.client();
@@ -131,9 +134,10 @@
     drop(release);
 }
 
-/// One that ends its sending alone can't be told from one that has closed until something is written to it: it has gone.
+/// A client that shuts down only its writing side can't be distinguished from one that has closed
+/// until something is written to it: it counts as departed.
 #[test]
-fn one_that_ends_its_sending_has_gone() {
+fn client_that_ends_its_sending_counts_as_departed() {
     let (release, host) = gated_host();
     let program = program(&host, [192, 1024], SETTINGS);
     let mut client = program.client();
@@ -146,9 +150,9 @@
     drop(release);
 }
 
-/// What is there already is written all the same, whoever still reads.
+/// Replies that are ready are written all the same, in case the client still reads.
 #[test]
-fn one_that_quits_and_ends_its_sending_has_what_is_there() {
+fn client_that_quits_and_ends_its_sending_gets_ready_replies() {
     let host = Peer::host(|_| hit("v"));
     let program = program(&host, [192, 1024], SETTINGS);
     let mut client = program.client();
@@ -157,16 +161,17 @@
     assert_eq!([client.answer(), client.answer(), client.answer()], ["+PONG", "+OK", "closed"]);
 }
 
-/// Told to end again and again, and told anew between: it ends as ever, with what it owes.
+/// SIGTERM twice with a reload before and after: it ends as usual, with all replies written.
 #[test]
-fn told_to_end_twice_and_told_anew_it_ends_as_ever() {
+fn second_sigterm_and_reloads_leave_the_shutdown_as_it_is() {
     let (release, host) = gated_host();
     let mut program = program(&host, [192, 1024], SETTINGS);
     let mut client = program.client();
     client.get("slow", "id", "c=once,d=1900");
     host.next();
     let (old, new) = (nowhere(), Discovery::start());
-    program.told_anew(&format!(r#""discovery":"{old}""#), &format!(r#""discovery":"{}""#, new.peer.address));
+    program
+        .reload_with(&format!(r#""discovery":"{old}""#), &format!(r#""discovery":"{}""#, new.peer.address));
     program.signal("TERM");
     program.logged("Draining");
     assert_eq!(new.peer.next(), "GET /v1/servers");
@@ -177,13 +182,13 @@
     assert!(program.ended().success());
 }
 
-/// A request is in the socket when the signal is read: it is heard before its connection is closed.
+/// Requests that are in the socket when the signal is handled are read before their connection closes.
 #[test]
-fn what_has_come_before_the_signal_is_read_is_answered() {
+fn requests_received_before_the_signal_is_handled_are_answered() {
     let (_release, host) = gated_host();
     let mut program = program(&host, [192, 1024], SETTINGS);
     let (mut kept, mut fresh) = (program.client(), program.client());
-    assert_eq!(kept.asks(&["PING"]), "+PONG");
+    assert_eq!(kept.command(&["PING"]), "+PONG");
     program.counts("clients", 2);
     program.signal("STOP");
     kept.get("k", "id1", "c=read,d=1900");
@@ -196,13 +201,13 @@
     assert!(program.ended().success());
 }
 
-/// While a value waits for memory that another holds nothing is read of its connection either.
+/// While a value waits for memory that another client holds, nothing is read of its connection.
 #[test]
-fn one_that_goes_while_its_value_waits_for_memory_is_waited_for_no_longer() {
-    EACH_DEPARTURE.into_iter().for_each(gone_while_its_value_waits);
+fn departure_while_a_value_waits_for_memory_abandons_the_request() {
+    EACH_DEPARTURE.into_iter().for_each(departs_while_its_value_waits);
 }
 
-fn gone_while_its_value_waits(departure: Departure) {
+fn departs_while_its_value_waits(departure: Departure) {
     let (release, host) = gated_host();
     let program = program(&host, [8, 1024], SETTINGS);
     let half = |client: &mut Client, id: &str| {
@@ -210,44 +215,46 @@
             format!("*5\r\n$9\r\nCACHE.SET\r\n$1\r\nk\r\n${}\r\n{id}\r\n$10\r\nc=put,d=900\r\n", id.len());
         client.raw(format!("{}${}\r\n", head.replace("$10", "$11"), 2_600_000).as_bytes());
     };
-    let (mut holds, mut leaves) = (program.client(), program.client());
-    half(&mut holds, "id1");
-    assert_eq!(program.client().asks(&["PING"]), "+PONG");
-    leaves.get("slow", "id2", "c=read,d=1900");
+    let (mut holder, mut departing) = (program.client(), program.client());
+    half(&mut holder, "id1");
+    assert_eq!(program.client().command(&["PING"]), "+PONG");
+    departing.get("slow", "id2", "c=read,d=1900");
     host.next();
-    half(&mut leaves, "id3");
-    assert_eq!(program.client().asks(&["PING"]), "+PONG");
-    departure.apply(leaves);
+    half(&mut departing, "id3");
+    assert_eq!(program.client().command(&["PING"]), "+PONG");
+    departure.apply(departing);
     let line = program.counts("abandoned", 1);
-    // The one that holds the memory has not been given up yet.
+    // The client that holds the memory has not timed out yet.
     assert!(line.contains(" malformed=0 ") && line.contains(" attempts_timed_out=0 "), "{line}");
-    drop((release, holds));
+    drop((release, holder));
 }
 
-/// So many bytes that they fill the client's window while none of them is taken: its end comes behind them, and is seen.
+/// So many unread bytes that they fill the client's window: its close comes behind them, and is
+/// noticed.
 #[test]
-fn one_whose_unread_bytes_fill_its_window_is_waited_for_no_longer() {
+fn departure_behind_a_full_window_abandons_the_requests() {
     let (release, host) = gated_host();
     let program = program(&host, [192, 1024], SETTINGS);
     let mut client = program.client();
-    // As many as may wait, then 168 kB: past what the kernel holds (128 kB) and less than that and what is read ahead (80 kB).
+    // As many as may wait, then 168 kB: more than the kernel holds (128 kB), and less than that plus
+    // what is read ahead (80 kB).
     let mut bytes = Vec::new();
     for nth in 0..32 {
-        bytes.extend(get(&format!("slow-{nth}"), nth));
+        bytes.extend(encoded_get(&format!("slow-{nth}"), nth));
     }
     for nth in 32..116 {
-        bytes.extend(get(&"k".repeat(2_000), nth));
+        bytes.extend(encoded_get(&"k".repeat(2_000), nth));
     }
     client.raw(&bytes);
     host.next();
     drop(client);
-    // The host's first limit lets six through, and they are dropped while they are out.
+    // The host's first concurrency limit admits six, and they are abandoned while in flight.
     let line = program.counts("abandoned", 6);
     assert!(line.contains(" attempts_timed_out=0 ") && line.contains(" requests=32 "), "{line}");
     drop(release);
 }
 
-fn get(key: &str, nth: u32) -> Vec<u8> {
+fn encoded_get(key: &str, nth: u32) -> Vec<u8> {
     let (id, facts) = (format!("id{nth}"), "c=read,d=1900");
     let words = ["CACHE.GET", key, &id, facts];
     let words = words.map(|word| format!("${}\r\n{word}\r\n", word.len()));
--- a/balancer/tests/host_churn.rs
+++ b/balancer/tests/host_churn.rs
@@ -29,7 +29,7 @@
         let mut clients: Vec<Client> = (0..12).map(|_| program.client()).collect();
         for (nth, client) in clients.iter_mut().enumerate() {
             let (key, id) = (format!("k{round}-{nth}"), format!("id{round}-{nth}"));
-            assert_eq!(client.asks(&["CACHE.GET", &key, &id, "c=read,d=2000"]), "v");
+            assert_eq!(client.command(&["CACHE.GET", &key, &id, "c=read,d=2000"]), "v");
         }
         drop(clients);
         discovery.tell(&hosts(round));
--- a/balancer/tests/long_values.rs
+++ b/balancer/tests/long_values.rs
@@ -67,7 +67,7 @@
     // The first bytes are there while the host still has nearly all.
     let first = format!("${LONG}\r\nbegin");
     assert_eq!(read_bytes(&mut client, first.len()), first.as_bytes());
-    assert!(program.figures("edge_proxy_active 1").contains("ok{kind=\"once\"} 0"));
+    assert!(program.metrics("edge_proxy_active 1").contains("ok{kind=\"once\"} 0"));
 
     // Past its deadline too: only the first bytes are timed.
     let rest: Vec<u8> = (0..LONG - 5).map(|at| at as u8).collect();
@@ -85,7 +85,7 @@
 
     let (all, mut client) = taken.join().expect("it ends");
     assert!(all[..LONG - 5] == rest[..] && all.ends_with(b"\r\n"), "the value came as it was");
-    assert!(program.figures("edge_proxy_active 0").contains("ok{kind=\"once\"} 1"));
+    assert!(program.metrics("edge_proxy_active 0").contains("ok{kind=\"once\"} 1"));
     program.counts("attempts_succeeded", 1);
     client
         .write_all(b"*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk\r\n$3\r\nid2\r\n$12\r\nc=once,d=900\r\n")
@@ -113,7 +113,7 @@
         let _ = client.read_to_end(&mut rest);
         assert!(rest.is_empty(), "it is never filled up");
 
-        let page = program.figures(&format!("edge_proxy_errors{{kind=\"{category}\"}} 1"));
+        let page = program.metrics(&format!("edge_proxy_errors{{kind=\"{category}\"}} 1"));
         assert!(page.contains("tries 1") && page.contains("active 0"), "{page}");
         program.counts("values_truncated", 1);
     }
@@ -216,7 +216,7 @@
         })
         .collect();
 
-    // All 60 are under way, more than a part for them holds; each is taken in its turn.
+    // All 60 are under way, more than a part for them holds; each is served in order.
     for client in &mut writers {
         client.raw(&[b'x'; 59_000]);
         client.raw(b"\r\n");
--- a/balancer/tests/mixed_fleet.rs
+++ b/balancer/tests/mixed_fleet.rs
@@ -34,7 +34,7 @@
         counted[0].fetch_add(1, Ordering::SeqCst);
         counted[1].fetch_add(u32::from(breaks), Ordering::SeqCst);
         if breaks {
-            Says::Last(String::new())
+            Reply::Last(String::new())
         } else {
             hit(name)
         }
--- a/balancer/tests/races.rs
+++ b/balancer/tests/races.rs
@@ -68,7 +68,7 @@
     release.send(()).expect("it waits");
     trace.push(slow.answer());
     // The next request there is another client's.
-    trace.push(program.client().asks(&["CACHE.GET", "l", "id3", "c=read,d=9000"]));
+    trace.push(program.client().command(&["CACHE.GET", "l", "id3", "c=read,d=9000"]));
     trace.push(a.next());
 
     expect![[r#"
@@ -119,7 +119,7 @@
         let (release, wait) = gate();
         let host = Peer::host(move |request| {
             wait(request);
-            Says::Text(text.to_owned())
+            Reply::Text(text.to_owned())
         });
         let (other, origin) = (Peer::host(|_| hit("v")), Peer::http(|_| http_answer(200, "fetched")));
         let at = [("a", &host), ("b", &other), ("origin", &origin)];
@@ -196,9 +196,9 @@
     let back = Arc::new(AtomicBool::new(false));
     let there = back.clone();
     let discovery = Peer::http(move |request| match there.load(Ordering::Relaxed) {
-        true if request.contains("from=2") => Says::Nothing,
+        true if request.contains("from=2") => Reply::Nothing,
         true => http_answer(200, r#"{"generation":2,"reset":false,"instances":[]}"#),
-        false => Says::Last(String::new()),
+        false => Reply::Last(String::new()),
     });
     let program = Program::start_by(BINARY, discovery.address, &known, [192, 32], &patient_settings());
     let mut clients: Vec<Client> = (0..8).map(|_| program.client()).collect();
@@ -237,19 +237,19 @@
         let late = AtomicBool::new(true);
         let a = Peer::host(move |request| match request.split(' ').nth(1) {
             // The sign: a copy right behind.
-            Some("k1") => Says::Text(text("v1") + &text("v1")),
-            Some("k3") if late.swap(false, Ordering::Relaxed) => Says::Text(text("v2") + &text("v3")),
-            key => Says::Text(text(&key.unwrap_or("").replace('k', "v"))),
+            Some("k1") => Reply::Text(text("v1") + &text("v1")),
+            Some("k3") if late.swap(false, Ordering::Relaxed) => Reply::Text(text("v2") + &text("v3")),
+            key => Reply::Text(text(&key.unwrap_or("").replace('k', "v"))),
         });
         let known = [entry("a", a.address, "active")];
         let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], SETTINGS);
         let mut client = program.client();
-        let mut asks = |key: &str| {
-            client.asks(&["CACHE.GET", key, &format!("id-{key}"), &format!("c={category},d=1900")])
+        let mut request = |key: &str| {
+            client.command(&["CACHE.GET", key, &format!("id-{key}"), &format!("c={category},d=1900")])
         };
 
-        assert_eq!([asks("k1"), asks("k2"), asks("k3")], ["v1", "v2", expected], "{category}");
+        assert_eq!([request("k1"), request("k2"), request("k3")], ["v1", "v2", expected], "{category}");
         // The same value for the same key, and for others from hosts that answer once, is no copy.
-        assert_eq!([asks("k4"), asks("k4"), asks("k5")], ["v4", "v4", "v5"], "{category}");
+        assert_eq!([request("k4"), request("k4"), request("k5")], ["v4", "v4", "v5"], "{category}");
     }
 }
--- a/balancer/tests/regions/fleet.rs
+++ b/balancer/tests/regions/fleet.rs
@@ -108,7 +108,7 @@
                 thread::spawn(move || {
                     let mut reading = BufReader::new(stream.try_clone().expect("a second handle"));
                     while read_command(&mut reading).is_ok() {
-                        let Says::Text(text) = hit(name) else { break };
+                        let Reply::Text(text) = hit(name) else { break };
                         if stream.write_all(text.as_bytes()).is_err() {
                             break;
                         }
@@ -130,7 +130,7 @@
     while answers.is_empty() || !awaited.iter().all(|name| answers.contains(*name)) {
         for nth in 0..60 {
             let id = format!("id{}", NEXT.fetch_add(1, Ordering::Relaxed));
-            let answer = client.asks(&["CACHE.GET", &format!("k{nth}"), &id, "c=read,d=900"]);
+            let answer = client.command(&["CACHE.GET", &format!("k{nth}"), &id, "c=read,d=900"]);
             if !answer.starts_with('-') || awaited.contains(&answer.as_str()) {
                 answers.insert(answer);
             }
--- a/balancer/tests/regions/hosts.rs
+++ b/balancer/tests/regions/hosts.rs
@@ -34,10 +34,10 @@
     let missing = (0..60).map(|nth| format!("lacked{nth}"));
     let mut client = program.client();
     let fetched = missing.enumerate().any(|(nth, key)| {
-        client.asks(&["CACHE.GET", &key, &format!("id{nth}"), "c=read,d=900"]) == "fetched"
+        client.command(&["CACHE.GET", &key, &format!("id{nth}"), "c=read,d=900"]) == "fetched"
     });
     trace.push(format!("fetched: {fetched}"));
-    let metrics = program.figures("edge_proxy_regions_hosts_ring 2");
+    let metrics = program.metrics("edge_proxy_regions_hosts_ring 2");
     trace.extend(metrics.lines().filter(|line| line.contains("regions_")).map(str::to_owned));
     let line = program.counts("endpoint_lists", 2);
     trace.extend(line.split(' ').filter(|word| word.starts_with("regions_")).map(str::to_owned));
--- a/balancer/tests/regions/maps.rs
+++ b/balancer/tests/regions/maps.rs
@@ -25,7 +25,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     std::fs::create_dir(folder.path().join("deploy")).expect("a folder");
     std::fs::write(folder.path().join("deploy/regions.toml"), "own = \"north\"\n").expect("a file");
-    refused(Program::told_in(BINARY, &text, folder.path()));
+    refused(Program::with_config_in(BINARY, &text, folder.path()));
     expect![[r#"
         Some(1)  line 7: zone "n2" is in region "north" (line 4) and in "south": remove it from one
         Some(1)  line 1: no region "west": own is to be one of "north", "south"
@@ -43,7 +43,7 @@
     let text = config(nowhere(), &known, SETTINGS);
     let folder = tempfile::tempdir().expect("a folder");
     let serve = |folder: &Path, awaited: &[&str]| {
-        let program = Program::told_in(BINARY, &text, folder).serving();
+        let program = Program::with_config_in(BINARY, &text, folder).serving();
         let line = program.counts("endpoint_lists", 1);
         (answering_hosts(&program, awaited), line.contains(" regions_rings=0 "))
     };
@@ -71,7 +71,7 @@
     let mut trace = Vec::new();
     let awaited = [&["a", "b"][..], &["a"], &["b", "c"]];
     for (program, awaited) in programs.iter().zip(awaited) {
-        let metrics = program.figures("edge_proxy_regions_hosts_unnamed 0");
+        let metrics = program.metrics("edge_proxy_regions_hosts_unnamed 0");
         trace.extend(metrics.lines().filter(|line| line.starts_with("regions_map")).map(str::to_owned));
         trace.push(answering_hosts(program, awaited));
     }
@@ -79,7 +79,7 @@
     let drained = [list("leaving"), vec![zoned_entry("x", "x1", nowhere(), "active")]].concat();
     discovery.tell(&drained);
     for program in &programs {
-        program.figures("edge_proxy_regions_hosts_unnamed 1");
+        program.metrics("edge_proxy_regions_hosts_unnamed 1");
     }
     while b.seen().is_some() {}
     trace.extend(
@@ -111,7 +111,7 @@
         let line = program.logged("regions: map");
         program.mgmt = program.logged("mgmt on").rsplit(' ').next().expect("an address").to_owned();
         let program = program.serving();
-        let metrics = program.figures("edge_proxy_regions_hosts_ring 1");
+        let metrics = program.metrics("edge_proxy_regions_hosts_ring 1");
         let metric = metrics.lines().find(|line| line.starts_with("regions_map")).expect("a metric");
         format!("{} / {metric}", line.split_once("regions: ").expect("its part").1)
     };
--- a/balancer/tests/sockets/commands.rs
+++ b/balancer/tests/sockets/commands.rs
@@ -6,16 +6,17 @@
 use crate::program;
 
 #[test]
-fn an_op_goes_on_as_it_came_and_its_answer_comes_back() {
-    let host = Peer::host(|asked| if asked.contains("lacked") { miss() } else { hit("value of 7f") });
-    let origin =
-        Peer::http(|asked| http_answer(200, if asked.starts_with("PUT") { "receipt" } else { "fetched" }));
+fn request_is_forwarded_unchanged_and_its_response_returned() {
+    let host = Peer::host(|request| if request.contains("lacked") { miss() } else { hit("value of 7f") });
+    let origin = Peer::http(|request| {
+        http_answer(200, if request.starts_with("PUT") { "receipt" } else { "fetched" })
+    });
     let program = program(&[("a", &host), ("origin", &origin)]);
     let mut client = program.client();
-    let mut trace = vec![client.asks(&["PING"]), client.asks(&["HELLO", "3"])];
-    trace.push(client.asks(&["CACHE.GET", "7f", "id1", "c=read,t=acme,d=480,size=3,new=x"]));
-    trace.push(client.asks(&["CACHE.GET", "lacked / key", "id2", "c=read,d=480"]));
-    trace.push(client.asks(&["CACHE.SET", "7f", "id3", "c=put,d=480,k=5c0f", "VALUE\r\n!"]));
+    let mut trace = vec![client.command(&["PING"]), client.command(&["HELLO", "3"])];
+    trace.push(client.command(&["CACHE.GET", "7f", "id1", "c=read,t=acme,d=480,size=3,new=x"]));
+    trace.push(client.command(&["CACHE.GET", "lacked / key", "id2", "c=read,d=480"]));
+    trace.push(client.command(&["CACHE.SET", "7f", "id3", "c=put,d=480,k=5c0f", "VALUE\r\n!"]));
     trace.extend([host.next(), host.next(), origin.next(), origin.next()]);
     expect![[r#"
         +PONG
@@ -32,11 +33,11 @@
 }
 
 #[test]
-fn answers_keep_the_order_of_commands() {
+fn pipelined_commands_are_answered_in_order() {
     let (release, wait) = gate();
-    let host = Peer::host(move |asked| {
-        wait(asked);
-        hit(asked.split(' ').nth(2).unwrap_or(""))
+    let host = Peer::host(move |request| {
+        wait(request);
+        hit(request.split(' ').nth(2).unwrap_or(""))
     });
     let program = program(&[("a", &host)]);
     let mut client = program.client();
@@ -50,7 +51,7 @@
     assert_eq!(trace, ["id1", "id2", "+PONG"]);
 }
 
-/// Commands that are answered with an error, each by itself.
+/// Commands that are answered with an error each, on a connection that stays open.
 const MALFORMED_COMMANDS: [&[&str]; 11] = [
     &["CACHE.GET", "k"],
     &["CACHE.GET", "k", "id", "c=read"],
@@ -86,20 +87,20 @@
 }
 
 #[test]
-fn bad_input_is_answered_and_takes_nothing_else_down() {
+fn malformed_input_is_answered_with_an_error_and_others_are_served() {
     let host = Peer::host(|_| hit("v"));
     let program = program(&[("a", &host)]);
     let mut lines = Vec::new();
     let mut client = program.client();
     for words in MALFORMED_COMMANDS {
-        lines.push(client.asks(words));
+        lines.push(client.command(words));
     }
     for bytes in protocol_violations() {
         let mut client = program.client();
         client.raw(bytes.as_bytes());
         lines.push(format!("{} then {}", client.answer(), client.answer()));
     }
-    lines.push(program.client().asks(&["CACHE.GET", "k", "id", "c=read,d=480"]));
+    lines.push(program.client().command(&["CACHE.GET", "k", "id", "c=read,d=480"]));
     expect![[r#"
         -ERR a key, an id and facts are needed
         -ERR no d: the time to wait is missing or absurd
@@ -126,16 +127,16 @@
 }
 
 #[test]
-fn an_id_stands_for_one_op_at_a_time() {
+fn id_in_use_is_refused_until_its_request_ends() {
     let (release, host) = gated_host();
     let program = program(&[("a", &host)]);
     let (mut first, mut second) = (program.client(), program.client());
     first.get("slow", "id", "c=read,d=1500");
-    let mut trace = vec![host.next(), second.asks(&["CACHE.GET", "k", "id", "c=read,d=600"])];
+    let mut trace = vec![host.next(), second.command(&["CACHE.GET", "k", "id", "c=read,d=600"])];
     release.send(()).expect("it waits");
     trace.push(first.answer());
-    // Once that op is over the id is of no harm.
-    trace.push(second.asks(&["CACHE.GET", "k", "id", "c=read,d=600"]));
+    // Once that request has ended its id may be used again.
+    trace.push(second.command(&["CACHE.GET", "k", "id", "c=read,d=600"]));
     expect![[r#"
         CACHE.GET slow id c=read,d=..
         -ERR an op with this id is open
--- a/balancer/tests/sockets/config.rs
+++ b/balancer/tests/sockets/config.rs
@@ -3,10 +3,10 @@
 use expect_test::expect;
 
 use crate::common::*;
-use crate::{after, BINARY};
+use crate::{text_after, BINARY};
 
-/// What it is told, with one more setting.
-fn settled(setting: &str) -> String {
+/// A valid configuration with one more setting.
+fn config_with(setting: &str) -> String {
     format!(
         r#"{{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{{"categories":[
         {{"name":"read","targetLatencyMs":1,"ttlMs":1,"semantics":"retryable"}}],"limits":{{"maxPushes":1}},{setting},
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn what_it_is_told_at_its_start_must_make_sense() {
+fn invalid_config_ends_the_start_with_one_line() {
     let mut lines = Vec::new();
     for text in [
         "{nonsense",
@@ -28,14 +28,14 @@
         r#"{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{"categories":[
         {"name":"read","targetLatencyMs":1,"ttlMs":1,"semantics":"retryable"}],"limits":{"maxPushes":1},"objectiveMix":{"tailMiss":7},
         "invariants":{"coldFrom":1,"warmWithinMs":1,"tipMultiple":1,"tipAfterMs":1}}}"#,
-        &settled(r#""costs":{"probe":-0.5}"#),
-        &settled(r#""report":{"source":"sometimes"}"#),
-        &settled(r#""report":{"source":"on_probe","columns":"util"}"#),
-        &settled(r#""groupSize":-3"#),
+        &config_with(r#""costs":{"probe":-0.5}"#),
+        &config_with(r#""report":{"source":"sometimes"}"#),
+        &config_with(r#""report":{"source":"on_probe","columns":"util"}"#),
+        &config_with(r#""groupSize":-3"#),
     ] {
-        let mut program = Program::told(BINARY, text);
+        let mut program = Program::with_config(BINARY, text);
         let code = program.ended().code();
-        let log: Vec<String> = program.rest().iter().map(|line| after(line, ".json: ")).collect();
+        let log: Vec<String> = program.rest().iter().map(|line| text_after(line, ".json: ")).collect();
         lines.push(format!("{code:?} {}", log.join(" / ")));
     }
     expect![[r#"
--- a/balancer/tests/sockets/discovery.rs
+++ b/balancer/tests/sockets/discovery.rs
@@ -6,31 +6,31 @@
 use expect_test::expect;
 
 use crate::common::*;
-use crate::{after, counted, BINARY};
+use crate::{selected_counters, text_after, BINARY};
 
 #[test]
-fn the_list_is_watched_from_what_is_known_and_an_absurd_entry_spoils_no_other() {
+fn watch_starts_at_the_known_version_and_leaves_out_invalid_entries() {
     let (a, b) = (Peer::host(|_| hit("from a")), Peer::host(|_| hit("from b")));
     let discovery = Discovery::start();
     let known = [entry("a", a.address, "active")];
     let program = Program::start(BINARY, discovery.peer.address, &known, 1024);
     let mut client = program.client();
-    let mut ask = |id: &str| client.asks(&["CACHE.GET", HOME_A, id, "c=read,d=600"]);
+    let mut get = |id: &str| client.command(&["CACHE.GET", HOME_A, id, "c=read,d=600"]);
     // Discovery is silent so far.
-    let mut trace = vec![discovery.peer.next(), ask("id1")];
-    let absurd = [r#"{"instanceId":"c","hostPort":"::","lifecycle":"active"}"#, "7", r#"{"instanceId":[]}"#];
+    let mut trace = vec![discovery.peer.next(), get("id1")];
+    let invalid = [r#"{"instanceId":"c","hostPort":"::","lifecycle":"active"}"#, "7", r#"{"instanceId":[]}"#];
     let mut entries = vec![entry("a", a.address, "leaving"), entry("b", b.address, "active")];
-    entries.extend(absurd.map(str::to_owned));
+    entries.extend(invalid.map(str::to_owned));
     discovery.tell(&entries);
     trace.push(discovery.peer.next());
-    for _ in absurd {
-        trace.push(after(&program.logged("list entry"), "endpoints] "));
+    for _ in invalid {
+        trace.push(text_after(&program.logged("list entry"), "endpoints] "));
     }
-    trace.push(ask("id2"));
+    trace.push(get("id2"));
     // The draining host's idle connection was closed.
     trace.extend([a.next(), a.next(), b.next()]);
     discovery.tell(&[entry("a", a.address, "active"), entry("b", b.address, "left")]);
-    trace.extend([discovery.peer.next(), ask("id3")]);
+    trace.extend([discovery.peer.next(), get("id3")]);
     expect![[r#"
         GET /v1/servers?from=1&hold_ms=3000
         from a
@@ -47,10 +47,10 @@
     .assert_eq(&trace.join("\n"));
 }
 
-/// What discovery would tell a balancer that has no call open counts as told: of many that are started together each asks
-/// in the instant of its start, however many there are.
+/// What discovery would report to a balancer without an open call counts as reported. So each of
+/// many that are started together calls at once, however many there are.
 #[test]
-fn started_among_many_it_asks_discovery_at_once() {
+fn start_among_many_balancers_calls_discovery_at_once() {
     let (a, b) = (Peer::host(|_| hit("from a")), Peer::host(|_| hit("from b")));
     let discovery = Discovery::start();
     discovery.tell(&[entry("a", a.address, "leaving"), entry("b", b.address, "active")]);
@@ -59,16 +59,16 @@
     let program = Program::start_by(BINARY, discovery.peer.address, &known, [192, 1024], &settings);
     let began = Instant::now();
     program.counts("endpoint_lists", 2);
-    // Spread over all of them, this one's turn would come after several seconds.
-    assert!(began.elapsed() < Duration::from_millis(1_500), "it asked after {:?}", began.elapsed());
+    // If calls were spread over all of them, this one's would come after several seconds.
+    assert!(began.elapsed() < Duration::from_millis(1_500), "it called after {:?}", began.elapsed());
     let mut client = program.client();
-    assert_eq!(client.asks(&["CACHE.GET", HOME_A, "id1", "c=read,d=600"]), "from b");
+    assert_eq!(client.command(&["CACHE.GET", HOME_A, "id1", "c=read,d=600"]), "from b");
     assert!(a.quiet(), "nothing goes to the host that leaves");
 }
 
 #[test]
-fn hosts_come_and_go_all_day_and_a_new_one_takes_an_old_address() {
-    let host = Peer::host(|asked| hit(asked.split(' ').nth(2).unwrap_or("")));
+fn host_churn_with_a_reused_address_serves_every_request() {
+    let host = Peer::host(|request| hit(request.split(' ').nth(2).unwrap_or("")));
     let discovery = Discovery::start();
     let program = Program::start(BINARY, discovery.peer.address, &[], 1024);
     let mut client = program.client();
@@ -77,31 +77,34 @@
         discovery.tell(&[old, entry(&format!("host-{}", nth + 1), host.address, "active")]);
         program.counts("endpoint_lists", nth + 2);
         let id = format!("id{nth}");
-        assert_eq!(client.asks(&["CACHE.GET", "k", &id, "c=once,d=600"]), id);
+        assert_eq!(client.command(&["CACHE.GET", "k", &id, "c=once,d=600"]), id);
     }
     let line = program.counts("hosts_released", 20);
     expect!["succeeded=20 attempts_succeeded=20 attempts_connection_lost=0 hosts_released=20"].assert_eq(
-        &counted(&line, &["succeeded", "attempts_succeeded", "attempts_connection_lost", "hosts_released"]),
+        &selected_counters(
+            &line,
+            &["succeeded", "attempts_succeeded", "attempts_connection_lost", "hosts_released"],
+        ),
     );
 }
 
 #[test]
-fn silence_and_refusals_leave_the_watch_as_it_was_and_after_nonsense_the_whole_list_is_asked_for() {
+fn failed_calls_keep_the_version_and_an_invalid_response_requests_the_whole_list() {
     let host = Peer::host(|_| hit("v"));
     let list =
         format!(r#"{{"generation":9,"reset":true,"instances":[{}]}}"#, entry("a", host.address, "active"));
     let calls = Mutex::new(0);
-    let discovery = Peer::http(move |asked| match asked {
+    let discovery = Peer::http(move |request| match request {
         "GET /v1/servers" => http_answer(200, &list),
-        asked if asked.contains("from=9") => Says::Nothing,
+        request if request.contains("from=9") => Reply::Nothing,
         _ => {
             let mut calls = calls.lock().expect("a lock");
             *calls += 1;
             match *calls {
-                1 => Says::Last(String::new()),
+                1 => Reply::Last(String::new()),
                 2 => http_answer(503, ""),
-                // The body is cut: its end says so before it is whole.
-                3 => Says::Last("HTTP/1.1 200 so\r\nContent-Length: 900\r\n\r\n{".to_owned()),
+                // The body is truncated: the connection closes before its stated length.
+                3 => Reply::Last("HTTP/1.1 200 so\r\nContent-Length: 900\r\n\r\n{".to_owned()),
                 4 => http_answer(429, ""),
                 _ => http_answer(200, "{\"generation\":"),
             }
@@ -109,7 +112,7 @@
     });
     let program = Program::start(BINARY, discovery.address, &[], 1024);
     let mut trace: Vec<String> = (0..12).map(|_| discovery.next()).collect();
-    trace.push(program.client().asks(&["CACHE.GET", "k", "id", "c=once,d=600"]));
+    trace.push(program.client().command(&["CACHE.GET", "k", "id", "c=once,d=600"]));
     expect![[r#"
         GET /v1/servers?from=1&hold_ms=3000
         closed
@@ -128,10 +131,10 @@
 }
 
 #[test]
-fn told_anew_it_moves_its_watch_at_once_and_ops_go_on() {
+fn reload_moves_the_watch_at_once_and_requests_go_on() {
     let (release, wait) = gate();
-    let a = Peer::host(move |asked| {
-        wait(asked);
+    let a = Peer::host(move |request| {
+        wait(request);
         hit("from a")
     });
     let b = Peer::host(|_| hit("from b"));
@@ -140,18 +143,18 @@
     let (mut client, mut slow) = (program.client(), program.client());
     slow.get("slow", "id1", "c=once,d=3000");
     let mut trace = vec![old.peer.next(), a.next()];
-    let (there, elsewhere) = (old.peer.address.to_string(), new.peer.address.to_string());
-    program.told_anew(&there, "nonsense");
-    trace.push(after(&program.logged("all stays as it is"), ".json: "));
-    assert!(old.peer.quiet(), "a file without sense ends no watch");
-    program.told_anew("nonsense", &elsewhere);
-    // All is asked for, and then what changes.
+    let (old_address, new_address) = (old.peer.address.to_string(), new.peer.address.to_string());
+    program.reload_with(&old_address, "nonsense");
+    trace.push(text_after(&program.logged("all stays as it is"), ".json: "));
+    assert!(old.peer.quiet(), "an invalid file ends no watch");
+    program.reload_with("nonsense", &new_address);
+    // The whole list is requested, and then its changes.
     trace.extend([new.peer.next(), new.peer.next()]);
     new.tell(&[entry("b", b.address, "active")]);
     trace.push(new.peer.next());
-    trace.push(client.asks(&["CACHE.GET", HOME_A, "id2", "c=once,d=600"]));
+    trace.push(client.command(&["CACHE.GET", HOME_A, "id2", "c=once,d=600"]));
     release.send(()).expect("it waits");
-    // The one that is left sees its connection's end once it has no call to hold.
+    // The old discovery sees its connection close once it holds no call.
     trace.extend([slow.answer(), old.peer.next()]);
     expect![[r#"
         GET /v1/servers?from=1&hold_ms=3000
@@ -167,10 +170,10 @@
 }
 
 #[test]
-fn a_discovery_that_counts_otherwise_is_asked_for_the_whole_list() {
-    let discovery = Peer::http(|asked| match asked {
+fn version_below_the_known_one_requests_the_whole_list() {
+    let discovery = Peer::http(|request| match request {
         "GET /v1/servers" => http_answer(200, r#"{"generation":0,"reset":true,"instances":[]}"#),
-        asked if asked.contains("from=0") => Says::Nothing,
+        request if request.contains("from=0") => Reply::Nothing,
         _ => http_answer(200, r#"{"generation":0,"reset":false,"instances":[]}"#),
     });
     let _program = Program::start(BINARY, discovery.address, &[], 1024);
@@ -183,11 +186,11 @@
 }
 
 #[test]
-fn a_discovery_that_holds_nothing_does_not_keep_it_busy() {
+fn discovery_without_holds_is_not_called_in_a_busy_loop() {
     let discovery = Peer::http(|_| http_answer(200, r#"{"generation":9,"reset":false,"instances":[]}"#));
     let began = Instant::now();
     let program = Program::start(BINARY, discovery.address, &[], 1024);
     (0..11).for_each(|_| drop(discovery.next()));
     assert!(began.elapsed() >= Duration::from_millis(150), "ten calls in {:?}", began.elapsed());
-    assert_eq!(program.client().asks(&["PING"]), "+PONG");
+    assert_eq!(program.client().command(&["PING"]), "+PONG");
 }
--- a/balancer/tests/sockets/hosts.rs
+++ b/balancer/tests/sockets/hosts.rs
@@ -5,10 +5,10 @@
 use expect_test::expect;
 
 use crate::common::*;
-use crate::{counted, program, BINARY};
+use crate::{program, selected_counters, BINARY};
 
 #[test]
-fn the_push_of_a_client_that_has_gone_runs_on_and_its_connection_carries_the_next() {
+fn attempt_of_departed_client_runs_on_and_its_connection_is_reused() {
     let (release, host) = gated_host();
     let program = program(&[("a", &host)]);
     let mut client = program.client();
@@ -18,7 +18,7 @@
     program.counts("abandoned", 1);
     release.send(()).expect("it waits");
     program.counts("attempts_succeeded", 1);
-    assert_eq!(program.client().asks(&["CACHE.GET", "k", "id2", "c=read,d=600"]), "v");
+    assert_eq!(program.client().command(&["CACHE.GET", "k", "id2", "c=read,d=600"]), "v");
     let line = program.counts("requests", 2);
     let names = [
         "succeeded",
@@ -29,30 +29,30 @@
         "connections_reused",
     ];
     expect!["succeeded=1 abandoned=1 attempts_succeeded=2 attempts_cancelled=0 connections_opened=1 connections_reused=1"]
-        .assert_eq(&counted(&line, &names));
+        .assert_eq(&selected_counters(&line, &names));
 }
 
 #[test]
-fn only_what_surely_never_ran_goes_on_where_repeats_are_harmful() {
+fn at_most_once_request_is_retried_only_if_it_never_ran() {
     let mut lines = Vec::new();
-    type Rule = fn(&str) -> Says;
-    let rules: [(&str, Rule); 6] = [
-        ("closes", |_| Says::Last(String::new())),
-        ("half an answer", |_| Says::Last("*3\r\n$9\r\nhalf".to_owned())),
-        ("error", |_| Says::Text("-ERR failed\r\n".to_owned())),
-        ("busy", |_| Says::Text("-BUSY\r\n".to_owned())),
-        ("no answer", |_| Says::Text("+OK\r\n".to_owned())),
-        ("silent", |_| Says::Nothing),
+    type ReplyRule = fn(&str) -> Reply;
+    let rules: [(&str, ReplyRule); 6] = [
+        ("closes", |_| Reply::Last(String::new())),
+        ("half an answer", |_| Reply::Last("*3\r\n$9\r\nhalf".to_owned())),
+        ("error", |_| Reply::Text("-ERR failed\r\n".to_owned())),
+        ("busy", |_| Reply::Text("-BUSY\r\n".to_owned())),
+        ("no answer", |_| Reply::Text("+OK\r\n".to_owned())),
+        ("silent", |_| Reply::Nothing),
     ];
     for (name, rule) in rules {
         for category in ["read", "once"] {
-            // Each from a new start, so that the first one's lesson does not sway the second.
+            // Each with a new process, so that what it learned from the first does not influence the second.
             let (a, b) = (Peer::host(rule), Peer::host(|_| hit("from b")));
             let program = program(&[("a", &a), ("b", &b)]);
             let mut client = program.client();
             client.get(HOME_A, "id", &format!("c={category},d=600"));
             assert!(a.next().contains("CACHE.GET"));
-            lines.push(format!("{name}, {category}: {}, another push {}", client.answer(), !b.quiet()));
+            lines.push(format!("{name}, {category}: {}, retried {}", client.answer(), !b.quiet()));
         }
     }
     let b = Peer::host(|_| hit("from b"));
@@ -60,27 +60,27 @@
     let refused = Program::start(BINARY, nowhere(), &known, 1024);
     lines.push(format!(
         "refused, once: {}",
-        refused.client().asks(&["CACHE.GET", HOME_A, "id", "c=once,d=600"])
+        refused.client().command(&["CACHE.GET", HOME_A, "id", "c=once,d=600"])
     ));
     expect![[r#"
-        closes, read: from b, another push true
-        closes, once: -ERR dead-lettered, another push false
-        half an answer, read: from b, another push true
-        half an answer, once: -ERR dead-lettered, another push false
-        error, read: from b, another push true
-        error, once: -ERR dead-lettered, another push false
-        busy, read: from b, another push true
-        busy, once: from b, another push true
-        no answer, read: from b, another push true
-        no answer, once: -ERR dead-lettered, another push false
-        silent, read: -ERR dead-lettered, another push false
-        silent, once: -ERR dead-lettered, another push false
+        closes, read: from b, retried true
+        closes, once: -ERR dead-lettered, retried false
+        half an answer, read: from b, retried true
+        half an answer, once: -ERR dead-lettered, retried false
+        error, read: from b, retried true
+        error, once: -ERR dead-lettered, retried false
+        busy, read: from b, retried true
+        busy, once: from b, retried true
+        no answer, read: from b, retried true
+        no answer, once: -ERR dead-lettered, retried false
+        silent, read: -ERR dead-lettered, retried false
+        silent, once: -ERR dead-lettered, retried false
         refused, once: from b"#]]
     .assert_eq(&lines.join("\n"));
 }
 
 #[test]
-fn a_spoilt_answer_is_found_at_once_and_a_good_value_stands_whatever_follows() {
+fn invalid_response_ends_its_attempt_at_once_and_a_whole_value_stands() {
     let long = "x".repeat(5_000);
     let mut lines = Vec::new();
     for (name, answer) in [
@@ -99,11 +99,11 @@
         ("a second copy", "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n*3\r\n$1\r\nw\r\n$-1\r\n$-1\r\n"),
         ("noise behind", "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n!!!"),
     ] {
-        let said = answer.to_owned();
-        let (a, b) = (Peer::host(move |_| Says::Text(said.clone())), Peer::host(|_| hit("from b")));
+        let response = answer.to_owned();
+        let (a, b) = (Peer::host(move |_| Reply::Text(response.clone())), Peer::host(|_| hit("from b")));
         let program = program(&[("a", &a), ("b", &b)]);
-        // Were it waited for, no time would be left for another push.
-        let got = program.client().asks(&["CACHE.GET", HOME_A, "id", "c=read,d=5000"]);
+        // If the attempt waited for its deadline, no time would be left for a retry.
+        let got = program.client().command(&["CACHE.GET", HOME_A, "id", "c=read,d=5000"]);
         assert!(a.next().contains("CACHE.GET"));
         lines.push(format!("{name}: {got}, its connection {}", a.next()));
     }
@@ -126,21 +126,21 @@
 }
 
 #[test]
-fn a_host_that_closed_an_idle_connection_costs_no_op() {
-    // It answers once on each connection and then closes it, saying nothing.
-    let host = Peer::host(|_| Says::Last("*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n".to_owned()));
+fn idle_connection_closed_by_its_host_costs_no_request() {
+    // It answers once on each connection and then closes it without notice.
+    let host = Peer::host(|_| Reply::Last("*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n".to_owned()));
     let program = program(&[("a", &host)]);
     let mut client = program.client();
     let mut trace = Vec::new();
     for nth in 0..3 {
         let id = format!("id{nth}");
-        trace.push(client.asks(&["CACHE.GET", "k", &id, "c=once,d=600"]));
+        trace.push(client.command(&["CACHE.GET", "k", &id, "c=once,d=600"]));
         assert_eq!(trace.last().map(String::as_str), Some("v"));
         assert_eq!([host.next(), host.next()].last().map(String::as_str), Some("closed"));
     }
     program.signal("USR1");
     let line = program.logged("counters");
-    trace.push(counted(
+    trace.push(selected_counters(
         &line,
         &["attempts_succeeded", "attempts_connection_lost", "connections_opened", "connections_reused"],
     ));
@@ -153,28 +153,29 @@
 }
 
 #[test]
-fn an_idle_connection_is_closed_before_the_host_would() {
+fn idle_connection_is_closed_before_the_keepalive_ends() {
     let host = Peer::host(|_| hit("v"));
     let known = [entry("a", host.address, "active")];
     let settings = SETTINGS.replace(r#""keepaliveMs":15000.0"#, r#""keepaliveMs":900.0"#);
     let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &settings);
-    assert_eq!(program.client().asks(&["CACHE.GET", "k", "id", "c=read,d=600"]), "v");
+    assert_eq!(program.client().command(&["CACHE.GET", "k", "id", "c=read,d=600"]), "v");
     assert_eq!([host.next(), host.next()], ["CACHE.GET k id c=read,d=..", "closed"]);
 }
 
 #[test]
-fn a_stop_of_this_process_is_held_against_no_host() {
-    // On a machine that is slow itself the ops' time may run out; such a round tells nothing.
-    let answers =
-        (0..5).map(|_| stopped_round()).find(|answers| !answers.join(" ").contains("dead-lettered"));
+fn process_stall_is_held_against_no_host() {
+    // On a slow machine the requests' deadlines may pass; such a round proves nothing.
+    let answers = (0..5)
+        .map(|_| requests_around_a_stall())
+        .find(|answers| !answers.join(" ").contains("dead-lettered"));
     assert_eq!(answers.expect("a round within its time"), ["v"; 6]);
 }
 
-fn stopped_round() -> Vec<String> {
+fn requests_around_a_stall() -> Vec<String> {
     let (release, host) = gated_host();
     let program = program(&[("a", &host)]);
     let mut client = program.client();
-    // Three out together, and then the process stands still for half of what they may take.
+    // Three in flight together, and then the process stalls for half of their time limit.
     for id in ["id1", "id2", "id3"] {
         client.get("slow", id, "c=read,d=1500");
     }
@@ -185,7 +186,7 @@
     std::thread::sleep(Duration::from_millis(450));
     program.signal("CONT");
     program.counts("process_stalls", 1);
-    // A host that was left for silent would get one push at a time, and the others were nacked.
+    // A host suspected of silence would get one attempt at a time, and the others would be rejected.
     for id in ["id4", "id5", "id6"] {
         client.get("k", id, "c=read,d=1500");
     }
@@ -195,7 +196,7 @@
 }
 
 #[test]
-fn a_host_that_accepts_and_closes_at_once_is_at_fault_itself_and_costs_no_op() {
+fn host_closing_accepted_connections_is_at_fault_and_costs_no_request() {
     let bad = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = bad.local_addr().expect("an address");
     std::thread::spawn(move || bad.incoming().flatten().for_each(drop));
@@ -205,11 +206,11 @@
     let mut client = program.client();
     for nth in 0..40 {
         let (key, id) = (format!("k{nth}"), format!("id{nth}"));
-        assert_eq!(client.asks(&["CACHE.GET", &key, &id, "c=read,d=1500"]), "v");
+        assert_eq!(client.command(&["CACHE.GET", &key, &id, "c=read,d=1500"]), "v");
     }
     let line = program.counts("requests", 40);
     assert!(
-        counted(&line, &["succeeded", "attempts_connection_fault"])
+        selected_counters(&line, &["succeeded", "attempts_connection_fault"])
             == "succeeded=40 attempts_connection_fault=0"
             && !line.contains(" attempts_connection_lost=0 "),
         "{line}"
--- a/balancer/tests/sockets/main.rs
+++ b/balancer/tests/sockets/main.rs
@@ -15,18 +15,19 @@
 
 pub(crate) const BINARY: &str = env!("CARGO_BIN_EXE_basaltwood-balancer");
 
-/// The program with what it knows at its start, and a discovery that is never there.
+/// The program with an initial endpoint list and a discovery that is never reachable.
 pub(crate) fn program(known: &[(&str, &Peer)]) -> Program {
     let known: Vec<String> = known.iter().map(|(name, peer)| entry(name, peer.address, "active")).collect();
     Program::start(BINARY, nowhere(), &known, 1024)
 }
 
-/// The named counters of a line of them.
-pub(crate) fn counted(line: &str, names: &[&str]) -> String {
+/// The counters with these names from a line of all counters.
+pub(crate) fn selected_counters(line: &str, names: &[&str]) -> String {
     let of = |name: &&str| line.split(' ').find(|word| word.starts_with(&format!("{name}=")));
     names.iter().filter_map(of).collect::<Vec<_>>().join(" ")
 }
 
-pub(crate) fn after(line: &str, mark: &str) -> String {
+/// The rest of the line behind the mark, or the whole line where the mark is missing.
+pub(crate) fn text_after(line: &str, mark: &str) -> String {
     line.split_once(mark).map_or(line, |found| found.1).to_owned()
 }
--- a/balancer/tests/sockets/origin.rs
+++ b/balancer/tests/sockets/origin.rs
@@ -6,7 +6,7 @@
 use crate::program;
 
 #[test]
-fn an_answer_of_the_origin_counts_only_whole() {
+fn origin_response_counts_only_if_whole() {
     let head = |status: &str, rest: &str| format!("HTTP/1.1 {status}\r\n{rest}");
     let answers = [
         head("200 OK", "Content-Length: 2\r\n\r\nok"),
@@ -29,9 +29,9 @@
     for answer in answers {
         let host = Peer::host(|_| miss());
         let text = answer.clone();
-        let origin = Peer::http(move |_| Says::Last(text.clone()));
+        let origin = Peer::http(move |_| Reply::Last(text.clone()));
         let program = program(&[("a", &host), ("origin", &origin)]);
-        let got = program.client().asks(&["CACHE.SET", "k", "id", "c=once,d=600", "v"]);
+        let got = program.client().command(&["CACHE.SET", "k", "id", "c=once,d=600", "v"]);
         lines.push(format!("{} | {got}", answer.replace("\r\n", " ")));
     }
     expect![[r#"
--- a/balancer/tests/stand_ins/mod.rs
+++ b/balancer/tests/stand_ins/mod.rs
@@ -11,7 +11,7 @@
 
 use socket2::{Domain, SockRef, Socket, Type};
 
-use crate::common::{entry, gate, gated_host, hit, Client, Peer, Program, Says, SETTINGS};
+use crate::common::{entry, gate, gated_host, hit, Client, Peer, Program, Reply, SETTINGS};
 
 /// How a client leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,7 +51,7 @@
     let (release, wait) = gate();
     let peer = Peer::host(move |request| {
         if request.contains("break") {
-            return Says::Last(String::new());
+            return Reply::Last(String::new());
         }
         wait(request);
         hit("from a")
--- a/balancer/tests/starts.rs
+++ b/balancer/tests/starts.rs
@@ -32,18 +32,18 @@
 #[test]
 fn forty_processes_started_at_once_with_silent_peers_are_ready_in_time() {
     const PROCESSES: usize = 40;
-    let (discovery, host) = (Peer::http(|_| Says::Nothing), Peer::host(|_| Says::Nothing));
+    let (discovery, host) = (Peer::http(|_| Reply::Nothing), Peer::host(|_| Reply::Nothing));
     let known: Vec<String> = (0..8).map(|nth| entry(&format!("h{nth}"), host.address, "active")).collect();
     let config = config_with_discovery(&known, discovery.address);
 
     let began = Instant::now();
-    let started: Vec<Program> = (0..PROCESSES).map(|_| Program::told(BINARY, &config)).collect();
+    let started: Vec<Program> = (0..PROCESSES).map(|_| Program::with_config(BINARY, &config)).collect();
     let mut ready_after: Vec<Duration> = Vec::new();
     // In the order in which they were started, so that a late one does not delay the others.
     for program in started {
         let program = serving(program);
         assert_eq!(program.call("GET /_ready HTTP/1.1\r\n\r\n"), (200, "ready\n".to_owned()));
-        assert_eq!(program.client().asks(&["PING"]), "+PONG");
+        assert_eq!(program.client().command(&["PING"]), "+PONG");
         ready_after.push(began.elapsed());
     }
 
@@ -62,12 +62,12 @@
     let (a, b) = (Peer::host(|_| hit("from a")), Peer::host(|_| hit("from b")));
     let entries = [entry("a", a.address, "leaving"), entry("b", b.address, "active")].join(",");
     let discovery = Peer::http(move |request| match is_up.load(Ordering::Relaxed) {
-        true if request.contains("from=2&") => Says::Nothing,
+        true if request.contains("from=2&") => Reply::Nothing,
         true => http_answer(200, &format!(r#"{{"generation":2,"reset":false,"instances":[{entries}]}}"#)),
-        false => Says::Last(String::new()),
+        false => Reply::Last(String::new()),
     });
     let known = [entry("a", a.address, "active"), entry("b", b.address, "active")];
-    let program = serving(Program::told(BINARY, &config_with_discovery(&known, discovery.address)));
+    let program = serving(Program::with_config(BINARY, &config_with_discovery(&known, discovery.address)));
     let stop = Arc::new(AtomicBool::new(false));
     let crowd = || thread::spawn(idle_clients(program.address.clone(), stop.clone()));
     let crowds: Vec<_> = (0..4).map(|_| crowd()).collect();
@@ -82,7 +82,7 @@
     // Idle clients make way for one that sends a request.
     for nth in 0..4 {
         let (key, id) = (format!("k{nth}"), format!("id{nth}"));
-        assert_eq!(program.client().asks(&["CACHE.GET", &key, &id, "c=read,d=1900"]), "from b");
+        assert_eq!(program.client().command(&["CACHE.GET", &key, &id, "c=read,d=1900"]), "from b");
     }
     assert!(a.quiet(), "nothing goes to the host that leaves");
     stop.store(true, Ordering::Relaxed);
--- a/balancer/tests/takeover.rs
+++ b/balancer/tests/takeover.rs
@@ -79,12 +79,12 @@
             sent += 1;
             let id = format!("c{name}-{sent}");
             let command = ["CACHE.GET", "k", &id, "c=once,d=900"];
-            let mut answer = client.asks(&command);
+            let mut answer = client.command(&command);
             if answer == "closed" && keeps_connection {
                 // A close may cross a request on a kept connection. It was not read, so it is sent
                 // once more.
                 client = Client::at(&address);
-                answer = client.asks(&command);
+                answer = client.command(&command);
             }
             match &answer[..] {
                 "v" => served += 1,
@@ -129,7 +129,7 @@
     drop(old);
     let next = platform.start();
     next.logged("Alone");
-    assert_eq!(next.client().asks(&["CACHE.GET", "k", "last", "c=once,d=900"]), "v");
+    assert_eq!(next.client().command(&["CACHE.GET", "k", "last", "c=once,d=900"]), "v");
     assert!(served > 100, "only {served} were served");
     // Each request that was served reached the host once, none twice.
     let mut ids = HashSet::new();
@@ -148,7 +148,7 @@
     let platform = Platform::new("in-hand", &[("a", &host)]);
     let mut old = platform.start();
     let (mut slow, mut kept) = (old.client(), old.client());
-    assert_eq!(kept.asks(&["PING"]), "+PONG");
+    assert_eq!(kept.command(&["PING"]), "+PONG");
     slow.get("slow", "id1", "c=read,d=1900");
     host.next();
     // The old process may be in lame-duck mode.
@@ -159,10 +159,10 @@
     old.logged("Takeover");
     // From now on the new process answers, and is not in lame-duck mode.
     let mut late = new.client();
-    let mut trace = vec![late.asks(&["PING"]), late.asks(&["CACHE.GET", "k", "id2", "c=once,d=900"])];
+    let mut trace = vec![late.command(&["PING"]), late.command(&["CACHE.GET", "k", "id2", "c=once,d=900"])];
     release.send(()).expect("it waits");
     trace.extend([slow.answer(), slow.answer(), format!("{:?}", old.ended().code())]);
-    trace.push(late.asks(&["CACHE.GET", "k", "id3", "c=once,d=900"]));
+    trace.push(late.command(&["CACHE.GET", "k", "id3", "c=once,d=900"]));
     assert_eq!(trace, ["+PONG", "v", "v", "closed", "Some(0)", "v"]);
 }
 
@@ -172,7 +172,7 @@
     let platform = Platform::new("no-folder", &[("a", &host)]);
     let program = platform.start_in(Path::new("/nonexistent"));
     program.logged("Half");
-    assert_eq!(program.client().asks(&["CACHE.GET", "k", "id1", "c=once,d=900"]), "v");
+    assert_eq!(program.client().command(&["CACHE.GET", "k", "id1", "c=once,d=900"]), "v");
 }
 
 #[test]
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -236,10 +236,10 @@
 }
 
 /// How long an event may take to come before a test fails.
-const PATIENCE: Duration = Duration::from_secs(15);
+const TEST_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// What a stand-in does with a request.
-pub enum Says {
+/// What a stand-in replies to a request.
+pub enum Reply {
     Text(String),
     /// The last on this connection.
     Last(String),
@@ -248,25 +248,25 @@
     Drips(String, Duration),
 }
 
-/// Something the balancer speaks with: it tells the test what it was asked and answers by a rule.
+/// Something the balancer speaks with: it reports each request to the test and replies by a rule.
 pub struct Peer {
     pub address: SocketAddr,
     seen: Receiver<String>,
 }
 
-type Rule = Arc<dyn Fn(&str) -> Says + Send + Sync>;
+type Rule = Arc<dyn Fn(&str) -> Reply + Send + Sync>;
 type Reader = fn(&mut BufReader<TcpStream>) -> io::Result<String>;
 
 impl Peer {
-    pub fn host(rule: impl Fn(&str) -> Says + Send + Sync + 'static) -> Peer {
+    pub fn host(rule: impl Fn(&str) -> Reply + Send + Sync + 'static) -> Peer {
         Peer::start(read_command, Arc::new(rule), false)
     }
 
-    pub fn http(rule: impl Fn(&str) -> Says + Send + Sync + 'static) -> Peer {
+    pub fn http(rule: impl Fn(&str) -> Reply + Send + Sync + 'static) -> Peer {
         Peer::start(read_http, Arc::new(rule), false)
     }
 
-    /// Where `once`, a request that comes again word for word on its connection is told of once.
+    /// With `once`, a request that is repeated word for word on its connection is reported once.
     fn start(read: Reader, rule: Rule, once: bool) -> Peer {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("an address");
@@ -274,7 +274,7 @@
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (tell, rule) = (tell.clone(), rule.clone());
-                thread::spawn(move || attend(stream, read, &rule, &tell, once));
+                thread::spawn(move || serve_connection(stream, read, &rule, &tell, once));
             }
         });
         Peer { address, seen }
@@ -282,7 +282,7 @@
 
     /// The next request, or `closed` once a connection is at its end.
     pub fn next(&self) -> String {
-        self.seen.recv_timeout(PATIENCE).expect("nothing came")
+        self.seen.recv_timeout(TEST_TIMEOUT).expect("nothing came")
     }
 
     pub fn quiet(&self) -> bool {
@@ -295,20 +295,20 @@
     }
 }
 
-fn attend(stream: TcpStream, read: Reader, rule: &Rule, tell: &Sender<String>, once: bool) {
+fn serve_connection(stream: TcpStream, read: Reader, rule: &Rule, tell: &Sender<String>, once: bool) {
     let mut writing = stream.try_clone().expect("a second handle");
     let mut reading = BufReader::new(stream);
     let mut before = String::new();
-    while let Ok(asked) = read(&mut reading) {
-        if !once || before != asked {
-            let _ = tell.send(asked.clone());
+    while let Ok(request) = read(&mut reading) {
+        if !once || before != request {
+            let _ = tell.send(request.clone());
         }
-        before.clone_from(&asked);
-        let (text, last) = match rule(&asked) {
-            Says::Text(text) => (text, false),
-            Says::Last(text) => (text, true),
-            Says::Nothing => continue,
-            Says::Drips(text, pause) => {
+        before.clone_from(&request);
+        let (text, last) = match rule(&request) {
+            Reply::Text(text) => (text, false),
+            Reply::Last(text) => (text, true),
+            Reply::Nothing => continue,
+            Reply::Drips(text, pause) => {
                 for byte in text.bytes() {
                     thread::sleep(pause);
                     if writing.write_all(&[byte]).is_err() {
@@ -386,12 +386,12 @@
     Ok(if body.is_empty() { text } else { format!("{text} | {body}") })
 }
 
-/// Holds a stand-in back at what is asked for the key `slow`, until the test releases it.
+/// Holds back the replies to requests for the key `slow` until the test releases them.
 pub fn gate() -> (Sender<()>, impl Fn(&str) + Send + Sync) {
     let (release, released) = channel::<()>();
     let released = Mutex::new(released);
-    let wait = move |asked: &str| {
-        if asked.contains("slow") {
+    let wait = move |request: &str| {
+        if request.contains("slow") {
             let _ = released.lock().expect("a lock").recv();
         }
     };
@@ -403,30 +403,30 @@
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
 
-/// A host that is held back so and has a value for every key.
+/// A host behind such a gate that has a value for every key.
 pub fn gated_host() -> (Sender<()>, Peer) {
     let (release, wait) = gate();
-    let host = Peer::host(move |asked| {
-        wait(asked);
+    let host = Peer::host(move |request| {
+        wait(request);
         hit("v")
     });
     (release, host)
 }
 
-/// A key whose home of the hosts a and b is a.
+/// A key whose home host of a and b is a.
 pub const HOME_A: &str = "k2";
 
 /// A cache host's answer with a value.
-pub fn hit(value: &str) -> Says {
-    Says::Text(format!("*3\r\n${}\r\n{value}\r\n$-1\r\n$-1\r\n", value.len()))
+pub fn hit(value: &str) -> Reply {
+    Reply::Text(format!("*3\r\n${}\r\n{value}\r\n$-1\r\n$-1\r\n", value.len()))
 }
 
-pub fn miss() -> Says {
-    Says::Text("*3\r\n$-1\r\n$-1\r\n$-1\r\n".to_owned())
+pub fn miss() -> Reply {
+    Reply::Text("*3\r\n$-1\r\n$-1\r\n$-1\r\n".to_owned())
 }
 
-pub fn http_answer(status: u32, body: &str) -> Says {
-    Says::Text(format!("HTTP/1.1 {status} so\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
+pub fn http_answer(status: u32, body: &str) -> Reply {
+    Reply::Text(format!("HTTP/1.1 {status} so\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
 }
 
 /// An entry of the list, as discovery writes it.
@@ -437,8 +437,8 @@
     )
 }
 
-/// Discovery: holds a watch until the test tells something new, or the hold is over. A watch that goes on unchanged is told of
-/// once, so that no trace depends on how long a test takes.
+/// Discovery: holds a watch until the test publishes a new list, or the hold is over. A repeated
+/// unchanged watch is reported once, so that no trace depends on how long a test takes.
 pub struct Discovery {
     pub peer: Peer,
     state: Arc<(Mutex<(u64, String)>, Condvar)>,
@@ -448,10 +448,11 @@
     pub fn start() -> Discovery {
         let state = Arc::new((Mutex::new((1, String::new())), Condvar::new()));
         let shared = state.clone();
-        let rule = move |asked: &str| {
+        let rule = move |request: &str| {
             let number = |text: &str| text.split('&').next().and_then(|text| text.parse::<u64>().ok());
-            let said = |name: &str| asked.split_once(name).and_then(|found| number(found.1)).unwrap_or(0);
-            let (from, hold) = (said("from="), Duration::from_millis(said("hold_ms=")));
+            let parameter =
+                |name: &str| request.split_once(name).and_then(|found| number(found.1)).unwrap_or(0);
+            let (from, hold) = (parameter("from="), Duration::from_millis(parameter("hold_ms=")));
             let held =
                 shared.1.wait_timeout_while(shared.0.lock().expect("a lock"), hold, |now| now.0 <= from);
             let (generation, entries) = held.expect("a lock").0.clone();
@@ -487,14 +488,14 @@
     pub address: String,
     /// Where operators call; empty where none can.
     pub mgmt: String,
-    told: PathBuf,
+    config_file: PathBuf,
 }
 
 fn address_in(line: &str) -> String {
     line.rsplit(' ').next().expect("an address").to_owned()
 }
 
-/// What a program is told that operators can call.
+/// The configuration of a program with an admin address.
 pub fn managed(known: &[String], [memory, sockets]: [u32; 2]) -> String {
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","mgmt":"127.0.0.1:0","seed":"1",
@@ -535,12 +536,12 @@
             "known":{{"generation":1,"reset":true,"instances":[{}]}},"settings":{settings}}}"#,
             known.join(",")
         );
-        Program::told(binary, &text)
+        Program::with_config(binary, &text)
     }
 
     /// With an address for operators beside the clients' one.
     pub fn managed(binary: &str, known: &[String], limits: [u32; 2]) -> Program {
-        let mut program = Program::told(binary, &managed(known, limits));
+        let mut program = Program::with_config(binary, &managed(known, limits));
         program.mgmt = address_in(&program.logged("mgmt on"));
         program.serving()
     }
@@ -554,7 +555,7 @@
     /// A call of an operator: the status and the body.
     pub fn call(&self, text: &str) -> (u16, String) {
         let mut stream = TcpStream::connect(&self.mgmt).expect("it listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
         stream.write_all(text.as_bytes()).expect("it is taken");
         let mut answer = String::new();
         stream.read_to_string(&mut answer).expect("an answer");
@@ -563,8 +564,8 @@
         (status.unwrap_or_else(|| panic!("no status in {answer:?}")), body.to_owned())
     }
 
-    /// The figures without their comments, once they hold this.
-    pub fn figures(&self, what: &str) -> String {
+    /// The metrics without their comments, once they contain this line.
+    pub fn metrics(&self, what: &str) -> String {
         let began = Instant::now();
         loop {
             let (_, page) = self.call("GET /_vars HTTP/1.1\r\n\r\n");
@@ -572,37 +573,37 @@
             if lines.contains(&what) {
                 return lines.join("\n").replace("edge_proxy_", "");
             }
-            assert!(began.elapsed() < PATIENCE, "no {what} in {page}");
+            assert!(began.elapsed() < TEST_TIMEOUT, "no {what} in {page}");
         }
     }
 
-    pub fn told(binary: &str, text: &str) -> Program {
-        Program::spawned(Command::new(binary), Program::file(text))
+    pub fn with_config(binary: &str, text: &str) -> Program {
+        Program::spawned(Command::new(binary), Program::write_config(text))
     }
 
     /// The same with an operators' map of regions.
     pub fn in_regions(binary: &str, text: &str, map: &str) -> Program {
-        let told = Program::file(text);
-        let file = told.with_extension("toml");
+        let config_file = Program::write_config(text);
+        let file = config_file.with_extension("toml");
         std::fs::write(&file, map).expect("a file");
         let mut command = Command::new(binary);
         command.env("BASALTWOOD_REGIONS", file);
-        Program::spawned(command, told)
+        Program::spawned(command, config_file)
     }
 
     /// The same from another working directory, with nothing named.
-    pub fn told_in(binary: &str, text: &str, folder: &Path) -> Program {
+    pub fn with_config_in(binary: &str, text: &str, folder: &Path) -> Program {
         let mut command = Command::new(binary);
         command.current_dir(folder);
-        Program::spawned(command, Program::file(text))
+        Program::spawned(command, Program::write_config(text))
     }
 
-    fn file(text: &str) -> PathBuf {
+    fn write_config(text: &str) -> PathBuf {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let name = format!("basaltwood-{}-{}.json", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
-        let told = std::env::temp_dir().join(name);
-        std::fs::write(&told, text).expect("a file");
-        told
+        let config_file = std::env::temp_dir().join(name);
+        std::fs::write(&config_file, text).expect("a file");
+        config_file
     }
 
     /// As a platform starts it that holds the clients' listening socket: inherited as descriptor 5.
@@ -610,7 +611,7 @@
         Program::inheriting_as(binary, text, listener, folder, "5")
     }
 
-    /// The same with another number told.
+    /// The same with another descriptor number in the environment.
     pub fn inheriting_as(
         binary: &str,
         text: &str,
@@ -622,30 +623,30 @@
         let mut command = Command::new("sh");
         command.args(["-c", "exec \"$0\" 5<&0 </dev/null", binary]).stdin(Stdio::from(held));
         command.env("PROXY_INHERITED_FD", named).env("TMPDIR", folder);
-        Program::spawned(command, Program::file(text))
+        Program::spawned(command, Program::write_config(text))
     }
 
-    fn spawned(mut command: Command, told: PathBuf) -> Program {
-        command.env("PROXY_CONFIG", &told).env("RUST_LOG", "info").stderr(Stdio::piped());
+    fn spawned(mut command: Command, config_file: PathBuf) -> Program {
+        command.env("PROXY_CONFIG", &config_file).env("RUST_LOG", "info").stderr(Stdio::piped());
         let mut child = command.spawn().expect("the program starts");
         let lines = BufReader::new(child.stderr.take().expect("its log")).lines();
         let (tell, log) = channel();
         thread::spawn(move || lines.map_while(Result::ok).all(|line| tell.send(line).is_ok()));
-        Program { child, log, address: String::new(), mgmt: String::new(), told }
+        Program { child, log, address: String::new(), mgmt: String::new(), config_file }
     }
 
-    /// Replaces the file that it was told by, one part of it by another, and has it read anew.
-    pub fn told_anew(&self, part: &str, by: &str) {
-        let text = std::fs::read_to_string(&self.told).expect("its file");
+    /// Replaces one part of its configuration file by another and sends SIGHUP.
+    pub fn reload_with(&self, part: &str, by: &str) {
+        let text = std::fs::read_to_string(&self.config_file).expect("its file");
         assert!(text.contains(part), "{part} is not in {text}");
-        std::fs::write(&self.told, text.replace(part, by)).expect("a file");
+        std::fs::write(&self.config_file, text.replace(part, by)).expect("a file");
         self.signal("HUP");
     }
 
     /// The next line of the log that holds this.
     pub fn logged(&self, what: &str) -> String {
         loop {
-            let line = self.log.recv_timeout(PATIENCE).unwrap_or_else(|_| panic!("no line with {what}"));
+            let line = self.log.recv_timeout(TEST_TIMEOUT).unwrap_or_else(|_| panic!("no line with {what}"));
             if line.contains(what) {
                 return line;
             }
@@ -653,17 +654,17 @@
     }
 
     /// Its counters, once this one shows so much or more.
-    pub fn counts(&self, name: &str, least: u64) -> String {
+    pub fn counts(&self, name: &str, minimum: u64) -> String {
         let began = Instant::now();
         loop {
             self.signal("USR1");
             let line = self.logged("counters");
             let mut words = line.split(' ').filter_map(|word| word.split_once('='));
             let count = words.find(|word| word.0 == name).and_then(|word| word.1.parse::<u64>().ok());
-            if count.expect("such a counter") >= least {
+            if count.expect("such a counter") >= minimum {
                 return line;
             }
-            assert!(began.elapsed() < PATIENCE, "{name} is not {least} in {line}");
+            assert!(began.elapsed() < TEST_TIMEOUT, "{name} is not {minimum} in {line}");
         }
     }
 
@@ -683,7 +684,7 @@
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("it runs").count()
     }
 
-    /// The most memory that it has held so far, in MB.
+    /// The peak of its resident memory so far, in MB.
     pub fn memory(&self) -> u32 {
         self.memory_kb() / 1024
     }
@@ -707,13 +708,13 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let ended = self.child.wait();
-        // Of a test that fails the program's own words are kept.
+        // When a test fails, the program's log is printed.
         if thread::panicking() {
             eprintln!("the program: {ended:?}");
             self.rest().iter().for_each(|line| eprintln!("{line}"));
         }
-        let _ = std::fs::remove_file(&self.told);
-        let _ = std::fs::remove_file(self.told.with_extension("toml"));
+        let _ = std::fs::remove_file(&self.config_file);
+        let _ = std::fs::remove_file(self.config_file.with_extension("toml"));
     }
 }
 
@@ -725,7 +726,7 @@
 impl Client {
     pub fn at(address: &str) -> Client {
         let stream = TcpStream::connect(address).expect("it listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
         Client { reading: BufReader::new(stream.try_clone().expect("a second handle")), writing: stream }
     }
 
@@ -770,7 +771,7 @@
         .unwrap_or("closed".to_owned())
     }
 
-    pub fn asks(&mut self, words: &[&str]) -> String {
+    pub fn command(&mut self, words: &[&str]) -> String {
         self.send(words);
         self.answer()
     }
