--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -266,7 +266,7 @@
             Ok(0)
         }
         Verb::Scale { file, quick, out, json } => scale(&file, quick, &out, json),
-        Verb::ScalePart => scale::part::serve().map(|()| 0).map_err(failed),
+        Verb::ScalePart => scale::worker_process::serve().map(|()| 0).map_err(failed),
         Verb::Report { folder } => {
             let runs = compare::read(&folder).map_err(bad)?;
             let name = runs.first().map_or("nothing", |run| &run.experiment).to_owned();
@@ -347,8 +347,8 @@
 
 /// Plays the points of a scale experiment, and writes raw points, lines and drawings as it goes.
 fn scale(file: &Path, quick: bool, out: &Path, json: bool) -> Result<u8, Trouble> {
-    let script = scale::script::Script::read(file, quick).map_err(bad)?;
-    let fits = script.fits(scale::script::Machine::this());
+    let script = scale::experiment::ScaleExperiment::read(file, quick).map_err(bad)?;
+    let fits = script.fits(scale::experiment::MachineLimits::this());
     fits.map_err(|cause| bad(format!("{}: {cause}", file.display())))?;
     let folder = fresh(out, &script.name)?;
     let text = std::fs::read_to_string(file).unwrap_or_default();
@@ -374,7 +374,7 @@
                 }
                 say(&format!("{title}  {on} {seconds:.0} s"));
             };
-            let point = scale::play::point(&script, at, seed, &logs, &mut tell).map_err(failed)?;
+            let point = scale::run::run_point(&script, at, seed, &logs, &mut tell).map_err(failed)?;
             let line = serde_json::to_string(&point).map_err(|cause| failed(cause.to_string()))?;
             writeln!(lines, "{line}").map_err(|cause| failed(cause.to_string()))?;
             if json {
@@ -385,17 +385,17 @@
             points.push(point);
         }
     }
-    let fitted = scale::play::fitted(&script, &points);
+    let fitted = scale::run::fit_figures(&script, &points);
     let text = serde_json::to_string_pretty(&fitted).map_err(|cause| failed(cause.to_string()))?;
     write(&folder.join("lines.json"), &text)?;
     for figure in &fitted {
-        let svg = scale::draw::svg(axis, figure).map_err(failed)?;
-        write(&folder.join(scale::draw::file_name(figure.figure)), &svg)?;
+        let svg = scale::report::svg(axis, figure).map_err(failed)?;
+        write(&folder.join(scale::report::file_name(figure.figure)), &svg)?;
         if json {
             println!("{}", serde_json::to_string(figure).map_err(|cause| failed(cause.to_string()))?);
         }
     }
-    let table = scale::draw::table(axis, &points, &fitted);
+    let table = scale::report::table(axis, &points, &fitted);
     write(&folder.join("table.txt"), &table)?;
     if !json {
         println!("\n{table}\nresult: {}", folder.display());
--- a/testbed/src/scale/discovery.rs
+++ b/testbed/src/scale/discovery.rs
@@ -20,7 +20,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use super::part::{in_json, Asked, Role, Said};
+use super::worker_process::{in_json, Worker, WorkerCommand, WorkerReply};
 use crate::load::player::thread_cpu;
 use crate::world::discovery::{changes_asked, held};
 use crate::world::host::listen;
@@ -35,13 +35,13 @@
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct DiscoveryUp {
+pub struct DiscoveryReady {
     pub address: SocketAddr,
 }
 
 /// Counters since the start; changes since the last mark.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct DiscoveryMark {
+pub struct DiscoverySnapshot {
     pub cpu_s: f64,
     pub calls: u64,
     /// Of requests and of answers, without what TCP adds.
@@ -65,7 +65,7 @@
     page: RefCell<Option<(Option<u64>, u64, Bytes)>>,
     silent: watch::Sender<bool>,
     changing: Cell<bool>,
-    mark: RefCell<DiscoveryMark>,
+    mark: RefCell<DiscoverySnapshot>,
 }
 
 impl Discovery {
@@ -184,18 +184,18 @@
     }
 }
 
-impl Role for Discovery {
-    fn up(&self) -> Said {
-        in_json(&DiscoveryUp { address: self.address })
+impl Worker for Discovery {
+    fn up(&self) -> WorkerReply {
+        in_json(&DiscoveryReady { address: self.address })
     }
 
-    fn asked(self: Rc<Self>, asked: Asked) -> Said {
+    fn asked(self: Rc<Self>, asked: WorkerCommand) -> WorkerReply {
         match asked {
-            Asked::Begin => self.changing.set(true),
-            Asked::Rest => self.changing.set(false),
-            Asked::Silent => drop(self.silent.send_replace(true)),
-            Asked::Speak => drop(self.silent.send_replace(false)),
-            Asked::Mark => {}
+            WorkerCommand::Start => self.changing.set(true),
+            WorkerCommand::Stop => self.changing.set(false),
+            WorkerCommand::StopResponding => drop(self.silent.send_replace(true)),
+            WorkerCommand::ResumeResponding => drop(self.silent.send_replace(false)),
+            WorkerCommand::Snapshot => {}
         }
         let mut mark = self.mark.borrow_mut();
         mark.cpu_s = thread_cpu();
--- a/testbed/src/scale/script.rs
+++ b/testbed/src/scale/experiment.rs
@@ -8,7 +8,7 @@
 use crate::script::{allowed_descriptors, Experiment};
 
 /// Processes of a run at most: hollow ones, fleets, discovery, a real balancer.
-const MOST_PROCESSES: usize = 40;
+const MAX_PROCESSES: usize = 40;
 /// What a process takes by itself, and a hollow balancer for itself, for each host that it knows and for each
 /// connection, in kB: measured once with room to spare, so that a refusal comes before anything starts.
 const PROCESS_KB: f64 = 12_000.0;
@@ -18,7 +18,7 @@
 /// How long is looked on after a fault, in seconds.
 pub const RECOVERY_S: f64 = 4.0;
 /// Descriptors beside connections.
-const BESIDE: usize = 64;
+const OTHER_DESCRIPTORS: usize = 64;
 /// How much more than its part of the connections one process of a fleet may get.
 const SKEW: f64 = 1.25;
 
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Axis {
-    /// Hollow balancers.
+    /// SimulatedBalancer balancers.
     Balancers,
     Hosts,
     /// Ops a second of each hollow balancer.
@@ -51,7 +51,7 @@
 /// A scale experiment.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Script {
+pub struct ScaleExperiment {
     pub name: String,
     #[serde(default)]
     pub about: String,
@@ -73,7 +73,7 @@
     #[serde(default)]
     pub faults: Faults,
     #[serde(default)]
-    pub held: Held,
+    pub held: Conditions,
     #[serde(default)]
     pub processes: Processes,
     /// The size to which the lines are drawn on.
@@ -99,7 +99,7 @@
 /// What stands while the axis varies; the axis' own value is replaced by each point's.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Held {
+pub struct Conditions {
     pub balancers: u32,
     pub hosts: u32,
     /// Ops a second of each hollow balancer.
@@ -121,9 +121,9 @@
     pub real_sockets: usize,
 }
 
-impl Default for Held {
-    fn default() -> Held {
-        Held {
+impl Default for Conditions {
+    fn default() -> Conditions {
+        Conditions {
             balancers: 30,
             hosts: 63,
             rate: 20.0,
@@ -159,7 +159,7 @@
 pub struct Processes {
     pub hollow: u32,
     pub fleet: u32,
-    /// Hollow balancers of a process, instead of `hollow` processes: then what a process costs by itself is the
+    /// SimulatedBalancer balancers of a process, instead of `hollow` processes: then what a process costs by itself is the
     /// same part of a balancer's figures at every point.
     pub each: Option<u32>,
 }
@@ -227,36 +227,36 @@
 
 /// The machine that it is to run on.
 #[derive(Clone, Copy, Debug)]
-pub struct Machine {
+pub struct MachineLimits {
     /// Descriptors of one process, where the system says.
     pub descriptors: Option<usize>,
     /// All memory, in kB.
     pub memory_kb: f64,
 }
 
-impl Machine {
-    pub fn this() -> Machine {
+impl MachineLimits {
+    pub fn this() -> MachineLimits {
         let text = std::fs::read_to_string("/proc/meminfo").unwrap_or_default();
         let total = text.lines().find_map(|line| line.strip_prefix("MemTotal:"));
         let total = total.and_then(|line| line.trim().trim_end_matches(" kB").parse().ok());
-        Machine { descriptors: allowed_descriptors(), memory_kb: total.unwrap_or(f64::INFINITY) }
+        MachineLimits { descriptors: allowed_descriptors(), memory_kb: total.unwrap_or(f64::INFINITY) }
     }
 }
 
-impl Script {
+impl ScaleExperiment {
     /// Reads and checks a file.
     ///
     /// # Errors
     /// One line that names the file, the line where there is one, what is wrong and the way out.
-    pub fn read(path: &Path, quick: bool) -> Result<Script, String> {
+    pub fn read(path: &Path, quick: bool) -> Result<ScaleExperiment, String> {
         let text = std::fs::read_to_string(path).map_err(|cause| format!("{}: {cause}", path.display()))?;
-        Script::parse(&text, quick).map_err(|cause| format!("{}:{cause}", path.display()))
+        ScaleExperiment::parse(&text, quick).map_err(|cause| format!("{}:{cause}", path.display()))
     }
 
     /// # Errors
-    /// As [`Script::read`], without the file's name.
-    pub fn parse(text: &str, quick: bool) -> Result<Script, String> {
-        let mut script: Script = toml::from_str(text).map_err(|cause| {
+    /// As [`ScaleExperiment::read`], without the file's name.
+    pub fn parse(text: &str, quick: bool) -> Result<ScaleExperiment, String> {
+        let mut script: ScaleExperiment = toml::from_str(text).map_err(|cause| {
             let line = cause.span().map_or(0, |span| text[..span.start].matches('\n').count() + 1);
             format!("{line}: {}", cause.message().replace('\n', " "))
         })?;
@@ -306,7 +306,7 @@
     }
 
     /// What holds at a point of the axis.
-    pub fn at(&self, point: f64) -> Held {
+    pub fn at(&self, point: f64) -> Conditions {
         let mut held = self.held.clone();
         match self.axis {
             Axis::Balancers => held.balancers = point as u32,
@@ -319,7 +319,7 @@
     }
 
     /// Over how many processes a point's hollow balancers are spread.
-    pub fn hollow_processes(&self, held: &Held) -> u32 {
+    pub fn hollow_processes(&self, held: &Conditions) -> u32 {
         let Processes { hollow, each, .. } = self.processes;
         each.map_or(hollow, |each| held.balancers.div_ceil(each.max(1)))
     }
@@ -339,7 +339,7 @@
     ///
     /// # Errors
     /// The first want, in one line with the way out.
-    pub fn fits(&self, machine: Machine) -> Result<(), String> {
+    pub fn fits(&self, machine: MachineLimits) -> Result<(), String> {
         let fleet = self.processes.fleet;
         for &point in &self.points {
             let held = self.at(point);
@@ -347,9 +347,9 @@
             let at = format!("{} = {point}", self.axis.name());
             let real = held.real_rate > 0.0;
             let processes = (hollow + fleet) as usize + 1 + usize::from(real);
-            if processes > MOST_PROCESSES {
+            if processes > MAX_PROCESSES {
                 return Err(format!(
-                    "{at}: {processes} processes and {MOST_PROCESSES} at most: fewer processes.hollow (or more processes.each) or \
+                    "{at}: {processes} processes and {MAX_PROCESSES} at most: fewer processes.hollow (or more processes.each) or \
                      processes.fleet"
                 ));
             }
@@ -358,17 +358,17 @@
             let wants = [
                 (
                     "a hollow process",
-                    balancers.div_ceil(hollow as usize) * (held.sockets + 1) + BESIDE,
+                    balancers.div_ceil(hollow as usize) * (held.sockets + 1) + OTHER_DESCRIPTORS,
                     "more processes.hollow (or fewer processes.each), fewer held.sockets",
                 ),
                 (
                     "a process of the fleet",
                     hosts.div_ceil(fleet as usize)
                         + (connections as f64 / f64::from(fleet) * SKEW) as usize
-                        + BESIDE,
+                        + OTHER_DESCRIPTORS,
                     "more processes.fleet, fewer held.sockets",
                 ),
-                ("discovery", balancers + BESIDE, "fewer balancers"),
+                ("discovery", balancers + OTHER_DESCRIPTORS, "fewer balancers"),
             ];
             for (what, needed, way) in wants {
                 if let Some(allowed) = machine.descriptors.filter(|&allowed| needed > allowed) {
@@ -406,7 +406,7 @@
     ///
     /// # Errors
     /// Where the experiment's own checks refuse it.
-    pub fn experiment(&self, held: &Held) -> Result<Experiment, String> {
+    pub fn experiment(&self, held: &Conditions) -> Result<Experiment, String> {
         let text = format!(
             "name = {:?}\nseconds = {:?}\nbalancers = 1\n[limits]\nsockets = {}\n[[categories]]\nname = \"read\"\n\
              target_ms = {:?}\nttl_ms = {:?}\nrepeats = \"redeliverable\"\n[fleet]\nhosts = 1\nzones = {}\n\
--- a/testbed/src/scale/fleet.rs
+++ b/testbed/src/scale/fleet.rs
@@ -17,7 +17,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-use super::part::{counts, in_json, Asked, Counts, Role, Said};
+use super::worker_process::{counts, in_json, ValueCounts, Worker, WorkerCommand, WorkerReply};
 use crate::lateness::Lateness;
 use crate::load::player::thread_cpu;
 use crate::world::beat;
@@ -36,13 +36,13 @@
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct FleetUp {
+pub struct FleetReady {
     pub addresses: Vec<SocketAddr>,
 }
 
 /// Counters since the start; lateness since the last mark.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct FleetMark {
+pub struct FleetSnapshot {
     pub cpu_s: f64,
     /// By host.
     pub requests: Vec<u64>,
@@ -50,9 +50,9 @@
     pub opened: Vec<u64>,
     /// Connections that are open now, by host.
     pub open: Vec<u64>,
-    pub late: Counts,
+    pub late: ValueCounts,
     /// Beside waits for a core.
-    pub own: Counts,
+    pub own: ValueCounts,
 }
 
 #[derive(Default)]
@@ -153,21 +153,21 @@
     }
 }
 
-impl Role for Fleet {
-    fn up(&self) -> Said {
-        in_json(&FleetUp { addresses: self.addresses.borrow().clone() })
+impl Worker for Fleet {
+    fn up(&self) -> WorkerReply {
+        in_json(&FleetReady { addresses: self.addresses.borrow().clone() })
     }
 
-    fn asked(self: Rc<Self>, asked: Asked) -> Said {
+    fn asked(self: Rc<Self>, asked: WorkerCommand) -> WorkerReply {
         match asked {
             // The first of its slice hangs.
-            Asked::Silent => self.hosts.iter().take(1).for_each(|host| host.hangs.set(true)),
-            Asked::Speak => self.hosts.iter().for_each(|host| host.hangs.set(false)),
-            Asked::Begin | Asked::Rest | Asked::Mark => {}
+            WorkerCommand::StopResponding => self.hosts.iter().take(1).for_each(|host| host.hangs.set(true)),
+            WorkerCommand::ResumeResponding => self.hosts.iter().for_each(|host| host.hangs.set(false)),
+            WorkerCommand::Start | WorkerCommand::Stop | WorkerCommand::Snapshot => {}
         }
         let of = |read: fn(&Host) -> &Cell<u64>| self.hosts.iter().map(|host| read(host).get()).collect();
         let seen = self.late.seen();
-        let mark = FleetMark {
+        let mark = FleetSnapshot {
             cpu_s: thread_cpu(),
             requests: of(|host| &host.requests),
             opened: of(|host| &host.opened),
--- a/testbed/src/scale/slope.rs
+++ b/testbed/src/scale/regression.rs
@@ -5,7 +5,7 @@
 
 /// A line, and what it gives further on. Half intervals are `None` with fewer than three points.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Line {
+pub struct LinearFit {
     pub intercept: f64,
     pub slope: f64,
     pub slope_half: Option<f64>,
@@ -17,7 +17,7 @@
 }
 
 /// The line through (x, y) and its value at `there`; `None` where all points have the same x.
-pub fn line(points: &[(f64, f64)], there: f64) -> Option<Line> {
+pub fn fit_line(points: &[(f64, f64)], there: f64) -> Option<LinearFit> {
     let n = points.len() as f64;
     let mean = |read: fn(&(f64, f64)) -> f64| points.iter().map(read).sum::<f64>() / n;
     let (x, y) = (mean(|point| point.0), mean(|point| point.1));
@@ -36,7 +36,7 @@
         (None, 0.0)
     };
     let half = |part: f64| deviation.map(|deviation| times * deviation * part.sqrt());
-    Some(Line {
+    Some(LinearFit {
         intercept,
         slope,
         slope_half: half(1.0 / spread),
--- a/testbed/src/scale/draw.rs
+++ b/testbed/src/scale/report.rs
@@ -5,7 +5,7 @@
 
 use plotters::prelude::*;
 
-use super::play::{Fitted, Point};
+use super::run::{FittedFigure, MeasuredPoint};
 
 const WIDE: (u32, u32) = (720, 400);
 
@@ -24,7 +24,7 @@
 }
 
 /// The table: a figure a line, its mean at each point, its slope and what that gives at the plan's size.
-pub fn table(axis: &str, points: &[Point], all: &[Fitted]) -> String {
+pub fn table(axis: &str, points: &[MeasuredPoint], all: &[FittedFigure]) -> String {
     let mut at: Vec<f64> = points.iter().map(|point| point.at).collect();
     at.sort_by(f64::total_cmp);
     at.dedup();
@@ -76,7 +76,7 @@
 ///
 /// # Errors
 /// What the drawing failed of.
-pub fn svg(axis: &str, fitted: &Fitted) -> Result<String, String> {
+pub fn svg(axis: &str, fitted: &FittedFigure) -> Result<String, String> {
     let mut svg = String::new();
     let failed = |cause: &dyn std::fmt::Display| format!("{}: {cause}", fitted.figure);
     let all = || fitted.points.iter().chain(&fitted.void);
--- a/testbed/src/scale/play.rs
+++ b/testbed/src/scale/run/mod.rs
@@ -13,12 +13,6 @@
 use serde::Serialize;
 use serde_json::{json, Value};
 
-use super::discovery::{unix_us, DiscoveryMark, DiscoverySpec, DiscoveryUp};
-use super::fleet::{FleetMark, FleetSpec, FleetUp};
-use super::hollow::{HollowMark, HollowSpec, HollowUp};
-use super::part::{merged, Asked, Part, Spec};
-use super::script::{Held, Script, RECOVERY_S};
-use super::slope::{line, Line};
 use crate::balancers::{Balancers, Program, Use};
 use crate::figures;
 use crate::lateness::{judge, Bare, Bounds, Lateness, Seen, Verdict};
@@ -26,6 +20,12 @@
 use crate::load::plan::Plan;
 use crate::load::player::{self, Played};
 use crate::play::{INTERRUPTED, STOP};
+use crate::scale::discovery::{unix_us, DiscoveryReady, DiscoverySnapshot, DiscoverySpec};
+use crate::scale::experiment::{Conditions, ScaleExperiment, RECOVERY_S};
+use crate::scale::fleet::{FleetReady, FleetSnapshot, FleetSpec};
+use crate::scale::regression::{fit_line, LinearFit};
+use crate::scale::simulated::{SimulatedReady, SimulatedSnapshot, SimulatedSpec};
+use crate::scale::worker_process::{merged, WorkerCommand, WorkerProcess, WorkerSpec};
 use crate::script::{zone_name, Arm, Experiment};
 use crate::settings;
 use crate::time::{millis, Clock, MS};
@@ -34,11 +34,11 @@
 /// An op of a hollow balancer that begins later than this is late, in milliseconds.
 const LATE_MS: f64 = 2.0;
 /// How long changes may still come into force after the last of them.
-const AFTER: f64 = 1.5;
+const CHANGES_SETTLE_S: f64 = 1.5;
 
 /// One point as it was played.
 #[derive(Clone, Debug, Serialize)]
-pub struct Point {
+pub struct MeasuredPoint {
     pub experiment: String,
     pub axis: &'static str,
     pub at: f64,
@@ -46,20 +46,20 @@
     /// Why it counts for nothing, where it does.
     pub void: Option<String>,
     pub warning: Option<String>,
-    pub held: Held,
+    pub held: Conditions,
     /// By name; the unit stands in it.
     pub figures: BTreeMap<&'static str, f64>,
 }
 
 /// A figure over the axis.
 #[derive(Clone, Debug, Serialize)]
-pub struct Fitted {
+pub struct FittedFigure {
     pub figure: &'static str,
     pub points: Vec<(f64, f64)>,
     /// Of points that count for nothing: drawn, and left out of the line.
     pub void: Vec<(f64, f64)>,
     /// The line, and what it gives at the plan's size.
-    pub line: Option<Line>,
+    pub line: Option<LinearFit>,
     pub planned_at: f64,
     /// How many times the largest point that counts the plan's size is; none where none does.
     pub beyond: Option<f64>,
@@ -67,8 +67,9 @@
 }
 
 /// The lines through all points that count, figure by figure.
-pub fn fitted(script: &Script, points: &[Point]) -> Vec<Fitted> {
-    let (sound, void): (Vec<&Point>, Vec<&Point>) = points.iter().partition(|point| point.void.is_none());
+pub fn fit_figures(script: &ScaleExperiment, points: &[MeasuredPoint]) -> Vec<FittedFigure> {
+    let (sound, void): (Vec<&MeasuredPoint>, Vec<&MeasuredPoint>) =
+        points.iter().partition(|point| point.void.is_none());
     let names: BTreeSet<&'static str> =
         points.iter().flat_map(|point| point.figures.keys().copied()).collect();
     let largest = sound.iter().map(|point| point.at).fold(0.0, f64::max);
@@ -80,11 +81,11 @@
         _ => None,
     };
     let fit = |figure: &'static str| {
-        let of = |point: &&Point| Some((point.at, *point.figures.get(figure)?));
+        let of = |point: &&MeasuredPoint| Some((point.at, *point.figures.get(figure)?));
         let points: Vec<(f64, f64)> = sound.iter().filter_map(of).collect();
         let void = void.iter().filter_map(of).collect();
-        let line = line(&points, planned_at);
-        Fitted {
+        let line = fit_line(&points, planned_at);
+        FittedFigure {
             figure,
             line,
             points,
@@ -99,28 +100,31 @@
 
 /// The processes of a point.
 struct World {
-    fleets: Vec<Part>,
-    discovery: Part,
-    hollows: Vec<Part>,
+    fleets: Vec<WorkerProcess>,
+    discovery: WorkerProcess,
+    hollows: Vec<WorkerProcess>,
 }
 
 /// What all said of one moment.
-struct Marks {
+struct Snapshots {
     at: Instant,
-    fleets: Vec<FleetMark>,
-    discovery: DiscoveryMark,
-    hollows: Vec<HollowMark>,
+    fleets: Vec<FleetSnapshot>,
+    discovery: DiscoverySnapshot,
+    hollows: Vec<SimulatedSnapshot>,
 }
 
 impl World {
-    fn marks(&mut self, hollows: Asked, discovery: Asked) -> Result<Marks, String> {
-        fn all<T: DeserializeOwned>(parts: &mut [Part], asked: Asked) -> Result<Vec<T>, String> {
+    fn marks(&mut self, hollows: WorkerCommand, discovery: WorkerCommand) -> Result<Snapshots, String> {
+        fn all<T: DeserializeOwned>(
+            parts: &mut [WorkerProcess],
+            asked: WorkerCommand,
+        ) -> Result<Vec<T>, String> {
             parts.iter_mut().map(|part| part.ask(asked)).collect()
         }
-        Ok(Marks {
+        Ok(Snapshots {
             at: Instant::now(),
             hollows: all(&mut self.hollows, hollows)?,
-            fleets: all(&mut self.fleets, Asked::Mark)?,
+            fleets: all(&mut self.fleets, WorkerCommand::Snapshot)?,
             discovery: self.discovery.ask(discovery)?,
         })
     }
@@ -133,7 +137,7 @@
     parts.filter(|part| part.1 > 0).collect()
 }
 
-fn entries(held: &Held, addresses: &[SocketAddr]) -> Vec<Value> {
+fn entries(held: &Conditions, addresses: &[SocketAddr]) -> Vec<Value> {
     let entry = |(nth, address): (u32, &SocketAddr)| {
         json!({
             "instanceId": format!("h-{nth:05}"),
@@ -172,7 +176,7 @@
     balancers: Balancers,
     experiment: Experiment,
     addresses: Vec<SocketAddr>,
-    _guard: Part,
+    _guard: WorkerProcess,
 }
 
 fn real(experiment: &Experiment, seat: Seat, seed: u64, folder: &Path) -> Result<Real, String> {
@@ -181,7 +185,7 @@
     let ledger = Ledger::new(Clock::start());
     let balancers = Balancers::start(program, experiment, &[seat], seed, &ledger, folder)?;
     let pid = balancers.ids().first().copied().ok_or("the real balancer has ended")?;
-    let (guard, ()) = Part::start(&Spec::Guard { pid })?;
+    let (guard, ()) = WorkerProcess::start(&WorkerSpec::Guard { pid })?;
     let addresses = balancers.addresses();
     Ok(Real { balancers, experiment: experiment.clone(), addresses, _guard: guard })
 }
@@ -213,13 +217,13 @@
 ///
 /// # Errors
 /// One line where a process does not come up or fails, or where it was interrupted.
-pub fn point(
-    script: &Script,
+pub fn run_point(
+    script: &ScaleExperiment,
     at: f64,
     seed: u64,
     folder: &Path,
     tell: &mut dyn FnMut(&str, f64),
-) -> Result<Point, String> {
+) -> Result<MeasuredPoint, String> {
     let held = script.at(at);
     let experiment = script.experiment(&held)?;
     tell("starting", 0.0);
@@ -227,20 +231,21 @@
     for (first, hosts) in spread(held.hosts, script.processes.fleet) {
         let (service_ms, idle_ms, value_bytes) = (held.service_ms, held.idle_ms, held.value_bytes);
         let spec = FleetSpec { first, hosts, service_ms, value_bytes, idle_ms };
-        let (part, up): (Part, FleetUp) = Part::start(&Spec::Fleet(spec))?;
+        let (part, up): (WorkerProcess, FleetReady) = WorkerProcess::start(&WorkerSpec::Fleet(spec))?;
         addresses.extend(up.addresses);
         fleets.push(part);
     }
     let entries = entries(&held, &addresses);
     let known = json!({"generation": 1, "reset": true, "instances": entries});
     let spec = DiscoverySpec { entries, changes_per_s: held.changes_per_s, seed };
-    let (discovery, up): (Part, DiscoveryUp) = Part::start(&Spec::Discovery(spec))?;
+    let (discovery, up): (WorkerProcess, DiscoveryReady) =
+        WorkerProcess::start(&WorkerSpec::Discovery(spec))?;
     let seat = Seat { discovery: up.address, known: known.clone() };
     let listen = SocketAddr::from(([127, 0, 0, 1], 1));
     let told = settings::told(&experiment, "hollow", listen, &seat, seed);
     let mut hollows = Vec::new();
     for (first, balancers) in spread(held.balancers, script.hollow_processes(&held)) {
-        let spec = HollowSpec {
+        let spec = SimulatedSpec {
             settings: told["settings"].clone(),
             known: known.clone(),
             discovery: up.address,
@@ -254,32 +259,32 @@
             target_ms: held.target_ms,
             ttl_ms: held.ttl_ms,
         };
-        hollows.push(Part::start::<HollowUp>(&Spec::Hollow(spec))?.0);
+        hollows.push(WorkerProcess::start::<SimulatedReady>(&WorkerSpec::Simulated(spec))?.0);
     }
     let mut world = World { fleets, discovery, hollows };
     let real = if held.real_rate > 0.0 { Some(real(&experiment, seat, seed, folder)?) } else { None };
     tell("settling", 0.0);
     wait(script.settle_s, tell)?;
     tell("quiet", 0.0);
-    let quiet = world.marks(Asked::Mark, Asked::Begin)?;
+    let quiet = world.marks(WorkerCommand::Snapshot, WorkerCommand::Start)?;
     wait(script.quiet_s, tell)?;
-    let warming = world.marks(Asked::Begin, Asked::Mark)?;
+    let warming = world.marks(WorkerCommand::Start, WorkerCommand::Snapshot)?;
     tell("warming up", 0.0);
     wait(script.settle_s, tell)?;
     tell("loaded", 0.0);
     let bare = Bare::start()?;
     let used = real.as_ref().map(Real::used);
     let loading = real.as_ref().map(|real| real.load(seed)).transpose()?;
-    let begin = world.marks(Asked::Mark, Asked::Mark)?;
+    let begin = world.marks(WorkerCommand::Snapshot, WorkerCommand::Snapshot)?;
     wait(script.seconds, tell)?;
-    let end = world.marks(Asked::Mark, Asked::Mark)?;
+    let end = world.marks(WorkerCommand::Snapshot, WorkerCommand::Snapshot)?;
     let played = loading.map(|load| load.join().map_err(|_| "the generator failed".to_owned())?);
     let played = played.transpose()?;
     let bare = bare.stop();
     let hung = hang(&mut world, script.faults.hang_s, tell)?;
-    let rest = world.marks(Asked::Rest, Asked::Rest)?;
-    wait(AFTER, tell)?;
-    let over = world.marks(Asked::Mark, Asked::Mark)?;
+    let rest = world.marks(WorkerCommand::Stop, WorkerCommand::Stop)?;
+    wait(CHANGES_SETTLE_S, tell)?;
+    let over = world.marks(WorkerCommand::Snapshot, WorkerCommand::Snapshot)?;
     let mut later = vec![&warming, &begin, &end];
     later.extend(hung.as_ref());
     later.extend([&rest, &over]);
@@ -316,15 +321,15 @@
         verdict => verdict.told(),
     };
     let (experiment, axis) = (script.name.clone(), script.axis.name());
-    Ok(Point { experiment, axis, at, seed, void, warning, held, figures })
+    Ok(MeasuredPoint { experiment, axis, at, seed, void, warning, held, figures })
 }
 
 /// The moments between which a point is measured.
 struct Spans<'a> {
-    quiet: &'a Marks,
-    warming: &'a Marks,
-    begin: &'a Marks,
-    end: &'a Marks,
+    quiet: &'a Snapshots,
+    warming: &'a Snapshots,
+    begin: &'a Snapshots,
+    end: &'a Snapshots,
 }
 
 fn sum<M>(marks: &[M], read: impl Fn(&M) -> f64) -> f64 {
@@ -336,15 +341,15 @@
     sum(to, &read) - sum(from, &read)
 }
 
-fn by_host(marks: &[FleetMark], read: fn(&FleetMark) -> &Vec<u64>) -> Vec<f64> {
+fn by_host(marks: &[FleetSnapshot], read: fn(&FleetSnapshot) -> &Vec<u64>) -> Vec<f64> {
     marks.iter().flat_map(|mark| read(mark).iter().map(|&count| count as f64)).collect()
 }
 
-fn measured(held: &Held, spans: &Spans) -> BTreeMap<&'static str, f64> {
+fn measured(held: &Conditions, spans: &Spans) -> BTreeMap<&'static str, f64> {
     let Spans { quiet, warming, begin, end } = *spans;
     let balancers = f64::from(held.balancers);
     let hosts = f64::from(held.hosts);
-    let span = |from: &Marks, to: &Marks| (to.at - from.at).as_secs_f64().max(1e-3);
+    let span = |from: &Snapshots, to: &Snapshots| (to.at - from.at).as_secs_f64().max(1e-3);
     let (still, loaded) = (span(quiet, warming), span(begin, end));
     let mut figures = BTreeMap::new();
     let mut put = |name: &'static str, value: f64| {
@@ -360,12 +365,12 @@
     put("control bytes/s a balancer, to discovery", out);
     put("control bytes/s a balancer, from discovery", come);
     put("control bytes/s a balancer, both ways", out + come);
-    let resident = |mark: &HollowMark| mark.resident_kb as f64 - mark.base_kb as f64;
+    let resident = |mark: &SimulatedSnapshot| mark.resident_kb as f64 - mark.base_kb as f64;
     put("memory a balancer, MB", sum(&end.hollows, resident) / 1e3 / balancers);
     let (before, after) = (&quiet.discovery, &warming.discovery);
     let all = balancers + f64::from(u8::from(held.real_rate > 0.0));
     put("discovery: calls/s a balancer", (after.calls - before.calls) as f64 / still / all);
-    let bytes = |mark: &DiscoveryMark| (mark.bytes_in + mark.bytes_out) as f64;
+    let bytes = |mark: &DiscoverySnapshot| (mark.bytes_in + mark.bytes_out) as f64;
     put("discovery: bytes/s a balancer", (bytes(after) - bytes(before)) / still / all);
     put("discovery: CPU, % of a core", 100.0 * (after.cpu_s - before.cpu_s) / still);
     put("discovery: CPU us/s a balancer", (after.cpu_s - before.cpu_s) * 1e6 / still / all);
@@ -374,7 +379,7 @@
     let cpu = more(&begin.hollows, &end.hollows, |mark| mark.cpu_s);
     put("ops/s", ops / loaded);
     if ops > 0.0 {
-        let ended = |read: fn(&HollowMark) -> u64| {
+        let ended = |read: fn(&SimulatedSnapshot) -> u64| {
             more(&begin.hollows, &end.hollows, |mark| read(mark) as f64)
                 / more(&begin.hollows, &end.hollows, |mark| (mark.acked + mark.nacked + mark.failed) as f64)
         };
@@ -397,7 +402,7 @@
         (
             "requests/s at a host, mean",
             "requests/s at a host, most",
-            (|mark| &mark.requests) as fn(&FleetMark) -> &Vec<u64>,
+            (|mark| &mark.requests) as fn(&FleetSnapshot) -> &Vec<u64>,
         ),
         ("new connections/s at a host, mean", "new connections/s at a host, most", |mark| &mark.opened),
     ] {
@@ -410,25 +415,29 @@
 }
 
 /// One host hangs under the ops; what was by the end of it, and of some time after.
-fn hang(world: &mut World, seconds: f64, tell: &mut dyn FnMut(&str, f64)) -> Result<Option<Marks>, String> {
+fn hang(
+    world: &mut World,
+    seconds: f64,
+    tell: &mut dyn FnMut(&str, f64),
+) -> Result<Option<Snapshots>, String> {
     let Some(first) = world.fleets.first_mut().filter(|_| seconds > 0.0) else { return Ok(None) };
     tell("a host hangs", 0.0);
-    let _: FleetMark = first.ask(Asked::Silent)?;
+    let _: FleetSnapshot = first.ask(WorkerCommand::StopResponding)?;
     wait(seconds, tell)?;
     if let Some(first) = world.fleets.first_mut() {
-        let _: FleetMark = first.ask(Asked::Speak)?;
+        let _: FleetSnapshot = first.ask(WorkerCommand::ResumeResponding)?;
     }
     wait(RECOVERY_S, tell)?;
-    world.marks(Asked::Mark, Asked::Mark).map(Some)
+    world.marks(WorkerCommand::Snapshot, WorkerCommand::Snapshot).map(Some)
 }
 
 /// Ops that a hang cost: those that were not answered in target, beyond as many as before it.
-fn lost(begin: &Marks, end: &Marks, hung: &Marks) -> BTreeMap<&'static str, f64> {
-    let missed = |mark: &HollowMark| (mark.acked - mark.in_target + mark.nacked + mark.failed) as f64;
-    let failed = |mark: &HollowMark| (mark.nacked + mark.failed) as f64;
-    let span = |from: &Marks, to: &Marks| (to.at - from.at).as_secs_f64().max(1e-3);
+fn lost(begin: &Snapshots, end: &Snapshots, hung: &Snapshots) -> BTreeMap<&'static str, f64> {
+    let missed = |mark: &SimulatedSnapshot| (mark.acked - mark.in_target + mark.nacked + mark.failed) as f64;
+    let failed = |mark: &SimulatedSnapshot| (mark.nacked + mark.failed) as f64;
+    let span = |from: &Snapshots, to: &Snapshots| (to.at - from.at).as_secs_f64().max(1e-3);
     let times = span(end, hung) / span(begin, end);
-    let beyond = |read: &dyn Fn(&HollowMark) -> f64| {
+    let beyond = |read: &dyn Fn(&SimulatedSnapshot) -> f64| {
         more(&end.hollows, &hung.hollows, read) - times * more(&begin.hollows, &end.hollows, read)
     };
     BTreeMap::from([
@@ -450,14 +459,14 @@
         return Ok(BTreeMap::new());
     }
     tell("discovery is down", 0.0);
-    let down = world.marks(Asked::Mark, Asked::Silent)?;
-    let _: DiscoveryMark = world.discovery.ask(Asked::Begin)?;
+    let down = world.marks(WorkerCommand::Snapshot, WorkerCommand::StopResponding)?;
+    let _: DiscoverySnapshot = world.discovery.ask(WorkerCommand::Start)?;
     wait(seconds, tell)?;
-    let up = world.marks(Asked::Mark, Asked::Rest)?;
+    let up = world.marks(WorkerCommand::Snapshot, WorkerCommand::Stop)?;
     let back = unix_us();
-    let _: DiscoveryMark = world.discovery.ask(Asked::Speak)?;
+    let _: DiscoverySnapshot = world.discovery.ask(WorkerCommand::ResumeResponding)?;
     wait(RECOVERY_S, tell)?;
-    let after = world.marks(Asked::Mark, Asked::Mark)?;
+    let after = world.marks(WorkerCommand::Snapshot, WorkerCommand::Snapshot)?;
     let mut figures = in_force("back", &[&up, &after], balancers, Some(back));
     let calls = after.discovery.calls - up.discovery.calls;
     figures.insert("discovery back: calls/s a balancer", calls as f64 / RECOVERY_S / f64::from(balancers));
@@ -468,7 +477,12 @@
 
 /// How long changes took until they were in force, from when they came or from `since`: means over changes, by
 /// the share of the balancers that had them.
-fn in_force(what: &str, marks: &[&Marks], balancers: u32, since: Option<i64>) -> BTreeMap<&'static str, f64> {
+fn in_force(
+    what: &str,
+    marks: &[&Snapshots],
+    balancers: u32,
+    since: Option<i64>,
+) -> BTreeMap<&'static str, f64> {
     let mut applied: BTreeMap<u32, Vec<(u64, i64)>> = BTreeMap::new();
     for &(balancer, version, at) in
         marks.iter().flat_map(|marks| &marks.hollows).flat_map(|mark| &mark.applied)
--- a/testbed/src/scale/hollow.rs
+++ b/testbed/src/scale/simulated/mod.rs
@@ -1,7 +1,7 @@
-//! Hollow balancers: the real facade, pools, membership and terms, and real connections to discovery and hosts.
+//! SimulatedBalancer balancers: the real facade, pools, membership and terms, and real connections to discovery and hosts.
 //! No clients: ops are drawn inside, at a set rate with Poisson arrivals on keys by Zipf's law.
 //!
-//! Each has its own seed and identity; all of a process share its thread. `Hollow::takes_list` is the one place
+//! Each has its own seed and identity; all of a process share its thread. `SimulatedBalancer::takes_list` is the one place
 //! in which a list reaches the facade.
 
 use std::cell::RefCell;
@@ -35,14 +35,16 @@
 use tokio::task::{spawn_local, AbortHandle, JoinSet};
 use tokio::time::{sleep, sleep_until, timeout, timeout_at, Instant};
 
-use super::discovery::unix_us;
-use super::part::{counts, in_json, resident_kb, Asked, Counts, Role, Said};
 use crate::lateness::Lateness;
 use crate::load::player::thread_cpu;
+use crate::scale::discovery::unix_us;
+use crate::scale::worker_process::{
+    counts, in_json, resident_kb, ValueCounts, Worker, WorkerCommand, WorkerReply,
+};
 use crate::time::{span, MS};
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct HollowSpec {
+pub struct SimulatedSpec {
     /// As a balancer is told them.
     pub settings: Value,
     /// The list at the start: a page of discovery.
@@ -64,13 +66,13 @@
 }
 
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct HollowUp {
+pub struct SimulatedReady {
     pub balancers: u32,
 }
 
 /// Counters since the start over all balancers of the process; what are lists and histograms since the last mark.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct HollowMark {
+pub struct SimulatedSnapshot {
     pub cpu_s: f64,
     pub resident_kb: u64,
     /// Before there were balancers in it.
@@ -93,30 +95,30 @@
     /// A balancer's number, a version, and when it was in force there (Unix time in microseconds).
     pub applied: Vec<(u32, u64, i64)>,
     /// By how much ops began later than they were due, less the timer's grain.
-    pub late: Counts,
+    pub late: ValueCounts,
     /// From when it was due until its ack, in microseconds.
-    pub took: Counts,
+    pub took: ValueCounts,
 }
 
 /// From one call to the next at least.
-const APART: Duration = Duration::from_millis(20);
+const CALL_SPACING: Duration = Duration::from_millis(20);
 /// Between looks at connections and timers at the most, as the balancer has it.
-const LOOK: Duration = Duration::from_millis(50);
-const MOST_BODY: usize = 4 * 1024 * 1024;
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 
 #[derive(Default, Deserialize)]
-struct Page {
+struct EndpointList {
     generation: u64,
     #[serde(default)]
     reset: bool,
     #[serde(default)]
-    instances: Vec<HostEntry>,
+    instances: Vec<EndpointEntry>,
 }
 
 /// A host as discovery writes it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct HostEntry {
+pub struct EndpointEntry {
     pub instance_id: String,
     pub host_port: SocketAddr,
     pub zone: Option<String>,
@@ -148,17 +150,17 @@
 }
 
 /// A connection to a host.
-struct Link {
+struct UpstreamConnection {
     stream: TcpStream,
     buffer: Buffer,
 }
 
-struct Seat {
+struct HostEntry {
     address: SocketAddr,
     freed: Rc<Notify>,
 }
 
-pub struct Hollow {
+pub struct SimulatedBalancer {
     no: u32,
     clock: Rc<Clock>,
     router: RefCell<Router>,
@@ -168,8 +170,8 @@
     sockets: usize,
     ttl: Micros,
     target: Micros,
-    hosts: RefCell<BTreeMap<HostId, Seat>>,
-    idle: RefCell<BTreeMap<ConnectionId, Link>>,
+    hosts: RefCell<BTreeMap<HostId, HostEntry>>,
+    idle: RefCell<BTreeMap<ConnectionId, UpstreamConnection>>,
     carrying: RefCell<BTreeMap<ConnectionId, (RequestId, AttemptNumber)>>,
     bells: RefCell<HashMap<u32, Rc<Notify>>>,
     shared: Rc<Shared>,
@@ -178,25 +180,25 @@
 /// What all balancers of a process count together.
 #[derive(Default)]
 struct Shared {
-    mark: RefCell<HollowMark>,
+    mark: RefCell<SimulatedSnapshot>,
     late: Arc<Lateness>,
     took: Arc<Lateness>,
 }
 
 impl Shared {
-    fn count(&self, add: impl FnOnce(&mut HollowMark)) {
+    fn count(&self, add: impl FnOnce(&mut SimulatedSnapshot)) {
         add(&mut self.mark.borrow_mut());
     }
 }
 
 /// A connection that a push has; where that ends otherwise than with an answer, the pools learn of it.
-struct Held<'a> {
-    of: &'a Hollow,
+struct CheckedOut<'a> {
+    of: &'a SimulatedBalancer,
     id: ConnectionId,
-    link: Option<Link>,
+    link: Option<UpstreamConnection>,
 }
 
-impl Drop for Held<'_> {
+impl Drop for CheckedOut<'_> {
     fn drop(&mut self) {
         self.of.carrying.borrow_mut().remove(&self.id);
         if self.link.take().is_some() {
@@ -207,7 +209,7 @@
 }
 
 /// One that is being opened; the same.
-struct Opening<'a>(&'a Hollow, Option<ConnectionId>);
+struct Opening<'a>(&'a SimulatedBalancer, Option<ConnectionId>);
 
 impl Drop for Opening<'_> {
     fn drop(&mut self) {
@@ -217,8 +219,13 @@
     }
 }
 
-impl Hollow {
-    fn new(spec: &HollowSpec, no: u32, clock: &Rc<Clock>, shared: &Rc<Shared>) -> Result<Rc<Hollow>, String> {
+impl SimulatedBalancer {
+    fn new(
+        spec: &SimulatedSpec,
+        no: u32,
+        clock: &Rc<Clock>,
+        shared: &Rc<Shared>,
+    ) -> Result<Rc<SimulatedBalancer>, String> {
         let info = OperatorSettings::deserialize(&spec.settings).map_err(|cause| cause.to_string())?;
         let terms = info
             .policy_config(RingPosition(spec.seed).mixed(u64::from(no)).0)
@@ -230,7 +237,7 @@
             idle_timeout: bounds.idle_timeout,
             max_connections: spec.sockets,
         });
-        let hollow = Rc::new(Hollow {
+        let hollow = Rc::new(SimulatedBalancer {
             no,
             clock: clock.clone(),
             router: RefCell::new(Router::new(&terms, bounds.max_open_requests)),
@@ -246,7 +253,7 @@
             bells: RefCell::default(),
             shared: shared.clone(),
         });
-        let known = Page::deserialize(&spec.known).map_err(|cause| cause.to_string())?;
+        let known = EndpointList::deserialize(&spec.known).map_err(|cause| cause.to_string())?;
         let generation = known.generation;
         hollow.takes_list(true, known.instances);
         let schedule = WatchSchedule::new(basaltwood_membership::WatchConfig {
@@ -261,7 +268,7 @@
     }
 
     /// A list, or what changed of it, goes to the facade: the one place for whatever is to choose among its hosts.
-    fn takes_list(&self, whole: bool, entries: Vec<HostEntry>) {
+    fn takes_list(&self, whole: bool, entries: Vec<EndpointEntry>) {
         let now = self.clock.now();
         let mut listed = Vec::with_capacity(entries.len());
         for entry in &entries {
@@ -298,7 +305,7 @@
 
     fn place(&self, host: HostId, address: SocketAddr) {
         let mut hosts = self.hosts.borrow_mut();
-        let seat = hosts.entry(host).or_insert_with(|| Seat { address, freed: Rc::default() });
+        let seat = hosts.entry(host).or_insert_with(|| HostEntry { address, freed: Rc::default() });
         if std::mem::replace(&mut seat.address, address) != address {
             self.pools.borrow_mut().host_moved(host);
         }
@@ -306,11 +313,11 @@
 
     // Discovery.
 
-    async fn watch(self: Rc<Hollow>, discovery: SocketAddr, mut schedule: WatchSchedule) {
+    async fn watch(self: Rc<SimulatedBalancer>, discovery: SocketAddr, mut schedule: WatchSchedule) {
         let mut connection = None;
         loop {
             let began = Instant::now();
-            let next = began + APART;
+            let next = began + CALL_SPACING;
             match self.call(&mut connection, discovery, &schedule).await {
                 Ok(page) => {
                     let whole = page.reset || schedule.known_version().is_none();
@@ -334,14 +341,14 @@
 
     async fn call(
         &self,
-        connection: &mut Option<Link>,
+        connection: &mut Option<UpstreamConnection>,
         discovery: SocketAddr,
         schedule: &WatchSchedule,
-    ) -> Result<Page, WatchError> {
+    ) -> Result<EndpointList, WatchError> {
         let began = Instant::now();
         let until = began + span(schedule.call_timeout());
         let silent = |cause: io::Error| WatchError::TimedOut(cause.to_string());
-        let Link { stream, buffer } = match connection {
+        let UpstreamConnection { stream, buffer } = match connection {
             Some(open) => open,
             None => {
                 let opening = timeout(span(schedule.response_timeout()), TcpStream::connect(discovery));
@@ -349,7 +356,8 @@
                     opening.await.map_err(|_| WatchError::TimedOut("it does not come up".to_owned()))?;
                 let stream = opened.map_err(silent)?;
                 let _ = stream.set_nodelay(true);
-                connection.insert(Link { stream, buffer: Buffer::new(MOST_BODY + 64 * 1024) })
+                connection
+                    .insert(UpstreamConnection { stream, buffer: Buffer::new(MAX_BODY_BYTES + 64 * 1024) })
             }
         };
         let path = match schedule.known_version() {
@@ -369,7 +377,7 @@
                     0 => return Err(WatchError::TimedOut("it closed the connection".to_owned())),
                     read => self.shared.count(|mark| mark.control_in += read as u64),
                 }
-                if let Some(answer) = http::parse_response(buffer.bytes(), MOST_BODY)
+                if let Some(answer) = http::parse_response(buffer.bytes(), MAX_BODY_BYTES)
                     .map_err(|error| WatchError::InvalidResponse(error.to_string()))?
                 {
                     return Ok(answer);
@@ -390,7 +398,7 @@
 
     // Timers.
 
-    async fn tick(self: Rc<Hollow>) {
+    async fn tick(self: Rc<SimulatedBalancer>) {
         loop {
             let now = self.clock.now();
             let stopped = self.pools.borrow_mut().tick(now);
@@ -400,7 +408,7 @@
             self.carry_out();
             let due = self.router.borrow_mut().tick(self.clock.now());
             self.ring();
-            let look = Instant::now() + LOOK;
+            let look = Instant::now() + POLL_INTERVAL;
             sleep_until(due.map_or(look, |due| self.clock.at(due).min(look))).await;
         }
     }
@@ -431,7 +439,7 @@
 
     // Ops.
 
-    async fn op(self: Rc<Hollow>, key: u64, due: Micros) {
+    async fn op(self: Rc<SimulatedBalancer>, key: u64, due: Micros) {
         let key = format!("{key:016x}");
         let ask = NewRequest {
             class: RequestClassId(0),
@@ -589,7 +597,7 @@
         host: HostId,
         ticket: (RequestId, AttemptNumber),
         until: Instant,
-    ) -> Result<Held<'_>, AttemptOutcome> {
+    ) -> Result<CheckedOut<'_>, AttemptOutcome> {
         loop {
             let grant = self.pools.borrow_mut().checkout(self.clock.now(), host);
             self.carry_out();
@@ -601,7 +609,7 @@
                     };
                     let read = link.stream.try_read(&mut [0]);
                     if matches!(&read, Err(cause) if cause.kind() == ErrorKind::WouldBlock) {
-                        return Ok(Held { of: self, id, link: Some(link) });
+                        return Ok(CheckedOut { of: self, id, link: Some(link) });
                     }
                     self.pools.borrow_mut().found_closed(id);
                 }
@@ -624,7 +632,12 @@
         }
     }
 
-    async fn open(&self, host: HostId, id: ConnectionId, until: Instant) -> Result<Held<'_>, AttemptOutcome> {
+    async fn open(
+        &self,
+        host: HostId,
+        id: ConnectionId,
+        until: Instant,
+    ) -> Result<CheckedOut<'_>, AttemptOutcome> {
         let mut opening = Opening(self, Some(id));
         let address =
             self.hosts.borrow().get(&host).map(|seat| seat.address).ok_or(AttemptOutcome::NotSent)?;
@@ -642,10 +655,13 @@
                 let _ = stream.set_nodelay(true);
                 self.shared.count(|mark| mark.opened += 1);
                 self.pools.borrow_mut().connected(id);
-                Ok(Held {
+                Ok(CheckedOut {
                     of: self,
                     id,
-                    link: Some(Link { stream, buffer: Buffer::new(resp::MAX_BUFFERED_MESSAGE) }),
+                    link: Some(UpstreamConnection {
+                        stream,
+                        buffer: Buffer::new(resp::MAX_BUFFERED_MESSAGE),
+                    }),
                 })
             }
             failed => {
@@ -659,30 +675,37 @@
 }
 
 /// All hollow balancers of a process.
-pub struct Hollows {
-    spec: HollowSpec,
+pub struct SimulatedBalancers {
+    spec: SimulatedSpec,
     clock: Rc<Clock>,
     shared: Rc<Shared>,
-    all: Vec<Rc<Hollow>>,
+    all: Vec<Rc<SimulatedBalancer>>,
     base_kb: u64,
     asks: watch::Sender<bool>,
 }
 
-impl Hollows {
+impl SimulatedBalancers {
     /// # Errors
     /// Where the settings make no sense.
-    pub fn start(spec: HollowSpec) -> Result<Rc<Hollows>, String> {
+    pub fn start(spec: SimulatedSpec) -> Result<Rc<SimulatedBalancers>, String> {
         let (clock, shared) = (Rc::new(Clock::start()), Rc::<Shared>::default());
         let base_kb = resident_kb();
-        let new = |no| Hollow::new(&spec, no, &clock, &shared);
+        let new = |no| SimulatedBalancer::new(&spec, no, &clock, &shared);
         let all = (spec.first..spec.first + spec.balancers).map(new).collect::<Result<Vec<_>, _>>()?;
-        let hollows = Rc::new(Hollows { clock, shared, all, base_kb, asks: watch::Sender::new(false), spec });
+        let hollows = Rc::new(SimulatedBalancers {
+            clock,
+            shared,
+            all,
+            base_kb,
+            asks: watch::Sender::new(false),
+            spec,
+        });
         spawn_local(hollows.clone().asks());
         Ok(hollows)
     }
 
     /// Draws ops for all balancers together, each for one of them by chance: that is a Poisson process at each.
-    async fn asks(self: Rc<Hollows>) {
+    async fn asks(self: Rc<SimulatedBalancers>) {
         let mut rng = ChaCha8Rng::seed_from_u64(self.spec.seed ^ u64::from(self.spec.first) << 20);
         let law = Zipf::new(self.spec.keys as f64, self.spec.zipf).ok().filter(|_| self.spec.zipf > 0.0);
         let rate = self.spec.rate * f64::from(self.spec.balancers);
@@ -714,16 +737,16 @@
     }
 }
 
-impl Role for Hollows {
-    fn up(&self) -> Said {
-        in_json(&HollowUp { balancers: self.spec.balancers })
+impl Worker for SimulatedBalancers {
+    fn up(&self) -> WorkerReply {
+        in_json(&SimulatedReady { balancers: self.spec.balancers })
     }
 
-    fn asked(self: Rc<Self>, asked: Asked) -> Said {
+    fn asked(self: Rc<Self>, asked: WorkerCommand) -> WorkerReply {
         match asked {
-            Asked::Begin => drop(self.asks.send_replace(true)),
-            Asked::Rest => drop(self.asks.send_replace(false)),
-            Asked::Mark | Asked::Silent | Asked::Speak => {}
+            WorkerCommand::Start => drop(self.asks.send_replace(true)),
+            WorkerCommand::Stop => drop(self.asks.send_replace(false)),
+            WorkerCommand::Snapshot | WorkerCommand::StopResponding | WorkerCommand::ResumeResponding => {}
         }
         let open = self.all.iter().map(|hollow| hollow.pools.borrow().open_connections() as u64).sum();
         let mut mark = self.shared.mark.borrow_mut();
--- a/testbed/src/scale/part.rs
+++ b/testbed/src/scale/worker_process.rs
@@ -16,17 +16,18 @@
 
 use super::discovery::{Discovery, DiscoverySpec};
 use super::fleet::{Fleet, FleetSpec};
-use super::hollow::{HollowSpec, Hollows};
+use super::simulated::{SimulatedBalancers, SimulatedSpec};
 use crate::lateness;
 use crate::play::{INTERRUPTED, STOP};
 
 /// What a process is to be.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "role", rename_all = "kebab-case")]
-pub enum Spec {
+pub enum WorkerSpec {
     Fleet(FleetSpec),
     Discovery(DiscoverySpec),
-    Hollow(HollowSpec),
+    #[serde(rename = "hollow")]
+    Simulated(SimulatedSpec),
     /// Ends this process when its input ends, if it still runs: one that knows nothing of inputs.
     Guard {
         pid: u32,
@@ -36,27 +37,32 @@
 /// What it is asked for while it runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Asked {
+pub enum WorkerCommand {
     /// Its counters now, and what came since it was last asked.
-    Mark,
+    #[serde(rename = "mark")]
+    Snapshot,
     /// Begin with what takes time: ops, changes.
-    Begin,
+    #[serde(rename = "begin")]
+    Start,
     /// No more of it.
-    Rest,
+    #[serde(rename = "rest")]
+    Stop,
     /// Say nothing more, and speak again.
-    Silent,
-    Speak,
+    #[serde(rename = "silent")]
+    StopResponding,
+    #[serde(rename = "speak")]
+    ResumeResponding,
 }
 
 /// A histogram's values and how often each was seen.
-pub type Counts = Vec<(u64, u64)>;
+pub type ValueCounts = Vec<(u64, u64)>;
 
-pub fn counts(seen: &Histogram<u64>) -> Counts {
+pub fn counts(seen: &Histogram<u64>) -> ValueCounts {
     seen.iter_recorded().map(|step| (step.value_iterated_to(), step.count_at_value())).collect()
 }
 
 /// All of these in one histogram.
-pub fn merged<'a>(all: impl Iterator<Item = &'a Counts>) -> Histogram<u64> {
+pub fn merged<'a>(all: impl Iterator<Item = &'a ValueCounts>) -> Histogram<u64> {
     let mut merged = lateness::histogram();
     for &(value, count) in all.flatten() {
         merged.saturating_record_n(value, count);
@@ -65,17 +71,17 @@
 }
 
 /// Longer than any process needs to come up or to answer.
-const PATIENCE: Duration = Duration::from_secs(30);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A process that was started here. Dropping it ends it.
-pub struct Part {
+pub struct WorkerProcess {
     child: Child,
     input: Option<ChildStdin>,
     lines: mpsc::Receiver<String>,
     what: &'static str,
 }
 
-impl Drop for Part {
+impl Drop for WorkerProcess {
     fn drop(&mut self) {
         // The end of its input is its own end; by its id where it should hang over something.
         drop(self.input.take());
@@ -91,17 +97,17 @@
     }
 }
 
-impl Part {
+impl WorkerProcess {
     /// Starts one; what it says once it is up.
     ///
     /// # Errors
     /// One line where it does not come up.
-    pub fn start<T: DeserializeOwned>(spec: &Spec) -> Result<(Part, T), String> {
+    pub fn start<T: DeserializeOwned>(spec: &WorkerSpec) -> Result<(WorkerProcess, T), String> {
         let what = match spec {
-            Spec::Fleet(_) => "a fleet",
-            Spec::Discovery(_) => "discovery",
-            Spec::Hollow(_) => "hollow balancers",
-            Spec::Guard { .. } => "a guard",
+            WorkerSpec::Fleet(_) => "a fleet",
+            WorkerSpec::Discovery(_) => "discovery",
+            WorkerSpec::Simulated(_) => "hollow balancers",
+            WorkerSpec::Guard { .. } => "a guard",
         };
         let failed = |cause: std::io::Error| format!("{what}: {cause}");
         let own = std::env::current_exe().map_err(failed)?;
@@ -117,7 +123,7 @@
             };
             thread::Builder::new().name("part".to_owned()).spawn(read).map_err(failed)?;
         }
-        let mut part = Part { child, input, lines, what };
+        let mut part = WorkerProcess { child, input, lines, what };
         let up = part.asks(spec)?;
         Ok((part, up))
     }
@@ -128,7 +134,7 @@
 
     /// # Errors
     /// One line where it does not answer.
-    pub fn ask<T: DeserializeOwned>(&mut self, asked: Asked) -> Result<T, String> {
+    pub fn ask<T: DeserializeOwned>(&mut self, asked: WorkerCommand) -> Result<T, String> {
         self.asks(&asked)
     }
 
@@ -149,7 +155,7 @@
                 Err(RecvTimeoutError::Timeout) if STOP.load(Ordering::Relaxed) => {
                     return Err(INTERRUPTED.to_owned());
                 }
-                Err(RecvTimeoutError::Timeout) if began.elapsed() > PATIENCE => {
+                Err(RecvTimeoutError::Timeout) if began.elapsed() > REPLY_TIMEOUT => {
                     return Err(format!("{what}: it does not answer"));
                 }
                 Err(RecvTimeoutError::Timeout) => {}
@@ -165,19 +171,19 @@
 }
 
 /// A role's answer, in JSON.
-pub type Said = Result<serde_json::Value, String>;
+pub type WorkerReply = Result<serde_json::Value, String>;
 
-pub fn in_json(what: &impl Serialize) -> Said {
+pub fn in_json(what: &impl Serialize) -> WorkerReply {
     serde_json::to_value(what).map_err(|cause| cause.to_string())
 }
 
 /// What each role can be asked.
-pub trait Role {
-    fn up(&self) -> Said;
-    fn asked(self: Rc<Self>, asked: Asked) -> Said;
+pub trait Worker {
+    fn up(&self) -> WorkerReply;
+    fn asked(self: Rc<Self>, asked: WorkerCommand) -> WorkerReply;
 }
 
-async fn answers(role: Rc<impl Role>, mut asked: tokio::sync::mpsc::UnboundedReceiver<String>) {
+async fn answers(role: Rc<impl Worker>, mut asked: tokio::sync::mpsc::UnboundedReceiver<String>) {
     if say(&role.up()).is_err() {
         return;
     }
@@ -196,10 +202,10 @@
 pub fn serve() -> Result<(), String> {
     let mut first = String::new();
     std::io::stdin().read_line(&mut first).map_err(|cause| cause.to_string())?;
-    let spec: Spec = serde_json::from_str(&first).map_err(|cause| cause.to_string())?;
+    let spec: WorkerSpec = serde_json::from_str(&first).map_err(|cause| cause.to_string())?;
     let (tell, asked) = tokio::sync::mpsc::unbounded_channel();
     let guarded = match spec {
-        Spec::Guard { pid } => began(pid).map(|at| (pid, at)),
+        WorkerSpec::Guard { pid } => began(pid).map(|at| (pid, at)),
         _ => None,
     };
     let read = move || {
@@ -217,19 +223,19 @@
     let local = tokio::task::LocalSet::new();
     local.block_on(&runtime, async {
         match spec {
-            Spec::Fleet(spec) => match Fleet::start(spec) {
+            WorkerSpec::Fleet(spec) => match Fleet::start(spec) {
                 Ok(fleet) => answers(fleet, asked).await,
                 Err(cause) => say(&Err::<(), _>(format!("a listener: {cause}")))?,
             },
-            Spec::Discovery(spec) => match Discovery::start(spec) {
+            WorkerSpec::Discovery(spec) => match Discovery::start(spec) {
                 Ok(discovery) => answers(discovery, asked).await,
                 Err(cause) => say(&Err::<(), _>(format!("a listener: {cause}")))?,
             },
-            Spec::Hollow(spec) => match Hollows::start(spec) {
+            WorkerSpec::Simulated(spec) => match SimulatedBalancers::start(spec) {
                 Ok(hollows) => answers(hollows, asked).await,
                 Err(cause) => say(&Err::<(), _>(cause))?,
             },
-            Spec::Guard { .. } => answers(Rc::new(Guard), asked).await,
+            WorkerSpec::Guard { .. } => answers(Rc::new(Guard), asked).await,
         }
         Ok(())
     })
@@ -237,12 +243,12 @@
 
 struct Guard;
 
-impl Role for Guard {
-    fn up(&self) -> Said {
+impl Worker for Guard {
+    fn up(&self) -> WorkerReply {
         Ok(serde_json::Value::Null)
     }
 
-    fn asked(self: Rc<Self>, _: Asked) -> Said {
+    fn asked(self: Rc<Self>, _: WorkerCommand) -> WorkerReply {
         Ok(serde_json::Value::Null)
     }
 }
--- a/testbed/tests/scale.rs
+++ b/testbed/tests/scale.rs
@@ -8,13 +8,13 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-use basaltwood_testbed::scale::draw::file_name;
-use basaltwood_testbed::scale::script::{Machine, Script};
-use basaltwood_testbed::scale::slope::line;
+use basaltwood_testbed::scale::experiment::{MachineLimits, ScaleExperiment};
+use basaltwood_testbed::scale::regression::fit_line;
+use basaltwood_testbed::scale::report::file_name;
 use basaltwood_testbed::script::Experiment;
 use serde_json::Value;
 
-const LAB: &str = env!("CARGO_BIN_EXE_basaltwood-testbed");
+const TESTBED: &str = env!("CARGO_BIN_EXE_basaltwood-testbed");
 
 const SMALL: &str = r#"
 name = "small"
@@ -37,60 +37,64 @@
 "#;
 
 /// A machine on which all fits.
-const ROOMY: Machine = Machine { descriptors: Some(20_000), memory_kb: 16e6 };
+const ROOMY: MachineLimits = MachineLimits { descriptors: Some(20_000), memory_kb: 16e6 };
 
 #[test]
 fn a_line_is_that_of_the_textbook() {
     // y = 2 + 3 x, and the same a little off: slope 3.1, its half interval by hand t(0.975, 2) * s / sqrt(5).
-    let exact = line(&[(0.0, 2.0), (1.0, 5.0), (2.0, 8.0)], 100.0).expect("a line");
+    let exact = fit_line(&[(0.0, 2.0), (1.0, 5.0), (2.0, 8.0)], 100.0).expect("a line");
     assert!((exact.slope - 3.0).abs() < 1e-9 && (exact.there - 302.0).abs() < 1e-9, "{exact:?}");
     assert!(exact.slope_half.expect("three points") < 1e-6, "{exact:?}");
-    let off = line(&[(0.0, 2.0), (1.0, 5.5), (2.0, 7.5), (3.0, 11.5)], 10.0).expect("a line");
+    let off = fit_line(&[(0.0, 2.0), (1.0, 5.5), (2.0, 7.5), (3.0, 11.5)], 10.0).expect("a line");
     assert!((off.slope - 3.05).abs() < 1e-9 && (off.intercept - 2.05).abs() < 1e-9, "{off:?}");
     // Left over: -0.05, 0.4, -0.65, 0.3, squares 0.675; s = 0.580948; t = 4.302653.
     assert!((off.slope_half.expect("four points") - 1.117868).abs() < 1e-4, "{off:?}");
     // At 10: s * sqrt(1 / 4 + 8.5^2 / 5) * t.
     assert!((off.there_half.expect("four points") - 9.584339).abs() < 1e-2, "{off:?}");
-    assert_eq!(line(&[(1.0, 2.0), (1.0, 3.0)], 5.0), None);
-    assert_eq!(line(&[(1.0, 2.0)], 5.0), None);
-    let two = line(&[(1.0, 2.0), (2.0, 3.0)], 5.0).expect("a line");
+    assert_eq!(fit_line(&[(1.0, 2.0), (1.0, 3.0)], 5.0), None);
+    assert_eq!(fit_line(&[(1.0, 2.0)], 5.0), None);
+    let two = fit_line(&[(1.0, 2.0), (2.0, 3.0)], 5.0).expect("a line");
     assert_eq!((two.slope_half, two.there_half), (None, None));
 }
 
 #[test]
 fn what_this_machine_cannot_carry_is_refused_in_one_line_with_the_way_out() {
-    let refused = |text: String, machine: Machine| {
-        let line = Script::parse(&text, false).expect("a script").fits(machine).expect_err("it does not fit");
+    let refused = |text: String, machine: MachineLimits| {
+        let line = ScaleExperiment::parse(&text, false)
+            .expect("a script")
+            .fits(machine)
+            .expect_err("it does not fit");
         assert!(!line.contains('\n'), "{line}");
         line
     };
-    Script::parse(SMALL, false).expect("a script").fits(ROOMY).expect("it fits");
-    let small = Machine { descriptors: Some(200), ..ROOMY };
+    ScaleExperiment::parse(SMALL, false).expect("a script").fits(ROOMY).expect("it fits");
+    let small = MachineLimits { descriptors: Some(200), ..ROOMY };
     let line = refused(SMALL.to_owned(), small);
     assert!(line.contains("descriptors and 200 are allowed: more processes.fleet"), "{line}");
     let line = refused(SMALL.replace("sockets = 32", "sockets = 6000"), ROOMY);
     assert!(line.starts_with("hosts = 6: a hollow process needs up to 24068 descriptors"), "{line}");
-    let line = refused(SMALL.to_owned(), Machine { memory_kb: 100e3, ..ROOMY });
+    let line = refused(SMALL.to_owned(), MachineLimits { memory_kb: 100e3, ..ROOMY });
     assert!(line.contains("of memory, more than half of this machine's 100 MB"), "{line}");
     let many = format!("{SMALL}[processes]\nhollow = 32\nfleet = 20\n");
     assert!(refused(many, ROOMY).contains("54 processes and 40 at most"));
     let each = format!("{SMALL}[processes]\neach = 2\n");
-    let script = Script::parse(&each, false).expect("a script");
+    let script = ScaleExperiment::parse(&each, false).expect("a script");
     assert_eq!(script.hollow_processes(&script.at(6.0)), 4);
-    let fault = Script::parse(&SMALL.replace("rate = 10", "rite = 10"), false).expect_err("no such field");
+    let fault =
+        ScaleExperiment::parse(&SMALL.replace("rate = 10", "rite = 10"), false).expect_err("no such field");
     assert!(fault.starts_with("14: unknown field `rite`") && !fault.contains('\n'), "{fault}");
-    let fault = Script::parse(&SMALL.replace("[6, 12]", "[]"), false).expect_err("no point");
+    let fault = ScaleExperiment::parse(&SMALL.replace("[6, 12]", "[]"), false).expect_err("no point");
     assert_eq!(fault, " points is empty: name one at least");
 }
 
 #[test]
 fn quick_is_what_the_file_says_or_its_first_two_points() {
-    let quick = Script::parse(&SMALL.replace("[6, 12]", "[6, 12, 40]"), true).expect("a script");
+    let quick = ScaleExperiment::parse(&SMALL.replace("[6, 12]", "[6, 12, 40]"), true).expect("a script");
     assert_eq!((quick.points.as_slice(), quick.repeats), (&[6.0, 12.0][..], 1));
     assert!(quick.length_s() < 60.0, "{}", quick.length_s());
     let told = format!("{SMALL}[quick]\npoints = [9]\nseconds = 1.0\n");
-    assert_eq!(Script::parse(&told, true).expect("a script").points, [9.0]);
-    assert_eq!(Script::parse(&told, false).expect("a script").points, [6.0, 12.0]);
+    assert_eq!(ScaleExperiment::parse(&told, true).expect("a script").points, [9.0]);
+    assert_eq!(ScaleExperiment::parse(&told, false).expect("a script").points, [6.0, 12.0]);
 }
 
 #[test]
@@ -105,7 +109,7 @@
         }
         seen += 1;
         for quick in [false, true] {
-            let script = Script::read(&file, quick).expect("a script");
+            let script = ScaleExperiment::read(&file, quick).expect("a script");
             script.fits(ROOMY).expect("it fits");
             assert!(!quick || script.length_s() < 60.0, "{}: {} s", file.display(), script.length_s());
         }
@@ -124,7 +128,7 @@
     common::balancer();
     let folder = folder_with(SMALL);
     let arguments = ["scale", "x.toml", "--quick", "--json"];
-    let run = Command::new(LAB).args(arguments).current_dir(folder.path()).output().expect("it starts");
+    let run = Command::new(TESTBED).args(arguments).current_dir(folder.path()).output().expect("it starts");
     let Output { status, stdout, stderr } = run;
     let (out, err) = (String::from_utf8_lossy(&stdout), String::from_utf8_lossy(&stderr));
     // Four is a machine that was late: the figures below hold all the same.
@@ -163,7 +167,7 @@
 #[test]
 fn a_run_that_does_not_fit_starts_nothing() {
     let folder = folder_with(&SMALL.replace("sockets = 32", "sockets = 20000").replace("= 8", "= 5000"));
-    let run = Command::new(LAB).args(["scale", "x.toml"]).current_dir(folder.path()).output();
+    let run = Command::new(TESTBED).args(["scale", "x.toml"]).current_dir(folder.path()).output();
     let Output { status, stdout, stderr } = run.expect("it starts");
     let err = String::from_utf8(stderr).expect("text");
     assert_eq!((status.code(), stdout.len(), err.lines().count()), (Some(2), 0, 1), "{err}");
@@ -173,7 +177,7 @@
 
 /// A run that has come to ops, and all processes that it started.
 fn under_way(folder: &Path) -> (Child, Vec<u32>) {
-    let mut command = Command::new(LAB);
+    let mut command = Command::new(TESTBED);
     command.args(["scale", "x.toml"]).current_dir(folder).stdout(Stdio::piped()).stderr(Stdio::null());
     let mut run = command.spawn().expect("it starts");
     let lines = BufReader::new(run.stdout.take().expect("its words")).lines().map_while(Result::ok);
