--- a/balancer/tests/endings.rs
+++ b/balancer/tests/endings.rs
@@ -38,21 +38,26 @@
 fn shutdown_gives_every_open_request_its_final_answer() {
     let host = Peer::host(|_| Reply::Nothing);
     let mut program = program(&host, [192, 1024], &settings_with_long_time_limits());
+
     let (mut read, mut once) = (program.client(), program.client());
     read.get("k", "id1", "c=read,d=9000");
     once.get("l", "id2", "c=once,d=9000");
     let mut sent = [host.next(), host.next()];
     sent.sort();
+
     let began = Instant::now();
     program.signal("TERM");
     program.logged("Flushing");
+
     // The final answers come, and then each connection closes.
     let mut trace = sent.to_vec();
     trace.extend([read.answer(), once.answer(), read.answer(), once.answer()]);
     trace.push(format!("{:?}", program.ended().code()));
+
     // The phase begins 3.5 s after the signal; the bound has to be below the 9 s that the requests may
     // take.
     assert!(began.elapsed() < Duration::from_secs(8), "ended after {:?}", began.elapsed());
+
     expect![[r#"
         CACHE.GET k id1 c=read,d=..
         CACHE.GET l id2 c=once,d=..
@@ -70,6 +75,7 @@
     let (hosts, known) = four_gated_hosts();
     let mut program =
         Program::start_by(BINARY, nowhere(), &known, [192, 32], &settings_with_long_time_limits());
+
     // As many clients as the limit allows, each owed an answer.
     let mut accepted: Vec<Client> = (0..8).map(|_| program.client()).collect();
     for (nth, client) in accepted.iter_mut().enumerate() {
@@ -77,14 +83,17 @@
     }
     let line = program.counts("attempts", 8);
     assert!(line.contains(" rejected=0 "), "{line}");
+
     let mut waiting: Vec<Client> = (0..4).map(|_| program.client()).collect();
     for (nth, client) in waiting.iter_mut().enumerate() {
         client.get("k", &format!("out{nth}"), "c=read,d=9000");
     }
+
     program.signal("TERM");
     program.logged("Closing");
     hosts.iter().for_each(|host| release_up_to(&host.0, 8));
     let mut answers: Vec<String> = accepted.iter_mut().chain(&mut waiting).map(Client::answer).collect();
+
     // Each gets a final answer; short of descriptors it may be a rejection, but never a bare close.
     answers.retain(|answer| answer != "v" && !answer.starts_with("-BUSY"));
     assert!(answers.is_empty(), "{answers:?}");
@@ -101,15 +110,19 @@
 fn departs_with_many_commands_sent(departure: Departure) {
     let (release, host) = gated_host();
     let program = program(&host, [192, 1024], SETTINGS);
+
     let mut client = program.client();
     (0..100).for_each(|nth| client.get("slow", &format!("id{nth}"), "c=read,d=1900"));
     program.counts("attempts", 1);
+
     departure.apply(client);
     let line = program.counts("abandoned", 1);
     assert!(line.contains(" attempts_succeeded=0 "), "nothing was answered yet: {line}");
+
     release_up_to(&release, 100);
     // Attempts in flight run on, and their responses go to nobody.
     program.counts("attempts_succeeded", 1);
+
     assert_eq!(program.client().command(&["PING"]), "+PONG");
     let line = program.counts("requests", 32);
     assert!(line.contains(" requests=32 "), "as many as may be open at a time, and none after: {line}");
@@ -124,10 +137,12 @@
 fn departs_after_quit(departure: Departure) {
     let (release, host) = gated_host();
     let program = program(&host, [192, 1024], SETTINGS);
+
     let mut client = program.client();
     client.get("slow", "id", "c=read,d=1900");
     client.raw(b"QUIT\r\n");
     host.next();
+
     departure.apply(client);
     let line = program.counts("abandoned", 1);
     assert!(line.contains(" attempts_succeeded=0 ") && line.contains(" attempts_timed_out=0 "), "{line}");
@@ -140,10 +155,13 @@
 fn client_that_ends_its_sending_counts_as_departed() {
     let (release, host) = gated_host();
     let program = program(&host, [192, 1024], SETTINGS);
+
     let mut client = program.client();
     client.get("slow", "id", "c=read,d=1900");
     host.next();
+
     client.writing.shutdown(Shutdown::Write).expect("it ends");
+
     assert_eq!(client.answer(), "closed");
     let line = program.counts("abandoned", 1);
     assert!(line.contains(" attempts_succeeded=0 ") && line.contains(" attempts_timed_out=0 "), "{line}");
@@ -155,9 +173,11 @@
 fn client_that_quits_and_ends_its_sending_gets_ready_replies() {
     let host = Peer::host(|_| hit("v"));
     let program = program(&host, [192, 1024], SETTINGS);
+
     let mut client = program.client();
     client.raw(b"PING\r\nQUIT\r\n");
     client.writing.shutdown(Shutdown::Write).expect("it ends");
+
     assert_eq!([client.answer(), client.answer(), client.answer()], ["+PONG", "+OK", "closed"]);
 }
 
@@ -166,17 +186,21 @@
 fn second_sigterm_and_reloads_leave_the_shutdown_as_it_is() {
     let (release, host) = gated_host();
     let mut program = program(&host, [192, 1024], SETTINGS);
+
     let mut client = program.client();
     client.get("slow", "id", "c=once,d=1900");
     host.next();
+
     let (old, new) = (nowhere(), Discovery::start());
     program
         .reload_with(&format!(r#""discovery":"{old}""#), &format!(r#""discovery":"{}""#, new.peer.address));
     program.signal("TERM");
     program.logged("Draining");
     assert_eq!(new.peer.next(), "GET /v1/servers");
+
     program.signal("TERM");
     program.signal("HUP");
+
     release.send(()).expect("it waits");
     assert_eq!([client.answer(), client.answer()], ["v", "closed"]);
     assert!(program.ended().success());
@@ -187,16 +211,20 @@
 fn requests_received_before_the_signal_is_handled_are_answered() {
     let (_release, host) = gated_host();
     let mut program = program(&host, [192, 1024], SETTINGS);
+
     let (mut kept, mut fresh) = (program.client(), program.client());
     assert_eq!(kept.command(&["PING"]), "+PONG");
     program.counts("clients", 2);
+
     program.signal("STOP");
     kept.get("k", "id1", "c=read,d=1900");
     fresh.get("l", "id2", "c=read,d=1900");
     let mut unaccepted = program.client();
     unaccepted.get("m", "id3", "c=read,d=1900");
+
     program.signal("TERM");
     program.signal("CONT");
+
     assert_eq!([kept.answer(), fresh.answer(), unaccepted.answer()], ["v", "v", "v"]);
     assert!(program.ended().success());
 }
@@ -210,18 +238,22 @@
 fn departs_while_its_value_waits(departure: Departure) {
     let (release, host) = gated_host();
     let program = program(&host, [8, 1024], SETTINGS);
+
     let half = |client: &mut Client, id: &str| {
         let head =
             format!("*5\r\n$9\r\nCACHE.SET\r\n$1\r\nk\r\n${}\r\n{id}\r\n$10\r\nc=put,d=900\r\n", id.len());
         client.raw(format!("{}${}\r\n", head.replace("$10", "$11"), 2_600_000).as_bytes());
     };
+
     let (mut holder, mut departing) = (program.client(), program.client());
     half(&mut holder, "id1");
     assert_eq!(program.client().command(&["PING"]), "+PONG");
+
     departing.get("slow", "id2", "c=read,d=1900");
     host.next();
     half(&mut departing, "id3");
     assert_eq!(program.client().command(&["PING"]), "+PONG");
+
     departure.apply(departing);
     let line = program.counts("abandoned", 1);
     // The client that holds the memory has not timed out yet.
@@ -235,7 +267,9 @@
 fn departure_behind_a_full_window_abandons_the_requests() {
     let (release, host) = gated_host();
     let program = program(&host, [192, 1024], SETTINGS);
+
     let mut client = program.client();
+
     // As many as may wait, then 168 kB: more than the kernel holds (128 kB), and less than that plus
     // what is read ahead (80 kB).
     let mut bytes = Vec::new();
@@ -245,9 +279,11 @@
     for nth in 32..116 {
         bytes.extend(encoded_get(&"k".repeat(2_000), nth));
     }
+
     client.raw(&bytes);
     host.next();
     drop(client);
+
     // The host's first concurrency limit admits six, and they are abandoned while in flight.
     let line = program.counts("abandoned", 6);
     assert!(line.contains(" attempts_timed_out=0 ") && line.contains(" requests=32 "), "{line}");
--- a/balancer/tests/sockets/commands.rs
+++ b/balancer/tests/sockets/commands.rs
@@ -13,11 +13,13 @@
     });
     let program = program(&[("a", &host), ("origin", &origin)]);
     let mut client = program.client();
+
     let mut trace = vec![client.command(&["PING"]), client.command(&["HELLO", "3"])];
     trace.push(client.command(&["CACHE.GET", "7f", "id1", "c=read,t=acme,d=480,size=3,new=x"]));
     trace.push(client.command(&["CACHE.GET", "lacked / key", "id2", "c=read,d=480"]));
     trace.push(client.command(&["CACHE.SET", "7f", "id3", "c=put,d=480,k=5c0f", "VALUE\r\n!"]));
     trace.extend([host.next(), host.next(), origin.next(), origin.next()]);
+
     expect![[r#"
         +PONG
         -ERR unknown command
@@ -41,13 +43,17 @@
     });
     let program = program(&[("a", &host)]);
     let mut client = program.client();
+
     client.get("slow", "id1", "c=read,d=1500");
     client.get("k", "id2", "c=read,d=1500");
     client.raw(b"PING\r\n");
+
     let both = [host.next(), host.next()].concat();
     assert!(both.contains("id1") && both.contains("id2"), "both were sent at once");
+
     release.send(()).expect("it waits");
     let trace = [client.answer(), client.answer(), client.answer()];
+
     assert_eq!(trace, ["id1", "id2", "+PONG"]);
 }
 
@@ -90,6 +96,7 @@
 fn malformed_input_is_answered_with_an_error_and_others_are_served() {
     let host = Peer::host(|_| hit("v"));
     let program = program(&[("a", &host)]);
+
     let mut lines = Vec::new();
     let mut client = program.client();
     for words in MALFORMED_COMMANDS {
@@ -100,7 +107,9 @@
         client.raw(bytes.as_bytes());
         lines.push(format!("{} then {}", client.answer(), client.answer()));
     }
+
     lines.push(program.client().command(&["CACHE.GET", "k", "id", "c=read,d=480"]));
+
     expect![[r#"
         -ERR a key, an id and facts are needed
         -ERR no d: the time to wait is missing or absurd
@@ -131,12 +140,16 @@
     let (release, host) = gated_host();
     let program = program(&[("a", &host)]);
     let (mut first, mut second) = (program.client(), program.client());
+
     first.get("slow", "id", "c=read,d=1500");
     let mut trace = vec![host.next(), second.command(&["CACHE.GET", "k", "id", "c=read,d=600"])];
+
     release.send(()).expect("it waits");
     trace.push(first.answer());
+
     // Once that request has ended its id may be used again.
     trace.push(second.command(&["CACHE.GET", "k", "id", "c=read,d=600"]));
+
     expect![[r#"
         CACHE.GET slow id c=read,d=..
         -ERR an op with this id is open
--- a/balancer/tests/sockets/config.rs
+++ b/balancer/tests/sockets/config.rs
@@ -38,6 +38,7 @@
         let log: Vec<String> = program.rest().iter().map(|line| text_after(line, ".json: ")).collect();
         lines.push(format!("{code:?} {}", log.join(" / ")));
     }
+
     expect![[r#"
         Some(1) key must be a string at line 1 column 2
         Some(1) missing field `name` at line 1 column 2
--- a/balancer/tests/sockets/discovery.rs
+++ b/balancer/tests/sockets/discovery.rs
@@ -16,8 +16,10 @@
     let program = Program::start(BINARY, discovery.peer.address, &known, 1024);
     let mut client = program.client();
     let mut get = |id: &str| client.command(&["CACHE.GET", HOME_A, id, "c=read,d=600"]);
+
     // Discovery is silent so far.
     let mut trace = vec![discovery.peer.next(), get("id1")];
+
     let invalid = [r#"{"instanceId":"c","hostPort":"::","lifecycle":"active"}"#, "7", r#"{"instanceId":[]}"#];
     let mut entries = vec![entry("a", a.address, "leaving"), entry("b", b.address, "active")];
     entries.extend(invalid.map(str::to_owned));
@@ -29,8 +31,10 @@
     trace.push(get("id2"));
     // The draining host's idle connection was closed.
     trace.extend([a.next(), a.next(), b.next()]);
+
     discovery.tell(&[entry("a", a.address, "active"), entry("b", b.address, "left")]);
     trace.extend([discovery.peer.next(), get("id3")]);
+
     expect![[r#"
         GET /v1/servers?from=1&hold_ms=3000
         from a
@@ -57,10 +61,12 @@
     let known = [entry("a", a.address, "active"), entry("b", b.address, "active")];
     let settings = SETTINGS.replace(r#""groupSize":2"#, r#""groupSize":300"#);
     let program = Program::start_by(BINARY, discovery.peer.address, &known, [192, 1024], &settings);
+
     let began = Instant::now();
     program.counts("endpoint_lists", 2);
     // If calls were spread over all of them, this one's would come after several seconds.
     assert!(began.elapsed() < Duration::from_millis(1_500), "it called after {:?}", began.elapsed());
+
     let mut client = program.client();
     assert_eq!(client.command(&["CACHE.GET", HOME_A, "id1", "c=read,d=600"]), "from b");
     assert!(a.quiet(), "nothing goes to the host that leaves");
@@ -72,6 +78,7 @@
     let discovery = Discovery::start();
     let program = Program::start(BINARY, discovery.peer.address, &[], 1024);
     let mut client = program.client();
+
     for nth in 0..20 {
         let old = entry(&format!("host-{nth}"), host.address, "left");
         discovery.tell(&[old, entry(&format!("host-{}", nth + 1), host.address, "active")]);
@@ -79,6 +86,7 @@
         let id = format!("id{nth}");
         assert_eq!(client.command(&["CACHE.GET", "k", &id, "c=once,d=600"]), id);
     }
+
     let line = program.counts("hosts_released", 20);
     expect!["succeeded=20 attempts_succeeded=20 attempts_connection_lost=0 hosts_released=20"].assert_eq(
         &selected_counters(
@@ -110,9 +118,11 @@
             }
         }
     });
+
     let program = Program::start(BINARY, discovery.address, &[], 1024);
     let mut trace: Vec<String> = (0..12).map(|_| discovery.next()).collect();
     trace.push(program.client().command(&["CACHE.GET", "k", "id", "c=once,d=600"]));
+
     expect![[r#"
         GET /v1/servers?from=1&hold_ms=3000
         closed
@@ -140,22 +150,28 @@
     let b = Peer::host(|_| hit("from b"));
     let (old, new) = (Discovery::start(), Discovery::start());
     let program = Program::start(BINARY, old.peer.address, &[entry("a", a.address, "active")], 1024);
+
     let (mut client, mut slow) = (program.client(), program.client());
     slow.get("slow", "id1", "c=once,d=3000");
     let mut trace = vec![old.peer.next(), a.next()];
     let (old_address, new_address) = (old.peer.address.to_string(), new.peer.address.to_string());
+
     program.reload_with(&old_address, "nonsense");
     trace.push(text_after(&program.logged("all stays as it is"), ".json: "));
     assert!(old.peer.quiet(), "an invalid file ends no watch");
+
     program.reload_with("nonsense", &new_address);
     // The whole list is requested, and then its changes.
     trace.extend([new.peer.next(), new.peer.next()]);
+
     new.tell(&[entry("b", b.address, "active")]);
     trace.push(new.peer.next());
     trace.push(client.command(&["CACHE.GET", HOME_A, "id2", "c=once,d=600"]));
+
     release.send(()).expect("it waits");
     // The old discovery sees its connection close once it holds no call.
     trace.extend([slow.answer(), old.peer.next()]);
+
     expect![[r#"
         GET /v1/servers?from=1&hold_ms=3000
         CACHE.GET slow id1 c=once,d=..
@@ -176,8 +192,10 @@
         request if request.contains("from=0") => Reply::Nothing,
         _ => http_answer(200, r#"{"generation":0,"reset":false,"instances":[]}"#),
     });
+
     let _program = Program::start(BINARY, discovery.address, &[], 1024);
     let trace = [discovery.next(), discovery.next(), discovery.next()];
+
     expect![[r#"
         GET /v1/servers?from=1&hold_ms=3000
         GET /v1/servers
@@ -188,9 +206,11 @@
 #[test]
 fn discovery_without_holds_is_not_called_in_a_busy_loop() {
     let discovery = Peer::http(|_| http_answer(200, r#"{"generation":9,"reset":false,"instances":[]}"#));
+
     let began = Instant::now();
     let program = Program::start(BINARY, discovery.address, &[], 1024);
     (0..11).for_each(|_| drop(discovery.next()));
+
     assert!(began.elapsed() >= Duration::from_millis(150), "ten calls in {:?}", began.elapsed());
     assert_eq!(program.client().command(&["PING"]), "+PONG");
 }
--- a/balancer/tests/sockets/hosts.rs
+++ b/balancer/tests/sockets/hosts.rs
@@ -14,11 +14,14 @@
     let mut client = program.client();
     client.get("slow", "id1", "c=read,d=1500");
     host.next();
+
     drop(client);
     program.counts("abandoned", 1);
+
     release.send(()).expect("it waits");
     program.counts("attempts_succeeded", 1);
     assert_eq!(program.client().command(&["CACHE.GET", "k", "id2", "c=read,d=600"]), "v");
+
     let line = program.counts("requests", 2);
     let names = [
         "succeeded",
@@ -28,6 +31,7 @@
         "connections_opened",
         "connections_reused",
     ];
+
     expect!["succeeded=1 abandoned=1 attempts_succeeded=2 attempts_cancelled=0 connections_opened=1 connections_reused=1"]
         .assert_eq(&selected_counters(&line, &names));
 }
@@ -44,6 +48,7 @@
         ("no answer", |_| Reply::Text("+OK\r\n".to_owned())),
         ("silent", |_| Reply::Nothing),
     ];
+
     for (name, rule) in rules {
         for category in ["read", "once"] {
             // Each with a new process, so that what it learned from the first does not influence the second.
@@ -55,6 +60,7 @@
             lines.push(format!("{name}, {category}: {}, retried {}", client.answer(), !b.quiet()));
         }
     }
+
     let b = Peer::host(|_| hit("from b"));
     let known = [entry("a", nowhere(), "active"), entry("b", b.address, "active")];
     let refused = Program::start(BINARY, nowhere(), &known, 1024);
@@ -62,6 +68,7 @@
         "refused, once: {}",
         refused.client().command(&["CACHE.GET", HOME_A, "id", "c=once,d=600"])
     ));
+
     expect![[r#"
         closes, read: from b, retried true
         closes, once: -ERR dead-lettered, retried false
@@ -107,6 +114,7 @@
         assert!(a.next().contains("CACHE.GET"));
         lines.push(format!("{name}: {got}, its connection {}", a.next()));
     }
+
     expect![[r#"
         noise without an end: from b, its connection closed
         a line without an end: from b, its connection closed
@@ -131,6 +139,7 @@
     let host = Peer::host(|_| Reply::Last("*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n".to_owned()));
     let program = program(&[("a", &host)]);
     let mut client = program.client();
+
     let mut trace = Vec::new();
     for nth in 0..3 {
         let id = format!("id{nth}");
@@ -138,12 +147,14 @@
         assert_eq!(trace.last().map(String::as_str), Some("v"));
         assert_eq!([host.next(), host.next()].last().map(String::as_str), Some("closed"));
     }
+
     program.signal("USR1");
     let line = program.logged("counters");
     trace.push(selected_counters(
         &line,
         &["attempts_succeeded", "attempts_connection_lost", "connections_opened", "connections_reused"],
     ));
+
     expect![[r#"
         v
         v
@@ -158,6 +169,7 @@
     let known = [entry("a", host.address, "active")];
     let settings = SETTINGS.replace(r#""keepaliveMs":15000.0"#, r#""keepaliveMs":900.0"#);
     let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &settings);
+
     assert_eq!(program.client().command(&["CACHE.GET", "k", "id", "c=read,d=600"]), "v");
     assert_eq!([host.next(), host.next()], ["CACHE.GET k id c=read,d=..", "closed"]);
 }
@@ -168,6 +180,7 @@
     let answers = (0..5)
         .map(|_| requests_around_a_stall())
         .find(|answers| !answers.join(" ").contains("dead-lettered"));
+
     assert_eq!(answers.expect("a round within its time"), ["v"; 6]);
 }
 
@@ -175,6 +188,7 @@
     let (release, host) = gated_host();
     let program = program(&[("a", &host)]);
     let mut client = program.client();
+
     // Three in flight together, and then the process stalls for half of their time limit.
     for id in ["id1", "id2", "id3"] {
         client.get("slow", id, "c=read,d=1500");
@@ -182,15 +196,18 @@
     for _ in 0..3 {
         host.next();
     }
+
     program.signal("STOP");
     std::thread::sleep(Duration::from_millis(450));
     program.signal("CONT");
     program.counts("process_stalls", 1);
+
     // A host suspected of silence would get one attempt at a time, and the others would be rejected.
     for id in ["id4", "id5", "id6"] {
         client.get("k", id, "c=read,d=1500");
     }
     program.counts("requests", 6);
+
     (0..3).for_each(|_| release.send(()).expect("it waits"));
     (0..6).map(|_| client.answer()).collect()
 }
@@ -203,11 +220,13 @@
     let good = Peer::host(|_| hit("v"));
     let known = [entry("a", address, "active"), entry("b", good.address, "active")];
     let program = Program::start(BINARY, nowhere(), &known, 1024);
+
     let mut client = program.client();
     for nth in 0..40 {
         let (key, id) = (format!("k{nth}"), format!("id{nth}"));
         assert_eq!(client.command(&["CACHE.GET", &key, &id, "c=read,d=1500"]), "v");
     }
+
     let line = program.counts("requests", 40);
     assert!(
         selected_counters(&line, &["succeeded", "attempts_connection_fault"])
--- a/balancer/tests/sockets/limits.rs
+++ b/balancer/tests/sockets/limits.rs
@@ -14,6 +14,7 @@
     let host = Peer::host(|_| hit("v"));
     let known = [entry("a", host.address, "active")];
     let program = Program::start(BINARY, nowhere(), &known, 40);
+
     let mut idle = program.client();
     assert_eq!(idle.command(&["PING"]), "+PONG");
     let mut halves: Vec<Client> = Vec::new();
@@ -23,6 +24,7 @@
         halves.push(half);
     }
     program.counts("clients", 12);
+
     // The limit is reached. The idle one is closed first, then the one that was silent longest.
     let mut late: Vec<Client> = Vec::new();
     for nth in 0..2 {
@@ -32,6 +34,7 @@
         client.raw(b"*");
         late.push(client);
     }
+
     assert_eq!([idle.answer(), halves[0].answer()], ["closed", "closed"]);
     assert!(program.counts("clients_shed", 2).contains("clients_slow=0"));
 }
@@ -41,6 +44,7 @@
     let host = Peer::host(|_| hit("v"));
     let known = [entry("a", host.address, "active")];
     let program = Program::start(BINARY, nowhere(), &known, 40);
+
     // More than the limit; each is served all the same, and an idle one is closed for it.
     let mut clients: Vec<Client> = Vec::new();
     for nth in 0..40 {
@@ -48,6 +52,7 @@
         assert_eq!(client.command(&["CACHE.GET", "k", &format!("id{nth}"), "c=once,d=600"]), "v");
         clients.push(client);
     }
+
     assert_eq!(clients[0].answer(), "closed");
 }
 
@@ -55,13 +60,16 @@
 fn silent_and_half_command_clients_are_closed_in_time() {
     let host = Peer::host(|_| hit("v"));
     let program = program(&[("a", &host)]);
+
     let began = Instant::now();
     let (mut silent, mut half, mut served) = (program.client(), program.client(), program.client());
     half.raw(b"*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk");
     assert_eq!(served.command(&["CACHE.GET", "k", "id1", "c=read,d=600"]), "v");
+
     let trace = [silent.answer(), half.answer(), half.answer()];
     assert!(began.elapsed() < Duration::from_secs(3), "after {:?}", began.elapsed());
     assert_eq!(trace, ["closed", "-ERR Protocol error: no whole command in time", "closed"]);
+
     // A client that was served may be idle.
     assert_eq!(served.command(&["CACHE.GET", "k", "id2", "c=read,d=600"]), "v");
 }
@@ -71,7 +79,9 @@
     let host = Peer::host(|_| hit("v"));
     let known = [entry("a", host.address, "active")];
     let program = Program::start(BINARY, nowhere(), &known, 40);
+
     let silent: Vec<Client> = (0..60).map(|_| program.client()).collect();
+
     let began = Instant::now();
     assert_eq!(program.client().command(&["CACHE.GET", "k", "id", "c=once,d=600"]), "v");
     // Well before the silent ones are closed for their silence.
@@ -84,6 +94,7 @@
     let host = Peer::host(|_| hit("v"));
     let known = [entry("a", host.address, "active")];
     let program = Program::start_by(BINARY, nowhere(), &known, [8, 256], SETTINGS);
+
     let value = "x".repeat(60_000);
     let holders: Vec<Client> = (0..50).map(|_| program.client()).collect();
     for client in &holders {
@@ -92,6 +103,7 @@
         let head = "*5\r\n$9\r\nCACHE.SET\r\n$1\r\nk\r\n$2\r\nid\r\n$9\r\nc=put,d=5\r\n$64000\r\n";
         let _ = (&client.writing).write(format!("{head}{value}").as_bytes());
     }
+
     let began = Instant::now();
     assert_eq!(program.client().command(&["CACHE.GET", "k", "id", "c=once,d=600"]), "v");
     assert!(began.elapsed() < Duration::from_millis(1_700), "after {:?}", began.elapsed());
@@ -113,10 +125,12 @@
     let hosts: Vec<Peer> = (0..6).map(host).collect();
     let known = hosts.iter().enumerate().map(|(nth, host)| entry(&format!("h{nth}"), host.address, "active"));
     let program = Program::start(BINARY, nowhere(), &known.collect::<Vec<_>>(), 48);
+
     let mut clients: Vec<Client> = (0..REQUESTS).map(|_| program.client()).collect();
     for (nth, client) in clients.iter_mut().enumerate() {
         client.get(&format!("k{nth}"), &format!("id{nth}"), "c=once,d=1500");
     }
+
     let answers: Vec<String> = clients.iter_mut().map(Client::answer).collect();
     assert_eq!(answers, ["v"; REQUESTS]);
 }
@@ -133,16 +147,20 @@
     let known = [entry("origin", origin.address, "active")];
     let program = Program::start(BINARY, discovery.peer.address, &known, 32);
     discovery.peer.next();
+
     let mut clients: Vec<Client> = (0..5).map(|_| program.client()).collect();
     for nth in 0..11 {
         clients[nth % 4].send(&["CACHE.SET", "slow", &format!("id{nth}"), "c=once,d=5000", "v"]);
         origin.next();
     }
+
     // Each of the attempts that it may have fails at once for want of a descriptor.
     let refused = clients[4].command(&["CACHE.SET", "k", "id", "c=once,d=5000", "v"]);
+
     drop(release);
     let answers: Vec<String> = (0..11).map(|nth| clients[nth % 4].answer()).collect();
     assert_eq!(answers, ["v"; 11]);
+
     let line = program.counts("succeeded", 11);
     expect!["-BUSY 400; attempts_not_sent=4 attempts_unreachable=0"].assert_eq(&format!(
         "{refused}; {}",
@@ -154,8 +172,10 @@
 fn clients_not_reading_are_cut_off_within_the_memory_limit() {
     let host = Peer::host(|_| hit(&"v".repeat(60_000)));
     let program = program(&[("a", &host)]);
+
     let word =
         |nth: u32| format!("*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk\r\n$5\r\n{nth:05}\r\n$13\r\nc=read,d=1500\r\n");
+
     let slow: Vec<Client> = (0..4).map(|_| program.client()).collect();
     for (nth, client) in (0..).zip(&slow) {
         let commands: String = (nth * 2_000..(nth + 1) * 2_000).map(word).collect();
@@ -163,6 +183,7 @@
         client.writing.set_nonblocking(true).expect("a flag");
         let _ = (&client.writing).write(commands.as_bytes());
     }
+
     assert_eq!(program.client().command(&["PING"]), "+PONG");
     program.counts("clients_slow", 1);
     assert!(program.memory() < 32, "{} MB of 192", program.memory());
--- a/balancer/tests/sockets/origin.rs
+++ b/balancer/tests/sockets/origin.rs
@@ -25,6 +25,7 @@
         head("503 no", "X-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"),
         head("503 no", "Content-Length: 0\r\n\r\n"),
     ];
+
     let mut lines = Vec::new();
     for answer in answers {
         let host = Peer::host(|_| miss());
@@ -34,6 +35,7 @@
         let got = program.client().command(&["CACHE.SET", "k", "id", "c=once,d=600", "v"]);
         lines.push(format!("{} | {got}", answer.replace("\r\n", " ")));
     }
+
     expect![[r#"
         HTTP/1.1 200 OK Content-Length: 2  ok | ok
         HTTP/1.1 200 OK Transfer-Encoding: chunked  2 ok 1 ! 0   | ok!
--- a/balancer/tests/sockets/shutdown.rs
+++ b/balancer/tests/sockets/shutdown.rs
@@ -15,16 +15,20 @@
     let mut trace = vec![idle.command(&["PING"])];
     slow.get("slow", "id1", "c=read,d=1500");
     host.next();
+
     program.signal("TERM");
     program.logged("Draining");
+
     let mut late = program.client();
     trace.push(format!("idle: {}", idle.answer()));
     trace.push(format!("late: {}", late.command(&["CACHE.GET", "k", "id2", "c=read,d=600"])));
     trace.push(format!("late: {}", late.answer()));
+
     release.send(()).expect("it waits");
     trace.push(format!("slow: {}", slow.answer()));
     trace.push(format!("slow: {}", slow.answer()));
     trace.push(format!("{:?}", program.ended().code()));
+
     let log = program.rest();
     let phases = log.iter().filter_map(|line| line.split_once("process] ")).map(|found| found.1);
     trace.extend(phases.map(|line| {
@@ -34,6 +38,7 @@
             line.to_owned()
         }
     }));
+
     expect![[r#"
         +PONG
         idle: closed
@@ -55,11 +60,14 @@
     assert_eq!(half.command(&["PING"]), "+PONG");
     half.raw(b"*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk");
     slow.raw(b"*1\r\n$4\r\nPI");
+
     let began = Instant::now();
     program.signal("TERM");
     program.logged("Draining");
+
     // A command that is still being sent is read to its end.
     slow.raw(b"NG\r\n");
+
     assert_eq!([slow.answer(), half.answer()], ["+PONG", "closed"]);
     assert_eq!(program.ended().code(), Some(0));
     // 0.6 s in which clients still come; the longest request would take 2 s more.
