--- a/testbed/src/audit.rs
+++ b/testbed/src/audit.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::balancers::LET_GO;
-use crate::ledger::{Answered, Event, HostNo, Id, Standing, What};
+use crate::ledger::{EndpointStatus, Event, HostNo, Observation, Reply, RequestId};
 use crate::script::{Category, Group, Repeats};
 use crate::time::{millis, Micros, SECOND};
 
@@ -45,7 +45,7 @@
     }
 }
 
-pub struct Terms<'a> {
+pub struct AuditSettings<'a> {
     pub categories: &'a [Category],
     pub zones: u32,
     pub grace: Micros,
@@ -64,7 +64,7 @@
 #[derive(Default)]
 struct Op {
     asked: Option<(Micros, usize, usize, Micros)>,
-    answers: Vec<(Micros, Answered)>,
+    answers: Vec<(Micros, Reply)>,
     left: bool,
     cut: Option<Micros>,
     unanswered: bool,
@@ -73,26 +73,28 @@
 }
 
 /// Every breach, in the order of time.
-pub fn audit(events: &[Event], terms: &Terms) -> Vec<Breach> {
-    let mut ops: BTreeMap<Id, Op> = BTreeMap::new();
-    let mut found: Vec<(Rule, Micros, String, Option<Id>)> = Vec::new();
+pub fn audit(events: &[Event], terms: &AuditSettings) -> Vec<Breach> {
+    let mut ops: BTreeMap<RequestId, Op> = BTreeMap::new();
+    let mut found: Vec<(Rule, Micros, String, Option<RequestId>)> = Vec::new();
     let mut down: HashMap<usize, Vec<(Micros, bool)>> = HashMap::new();
     let mut drained: HashMap<(usize, HostNo), Micros> = HashMap::new();
     for event in events {
         let at = event.at;
-        match &event.what {
-            What::Asked { id, balancer, category, until } => {
+        match &event.observation {
+            Observation::RequestSent { id, balancer, category, until } => {
                 ops.entry(*id).or_default().asked = Some((at, *balancer, *category, *until));
             }
-            What::Answered { id, answer } => ops.entry(*id).or_default().answers.push((at, *answer)),
-            What::Left { id } => ops.entry(*id).or_default().left = true,
-            What::Cut { id } => ops.entry(*id).or_default().cut = Some(at),
-            What::Unanswered { id } => ops.entry(*id).or_default().unanswered = true,
-            What::Stray { balancer } => {
+            Observation::ReplyReceived { id, answer } => {
+                ops.entry(*id).or_default().answers.push((at, *answer))
+            }
+            Observation::ClientLeft { id } => ops.entry(*id).or_default().left = true,
+            Observation::ConnectionClosed { id } => ops.entry(*id).or_default().cut = Some(at),
+            Observation::Unanswered { id } => ops.entry(*id).or_default().unanswered = true,
+            Observation::UnsolicitedReply { balancer } => {
                 let what = format!("balancer {balancer} answered where nothing was asked, or a second time");
                 found.push((Rule::Answered, at, what, None));
             }
-            What::Pushed { id, host, balancer, began } => {
+            Observation::AttemptReceived { id, host, balancer, began } => {
                 let push = Push { at, began: *began, host: *host, never: None, ran: false };
                 ops.entry(*id).or_default().pushes.push(push);
                 let told = drained.get(&(*balancer, *host));
@@ -103,28 +105,29 @@
                     found.push((Rule::Drain, at, what, Some(*id)));
                 }
             }
-            What::Turned { id, host } | What::Missed { id, host } => {
+            Observation::AttemptRejected { id, host } | Observation::KeyMissing { id, host } => {
                 let pushes = &mut ops.entry(*id).or_default().pushes;
                 let open = pushes.iter_mut().find(|push| push.host == *host && push.open());
                 if let Some(push) = open {
                     push.never = Some(at);
                 }
             }
-            What::Ran { id, host, effect } => {
+            Observation::Executed { id, host, effect } => {
                 let op = ops.entry(*id).or_default();
                 if let Some(push) = op.pushes.iter_mut().find(|push| push.host == *host && push.open()) {
                     push.ran = true;
                 }
                 op.effects += u32::from(*effect);
             }
-            What::Told { balancer, host, standing: Standing::Up }
-            | What::Due { balancer, host, standing: Standing::Up } => {
+            Observation::StatusAnnounced { balancer, host, standing: EndpointStatus::Active }
+            | Observation::AnnouncementDue { balancer, host, standing: EndpointStatus::Active } => {
                 drained.remove(&(*balancer, *host));
             }
-            What::Told { balancer, host, .. } | What::Due { balancer, host, .. } => {
+            Observation::StatusAnnounced { balancer, host, .. }
+            | Observation::AnnouncementDue { balancer, host, .. } => {
                 drained.entry((*balancer, *host)).or_insert(at);
             }
-            What::Fell { host, cold, by_cold_misses } => {
+            Observation::Overloaded { host, cold, by_cold_misses } => {
                 if *host == HostNo::ORIGIN && *by_cold_misses {
                     let what = "the origin was pushed over by misses at cold hosts".to_owned();
                     found.push((Rule::Cold, at, what, None));
@@ -132,12 +135,12 @@
                     found.push((Rule::Cold, at, format!("{host} was pushed over while it was cold"), None));
                 }
             }
-            What::Balancer { balancer, up } => {
+            Observation::BalancerProcess { balancer, up } => {
                 down.entry(*balancer).or_default().push((at, *up));
                 // A new process has been told nothing yet, but for a list without those that had left.
                 drained.retain(|(other, _), _| other != balancer);
             }
-            What::Edge { .. } => {}
+            Observation::FaultBoundary { .. } => {}
         }
     }
     let was_killed = |balancer: usize, from: Micros, to: Micros| {
@@ -167,11 +170,11 @@
 }
 
 fn judge(
-    id: Id,
+    id: RequestId,
     op: &Op,
-    terms: &Terms,
+    terms: &AuditSettings,
     was_killed: &dyn Fn(usize, Micros, Micros) -> bool,
-    found: &mut Vec<(Rule, Micros, String, Option<Id>)>,
+    found: &mut Vec<(Rule, Micros, String, Option<RequestId>)>,
 ) {
     let mut tell = |rule, at, what: String| found.push((rule, at, what, Some(id)));
     let Some((asked, balancer, category, until)) = op.asked else {
@@ -202,10 +205,10 @@
     for &(at, answer) in &op.answers {
         let made = op.pushes.iter().any(|push| push.ran && push.at <= at);
         match answer {
-            Answered::Served { own: false } => {
+            Reply::Served { own: false } => {
                 tell(Rule::Answered, at, format!("op {id} was served with a value made for another"));
             }
-            Answered::Served { own: true } if !made => {
+            Reply::Served { own: true } if !made => {
                 tell(Rule::Answered, at, format!("op {id} was served with a value that no host made for it"));
             }
             _ => {}
@@ -218,7 +221,7 @@
         tell(Rule::Answered, push.at, format!("op {id} went to {} {late:.1} ms after its end", push.host));
     }
     // Rule 2.
-    let nacked = op.answers.iter().find(|(_, answer)| *answer == Answered::Busy);
+    let nacked = op.answers.iter().find(|(_, answer)| *answer == Reply::Busy);
     match category.repeats {
         Repeats::Redeliverable => {}
         Repeats::AtMostOnce => {
@@ -265,7 +268,7 @@
     }
 }
 
-fn group(group: Group, host: HostNo, terms: &Terms) -> u32 {
+fn group(group: Group, host: HostNo, terms: &AuditSettings) -> u32 {
     match group {
         Group::All => 0,
         // The origin stands in the first zone.
@@ -276,25 +279,25 @@
 }
 
 /// The events of the same op, or the edges and falls of the second before.
-fn around(events: &[Event], at: Micros, id: Option<Id>) -> Vec<String> {
+fn around(events: &[Event], at: Micros, id: Option<RequestId>) -> Vec<String> {
     const MOST: usize = 24;
-    let of = |what: &What| match what {
-        What::Asked { id, .. }
-        | What::Answered { id, .. }
-        | What::Left { id }
-        | What::Cut { id }
-        | What::Unanswered { id }
-        | What::Pushed { id, .. }
-        | What::Turned { id, .. }
-        | What::Missed { id, .. }
-        | What::Ran { id, .. } => Some(*id),
+    let of = |what: &Observation| match what {
+        Observation::RequestSent { id, .. }
+        | Observation::ReplyReceived { id, .. }
+        | Observation::ClientLeft { id }
+        | Observation::ConnectionClosed { id }
+        | Observation::Unanswered { id }
+        | Observation::AttemptReceived { id, .. }
+        | Observation::AttemptRejected { id, .. }
+        | Observation::KeyMissing { id, .. }
+        | Observation::Executed { id, .. } => Some(*id),
         _ => None,
     };
-    let near = |event: &&Event| match (of(&event.what), id) {
+    let near = |event: &&Event| match (of(&event.observation), id) {
         (Some(other), Some(id)) => other == id,
         (None, _) => (at - SECOND..=at + SECOND / 10).contains(&event.at),
         _ => false,
     };
-    let line = |event: &Event| format!("{:.6} {:?}", event.at as f64 / 1e6, event.what);
+    let line = |event: &Event| format!("{:.6} {}", event.at as f64 / 1e6, event.observation);
     events.iter().filter(near).take(MOST).map(line).collect()
 }
--- a/testbed/src/balancers.rs
+++ b/testbed/src/balancers.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use crate::ledger::{Ledger, What};
+use crate::ledger::{Ledger, Observation};
 use crate::script::{Arm, Experiment};
 use crate::settings;
 use crate::time::Micros;
@@ -191,7 +191,7 @@
     pub fn kill(&self, nth: usize) {
         let mut inner = self.inner();
         inner.look();
-        inner.ledger.note(What::Balancer { balancer: nth, up: false });
+        inner.ledger.note(Observation::BalancerProcess { balancer: nth, up: false });
         if let Some(mut running) = inner.places[nth].running.take() {
             let _ = running.child.kill();
             let _ = running.child.wait();
@@ -202,7 +202,7 @@
     pub fn restart(&self, nth: usize, known: &Value) {
         let mut inner = self.inner();
         match inner.spawn(nth, known) {
-            Ok(()) => inner.ledger.note(What::Balancer { balancer: nth, up: true }),
+            Ok(()) => inner.ledger.note(Observation::BalancerProcess { balancer: nth, up: true }),
             Err(cause) => log::warn!("{cause}"),
         }
     }
@@ -293,7 +293,7 @@
         for (nth, status) in died {
             let line = self.last_line(nth);
             self.places[nth].died = Some(format!("ended by itself with {status}: {line}"));
-            self.ledger.note(What::Balancer { balancer: nth, up: false });
+            self.ledger.note(Observation::BalancerProcess { balancer: nth, up: false });
         }
         self.places.iter().map(|place| place.last).collect()
     }
--- a/testbed/src/figures.rs
+++ b/testbed/src/figures.rs
@@ -8,7 +8,7 @@
 use crate::audit::Breach;
 use crate::balancers::Use;
 use crate::lateness::{self, part_over, Seen};
-use crate::ledger::{Event, HostNo, What};
+use crate::ledger::{Event, HostNo, Observation};
 use crate::load::player::{End, Record};
 use crate::script::Experiment;
 use crate::time::{Micros, SECOND};
@@ -206,14 +206,14 @@
     let mut hosts: BTreeMap<HostNo, HostFigures> = BTreeMap::new();
     let mut pushes = 0_u64;
     for event in events {
-        match event.what {
-            What::Pushed { host, .. } => {
+        match event.observation {
+            Observation::AttemptReceived { host, .. } => {
                 hosts.entry(host).or_default().pushed += 1;
                 pushes += 1;
             }
-            What::Ran { host, .. } => hosts.entry(host).or_default().ran += 1,
-            What::Missed { host, .. } => hosts.entry(host).or_default().missed += 1,
-            What::Turned { host, .. } => hosts.entry(host).or_default().turned += 1,
+            Observation::Executed { host, .. } => hosts.entry(host).or_default().ran += 1,
+            Observation::KeyMissing { host, .. } => hosts.entry(host).or_default().missed += 1,
+            Observation::AttemptRejected { host, .. } => hosts.entry(host).or_default().turned += 1,
             _ => {}
         }
     }
--- a/testbed/src/load/player.rs
+++ b/testbed/src/load/player.rs
@@ -23,7 +23,7 @@
 
 use super::plan::{Plan, Planned};
 use crate::lateness::Lateness;
-use crate::ledger::{Answered, Id, Ledger, What};
+use crate::ledger::{Ledger, Observation, Reply as AuditedReply, RequestId};
 use crate::script::{Experiment, Group, Repeats, Retry};
 use crate::time::{millis, seconds, span, Micros, MS};
 
@@ -182,8 +182,8 @@
 struct Link {
     out: RefCell<BytesMut>,
     /// Commands that stand in `out`, to be noted as asked once they are written.
-    unsent: RefCell<Vec<(What, Rc<Cell<Micros>>)>>,
-    waiting: RefCell<VecDeque<(Id, oneshot::Sender<Reply>)>>,
+    unsent: RefCell<Vec<(Observation, Rc<Cell<Micros>>)>>,
+    waiting: RefCell<VecDeque<(RequestId, oneshot::Sender<Reply>)>>,
     kick: Notify,
     closed: Cell<bool>,
 }
@@ -390,14 +390,14 @@
         if now + MS > deadline {
             return (End::Unreached, None);
         }
-        let id = Id(self.rng.borrow_mut().random());
+        let id = RequestId(self.rng.borrow_mut().random());
         // Whole milliseconds, rounded down: the balancer is not to think that it has longer than the client waits.
         let wait = (deadline - now) / MS;
         let until = now + wait * MS;
         let text = self.command(planned, id, wait, mark, again);
         let (tell, told) = oneshot::channel();
         link.out.borrow_mut().put_slice(&text);
-        let asked = What::Asked { id, balancer, category: usize::from(planned.category), until };
+        let asked = Observation::RequestSent { id, balancer, category: usize::from(planned.category), until };
         link.unsent.borrow_mut().push((asked, left.clone()));
         link.waiting.borrow_mut().push_back((id, tell));
         link.kick.notify_one();
@@ -407,7 +407,11 @@
             Ok(Err(_)) => Reply::Cut,
             Err(_) => {
                 // The client goes away: its connection ends.
-                let gone = if patience < until { What::Left { id } } else { What::Unanswered { id } };
+                let gone = if patience < until {
+                    Observation::ClientLeft { id }
+                } else {
+                    Observation::Unanswered { id }
+                };
                 self.ledger.note(gone);
                 link.closed.set(true);
                 link.kick.notify_one();
@@ -416,13 +420,15 @@
         };
         let (end, answer, come_back) = match reply {
             Reply::Served { own } => {
-                (if own { End::Served } else { End::Foreign }, Some(Answered::Served { own }), None)
+                (if own { End::Served } else { End::Foreign }, Some(AuditedReply::Served { own }), None)
             }
-            Reply::Busy(ms) => (End::Nacked, Some(Answered::Busy), ms),
-            Reply::Failed => (End::Failed, Some(Answered::Failed), None),
+            Reply::Busy(ms) => (End::Nacked, Some(AuditedReply::Busy), ms),
+            Reply::Failed => (End::Failed, Some(AuditedReply::Failed), None),
             Reply::Cut => (End::Lost, None, None),
         };
-        self.ledger.note(answer.map_or(What::Cut { id }, |answer| What::Answered { id, answer }));
+        self.ledger.note(answer.map_or(Observation::ConnectionClosed { id }, |answer| {
+            Observation::ReplyReceived { id, answer }
+        }));
         if answer.is_some() && self.rng.borrow_mut().random::<f64>() < self.experiment.load.close {
             link.closed.set(true);
             link.kick.notify_one();
@@ -431,7 +437,7 @@
         (end, come_back)
     }
 
-    fn command(&self, planned: &Planned, id: Id, wait: Micros, mark: u64, again: bool) -> Bytes {
+    fn command(&self, planned: &Planned, id: RequestId, wait: Micros, mark: u64, again: bool) -> Bytes {
         let category = &self.experiment.categories[usize::from(planned.category)];
         let key = &self.plan.keys[planned.key as usize];
         let customer = planned.customer.and_then(|nth| self.experiment.customers.get(usize::from(nth)));
@@ -517,7 +523,7 @@
         loop {
             let (reply, used, own) = match resp::parse_balancer_reply(buffer.bytes()) {
                 Ok(Some((resp::BalancerReply::Value(place), used))) => {
-                    let id = buffer.bytes().get(place).and_then(|value| Id::read(value.get(..16)?));
+                    let id = buffer.bytes().get(place).and_then(|value| RequestId::read(value.get(..16)?));
                     (Reply::Served { own: true }, used, id)
                 }
                 Ok(Some((resp::BalancerReply::Busy(ms), used))) => (Reply::Busy(ms), used, None),
@@ -535,7 +541,7 @@
                     // One that has gone away in this moment needs none.
                     let _ = tell.send(reply);
                 }
-                None => ledger.note(What::Stray { balancer }),
+                None => ledger.note(Observation::UnsolicitedReply { balancer }),
             }
         }
     }
--- a/testbed/src/play.rs
+++ b/testbed/src/play.rs
@@ -13,7 +13,7 @@
 use crate::balancers::{Balancers, Program};
 use crate::figures::{self, Run};
 use crate::lateness::{judge, Bare, Lateness};
-use crate::ledger::{Ledger, What};
+use crate::ledger::{Ledger, Observation};
 use crate::load::plan::Plan;
 use crate::load::player::{self, Progress, Stall};
 use crate::load::trace;
@@ -159,15 +159,18 @@
     figures.cpu_us_per_op =
         used.iter().map(|used| used.cpu_s).sum::<f64>() * 1e6 / played.records.len().max(1) as f64;
     figures.balancers = used;
-    let terms = audit::Terms {
+    let audit_settings = audit::AuditSettings {
         categories: &experiment.categories,
         zones: experiment.fleet.zones as u32,
         grace: millis(experiment.discovery.grace_ms),
         slack: GRANTED + world_late.late.max() as Micros + late.most(),
     };
-    let mut breaches = audit(&events, &terms);
+    let mut breaches = audit(&events, &audit_settings);
     for died in died {
-        let at = events.iter().rev().find(|event| matches!(event.what, What::Balancer { up: false, .. }));
+        let at = events
+            .iter()
+            .rev()
+            .find(|event| matches!(event.observation, Observation::BalancerProcess { up: false, .. }));
         let at_us = at.map_or(0, |event| event.at);
         breaches.push(Breach { rule: Rule::Answered, at_us, what: died, around: Vec::new() });
     }
--- a/testbed/src/world/discovery.rs
+++ b/testbed/src/world/discovery.rs
@@ -17,7 +17,7 @@
 use tokio::time::{sleep, timeout};
 
 use super::host::{listen, Host};
-use crate::ledger::{HostNo, Ledger, Standing, What};
+use crate::ledger::{EndpointStatus, HostNo, Ledger, Observation};
 use crate::script::{zone_name, Kind};
 use crate::time::{span, Micros};
 
@@ -30,7 +30,7 @@
 struct Entry {
     name: String,
     no: HostNo,
-    standing: Standing,
+    standing: EndpointStatus,
     body: Value,
 }
 
@@ -99,7 +99,7 @@
     }
 
     /// A host's standing has changed; the agent hears of it after its lag.
-    pub fn publish(self: &Rc<Agent>, host: &Host, standing: Standing) {
+    pub fn publish(self: &Rc<Agent>, host: &Host, standing: EndpointStatus) {
         let entry = self.entry(host, standing);
         let agent = self.clone();
         spawn_local(async move {
@@ -114,14 +114,14 @@
 
     /// The same at the start: known at once.
     pub fn knows(&self, host: &Host) {
-        let entry = self.entry(host, Standing::Up);
+        let entry = self.entry(host, EndpointStatus::Active);
         self.entries.borrow_mut().insert(entry.name.clone(), (1, entry));
     }
 
     /// The list as a balancer has it at its start.
     pub fn known(&self) -> Value {
         let entries = self.entries.borrow();
-        let there = entries.values().filter(|(_, entry)| entry.standing != Standing::Left);
+        let there = entries.values().filter(|(_, entry)| entry.standing != EndpointStatus::Left);
         let instances: Vec<&Value> = there.map(|(_, entry)| &entry.body).collect();
         json!({"generation": *self.generation.borrow(), "reset": true, "instances": instances})
     }
@@ -138,7 +138,7 @@
         }
     }
 
-    fn entry(&self, host: &Host, standing: Standing) -> Entry {
+    fn entry(&self, host: &Host, standing: EndpointStatus) -> Entry {
         let terms = &host.terms;
         let clock = &self.ledger.clock;
         let wrong = self.faults.part(clock.now(), Kind::DiscoveryWrong, terms.no, self.balancer) > 0.0;
@@ -146,9 +146,9 @@
         let address = if wrong { SocketAddr::from(([127, 0, 0, 1], 1)) } else { host.address(self.balancer) };
         let origin = terms.no == HostNo::ORIGIN;
         let lifecycle = match standing {
-            Standing::Up => "active",
-            Standing::Leaving => "leaving",
-            Standing::Left => "left",
+            EndpointStatus::Active => "active",
+            EndpointStatus::Leaving => "leaving",
+            EndpointStatus::Left => "left",
         };
         let body = json!({
             "instanceId": terms.name,
@@ -167,7 +167,11 @@
     /// speaks would tell it at once. Of a silent one it counts as told after [`AT_LATEST`].
     fn take(self: &Rc<Agent>, entry: Entry) {
         let generation = *self.generation.borrow() + 1;
-        let due = What::Due { balancer: self.balancer, host: entry.no, standing: entry.standing };
+        let due = Observation::AnnouncementDue {
+            balancer: self.balancer,
+            host: entry.no,
+            standing: entry.standing,
+        };
         if self.silent.get() {
             let (agent, name) = (self.clone(), entry.name.clone());
             spawn_local(async move {
@@ -220,17 +224,17 @@
                 return;
             }
             for (host, standing) in told {
-                self.ledger.note(What::Told { balancer: self.balancer, host, standing });
+                self.ledger.note(Observation::StatusAnnounced { balancer: self.balancer, host, standing });
             }
         }
     }
 
     /// What is newer than a version, or all.
-    fn page(&self, from: Option<u64>) -> (bytes::Bytes, Vec<(HostNo, Standing)>) {
+    fn page(&self, from: Option<u64>) -> (bytes::Bytes, Vec<(HostNo, EndpointStatus)>) {
         let entries = self.entries.borrow();
         let newer = entries.values().filter(|(generation, entry)| match from {
             Some(from) => *generation > from,
-            None => entry.standing != Standing::Left,
+            None => entry.standing != EndpointStatus::Left,
         });
         let newer: Vec<&Entry> = newer.map(|(_, entry)| entry).collect();
         let instances: Vec<&Value> = newer.iter().map(|entry| &entry.body).collect();
--- a/testbed/src/world/host.rs
+++ b/testbed/src/world/host.rs
@@ -26,7 +26,7 @@
 use super::faults::Faults;
 use super::machine::{Job, Machine, Terms, Verdict};
 use super::work::Work;
-use crate::ledger::{HostNo, Id, Ledger, What};
+use crate::ledger::{HostNo, Ledger, Observation, RequestId};
 use crate::script::{Group, Kind, Mode, Repeats};
 use crate::time::{millis, Micros, MS, SECOND};
 
@@ -73,7 +73,7 @@
     /// Connections taken so far.
     opened: Arc<AtomicU64>,
     /// Keys that hosts lacked, by the op for which they did: the origin's answer is stored there.
-    missed: RefCell<HashMap<Id, Vec<Lacked>>>,
+    missed: RefCell<HashMap<RequestId, Vec<Lacked>>>,
     /// Which write was the last to a key, by its number: what a host has stored before it is stale.
     writes: RefCell<HashMap<Bytes, u64>>,
     last_write: Cell<u64>,
@@ -405,7 +405,7 @@
         for miss in recent {
             (of_cold, all) = (of_cold + usize::from(miss.1), all + 1);
         }
-        self.shared.ledger.note(What::Fell {
+        self.shared.ledger.note(Observation::Overloaded {
             host: self.terms.no,
             cold,
             by_cold_misses: self.terms.no == HostNo::ORIGIN && of_cold * 2 > all,
@@ -576,7 +576,7 @@
     fn asked(&self, bytes: &[u8]) -> Result<Option<(Asked, usize)>, String> {
         if self.terms.no == HostNo::ORIGIN {
             let Some(request) = http::parse_request(bytes, MOST_BODY)? else { return Ok(None) };
-            let id = request.header("x-correlation-id").and_then(|id| Id::read(id.as_bytes()));
+            let id = request.header("x-correlation-id").and_then(|id| RequestId::read(id.as_bytes()));
             let command = Command {
                 id: id.ok_or("no id")?,
                 write: request.method == "PUT",
@@ -593,7 +593,7 @@
         let asked = match &name[..] {
             b"CACHE.GET" | b"CACHE.SET" if words.len() >= 4 => Asked::Op(Command {
                 key: words[1].clone(),
-                id: Id::read(&words[2]).ok_or("no id")?,
+                id: RequestId::read(&words[2]).ok_or("no id")?,
                 write: name == b"CACHE.SET",
                 facts: String::from_utf8_lossy(&words[3]).into_owned(),
             }),
@@ -611,10 +611,10 @@
         let (ledger, no, id) = (&shared.ledger, self.terms.no, asked.id);
         let now = self.now();
         let began = if began == 0 { now } else { began };
-        ledger.note(What::Pushed { id, host: no, balancer, began });
+        ledger.note(Observation::AttemptReceived { id, host: no, balancer, began });
         let part = |kind: Kind| shared.faults.part(now, kind, no, balancer);
         let turned = || {
-            ledger.note(What::Turned { id, host: no });
+            ledger.note(Observation::AttemptRejected { id, host: no });
             self.says(None, "-BUSY")
         };
         if shared.chance(part(Kind::Busy)) {
@@ -636,7 +636,7 @@
         }
         if !there {
             if shared.mode == Mode::Aside {
-                ledger.note(What::Missed { id, host: no });
+                ledger.note(Observation::KeyMissing { id, host: no });
                 let mut missed = shared.missed.borrow_mut();
                 missed.entry(id).or_default().push((self.clone(), asked.key.clone()));
                 drop(missed);
@@ -728,7 +728,7 @@
                 host.keep(key);
             }
         }
-        shared.ledger.note(What::Ran { id: asked.id, host: self.terms.no, effect });
+        shared.ledger.note(Observation::Executed { id: asked.id, host: self.terms.no, effect });
     }
 
     /// The value made for this op: it begins with the op's id.
@@ -774,7 +774,7 @@
 }
 
 struct Command {
-    id: Id,
+    id: RequestId,
     key: Bytes,
     write: bool,
     facts: String,
--- a/testbed/src/world/mod.rs
+++ b/testbed/src/world/mod.rs
@@ -25,7 +25,7 @@
 
 use crate::balancers::Balancers;
 use crate::lateness::{Lateness, Waits};
-use crate::ledger::{HostNo, Ledger, Standing, What};
+use crate::ledger::{EndpointStatus, HostNo, Ledger, Observation};
 use crate::load::player::thread_cpu;
 use crate::script::{Experiment, Kind};
 use crate::time::{millis, Micros, MS};
@@ -267,14 +267,14 @@
         for (at, ends, nth) in edges {
             sleep_until(self.shared.ledger.clock.at(at)).await;
             let span = &spans[nth];
-            self.shared.ledger.note(What::Edge { text: span.title(), begins: !ends });
+            self.shared.ledger.note(Observation::FaultBoundary { text: span.title(), begins: !ends });
             self.edge(span, ends, balancers.as_ref()).await;
         }
         // What was started is not to be dropped before the run is over.
         std::future::pending::<()>().await;
     }
 
-    fn publish(&self, host: &Host, standing: Standing) {
+    fn publish(&self, host: &Host, standing: EndpointStatus) {
         self.agents.iter().for_each(|agent| agent.publish(host, standing));
     }
 
@@ -310,17 +310,17 @@
                 (Kind::Die | Kind::Replace, false) => host.die(),
                 (Kind::Die, true) => {
                     host.come_back();
-                    self.publish(&host, Standing::Up);
+                    self.publish(&host, EndpointStatus::Active);
                 }
                 (Kind::Replace, true) => {
                     self.leave(&host).await;
                     if let Ok(new) = self.new_host(Some(now), Some(&host.every_address())) {
-                        self.publish(&new, Standing::Up);
+                        self.publish(&new, EndpointStatus::Active);
                     }
                 }
-                (Kind::Drain | Kind::RollOut, false) => self.publish(&host, Standing::Leaving),
+                (Kind::Drain | Kind::RollOut, false) => self.publish(&host, EndpointStatus::Leaving),
                 (Kind::Drain, true) => self.leave(&host).await,
-                (Kind::DiscoveryWrong, _) => self.publish(&host, Standing::Up),
+                (Kind::DiscoveryWrong, _) => self.publish(&host, EndpointStatus::Active),
                 _ => {}
             }
         }
@@ -332,7 +332,7 @@
             Kind::Grow if !ends => {
                 for _ in 0..span.count {
                     match self.new_host(Some(now), None) {
-                        Ok(new) => self.publish(&new, Standing::Up),
+                        Ok(new) => self.publish(&new, EndpointStatus::Active),
                         Err(cause) => log::warn!("a new host: {cause}"),
                     }
                 }
@@ -354,7 +354,7 @@
     /// A host is at its end.
     async fn leave(&self, host: &Rc<Host>) {
         host.end().await;
-        self.publish(host, Standing::Left);
+        self.publish(host, EndpointStatus::Left);
         self.shared.hosts.borrow_mut().retain(|other| !Rc::ptr_eq(other, host));
         self.gone.borrow_mut().push(host.clone());
         // Its addresses may be taken over at once.
--- a/testbed/tests/audit.rs
+++ b/testbed/tests/audit.rs
@@ -4,15 +4,15 @@
 
 use std::thread;
 
-use basaltwood_testbed::audit::{audit, Rule, Terms};
-use basaltwood_testbed::ledger::{Answered, Event, HostNo, Id, What};
+use basaltwood_testbed::audit::{audit, AuditSettings, Rule};
+use basaltwood_testbed::ledger::{EndpointStatus, Event, HostNo, Observation, Reply, RequestId};
 use basaltwood_testbed::script::{Category, Experiment, Group};
 use basaltwood_testbed::time::{Micros, MS, SECOND};
 use common::*;
 use expect_test::expect;
 
 #[test]
-fn a_bad_peer_commits_each_breach_and_an_honest_one_none() {
+fn misbehaving_router_each_breach_is_found_and_honest_router_has_none() {
     let calm = experiment("seconds = 2.0", "[load]\nrate = 150");
     let drains = experiment(
         "seconds = 2.0",
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_cold_host_that_is_pushed_over_is_the_routers_breach() {
+fn warming_host_overloaded_is_a_breach_of_the_router() {
     // A new host gets a third of the reads at once: more than the 16 ms of work a second that it is said to bear.
     let experiment = experiment(
         "seconds = 2.5",
@@ -75,23 +75,25 @@
     );
 }
 
-const A: Id = Id(10);
+const A: RequestId = RequestId(10);
 
 /// An op of one category, what happened to it by millisecond, and what the audit says.
-fn judged(category: &str, group: Group, happened: &[(Micros, What)]) -> String {
+fn judged(category: &str, group: Group, happened: &[(Micros, Observation)]) -> String {
     let experiment = experiment("seconds = 1.0", "[load]\nrate = 1");
     let nth = experiment.categories.iter().position(|other| other.name == category).expect("a category");
     let mut categories = experiment.categories;
     categories[nth].group = group;
-    let asked = What::Asked { id: A, balancer: 0, category: nth, until: 2 * SECOND };
-    let mut events = vec![Event { at: 0, what: asked }];
-    events.extend(happened.iter().map(|(at, what)| Event { at: at * MS, what: what.clone() }));
+    let asked = Observation::RequestSent { id: A, balancer: 0, category: nth, until: 2 * SECOND };
+    let mut events = vec![Event { at: 0, observation: asked }];
+    events.extend(
+        happened.iter().map(|(at, observation)| Event { at: at * MS, observation: observation.clone() }),
+    );
     verdict(&events, &categories)
 }
 
 fn verdict(events: &[Event], categories: &[Category]) -> String {
-    let terms = Terms { categories, zones: 2, grace: SECOND, slack: 50 * MS };
-    let found: Vec<String> = audit(events, &terms).iter().map(ToString::to_string).collect();
+    let settings = AuditSettings { categories, zones: 2, grace: SECOND, slack: 50 * MS };
+    let found: Vec<String> = audit(events, &settings).iter().map(ToString::to_string).collect();
     if found.is_empty() {
         "nothing".to_owned()
     } else {
@@ -99,43 +101,43 @@
     }
 }
 
-fn pushed(at: Micros, host: u32) -> (Micros, What) {
-    (at, What::Pushed { id: A, host: HostNo(host), balancer: 0, began: at * MS })
+fn received(at: Micros, host: u32) -> (Micros, Observation) {
+    (at, Observation::AttemptReceived { id: A, host: HostNo(host), balancer: 0, began: at * MS })
 }
 
-fn ran(at: Micros, host: u32, effect: bool) -> (Micros, What) {
-    (at, What::Ran { id: A, host: HostNo(host), effect })
+fn executed(at: Micros, host: u32, effect: bool) -> (Micros, Observation) {
+    (at, Observation::Executed { id: A, host: HostNo(host), effect })
 }
 
-fn turned(at: Micros, host: u32) -> (Micros, What) {
-    (at, What::Turned { id: A, host: HostNo(host) })
+fn rejected(at: Micros, host: u32) -> (Micros, Observation) {
+    (at, Observation::AttemptRejected { id: A, host: HostNo(host) })
 }
 
-fn answered(at: Micros, answer: Answered) -> (Micros, What) {
-    (at, What::Answered { id: A, answer })
+fn answered(at: Micros, answer: Reply) -> (Micros, Observation) {
+    (at, Observation::ReplyReceived { id: A, answer })
 }
 
 #[test]
-fn repeats_are_judged_by_what_was_known_of_earlier_pushes() {
-    let served = || answered(90, Answered::Served { own: true });
+fn retries_are_judged_by_what_was_known_of_earlier_attempts() {
+    let served = || answered(90, Reply::Served { own: true });
     let mut trace = Vec::new();
-    let mut say = |title: &str, verdict: String| trace.push(format!("{title}: {verdict}"));
-    let twice = [pushed(10, 0), turned(20, 0), pushed(30, 1), ran(40, 1, true), served()];
-    say("once, turned away first", judged("once", Group::All, &twice));
-    let blind = [pushed(10, 0), pushed(30, 1), ran(40, 1, true), served()];
-    say("once, blind", judged("once", Group::All, &blind));
-    let both = [pushed(10, 0), ran(20, 0, true), pushed(30, 1), ran(40, 1, true), served()];
-    say("once, ran twice", judged("once", Group::All, &both));
-    let nacked = [pushed(10, 0), answered(30, Answered::Busy)];
-    say("once, nacked while out", judged("once", Group::All, &nacked));
-    say("put, nacked while out, one group", judged("put", Group::All, &nacked));
-    say("put, nacked while out, zones", judged("put", Group::Zone, &nacked));
-    let same = [pushed(10, 0), pushed(30, 2), ran(40, 2, true), ran(45, 0, false), served()];
-    say("put, same zone", judged("put", Group::Zone, &same));
-    say("put, other zone", judged("put", Group::Zone, &blind));
-    say(
+    let mut note = |title: &str, verdict: String| trace.push(format!("{title}: {verdict}"));
+    let twice = [received(10, 0), rejected(20, 0), received(30, 1), executed(40, 1, true), served()];
+    note("once, turned away first", judged("once", Group::All, &twice));
+    let blind = [received(10, 0), received(30, 1), executed(40, 1, true), served()];
+    note("once, blind", judged("once", Group::All, &blind));
+    let both = [received(10, 0), executed(20, 0, true), received(30, 1), executed(40, 1, true), served()];
+    note("once, ran twice", judged("once", Group::All, &both));
+    let rejected_while_open = [received(10, 0), answered(30, Reply::Busy)];
+    note("once, nacked while out", judged("once", Group::All, &rejected_while_open));
+    note("put, nacked while out, one group", judged("put", Group::All, &rejected_while_open));
+    note("put, nacked while out, zones", judged("put", Group::Zone, &rejected_while_open));
+    let same = [received(10, 0), received(30, 2), executed(40, 2, true), executed(45, 0, false), served()];
+    note("put, same zone", judged("put", Group::Zone, &same));
+    note("put, other zone", judged("put", Group::Zone, &blind));
+    note(
         "put, same cell",
-        judged("put", Group::Cell, &[pushed(10, 3), pushed(30, 3), ran(40, 3, true), served()]),
+        judged("put", Group::Cell, &[received(10, 3), received(30, 3), executed(40, 3, true), served()]),
     );
     expect![[r#"
         once, turned away first: nothing
@@ -152,22 +154,22 @@
 }
 
 #[test]
-fn windows_falls_of_the_origin_and_kills_are_told_apart() {
-    let late = [pushed(10, 0), pushed(5_200, 0), ran(5_300, 0, true)];
+fn retry_past_window_origin_overload_and_killed_balancer_are_told_apart() {
+    let late = [received(10, 0), received(5_200, 0), executed(5_300, 0, true)];
     let late = judged("put", Group::All, &late);
     let origin = |by_cold_misses| {
-        let fell = What::Fell { host: HostNo::ORIGIN, cold: false, by_cold_misses };
-        judged("read", Group::All, &[(10, fell), answered(20, Answered::Failed)])
+        let fell = Observation::Overloaded { host: HostNo::ORIGIN, cold: false, by_cold_misses };
+        judged("read", Group::All, &[(10, fell), answered(20, Reply::Failed)])
     };
-    let cut = (500, What::Cut { id: A });
-    let killed = (490, What::Balancer { balancer: 0, up: false });
+    let cut = (500, Observation::ConnectionClosed { id: A });
+    let killed = (490, Observation::BalancerProcess { balancer: 0, up: false });
     let trace = [
         late,
         origin(false),
         origin(true),
         judged("read", Group::All, std::slice::from_ref(&cut)),
         judged("read", Group::All, &[killed, cut]),
-        judged("read", Group::All, &[(2_400, What::Unanswered { id: A })]),
+        judged("read", Group::All, &[(2_400, Observation::Unanswered { id: A })]),
     ];
     expect![[r#"
         rule 1 at 5.200 s: op 000000000000000a went to host 0 3200.0 ms after its end
@@ -179,3 +181,45 @@
         rule 1 at 2.000 s: op 000000000000000a got no answer from balancer 0"#]]
     .assert_eq(&trace.join("\n"));
 }
+
+#[test]
+fn observation_stored_text_keeps_the_words_of_earlier_results() {
+    let host = HostNo(3);
+    let observations = [
+        Observation::RequestSent { id: A, balancer: 0, category: 1, until: 5 },
+        Observation::ReplyReceived { id: A, answer: Reply::Served { own: true } },
+        Observation::ReplyReceived { id: A, answer: Reply::Busy },
+        Observation::ClientLeft { id: A },
+        Observation::ConnectionClosed { id: A },
+        Observation::Unanswered { id: A },
+        Observation::UnsolicitedReply { balancer: 0 },
+        Observation::AttemptReceived { id: A, host, balancer: 0, began: 4 },
+        Observation::AttemptRejected { id: A, host },
+        Observation::KeyMissing { id: A, host },
+        Observation::Executed { id: A, host, effect: true },
+        Observation::StatusAnnounced { balancer: 0, host, standing: EndpointStatus::Active },
+        Observation::AnnouncementDue { balancer: 0, host, standing: EndpointStatus::Leaving },
+        Observation::Overloaded { host, cold: true, by_cold_misses: false },
+        Observation::BalancerProcess { balancer: 0, up: false },
+        Observation::FaultBoundary { text: "hang".to_owned(), begins: true },
+    ];
+    let stored: Vec<String> = observations.iter().map(ToString::to_string).collect();
+    expect![[r#"
+        Asked { id: Id(10), balancer: 0, category: 1, until: 5 }
+        Answered { id: Id(10), answer: Served { own: true } }
+        Answered { id: Id(10), answer: Busy }
+        Left { id: Id(10) }
+        Cut { id: Id(10) }
+        Unanswered { id: Id(10) }
+        Stray { balancer: 0 }
+        Pushed { id: Id(10), host: HostNo(3), balancer: 0, began: 4 }
+        Turned { id: Id(10), host: HostNo(3) }
+        Missed { id: Id(10), host: HostNo(3) }
+        Ran { id: Id(10), host: HostNo(3), effect: true }
+        Told { balancer: 0, host: HostNo(3), standing: Up }
+        Due { balancer: 0, host: HostNo(3), standing: Leaving }
+        Fell { host: HostNo(3), cold: true, by_cold_misses: false }
+        Balancer { balancer: 0, up: false }
+        Edge { text: "hang", begins: true }"#]]
+    .assert_eq(&stored.join("\n"));
+}
