--- a/testbed/src/audit.rs
+++ b/testbed/src/audit.rs
@@ -1,303 +1,234 @@
-//! The audit: the four rules, judged from the world's side alone, by every op's id. Pure: it reads a ledger's events.
+//! The audit: the four rules, judged from the side of the emulated world alone, request by request. Pure: it reads
+//! the events of a ledger ([`crate::ledger`]).
 //!
-//! It holds the rules as the operators write them. Where a time is compared, `slack` is allowed on top: what the protocol
-//! grants, and the time by which the world's own threads were late.
+//! It holds the rules as the operators write them. Where a time is compared, [`AuditSettings::slack`] is allowed on
+//! top: what the protocol grants, and the time by which the world's own threads were late.
+
+mod request;
 
 use std::collections::{BTreeMap, HashMap};
+use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
+use crate::audit::request::{Attempt, RequestHistory, SentRequest};
 use crate::balancers::LET_GO;
-use crate::ledger::{EndpointStatus, Event, HostNo, Observation, Reply, RequestId};
-use crate::script::{Category, Group, Repeats};
-use crate::time::{millis, Micros, SECOND};
+use crate::ledger::{EndpointStatus, Event, HostNo, Observation, RequestId};
+use crate::script::Category;
+use crate::time::{Micros, SECOND};
+
+/// At most so many events are kept with a breach.
+const MAX_EVENTS_PER_BREACH: usize = 24;
 
+/// The four rules, in the operators' order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Rule {
-    /// No op is lost: one final answer in time, the value made for it, nothing sent for it after.
+    /// No request is lost: one final answer in time, the value made for it, nothing sent for it after.
     Answered,
     /// Nothing takes effect twice.
     Once,
     /// Drains are kept.
     Drain,
-    /// No cold host is pushed over, nor the origin by misses at cold hosts.
+    /// No host that warms up is overloaded, nor the origin by misses at such hosts.
     Cold,
 }
 
 impl Rule {
+    /// The rule's number on the operators' pages, from 1.
     pub fn number(self) -> u8 {
         self as u8 + 1
     }
 }
 
+/// One breach of a rule.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Breach {
+    /// The rule that was broken.
     pub rule: Rule,
+    /// When, in microseconds since the run began.
     pub at_us: Micros,
+    /// What happened, in one line.
     pub what: String,
-    /// What was noted of the same op, host or balancer around it.
+    /// What was recorded of the same request, or of the second before where it is about none.
     pub around: Vec<String>,
 }
 
-impl std::fmt::Display for Breach {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+impl fmt::Display for Breach {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "rule {} at {:.3} s: {}", self.rule.number(), self.at_us as f64 / 1e6, self.what)
     }
 }
 
+/// What the audit has to know of the experiment.
 pub struct AuditSettings<'a> {
+    /// The experiment's request classes, in the order in which events number them.
     pub categories: &'a [Category],
+    /// How many zones hosts are spread over.
     pub zones: u32,
+    /// How long after a drain's announcement attempts may still begin at the host.
     pub grace: Micros,
+    /// What is allowed on top of each time that is compared.
     pub slack: Micros,
 }
 
-struct Push {
+/// Every breach, in the order of time.
+pub fn audit(events: &[Event], settings: &AuditSettings) -> Vec<Breach> {
+    let mut history = History::new(settings);
+    for event in events {
+        history.record(event.at, &event.observation);
+    }
+    let mut findings = history.judge();
+    findings.sort_by_key(|finding| (finding.at, finding.rule));
+    findings.into_iter().map(|finding| finding.with_events(events)).collect()
+}
+
+/// A breach before its events are looked up.
+struct Finding {
+    rule: Rule,
     at: Micros,
-    began: Micros,
-    host: HostNo,
-    /// When it was known not to have run: turned away, or a miss.
-    never: Option<Micros>,
-    ran: bool,
+    what: String,
+    /// The request that it is about, where it is about one.
+    id: Option<RequestId>,
 }
 
-#[derive(Default)]
-struct Op {
-    asked: Option<(Micros, usize, usize, Micros)>,
-    answers: Vec<(Micros, Reply)>,
-    left: bool,
-    cut: Option<Micros>,
-    unanswered: bool,
-    pushes: Vec<Push>,
-    effects: u32,
+impl Finding {
+    fn with_events(self, events: &[Event]) -> Breach {
+        let around = events_around(events, self.at, self.id);
+        Breach { rule: self.rule, at_us: self.at, what: self.what, around }
+    }
 }
 
-/// Every breach, in the order of time.
-pub fn audit(events: &[Event], terms: &AuditSettings) -> Vec<Breach> {
-    let mut ops: BTreeMap<RequestId, Op> = BTreeMap::new();
-    let mut found: Vec<(Rule, Micros, String, Option<RequestId>)> = Vec::new();
-    let mut down: HashMap<usize, Vec<(Micros, bool)>> = HashMap::new();
-    let mut drained: HashMap<(usize, HostNo), Micros> = HashMap::new();
-    for event in events {
-        let at = event.at;
-        match &event.observation {
+/// The events of the same request, or those about none from the second before.
+fn events_around(events: &[Event], at: Micros, id: Option<RequestId>) -> Vec<String> {
+    let is_related = |event: &&Event| match (event.observation.request_id(), id) {
+        (Some(other), Some(id)) => other == id,
+        (None, _) => (at - SECOND..=at + SECOND / 10).contains(&event.at),
+        _ => false,
+    };
+    let line = |event: &Event| format!("{:.6} {}", event.at as f64 / 1e6, event.observation);
+    events.iter().filter(is_related).take(MAX_EVENTS_PER_BREACH).map(line).collect()
+}
+
+/// What is known of the run up to an event.
+struct History<'a> {
+    settings: &'a AuditSettings<'a>,
+    requests: BTreeMap<RequestId, RequestHistory>,
+    /// When each balancer was killed.
+    kills: HashMap<usize, Vec<Micros>>,
+    /// Since when a balancer counts as informed that a host drains.
+    drained_since: HashMap<(usize, HostNo), Micros>,
+    findings: Vec<Finding>,
+}
+
+impl<'a> History<'a> {
+    fn new(settings: &'a AuditSettings<'a>) -> History<'a> {
+        History {
+            settings,
+            requests: BTreeMap::new(),
+            kills: HashMap::new(),
+            drained_since: HashMap::new(),
+            findings: Vec::new(),
+        }
+    }
+
+    fn record(&mut self, at: Micros, observation: &Observation) {
+        match observation {
             Observation::RequestSent { id, balancer, category, until } => {
-                ops.entry(*id).or_default().asked = Some((at, *balancer, *category, *until));
+                let sent = SentRequest { at, balancer: *balancer, category: *category, deadline: *until };
+                self.request(*id).sent = Some(sent);
             }
-            Observation::ReplyReceived { id, answer } => {
-                ops.entry(*id).or_default().answers.push((at, *answer))
-            }
-            Observation::ClientLeft { id } => ops.entry(*id).or_default().left = true,
-            Observation::ConnectionClosed { id } => ops.entry(*id).or_default().cut = Some(at),
-            Observation::Unanswered { id } => ops.entry(*id).or_default().unanswered = true,
+            Observation::ReplyReceived { id, answer } => self.request(*id).replies.push((at, *answer)),
+            Observation::ClientLeft { id } => self.request(*id).client_left = true,
+            Observation::ConnectionClosed { id } => self.request(*id).connection_closed_at = Some(at),
+            Observation::Unanswered { id } => self.request(*id).unanswered = true,
             Observation::UnsolicitedReply { balancer } => {
                 let what = format!("balancer {balancer} answered where nothing was asked, or a second time");
-                found.push((Rule::Answered, at, what, None));
+                self.find(Rule::Answered, at, what, None);
             }
             Observation::AttemptReceived { id, host, balancer, began } => {
-                let push = Push { at, began: *began, host: *host, never: None, ran: false };
-                ops.entry(*id).or_default().pushes.push(push);
-                let told = drained.get(&(*balancer, *host));
-                if let Some(&told) = told.filter(|&&told| *began > told + terms.grace + terms.slack) {
-                    let since = (*began - told) as f64 / 1e6;
-                    let what =
-                        format!("balancer {balancer} sent op {id} to {host} {since:.3} s after its drain");
-                    found.push((Rule::Drain, at, what, Some(*id)));
-                }
+                let attempt = Attempt::new(at, *began, *host);
+                self.request(*id).attempts.push(attempt);
+                self.check_drain(at, *id, *host, *balancer, *began);
             }
             Observation::AttemptRejected { id, host } | Observation::KeyMissing { id, host } => {
-                let pushes = &mut ops.entry(*id).or_default().pushes;
-                let open = pushes.iter_mut().find(|push| push.host == *host && push.open());
-                if let Some(push) = open {
-                    push.never = Some(at);
-                }
-            }
-            Observation::Executed { id, host, effect } => {
-                let op = ops.entry(*id).or_default();
-                if let Some(push) = op.pushes.iter_mut().find(|push| push.host == *host && push.open()) {
-                    push.ran = true;
-                }
-                op.effects += u32::from(*effect);
+                self.request(*id).attempt_did_not_run(*host, at);
             }
-            Observation::StatusAnnounced { balancer, host, standing: EndpointStatus::Active }
-            | Observation::AnnouncementDue { balancer, host, standing: EndpointStatus::Active } => {
-                drained.remove(&(*balancer, *host));
-            }
-            Observation::StatusAnnounced { balancer, host, .. }
-            | Observation::AnnouncementDue { balancer, host, .. } => {
-                drained.entry((*balancer, *host)).or_insert(at);
+            Observation::Executed { id, host, effect } => self.request(*id).attempt_ran(*host, *effect),
+            Observation::StatusAnnounced { balancer, host, standing }
+            | Observation::AnnouncementDue { balancer, host, standing } => {
+                self.announced(at, *balancer, *host, *standing);
             }
             Observation::Overloaded { host, cold, by_cold_misses } => {
-                if *host == HostNo::ORIGIN && *by_cold_misses {
-                    let what = "the origin was pushed over by misses at cold hosts".to_owned();
-                    found.push((Rule::Cold, at, what, None));
-                } else if *host != HostNo::ORIGIN && *cold {
-                    found.push((Rule::Cold, at, format!("{host} was pushed over while it was cold"), None));
-                }
-            }
-            Observation::BalancerProcess { balancer, up } => {
-                down.entry(*balancer).or_default().push((at, *up));
-                // A new process has been told nothing yet, but for a list without those that had left.
-                drained.retain(|(other, _), _| other != balancer);
+                self.overloaded(at, *host, *cold, *by_cold_misses);
             }
+            Observation::BalancerProcess { balancer, up } => self.balancer_process(at, *balancer, *up),
             Observation::FaultBoundary { .. } => {}
         }
     }
-    let was_killed = |balancer: usize, from: Micros, to: Micros| {
-        let edges = down.get(&balancer).map_or(&[][..], Vec::as_slice);
-        let killed = |at: &Micros| (from - LET_GO..=to + LET_GO).contains(at);
-        edges.iter().any(|(at, up)| !up && killed(at))
-    };
-    for (id, op) in &ops {
-        judge(*id, op, terms, &was_killed, &mut found);
-    }
-    found.sort_by_key(|&(rule, at, ..)| (at, rule));
-    found
-        .into_iter()
-        .map(|(rule, at, what, id)| Breach { rule, at_us: at, what, around: around(events, at, id) })
-        .collect()
-}
 
-impl Push {
-    fn open(&self) -> bool {
-        self.never.is_none() && !self.ran
+    fn request(&mut self, id: RequestId) -> &mut RequestHistory {
+        self.requests.entry(id).or_default()
     }
 
-    /// Whether it was known by then that it had not run.
-    fn harmless(&self, by: Micros) -> bool {
-        self.never.is_some_and(|never| never <= by)
+    fn find(&mut self, rule: Rule, at: Micros, what: String, id: Option<RequestId>) {
+        self.findings.push(Finding { rule, at, what, id });
     }
-}
 
-fn judge(
-    id: RequestId,
-    op: &Op,
-    terms: &AuditSettings,
-    was_killed: &dyn Fn(usize, Micros, Micros) -> bool,
-    found: &mut Vec<(Rule, Micros, String, Option<RequestId>)>,
-) {
-    let mut tell = |rule, at, what: String| found.push((rule, at, what, Some(id)));
-    let Some((asked, balancer, category, until)) = op.asked else {
-        if let Some(push) = op.pushes.first() {
-            // Its last byte may have gone out as the client went away.
-            if !op.left && op.cut.is_none() && !op.unanswered {
-                tell(Rule::Answered, push.at, format!("{} was sent op {id} that nobody asked", push.host));
-            }
-        }
-        return;
-    };
-    let Some(category) = terms.categories.get(category) else { return };
-    let ms = |span: Micros| span as f64 / 1e3;
-    // Rule 1.
-    let last = op.answers.first().map(|&(at, _)| at);
-    match (last, op.cut) {
-        (None, Some(cut)) if !was_killed(balancer, asked, cut) => {
-            tell(Rule::Answered, cut, format!("balancer {balancer} ended the connection over op {id}"));
+    fn check_drain(&mut self, at: Micros, id: RequestId, host: HostNo, balancer: usize, began: Micros) {
+        let Some(&since) = self.drained_since.get(&(balancer, host)) else { return };
+        if began > since + self.settings.grace + self.settings.slack {
+            let elapsed_s = (began - since) as f64 / 1e6;
+            let what = format!("balancer {balancer} sent op {id} to {host} {elapsed_s:.3} s after its drain");
+            self.find(Rule::Drain, at, what, Some(id));
         }
-        (None, None) if op.unanswered && !was_killed(balancer, asked, until + SECOND) => {
-            tell(Rule::Answered, until, format!("op {id} got no answer from balancer {balancer}"));
-        }
-        (Some(at), _) if at > until + terms.slack => {
-            tell(Rule::Answered, at, format!("op {id} was answered {:.1} ms too late", ms(at - until)));
-        }
-        _ => {}
     }
-    for &(at, answer) in &op.answers {
-        let made = op.pushes.iter().any(|push| push.ran && push.at <= at);
-        match answer {
-            Reply::Served { own: false } => {
-                tell(Rule::Answered, at, format!("op {id} was served with a value made for another"));
+
+    fn announced(&mut self, at: Micros, balancer: usize, host: HostNo, status: EndpointStatus) {
+        match status {
+            EndpointStatus::Active => {
+                self.drained_since.remove(&(balancer, host));
             }
-            Reply::Served { own: true } if !made => {
-                tell(Rule::Answered, at, format!("op {id} was served with a value that no host made for it"));
+            EndpointStatus::Leaving | EndpointStatus::Left => {
+                self.drained_since.entry((balancer, host)).or_insert(at);
             }
-            _ => {}
         }
     }
-    // What began after the final answer, or after the op's time.
-    let over = last.unwrap_or(until).min(until);
-    for push in op.pushes.iter().filter(|push| push.began > over + terms.slack) {
-        let late = ms(push.began - over);
-        tell(Rule::Answered, push.at, format!("op {id} went to {} {late:.1} ms after its end", push.host));
-    }
-    // Rule 2.
-    let nacked = op.answers.iter().find(|(_, answer)| *answer == Reply::Busy);
-    match category.repeats {
-        Repeats::Redeliverable => {}
-        Repeats::AtMostOnce => {
-            for (nth, push) in op.pushes.iter().enumerate().skip(1) {
-                if op.pushes[..nth].iter().any(|earlier| !earlier.harmless(push.at)) {
-                    let what = format!("at-most-once op {id} was sent to {} again", push.host);
-                    tell(Rule::Once, push.at, format!("{what} while an earlier push may have run"));
-                }
-            }
-            if let Some(&(at, _)) = nacked {
-                if op.pushes.iter().any(|push| push.at <= at && !push.harmless(at)) {
-                    tell(Rule::Once, at, format!("at-most-once op {id} was nacked though it may have run"));
-                }
-            }
-            if op.effects > 1 {
-                let at = op.pushes.last().map_or(asked, |push| push.at);
-                tell(Rule::Once, at, format!("at-most-once op {id} took effect {} times", op.effects));
-            }
-        }
-        Repeats::Deduplicated => {
-            for (nth, push) in op.pushes.iter().enumerate().skip(1) {
-                let first = op.pushes[..nth].iter().find(|earlier| !earlier.harmless(push.at));
-                let Some(first) = first else { continue };
-                if group(category.group, first.host, terms) != group(category.group, push.host, terms) {
-                    let (from, to) = (first.host, push.host);
-                    let what = format!("deduplicated op {id} left its group: {from}, then {to}");
-                    tell(Rule::Once, push.at, what);
-                }
-                if push.began > first.at + millis(category.window_ms) + terms.slack {
-                    tell(Rule::Once, push.at, format!("deduplicated op {id} was sent again past its window"));
-                }
-            }
-            if let Some(&(at, _)) = nacked.filter(|_| category.group != Group::All) {
-                if op.pushes.iter().any(|push| push.at <= at && !push.harmless(at)) {
-                    let what = format!("deduplicated op {id} was nacked though it may have run in one group");
-                    tell(Rule::Once, at, what);
-                }
-            }
-            if op.effects > 1 {
-                let at = op.pushes.last().map_or(asked, |push| push.at);
-                tell(Rule::Once, at, format!("deduplicated op {id} took effect {} times", op.effects));
-            }
+
+    fn overloaded(&mut self, at: Micros, host: HostNo, cold: bool, by_cold_misses: bool) {
+        if host == HostNo::ORIGIN && by_cold_misses {
+            let what = "the origin was pushed over by misses at cold hosts".to_owned();
+            self.find(Rule::Cold, at, what, None);
+        } else if host != HostNo::ORIGIN && cold {
+            self.find(Rule::Cold, at, format!("{host} was pushed over while it was cold"), None);
         }
     }
-}
 
-fn group(group: Group, host: HostNo, terms: &AuditSettings) -> u32 {
-    match group {
-        Group::All => 0,
-        // The origin stands in the first zone.
-        Group::Zone if host == HostNo::ORIGIN => 0,
-        Group::Zone => host.0 % terms.zones.max(1),
-        Group::Cell => host.0,
+    fn balancer_process(&mut self, at: Micros, balancer: usize, up: bool) {
+        if !up {
+            self.kills.entry(balancer).or_default().push(at);
+        }
+        // A new process knows nothing yet but a list without those that had left.
+        self.drained_since.retain(|(other, _), _| *other != balancer);
     }
-}
 
-/// The events of the same op, or the edges and falls of the second before.
-fn around(events: &[Event], at: Micros, id: Option<RequestId>) -> Vec<String> {
-    const MOST: usize = 24;
-    let of = |what: &Observation| match what {
-        Observation::RequestSent { id, .. }
-        | Observation::ReplyReceived { id, .. }
-        | Observation::ClientLeft { id }
-        | Observation::ConnectionClosed { id }
-        | Observation::Unanswered { id }
-        | Observation::AttemptReceived { id, .. }
-        | Observation::AttemptRejected { id, .. }
-        | Observation::KeyMissing { id, .. }
-        | Observation::Executed { id, .. } => Some(*id),
-        _ => None,
-    };
-    let near = |event: &&Event| match (of(&event.observation), id) {
-        (Some(other), Some(id)) => other == id,
-        (None, _) => (at - SECOND..=at + SECOND / 10).contains(&event.at),
-        _ => false,
-    };
-    let line = |event: &Event| format!("{:.6} {}", event.at as f64 / 1e6, event.observation);
-    events.iter().filter(near).take(MOST).map(line).collect()
+    /// Judges each request by all that was seen of it.
+    fn judge(mut self) -> Vec<Finding> {
+        for (&id, request) in &self.requests {
+            let was_killed = |from, to| {
+                let balancer = request.sent.as_ref().map(|sent| sent.balancer);
+                let kills = balancer.and_then(|balancer| self.kills.get(&balancer));
+                let near = from - LET_GO..=to + LET_GO;
+                kills.is_some_and(|kills| kills.iter().any(|at| near.contains(at)))
+            };
+            for breach in request.judge(id, self.settings, &was_killed) {
+                self.findings.push(Finding {
+                    rule: breach.rule,
+                    at: breach.at,
+                    what: breach.what,
+                    id: Some(id),
+                });
+            }
+        }
+        self.findings
+    }
 }
--- /dev/null
+++ b/testbed/src/audit/request.rs
@@ -0,0 +1,266 @@
+//! One request's history, and what rules 1 and 2 say of it.
+
+use super::{AuditSettings, Rule};
+use crate::ledger::{HostNo, Reply, RequestId};
+use crate::script::{Category, Group, Repeats};
+use crate::time::{millis, Micros, SECOND};
+
+/// How a request left its client.
+pub(super) struct SentRequest {
+    pub(super) at: Micros,
+    pub(super) balancer: usize,
+    pub(super) category: usize,
+    pub(super) deadline: Micros,
+}
+
+/// One attempt of a balancer at a host.
+pub(super) struct Attempt {
+    /// When its last byte came.
+    at: Micros,
+    /// When its first byte came.
+    began: Micros,
+    host: HostNo,
+    /// When it was known not to have run: rejected, or the key was missing.
+    did_not_run_at: Option<Micros>,
+    ran: bool,
+}
+
+impl Attempt {
+    pub(super) fn new(at: Micros, began: Micros, host: HostNo) -> Attempt {
+        Attempt { at, began, host, did_not_run_at: None, ran: false }
+    }
+
+    fn is_open(&self) -> bool {
+        self.did_not_run_at.is_none() && !self.ran
+    }
+
+    /// Whether it was known by then that it had not run.
+    fn known_not_run_by(&self, by: Micros) -> bool {
+        self.did_not_run_at.is_some_and(|at| at <= by)
+    }
+}
+
+/// All that was seen of one request.
+#[derive(Default)]
+pub(super) struct RequestHistory {
+    pub(super) sent: Option<SentRequest>,
+    pub(super) replies: Vec<(Micros, Reply)>,
+    pub(super) client_left: bool,
+    pub(super) connection_closed_at: Option<Micros>,
+    pub(super) unanswered: bool,
+    pub(super) attempts: Vec<Attempt>,
+    effects: u32,
+}
+
+/// A breach by one request.
+pub(super) struct RequestBreach {
+    pub(super) rule: Rule,
+    pub(super) at: Micros,
+    pub(super) what: String,
+}
+
+impl RequestHistory {
+    pub(super) fn attempt_did_not_run(&mut self, host: HostNo, at: Micros) {
+        if let Some(attempt) = self.open_attempt(host) {
+            attempt.did_not_run_at = Some(at);
+        }
+    }
+
+    pub(super) fn attempt_ran(&mut self, host: HostNo, effect: bool) {
+        if let Some(attempt) = self.open_attempt(host) {
+            attempt.ran = true;
+        }
+        self.effects += u32::from(effect);
+    }
+
+    fn open_attempt(&mut self, host: HostNo) -> Option<&mut Attempt> {
+        self.attempts.iter_mut().find(|attempt| attempt.host == host && attempt.is_open())
+    }
+
+    /// The breaches of this request. `was_killed` says whether its balancer was killed near a span of time.
+    pub(super) fn judge(
+        &self,
+        id: RequestId,
+        settings: &AuditSettings,
+        was_killed: &dyn Fn(Micros, Micros) -> bool,
+    ) -> Vec<RequestBreach> {
+        let mut breaches = Vec::new();
+        let Some(sent) = &self.sent else {
+            self.judge_unsent(id, &mut breaches);
+            return breaches;
+        };
+        let Some(category) = settings.categories.get(sent.category) else { return breaches };
+        let mut judge = Judge { id, request: self, sent, category, settings, breaches };
+        judge.final_answer(was_killed);
+        judge.values();
+        judge.attempts_after_end();
+        match category.repeats {
+            Repeats::Redeliverable => {}
+            Repeats::AtMostOnce => judge.at_most_once(),
+            Repeats::Deduplicated => judge.deduplicated(),
+        }
+        judge.breaches
+    }
+
+    fn judge_unsent(&self, id: RequestId, breaches: &mut Vec<RequestBreach>) {
+        let Some(attempt) = self.attempts.first() else { return };
+        // The request's last byte may have gone out as the client went away.
+        if !self.client_left && self.connection_closed_at.is_none() && !self.unanswered {
+            let what = format!("{} was sent op {id} that nobody asked", attempt.host);
+            breaches.push(RequestBreach { rule: Rule::Answered, at: attempt.at, what });
+        }
+    }
+
+    /// When it was answered `-BUSY`, if it was.
+    fn rejected_at(&self) -> Option<Micros> {
+        self.replies.iter().find(|(_, reply)| *reply == Reply::Busy).map(|&(at, _)| at)
+    }
+
+    /// Whether, by what was known then, an attempt sent until then may have run.
+    fn may_have_run_by(&self, at: Micros) -> bool {
+        self.attempts.iter().any(|attempt| attempt.at <= at && !attempt.known_not_run_by(at))
+    }
+}
+
+/// Judges one request that was sent.
+struct Judge<'a> {
+    id: RequestId,
+    request: &'a RequestHistory,
+    sent: &'a SentRequest,
+    category: &'a Category,
+    settings: &'a AuditSettings<'a>,
+    breaches: Vec<RequestBreach>,
+}
+
+impl Judge<'_> {
+    fn add(&mut self, rule: Rule, at: Micros, what: String) {
+        self.breaches.push(RequestBreach { rule, at, what });
+    }
+
+    fn answered_at(&self) -> Option<Micros> {
+        self.request.replies.first().map(|&(at, _)| at)
+    }
+
+    /// Rule 1: one final answer in time.
+    fn final_answer(&mut self, was_killed: &dyn Fn(Micros, Micros) -> bool) {
+        let SentRequest { at: sent_at, balancer, deadline, .. } = *self.sent;
+        let id = self.id;
+        match (self.answered_at(), self.request.connection_closed_at) {
+            (None, Some(closed_at)) if !was_killed(sent_at, closed_at) => {
+                let what = format!("balancer {balancer} ended the connection over op {id}");
+                self.add(Rule::Answered, closed_at, what);
+            }
+            (None, None) if self.request.unanswered && !was_killed(sent_at, deadline + SECOND) => {
+                let what = format!("op {id} got no answer from balancer {balancer}");
+                self.add(Rule::Answered, deadline, what);
+            }
+            (Some(at), _) if at > deadline + self.settings.slack => {
+                let what = format!("op {id} was answered {:.1} ms too late", as_ms(at - deadline));
+                self.add(Rule::Answered, at, what);
+            }
+            _ => {}
+        }
+    }
+
+    /// Rule 1: a served value was made for this request, by a host.
+    fn values(&mut self) {
+        let (id, request) = (self.id, self.request);
+        for &(at, reply) in &request.replies {
+            let made = request.attempts.iter().any(|attempt| attempt.ran && attempt.at <= at);
+            match reply {
+                Reply::Served { own: false } => {
+                    let what = format!("op {id} was served with a value made for another");
+                    self.add(Rule::Answered, at, what);
+                }
+                Reply::Served { own: true } if !made => {
+                    let what = format!("op {id} was served with a value that no host made for it");
+                    self.add(Rule::Answered, at, what);
+                }
+                _ => {}
+            }
+        }
+    }
+
+    /// Rule 1: no attempt begins after the final answer or the deadline.
+    fn attempts_after_end(&mut self) {
+        let deadline = self.sent.deadline;
+        let end = self.answered_at().unwrap_or(deadline).min(deadline);
+        for attempt in &self.request.attempts {
+            if attempt.began > end + self.settings.slack {
+                let late_ms = as_ms(attempt.began - end);
+                let what = format!("op {} went to {} {late_ms:.1} ms after its end", self.id, attempt.host);
+                self.add(Rule::Answered, attempt.at, what);
+            }
+        }
+    }
+
+    /// Rule 2 for requests that may run once at most.
+    fn at_most_once(&mut self) {
+        let (id, request) = (self.id, self.request);
+        for (nth, attempt) in request.attempts.iter().enumerate().skip(1) {
+            let mut earlier = request.attempts[..nth].iter();
+            if earlier.any(|earlier| !earlier.known_not_run_by(attempt.at)) {
+                let what = format!("at-most-once op {id} was sent to {} again", attempt.host);
+                self.add(Rule::Once, attempt.at, format!("{what} while an earlier push may have run"));
+            }
+        }
+        if let Some(at) = request.rejected_at().filter(|&at| request.may_have_run_by(at)) {
+            self.add(Rule::Once, at, format!("at-most-once op {id} was nacked though it may have run"));
+        }
+        self.effects("at-most-once");
+    }
+
+    /// Rule 2 for requests that hosts deduplicate, within a group of hosts and for a time.
+    fn deduplicated(&mut self) {
+        let (id, request) = (self.id, self.request);
+        for (nth, attempt) in request.attempts.iter().enumerate().skip(1) {
+            let mut earlier = request.attempts[..nth].iter();
+            if let Some(first) = earlier.find(|earlier| !earlier.known_not_run_by(attempt.at)) {
+                self.deduplicated_retry(first, attempt);
+            }
+        }
+        // Hosts of all groups deduplicate together: then a client that tries again does no harm.
+        let rejected_at = request.rejected_at().filter(|_| self.category.group != Group::All);
+        if let Some(at) = rejected_at.filter(|&at| request.may_have_run_by(at)) {
+            let what = format!("deduplicated op {id} was nacked though it may have run in one group");
+            self.add(Rule::Once, at, what);
+        }
+        self.effects("deduplicated");
+    }
+
+    /// `first` may have run as `retry` was sent.
+    fn deduplicated_retry(&mut self, first: &Attempt, retry: &Attempt) {
+        let id = self.id;
+        if self.group_of(first.host) != self.group_of(retry.host) {
+            let what = format!("deduplicated op {id} left its group: {}, then {}", first.host, retry.host);
+            self.add(Rule::Once, retry.at, what);
+        }
+        if retry.began > first.at + millis(self.category.window_ms) + self.settings.slack {
+            self.add(Rule::Once, retry.at, format!("deduplicated op {id} was sent again past its window"));
+        }
+    }
+
+    /// Rule 2: what the hosts have seen themselves.
+    fn effects(&mut self, safety: &str) {
+        let effects = self.request.effects;
+        if effects > 1 {
+            let at = self.request.attempts.last().map_or(self.sent.at, |attempt| attempt.at);
+            self.add(Rule::Once, at, format!("{safety} op {} took effect {effects} times", self.id));
+        }
+    }
+
+    /// The number of the group of hosts that deduplicate together.
+    fn group_of(&self, host: HostNo) -> u32 {
+        match self.category.group {
+            Group::All => 0,
+            // The origin stands in the first zone.
+            Group::Zone if host == HostNo::ORIGIN => 0,
+            Group::Zone => host.0 % self.settings.zones.max(1),
+            Group::Cell => host.0,
+        }
+    }
+}
+
+fn as_ms(span: Micros) -> f64 {
+    span as f64 / 1e3
+}
