--- a/testbed/src/audit.rs
+++ b/testbed/src/audit.rs
@@ -1,8 +1,9 @@
-//! The audit: the four rules, judged from the side of the emulated world alone, request by request. Pure: it reads
-//! the events of a ledger ([`crate::ledger`]).
+//! The audit: the four rules, judged from the side of the emulated world alone, request by request.
+//! Pure: it reads the events of a ledger ([`crate::ledger`]).
 //!
-//! It holds the rules as the operators write them. Where a time is compared, [`AuditSettings::slack`] is allowed on
-//! top: what the protocol grants, and the time by which the world's own threads were late.
+//! It holds the rules as the operators write them. Where a time is compared,
+//! [`AuditSettings::slack`] is allowed on top: what the protocol grants, and the time by which the
+//! world's own threads were late.
 
 mod request;
 
@@ -23,7 +24,8 @@
 /// The four rules, in the operators' order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Rule {
-    /// No request is lost: one final answer in time, the value made for it, nothing sent for it after.
+    /// No request is lost: one final answer in time, the value made for it, nothing sent for it
+    /// after.
     Answered,
     /// Nothing takes effect twice.
     Once,
--- a/testbed/src/audit/request.rs
+++ b/testbed/src/audit/request.rs
@@ -77,7 +77,8 @@
         self.attempts.iter_mut().find(|attempt| attempt.host == host && attempt.is_open())
     }
 
-    /// The breaches of this request. `was_killed` says whether its balancer was killed near a span of time.
+    /// The breaches of this request. `was_killed` says whether its balancer was killed near a span
+    /// of time.
     pub(super) fn judge(
         &self,
         id: RequestId,
--- a/testbed/src/figures.rs
+++ b/testbed/src/figures.rs
@@ -7,7 +7,7 @@
 
 use crate::audit::Breach;
 use crate::balancers::Use;
-use crate::lateness::{self, part_over, Seen};
+use crate::lateness::{self, part_over, LatenessHistograms};
 use crate::ledger::{Event, HostNo, Observation};
 use crate::load::player::{End, Record};
 use crate::script::Experiment;
@@ -244,8 +244,8 @@
 
 impl Figures {
     /// How late the machine woke a bare thread, and how late the world's thread was.
-    pub fn note_late(&mut self, bare: &Seen, world: &Seen, bound: Micros) {
-        let (Seen { late: bare, .. }, Seen { late: world, own }) = (bare, world);
+    pub fn note_late(&mut self, bare: &LatenessHistograms, world: &LatenessHistograms, bound: Micros) {
+        let (LatenessHistograms { late: bare, .. }, LatenessHistograms { late: world, own }) = (bare, world);
         self.bare_p99_ms = bare.value_at_quantile(0.99) as f64 / 1e3;
         self.bare_most_ms = bare.max() as f64 / 1e3;
         self.bare_late_part = part_over(bare, bound);
--- a/testbed/src/lateness.rs
+++ b/testbed/src/lateness.rs
@@ -1,12 +1,15 @@
-//! How late the lab's threads were, how late the machine wakes a thread that does nothing else, and what of a
-//! run can be told in spite of either. The judging ([`judge`]) is pure; [`Bare`] is the thread that does
-//! nothing else.
+//! How late the testbed's own threads were, how late the machine wakes a thread that does nothing
+//! else, and what can be told of a run in spite of either. The verdict ([`judge`]) is pure;
+//! [`ReferenceThread`] is the thread that does nothing else (reports call it the bare thread).
 //!
-//! Every lateness here is measured as in an open loop: by a schedule that goes on whatever became of the turn
-//! before, so a stall of 20 ms is seen by each turn that was due within it.
+//! Every lateness here is measured as in an open loop: by a schedule that goes on whatever became
+//! of the period before, so a stall of 20 ms is seen by each period that was due within it.
+
+mod verdict;
 
 use std::collections::VecDeque;
 use std::fs::File;
+use std::io;
 use std::os::unix::fs::FileExt;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -14,309 +17,210 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
+use thiserror::Error;
 
+pub use self::verdict::{judge, LatenessBounds, Responsible, Verdict};
 use crate::time::{Micros, MS};
 
-/// More than this part of the ops, late by the lab's own fault, voids a run; so much of the benefit is to
-/// be told, too.
-pub const LATE_PART: f64 = 0.01;
-/// So long a thread of the world may stand still at most, in microseconds.
-pub const STOOD_STILL: Micros = 250 * MS;
-/// How often threads are woken for one op, from its being due to its end, where it is served by a cache
-/// host: clock, generator, balancer, host, the host's timer, balancer, generator.
-pub const WAKES: u32 = 7;
-/// How often until it has left: clock, generator.
-pub const WAKES_TO_LEAVE: u32 = 2;
-/// The bare thread's turn.
-const TURN: Duration = Duration::from_millis(1);
-
-/// What was seen of a thread: how late its turns were, and how late they were beside the time for which it stood
-/// ready and had no core, which is the machine's.
+/// More than this part of the requests, late by the testbed's own fault, voids a run; of the
+/// benefit no larger part may be in doubt, either.
+pub const MAX_LATE_FRACTION: f64 = 0.01;
+/// The longest that a thread of the emulated world may stand still, in microseconds.
+pub const MAX_STALL: Micros = 250 * MS;
+/// How often threads are woken for one request, from its being due to its end, where a cache host
+/// serves it: clock, generator, balancer, host, the host's timer, balancer, generator.
+pub const WAKEUPS_PER_REQUEST: u32 = 7;
+/// How often threads are woken until a request has left: clock, generator.
+pub const WAKEUPS_TO_LEAVE: u32 = 2;
+/// The period of the reference thread.
+const REFERENCE_PERIOD: Duration = Duration::from_millis(1);
+/// The largest lateness that histograms tell apart from larger ones: an hour, in microseconds.
+const LARGEST_LATENESS: u64 = 3_600_000_000;
+
+/// The lateness of a thread, in microseconds.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct LatenessHistograms {
+    /// By how much each period came late.
     pub late: Histogram<u64>,
+    /// The same less the time for which the thread stood ready and had no core, which is the
+    /// machine's.
     pub own: Histogram<u64>,
 }
 
-impl Default for Seen {
-    fn default() -> Seen {
-        Seen { late: histogram(), own: histogram() }
+impl Default for LatenessHistograms {
+    fn default() -> LatenessHistograms {
+        LatenessHistograms { late: histogram(), own: histogram() }
     }
 }
 
-/// Lateness of turns or ops in whole microseconds, filled by one thread and read by others.
+/// The lateness of a thread or of requests in whole microseconds, filled by one thread and read by
+/// others.
 #[derive(Debug, Default)]
-pub struct Lateness(Mutex<Seen>);
+pub struct Lateness(Mutex<LatenessHistograms>);
 
 /// An empty histogram of lateness: 1 us to an hour, three digits.
 pub fn histogram() -> Histogram<u64> {
-    // The bounds are constants that hdrhistogram takes; its smallest one stands in where it would not.
-    Histogram::new_with_bounds(1, 3_600_000_000, 3).unwrap_or_else(|_| Histogram::new(1).expect("one digit"))
+    // hdrhistogram takes these constants; its smallest histogram stands in where it would not.
+    Histogram::new_with_bounds(1, LARGEST_LATENESS, 3)
+        .unwrap_or_else(|_| Histogram::new(1).expect("one digit"))
 }
 
 impl Lateness {
-    fn with<T>(&self, act: impl FnOnce(&mut Seen) -> T) -> T {
+    fn with<T>(&self, act: impl FnOnce(&mut LatenessHistograms) -> T) -> T {
         act(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
+    /// Records a lateness of which no part is the machine's; a negative one counts as 0.
     pub fn record(&self, late: Micros) {
         self.record_beside(late, 0);
     }
 
-    /// So late, and for so much of it without a core.
+    /// Records a lateness, for `waited` of which the thread had no core.
     pub fn record_beside(&self, late: Micros, waited: Micros) {
-        self.with(|seen| {
-            seen.late.saturating_record(late.max(0) as u64);
-            seen.own.saturating_record((late - waited).max(0) as u64);
+        self.with(|histograms| {
+            histograms.late.saturating_record(late.max(0) as u64);
+            histograms.own.saturating_record((late - waited).max(0) as u64);
         });
     }
 
-    /// What was seen until now is forgotten: the run begins.
+    /// Forgets what was recorded until now: the run begins.
     pub fn clear(&self) {
-        self.with(|seen| {
-            seen.late.reset();
-            seen.own.reset();
+        self.with(|histograms| {
+            histograms.late.reset();
+            histograms.own.reset();
         });
     }
 
-    pub fn seen(&self) -> Seen {
-        self.with(|seen| seen.clone())
+    /// A copy of what was recorded so far.
+    pub fn snapshot(&self) -> LatenessHistograms {
+        self.with(|histograms| histograms.clone())
     }
 
-    /// The most so far, in microseconds.
-    pub fn most(&self) -> Micros {
-        self.with(|seen| seen.late.max() as Micros)
+    /// The largest lateness so far, in microseconds.
+    pub fn max(&self) -> Micros {
+        self.with(|histograms| histograms.late.max() as Micros)
     }
 }
 
-/// For how long a thread stood ready and had no core: Linux counts it in the second field of `schedstat`. Where
-/// it does not, nothing is excused. To be made and asked on that thread.
-pub struct Waits {
+/// For how long a thread stood ready and had no core: Linux counts it in the second field of
+/// `schedstat`. Where the system does not count it, nothing is excused. To be made and read on that
+/// thread.
+pub struct CpuWaits {
     file: Option<File>,
-    /// Earlier looks: when, and what had been waited by then.
-    looks: VecDeque<(Instant, Micros)>,
+    /// Earlier readings: when, and the total wait by then.
+    readings: VecDeque<(Instant, Micros)>,
 }
 
-impl Default for Waits {
-    fn default() -> Waits {
-        let mut waits =
-            Waits { file: File::open("/proc/thread-self/schedstat").ok(), looks: VecDeque::new() };
-        let now = waits.all();
-        waits.looks.push_back((Instant::now(), now));
+impl Default for CpuWaits {
+    fn default() -> CpuWaits {
+        let file = File::open("/proc/thread-self/schedstat").ok();
+        let mut waits = CpuWaits { file, readings: VecDeque::new() };
+        let total = waits.total();
+        waits.readings.push_back((Instant::now(), total));
         waits
     }
 }
 
-impl Waits {
-    fn all(&self) -> Micros {
+impl CpuWaits {
+    fn total(&self) -> Micros {
         let mut text = [0; 96];
         let read = self.file.as_ref().and_then(|file| file.read_at(&mut text, 0).ok()).unwrap_or(0);
         let text = std::str::from_utf8(&text[..read]).unwrap_or_default();
         text.split(' ').nth(1).and_then(|ns| ns.parse::<Micros>().ok()).unwrap_or(0) / 1_000
     }
 
-    /// How long it waited since a turn was due: from the last look before that on, so a look each turn keeps this
-    /// near.
+    /// How long the thread waited for a core since a period was due, in microseconds. It counts
+    /// from the last reading before that time, so a reading in each period keeps the result near.
     pub fn since(&mut self, due: Instant) -> Micros {
-        let now = self.all();
-        while self.looks.get(1).is_some_and(|look| look.0 <= due) {
-            self.looks.pop_front();
+        let total = self.total();
+        while self.readings.get(1).is_some_and(|reading| reading.0 <= due) {
+            self.readings.pop_front();
         }
-        let before = self.looks.front().map_or(now, |look| look.1);
-        self.looks.push_back((Instant::now(), now));
-        now - before
+        let before = self.readings.front().map_or(total, |reading| reading.1);
+        self.readings.push_back((Instant::now(), total));
+        total - before
     }
 }
 
-/// A thread that sleeps until the next whole millisecond of its schedule and notes how late it
+/// A thread could not be started: the system allows no further one.
+#[derive(Debug, Error)]
+#[error("a thread: {0}")]
+pub struct ThreadError(#[from] io::Error);
+
+/// A thread that sleeps until the next whole millisecond of its schedule and records how late it
 /// woke: what the machine does to any thread, in the same run. It ends when this is dropped.
-pub struct Bare {
-    late: Arc<Lateness>,
-    end: Arc<AtomicBool>,
+pub struct ReferenceThread {
+    lateness: Arc<Lateness>,
+    stop: Arc<AtomicBool>,
     thread: Option<thread::JoinHandle<()>>,
 }
 
-impl Bare {
+impl ReferenceThread {
+    /// Starts it.
+    ///
     /// # Errors
     /// Where there is no further thread.
-    pub fn start() -> Result<Bare, String> {
-        let (late, end) = (Arc::new(Lateness::default()), Arc::new(AtomicBool::new(false)));
-        let (heard, over) = (late.clone(), end.clone());
-        let turns = move || {
-            let mut waits = Waits::default();
-            let mut due = Instant::now() + TURN;
-            while !over.load(Ordering::Relaxed) {
-                thread::sleep(due.saturating_duration_since(Instant::now()));
-                let late = due.elapsed().as_micros() as Micros;
-                heard.record_beside(late, waits.since(due));
-                due += TURN;
-            }
-        };
-        let thread = thread::Builder::new().name("bare".to_owned()).spawn(turns);
-        let thread = thread.map_err(|cause| format!("a thread: {cause}"))?;
-        Ok(Bare { late, end, thread: Some(thread) })
-    }
-
-    /// Ends it and gives what it saw.
-    pub fn stop(mut self) -> Seen {
+    pub fn start() -> Result<ReferenceThread, ThreadError> {
+        let lateness = Arc::new(Lateness::default());
+        let stop = Arc::new(AtomicBool::new(false));
+        let (recorded, stopped) = (lateness.clone(), stop.clone());
+        let thread = thread::Builder::new()
+            .name("bare".to_owned())
+            .spawn(move || keep_schedule(&recorded, &stopped))?;
+        Ok(ReferenceThread { lateness, stop, thread: Some(thread) })
+    }
+
+    /// Ends it and returns what it recorded.
+    pub fn stop(mut self) -> LatenessHistograms {
         self.join();
-        self.late.seen()
+        self.lateness.snapshot()
     }
 
     fn join(&mut self) {
-        self.end.store(true, Ordering::Relaxed);
+        self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-impl Drop for Bare {
+impl Drop for ReferenceThread {
     fn drop(&mut self) {
         self.join();
     }
 }
 
-/// What a run's figures ask for.
-#[derive(Clone, Copy, Debug)]
-pub struct Bounds {
-    /// An op that leaves later than this is late.
-    pub late: Micros,
-    /// The shortest target latency: what the benefit hangs on.
-    pub target: Micros,
-    /// The part of the benefit that was not earned. Lateness only takes: no more than this can be the machine's.
-    pub missed: f64,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
-    Lab,
-    Machine,
-}
-
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    Sound,
-    /// It counts, and this is to be known of it.
-    Warned(String),
-    /// It counts for nothing, by whose fault and why.
-    Void(Cause, String),
-}
-
-impl Verdict {
-    /// (void, warning), as a run's record has them.
-    pub fn told(self) -> (Option<String>, Option<String>) {
-        match self {
-            Verdict::Sound => (None, None),
-            Verdict::Warned(line) => (None, Some(line)),
-            Verdict::Void(_, line) => (Some(line), None),
-        }
+fn keep_schedule(lateness: &Lateness, stopped: &AtomicBool) {
+    let mut waits = CpuWaits::default();
+    let mut due = Instant::now() + REFERENCE_PERIOD;
+    while !stopped.load(Ordering::Relaxed) {
+        thread::sleep(due.saturating_duration_since(Instant::now()));
+        let late = due.elapsed().as_micros() as Micros;
+        lateness.record_beside(late, waits.since(due));
+        due += REFERENCE_PERIOD;
     }
 }
 
-/// The part of what was seen that is over a bound.
-pub fn part_over(seen: &Histogram<u64>, bound: Micros) -> f64 {
-    match seen.len() {
+/// The part of what was recorded that is over a bound.
+pub fn part_over(histogram: &Histogram<u64>, bound: Micros) -> f64 {
+    match histogram.len() {
         0 => 0.0,
-        all => seen.count_between(bound.max(0) as u64 + 1, u64::MAX) as f64 / all as f64,
+        count => histogram.count_between(bound.max(0) as u64 + 1, u64::MAX) as f64 / count as f64,
     }
 }
 
-/// The part that would be over a bound after two such wakes one after the other, were they independent.
-pub fn part_over_twice(seen: &Histogram<u64>, bound: Micros) -> f64 {
-    let all = seen.len().max(1) as f64;
-    let after = |first: u64| if first as i64 > bound { 1.0 } else { part_over(seen, bound - first as i64) };
-    seen.iter_recorded()
-        .map(|step| step.count_since_last_iteration() as f64 / all * after(step.value_iterated_to()))
-        .fold(0.0, |sum: f64, part| sum + part)
-}
-
-fn ms(of: u64) -> f64 {
-    of as f64 / 1e3
-}
-
-/// Judges a run from the lateness of its ops as they left, of the world's thread, and of the bare thread, all
-/// of the same run. Void is what the lab itself was late by, beyond what the machine does to a bare thread, and
-/// what the machine was late by where the figures asked for can't be told; all else counts, with a warning
-/// where the machine was late.
-pub fn judge(bounds: Bounds, ops: &Histogram<u64>, world: &Seen, bare: &Seen) -> Verdict {
-    let (Seen { late: world, own: world_own }, Seen { late: bare, own: bare_own }) = (world, bare);
-    let late = part_over(ops, bounds.late);
-    // An op has left after two wakes, a turn of the world's thread comes after one.
-    let of_machine = part_over_twice(bare, bounds.late);
-    let (bound, bare_p99) = (ms(bounds.late as u64), ms(bare.value_at_quantile(0.99)));
-    if late - of_machine > LATE_PART {
-        return Verdict::Void(
-            Cause::Lab,
-            format!(
-                "the generator was late: {:.1}% of the ops by more than {bound} ms (p99 {:.1} ms); the \
-                 machine explains {:.1}% (a bare thread's p99 was {bare_p99:.1} ms), the rest is the lab's own",
-                100.0 * late,
-                ms(ops.value_at_quantile(0.99)),
-                100.0 * of_machine
-            ),
-        );
-    }
-    let (stood, bare_stood) = (world.max() as Micros, bare.max() as Micros);
-    if stood > STOOD_STILL {
-        let cause = if bare_stood * 2 < stood { Cause::Lab } else { Cause::Machine };
-        let whose = if cause == Cause::Lab { "the lab's own" } else { "the machine's" };
-        return Verdict::Void(
-            cause,
-            format!(
-                "the emulated fleet stood still for {:.0} ms, a bare thread for {:.0} ms: {whose} lateness",
-                ms(stood as u64),
-                ms(bare_stood as u64)
-            ),
-        );
-    }
-    let (world_late, of_work) = (part_over(world, bounds.late), part_over(world_own, bounds.late));
-    let of_wakes = part_over(bare_own, bounds.late);
-    if of_work - of_wakes > LATE_PART {
-        return Verdict::Void(
-            Cause::Lab,
-            format!(
-                "the emulated fleet was late: {:.1}% of its turns by more than {bound} ms (p99 {:.1} ms), \
-                 {:.1}% also beside its waits for a core, a bare thread's {:.1}%: the rest is the lab's own",
-                100.0 * world_late,
-                ms(world.value_at_quantile(0.99)),
-                100.0 * of_work,
-                100.0 * of_wakes
-            ),
-        );
-    }
-    // Seven wakes in a row: half of the target is what an op has to spare at the least; it is late by that only where one of its
-    // wakes is by its share of it.
-    let share = bounds.target / 2 / i64::from(WAKES);
-    // Whatever made the fleet late, waits for a core among it, what hangs on its answers can't be told.
-    let over = part_over(bare, share).max(part_over(world, share));
-    let blurred = (f64::from(WAKES) * over).min(bounds.missed);
-    if blurred > LATE_PART {
-        return Verdict::Void(
-            Cause::Machine,
-            format!(
-                "the machine was late: a bare thread, or the fleet for want of a core, woke over {:.1} ms late in \
-                 {:.2}% of its turns (bare p99 {bare_p99:.1}, most {:.1} ms), so up to {:.1}% of the benefit can't \
-                 be told",
-                ms(share as u64),
-                100.0 * over,
-                ms(bare.max()),
-                100.0 * blurred
-            ),
-        );
-    }
-    if late.max(of_machine).max(world_late) > LATE_PART {
-        // Late in one of its wakes is every other op: then the median is the machine's too.
-        let typical = f64::from(WAKES) * part_over(bare, bounds.late) > 0.5;
-        let rest = if typical { "all percentiles are" } else { "p99 and above are" };
-        return Verdict::Warned(format!(
-            "the machine was late: a bare thread's p99 was {bare_p99:.1} ms and its most {:.1} ms; {:.1}% of \
-             the ops left over {bound} ms late, {:.1}% by the machine: benefit counts, {rest} in part the \
-             machine's",
-            ms(bare.max()),
-            100.0 * late,
-            100.0 * of_machine
-        ));
+/// The part that would be over a bound after two such wakes one after the other, were they
+/// independent.
+pub fn part_over_twice(histogram: &Histogram<u64>, bound: Micros) -> f64 {
+    let count = histogram.len().max(1) as f64;
+    let second_over = |first: u64| match first as Micros {
+        first if first > bound => 1.0,
+        first => part_over(histogram, bound - first),
+    };
+    let mut sum = 0.0;
+    for step in histogram.iter_recorded() {
+        let part = step.count_since_last_iteration() as f64 / count;
+        sum += part * second_over(step.value_iterated_to());
     }
-    Verdict::Sound
+    sum
 }
--- a/testbed/src/ledger.rs
+++ b/testbed/src/ledger.rs
@@ -1,5 +1,5 @@
-//! Everything that crossed the sockets of the emulated world, in the order in which it was recorded. The audit
-//! ([`crate::audit`]) and the figures ([`crate::figures`]) are made from it.
+//! Everything that crossed the sockets of the emulated world, in the order in which it was
+//! recorded. The audit ([`crate::audit`]) and the figures ([`crate::figures`]) are made from it.
 
 use std::fmt;
 use std::sync::mpsc::{self, Receiver, Sender};
@@ -163,7 +163,8 @@
         /// The status written.
         standing: EndpointStatus,
     },
-    /// From now on a balancer counts as informed of a host's status, whether or not it polled discovery.
+    /// From now on a balancer counts as informed of a host's status, whether or not it polled
+    /// discovery.
     AnnouncementDue {
         /// The balancer's index.
         balancer: usize,
@@ -197,8 +198,8 @@
     },
 }
 
-/// The form in which results store an observation (`around` of a breach). Its words are older than the names of
-/// the variants, and stay so that lines of old and new results can be compared.
+/// The form in which results store an observation (`around` of a breach). Its words are older than
+/// the names of the variants, and stay so that lines of old and new results can be compared.
 impl fmt::Display for Observation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -290,7 +291,8 @@
 pub struct Ledger {
     /// The run's clock.
     pub clock: Clock,
-    // A channel and not a locked list: a thread that loses its core while it records holds up no other thread.
+    // A channel and not a locked list: a thread that loses its core while it records holds up no
+    // other thread.
     sender: Sender<Event>,
     receiver: Arc<Mutex<Receiver<Event>>>,
 }
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -12,7 +12,7 @@
 use basaltwood_testbed::balancers::Program;
 use basaltwood_testbed::compare;
 use basaltwood_testbed::figures::{self, Run};
-use basaltwood_testbed::lateness::{self, Bare};
+use basaltwood_testbed::lateness::{self, ReferenceThread};
 use basaltwood_testbed::ledger::Ledger;
 use basaltwood_testbed::load::{plan::Plan, player, trace};
 use basaltwood_testbed::measure;
@@ -524,16 +524,17 @@
     let ledger = Ledger::new(Clock::start());
     ledger.clock.begin(200 * MS);
     let (progress, late) = (Arc::default(), Arc::default());
-    let bare = Bare::start().map_err(failed)?;
+    let bare = ReferenceThread::start().map_err(|cause| failed(cause.to_string()))?;
     let played = player::play(&experiment, plan, seed, to, &ledger, Vec::new(), progress, late);
     let played = played.map_err(failed)?;
     let events = ledger.take();
     let mut figures = figures::figures(&experiment, &played.records, &events, played.cpu_s);
     // The hosts are somebody else's: nothing is known of their lateness.
-    let (bare, world) = (bare.stop(), lateness::Seen::default());
+    let (bare, world) = (bare.stop(), lateness::LatenessHistograms::default());
     figures.note_late(&bare, &world, experiment.load.late());
     let ops = figures::late(&played.records);
-    let (void, warning) = lateness::judge(experiment.bounds(figures.benefit), &ops, &world, &bare).told();
+    let (void, warning) =
+        lateness::judge(experiment.bounds(figures.benefit), &ops, &world, &bare).into_void_and_warning();
     let run = Run {
         experiment: experiment.name.clone(),
         arm: "load".to_owned(),
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -20,7 +20,7 @@
 
 use crate::balancers::{Balancers, Program, Use};
 use crate::figures::{figures, late, Figures};
-use crate::lateness::{judge, Bare, Seen, Verdict};
+use crate::lateness::{judge, LatenessHistograms, ReferenceThread, Verdict};
 use crate::ledger::Ledger;
 use crate::load::plan::Plan;
 use crate::load::player;
@@ -185,11 +185,11 @@
         let ledger = Ledger::new(Clock::start());
         ledger.clock.begin(AHEAD);
         let (progress, beat) = (Arc::default(), Arc::default());
-        let bare = Bare::start()?;
+        let bare = ReferenceThread::start().map_err(|cause| cause.to_string())?;
         let played = player::play(&experiment, plan, self.seed, to, &ledger, Vec::new(), progress, beat)?;
         let (ops, bare) = (late(&played.records), bare.stop());
         let figures = figures(&experiment, &played.records, &ledger.take(), played.cpu_s);
-        let verdict = judge(experiment.bounds(figures.benefit), &ops, &Seen::default(), &bare);
+        let verdict = judge(experiment.bounds(figures.benefit), &ops, &LatenessHistograms::default(), &bare);
         Ok((figures, matches!(verdict, Verdict::Void(..))))
     }
 
--- a/testbed/src/play.rs
+++ b/testbed/src/play.rs
@@ -12,7 +12,7 @@
 use crate::audit::{self, audit, Breach, Rule};
 use crate::balancers::{Balancers, Program};
 use crate::figures::{self, Run};
-use crate::lateness::{judge, Bare, Lateness};
+use crate::lateness::{judge, Lateness, ReferenceThread};
 use crate::ledger::{Ledger, Observation};
 use crate::load::plan::Plan;
 use crate::load::player::{self, Progress, Stall};
@@ -97,7 +97,7 @@
     world.opened.store(0, Ordering::Relaxed);
     let world_us = world.cpu_us.load(Ordering::Relaxed);
     world.begin(Some(balancers.clone()));
-    let bare = Bare::start()?;
+    let bare = ReferenceThread::start().map_err(|cause| cause.to_string())?;
     let progress = Arc::new(Progress::default());
     let late = Arc::new(Lateness::default());
     let playing = {
@@ -141,7 +141,7 @@
         }
     }
     let played = playing.join().map_err(|_| "the generator failed".to_owned())??;
-    let (bare, world_late) = (bare.stop(), world.late.seen());
+    let (bare, world_late) = (bare.stop(), world.late.snapshot());
     let opened = world.opened.load(Ordering::Relaxed);
     let world_us = world.cpu_us.load(Ordering::Relaxed) - world_us;
     thread::sleep(SETTLE);
@@ -163,7 +163,7 @@
         categories: &experiment.categories,
         zones: experiment.fleet.zones as u32,
         grace: millis(experiment.discovery.grace_ms),
-        slack: GRANTED + world_late.late.max() as Micros + late.most(),
+        slack: GRANTED + world_late.late.max() as Micros + late.max(),
     };
     let mut breaches = audit(&events, &audit_settings);
     for died in died {
@@ -175,7 +175,8 @@
         breaches.push(Breach { rule: Rule::Answered, at_us, what: died, around: Vec::new() });
     }
     let ops = figures::late(&played.records);
-    let (void, warning) = judge(experiment.bounds(figures.benefit), &ops, &world_late, &bare).told();
+    let (void, warning) =
+        judge(experiment.bounds(figures.benefit), &ops, &world_late, &bare).into_void_and_warning();
     drop(balancers);
     Ok(Run {
         experiment: experiment.name.clone(),
--- a/testbed/src/scale/fleet.rs
+++ b/testbed/src/scale/fleet.rs
@@ -166,7 +166,7 @@
             WorkerCommand::Start | WorkerCommand::Stop | WorkerCommand::Snapshot => {}
         }
         let of = |read: fn(&Host) -> &Cell<u64>| self.hosts.iter().map(|host| read(host).get()).collect();
-        let seen = self.late.seen();
+        let seen = self.late.snapshot();
         let mark = FleetSnapshot {
             cpu_s: thread_cpu(),
             requests: of(|host| &host.requests),
--- a/testbed/src/scale/run/mod.rs
+++ b/testbed/src/scale/run/mod.rs
@@ -15,7 +15,7 @@
 
 use crate::balancers::{Balancers, Program, Use};
 use crate::figures;
-use crate::lateness::{judge, Bare, Bounds, Lateness, Seen, Verdict};
+use crate::lateness::{judge, Lateness, LatenessBounds, LatenessHistograms, ReferenceThread, Verdict};
 use crate::ledger::Ledger;
 use crate::load::plan::Plan;
 use crate::load::player::{self, Played};
@@ -272,7 +272,7 @@
     tell("warming up", 0.0);
     wait(script.settle_s, tell)?;
     tell("loaded", 0.0);
-    let bare = Bare::start()?;
+    let bare = ReferenceThread::start().map_err(|cause| cause.to_string())?;
     let used = real.as_ref().map(Real::used);
     let loading = real.as_ref().map(|real| real.load(seed)).transpose()?;
     let begin = world.marks(WorkerCommand::Snapshot, WorkerCommand::Snapshot)?;
@@ -295,7 +295,7 @@
     }
     figures.extend(discovery_down(&mut world, script.faults.discovery_down_s, held.balancers, tell)?);
     let mut ops = merged(end.hollows.iter().map(|mark| &mark.late));
-    let world_late = Seen {
+    let world_late = LatenessHistograms {
         late: merged(end.fleets.iter().map(|mark| &mark.late)),
         own: merged(end.fleets.iter().map(|mark| &mark.own)),
     };
@@ -312,13 +312,14 @@
     }
     let earned = figures.get("in target, part").copied().unwrap_or(1.0);
     let earned = figures.get("real: benefit").map_or(earned, |benefit| benefit.min(earned));
-    let bounds = Bounds { late: millis(LATE_MS), target: millis(held.target_ms), missed: 1.0 - earned };
+    let bounds =
+        LatenessBounds { late: millis(LATE_MS), target: millis(held.target_ms), missed: 1.0 - earned };
     figures.insert("late p99 of ops, ms", ops.value_at_quantile(0.99) as f64 / 1e3);
     figures.insert("late p99 of the fleet, ms", world_late.late.value_at_quantile(0.99) as f64 / 1e3);
     figures.insert("late p99 of a bare thread, ms", bare.late.value_at_quantile(0.99) as f64 / 1e3);
     let (void, warning) = match judge(bounds, &ops, &world_late, &bare) {
         Verdict::Sound => (None, None),
-        verdict => verdict.told(),
+        verdict => verdict.into_void_and_warning(),
     };
     let (experiment, axis) = (script.name.clone(), script.axis.name());
     Ok(MeasuredPoint { experiment, axis, at, seed, void, warning, held, figures })
--- a/testbed/src/scale/simulated/mod.rs
+++ b/testbed/src/scale/simulated/mod.rs
@@ -753,7 +753,7 @@
         (mark.cpu_s, mark.resident_kb, mark.base_kb) = (thread_cpu(), resident_kb(), self.base_kb);
         mark.open = open;
         (mark.late, mark.took) =
-            (counts(&self.shared.late.seen().late), counts(&self.shared.took.seen().late));
+            (counts(&self.shared.late.snapshot().late), counts(&self.shared.took.snapshot().late));
         self.shared.late.clear();
         self.shared.took.clear();
         let said = in_json(&*mark);
--- a/testbed/src/script.rs
+++ b/testbed/src/script.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::lateness::Bounds;
+use crate::lateness::LatenessBounds;
 use crate::time::{millis, seconds, Micros};
 
 #[derive(Clone, Debug, Deserialize)]
@@ -630,9 +630,9 @@
     }
 
     /// What its figures ask of lab and machine, where so much of the benefit was earned.
-    pub fn bounds(&self, benefit: f64) -> Bounds {
+    pub fn bounds(&self, benefit: f64) -> LatenessBounds {
         let target = self.categories.iter().map(Category::target).min().unwrap_or(0);
-        Bounds { late: self.load.late(), target, missed: 1.0 - benefit }
+        LatenessBounds { late: self.load.late(), target, missed: 1.0 - benefit }
     }
 
     /// # Errors
--- a/testbed/src/world/mod.rs
+++ b/testbed/src/world/mod.rs
@@ -24,7 +24,7 @@
 use tokio::time::{sleep, sleep_until};
 
 use crate::balancers::Balancers;
-use crate::lateness::{Lateness, Waits};
+use crate::lateness::{CpuWaits, Lateness};
 use crate::ledger::{EndpointStatus, HostNo, Ledger, Observation};
 use crate::load::player::thread_cpu;
 use crate::script::{Experiment, Kind};
@@ -130,7 +130,7 @@
 /// How late this thread is, by a schedule that a late turn does not move.
 pub async fn beat(late: Arc<Lateness>) {
     const TICK: Duration = Duration::from_millis(5);
-    let mut waits = Waits::default();
+    let mut waits = CpuWaits::default();
     let mut due = tokio::time::Instant::now() + TICK;
     loop {
         sleep_until(due).await;
--- a/testbed/tests/audit.rs
+++ b/testbed/tests/audit.rs
@@ -1,4 +1,5 @@
-//! Each check of the audit can fail: a bad peer in the balancer's place commits each breach, and an honest one none.
+//! Each check of the audit can fail: a bad peer in the balancer's place commits each breach, and an
+//! honest one none.
 
 mod common;
 
@@ -60,7 +61,8 @@
 
 #[test]
 fn warming_host_overloaded_is_a_breach_of_the_router() {
-    // A new host gets a third of the reads at once: more than the 16 ms of work a second that it is said to bear.
+    // A new host gets a third of the reads at once: more than the 16 ms of work a second that it is
+    // said to bear.
     let experiment = experiment(
         "seconds = 2.5",
         "[load]\nrate = 300\n[cold]\nfrom = 0.05\nmultiple = 0.02\nwindow_ms = 500\n\
