--- a/balancer/src/discovery/endpoints.rs
+++ b/balancer/src/discovery/endpoints.rs
@@ -184,7 +184,7 @@
         // The policy names every free id, also those that were released before.
         if names.hosts.release(host.0) {
             if let Some(regions) = &shared.regions {
-                regions.borrow_mut().forget(&names.hosts.names[host.0 as usize]);
+                regions.borrow_mut().forget(names.hosts.name(host.0));
             }
             shared.upstreams.forget_host(host);
             shared.counters.hosts_released.add();
--- a/balancer/src/downstream/connection.rs
+++ b/balancer/src/downstream/connection.rs
@@ -361,17 +361,22 @@
         let recheck_at = self.next_recheck(now);
         let can_be_shed = now.is_idle && (now.is_quiet || (self.had_command && !now.is_partial));
         let has_no_command = now.is_partial || !self.had_command;
+        let waits_for_memory = plan.takes_commands && !plan.has_memory;
+        let is_writing = !self.outgoing.is_empty();
         let budget = &self.shared.budget;
+        let input = self.input.wait(&mut self.reader, plan.reads);
+        let output = self.outgoing.advance(&mut self.writer);
+        let shed_requested = budget.shed_requested(has_no_command, &self.shed_wakeup);
         tokio::select! {
             biased;
-            event = self.input.wait(&mut self.reader, plan.reads), if plan.watches_client => Event::Input(event),
-            () = budget.freed.notified(), if plan.takes_commands && !plan.has_memory => Event::MemoryFreed,
-            reply = next_awaited(&mut self.pending), if self.outgoing.is_empty() => Event::Reply(reply),
-            event = self.outgoing.advance(&mut self.writer), if !self.outgoing.is_empty() => Event::Output(event),
+            event = input, if plan.watches_client => Event::Input(event),
+            () = budget.freed.notified(), if waits_for_memory => Event::MemoryFreed,
+            reply = next_awaited(&mut self.pending), if !is_writing => Event::Reply(reply),
+            event = output, if is_writing => Event::Output(event),
             () = sleep_until_some(self.step_deadline) => Event::TimedOut,
             _ = self.phase.changed() => Event::PhaseChanged,
             () = sleep_until_some(recheck_at) => Event::Recheck,
-            () = budget.shed_requested(has_no_command, &self.shed_wakeup), if can_be_shed => Event::ShedRequested,
+            () = shed_requested, if can_be_shed => Event::ShedRequested,
         }
     }
 
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -10,7 +10,24 @@
 use crate::budget::ValuePermit;
 
 /// How an attempt ended, and the value where it brought one.
-pub type AttemptResult = (AttemptOutcome, Option<Value>);
+pub struct AttemptResult {
+    /// How it ended.
+    pub outcome: AttemptOutcome,
+    /// What it brought.
+    pub value: Option<Value>,
+}
+
+impl AttemptResult {
+    /// An attempt that succeeded with a value.
+    pub fn succeeded(value: Value) -> AttemptResult {
+        AttemptResult { outcome: AttemptOutcome::Succeeded, value: Some(value) }
+    }
+
+    /// An attempt that brought no value.
+    pub fn without_value(outcome: AttemptOutcome) -> AttemptResult {
+        AttemptResult { outcome, value: None }
+    }
+}
 
 /// A value that an attempt brought.
 pub enum Value {
--- a/balancer/src/requests.rs
+++ b/balancer/src/requests.rs
@@ -92,9 +92,10 @@
             if self.delivery.is_none() && self.in_flight.is_empty() {
                 break;
             }
+            let has_attempts = !self.in_flight.is_empty();
             actions = tokio::select! {
                 biased;
-                ended = self.attempts.join_next(), if !self.in_flight.is_empty() => self.attempt_joined(ended),
+                ended = self.attempts.join_next(), if has_attempts => self.attempt_joined(ended),
                 () = wakeup.notified() => self.shared.router.borrow_mut().take_actions(self.id),
                 () = client_gone(&mut self.delivery) => self.abandon(),
             };
@@ -149,7 +150,7 @@
         &mut self,
         ended: Option<Result<(AttemptNumber, AttemptResult), JoinError>>,
     ) -> Vec<RequestAction> {
-        let (attempt, (outcome, value)) = match ended {
+        let (attempt, AttemptResult { outcome, value }) = match ended {
             Some(Ok(ended)) => ended,
             Some(Err(cause)) if cause.is_panic() => std::panic::resume_unwind(cause.into_panic()),
             // One that was cancelled has been reported already.
--- a/balancer/src/upstream/cache.rs
+++ b/balancer/src/upstream/cache.rs
@@ -7,7 +7,7 @@
 use super::messages::{
     LongValueHead, ParseTrailer, ParsedResponse, RequestBytes, ResponseError, Trailer, WholeResponse,
 };
-use crate::request::{ClientRequest, Value};
+use crate::request::{AttemptResult, ClientRequest, Value};
 
 /// The command for this request, of which so much time is left.
 pub fn encode(request: &ClientRequest, time_left: Micros) -> RequestBytes {
@@ -41,11 +41,11 @@
     let result = match reply {
         Reply::Value(range) => {
             let value = Bytes::copy_from_slice(&bytes[range]);
-            (AttemptOutcome::Succeeded, Some(Value::Whole(value)))
+            AttemptResult::succeeded(Value::Whole(value))
         }
-        Reply::Miss => (AttemptOutcome::Miss, None),
-        Reply::Busy => (AttemptOutcome::Rejected, None),
-        Reply::Failed => (AttemptOutcome::Error, None),
+        Reply::Miss => AttemptResult::without_value(AttemptOutcome::Miss),
+        Reply::Busy => AttemptResult::without_value(AttemptOutcome::Rejected),
+        Reply::Failed => AttemptResult::without_value(AttemptOutcome::Error),
     };
     Ok(Some(ParsedResponse::Whole(WholeResponse { result, length: end.consumed, reusable: end.keep_alive })))
 }
--- a/balancer/src/upstream/exchange.rs
+++ b/balancer/src/upstream/exchange.rs
@@ -37,11 +37,11 @@
     pub async fn run(self, encode: impl FnOnce(Micros) -> RequestBytes) -> AttemptResult {
         let mut checked_out = match self.admit().await {
             Ok(checked_out) => checked_out,
-            Err(outcome) => return (outcome, None),
+            Err(outcome) => return AttemptResult::without_value(outcome),
         };
         let time_left = self.deadline - self.upstreams.clock.now();
         if let Err(outcome) = self.write(&mut checked_out, encode(time_left)).await {
-            return (outcome, None);
+            return AttemptResult::without_value(outcome);
         }
         self.sent(&checked_out);
         self.read(checked_out).await
@@ -112,12 +112,16 @@
     async fn read(&self, mut checked_out: CheckedOut<'_>) -> AttemptResult {
         let deadline = self.deadline_at();
         loop {
-            let Some(connection) = checked_out.connection() else { return (AttemptOutcome::NotSent, None) };
+            let Some(connection) = checked_out.connection() else {
+                return AttemptResult::without_value(AttemptOutcome::NotSent);
+            };
             let filled = timeout_at(deadline, read(&mut connection.stream, &mut connection.buffer)).await;
             let now = self.upstreams.clock.now();
             match filled {
-                Err(_) => return (self.timed_out(now, checked_out), None),
-                Ok(Ok(0) | Err(_)) => return (self.connection_lost(now, checked_out), None),
+                Err(_) => return AttemptResult::without_value(self.timed_out(now, checked_out)),
+                Ok(Ok(0) | Err(_)) => {
+                    return AttemptResult::without_value(self.connection_lost(now, checked_out))
+                }
                 Ok(Ok(_)) => {}
             }
             match (self.parse_response)(connection.buffer.bytes()) {
@@ -128,7 +132,7 @@
                 }
                 Err(cause) => {
                     log::debug!("host {}: {cause}", self.host.0);
-                    return (AttemptOutcome::Error, None);
+                    return AttemptResult::without_value(AttemptOutcome::Error);
                 }
             }
         }
@@ -159,7 +163,9 @@
 
     /// The head of a long value came: a task of its own passes the value on.
     fn stream(&self, now: Micros, mut checked_out: CheckedOut<'_>, head: LongValueHead) -> AttemptResult {
-        let Some(mut connection) = checked_out.take() else { return (AttemptOutcome::NotSent, None) };
+        let Some(mut connection) = checked_out.take() else {
+            return AttemptResult::without_value(AttemptOutcome::NotSent);
+        };
         connection.buffer.consume(head.start);
         let id = checked_out.id();
         self.upstreams.pools.borrow_mut().response_begun(now, id);
@@ -167,7 +173,7 @@
         let LongValueHead { length, parse_trailer, .. } = head;
         let stream = ValueStream { host: self.host, id, connection, length, parse_trailer };
         spawn_local(self.upstreams.clone().stream_value(stream, sender));
-        (AttemptOutcome::Succeeded, Some(Value::Streamed(StreamedValue { length, pieces })))
+        AttemptResult::succeeded(Value::Streamed(StreamedValue { length, pieces }))
     }
 
     /// A whole response came.
@@ -179,7 +185,9 @@
     ) -> AttemptResult {
         let WholeResponse { result, length, reusable } = response;
         let upstreams = self.upstreams;
-        let Some(connection) = checked_out.connection() else { return (AttemptOutcome::NotSent, None) };
+        let Some(connection) = checked_out.connection() else {
+            return AttemptResult::without_value(AttemptOutcome::NotSent);
+        };
         let fingerprint = ResponseFingerprint::of(&connection.buffer.bytes()[..length], self.request);
         connection.buffer.consume(length);
         let more_follows = !connection.buffer.is_empty();
@@ -190,15 +198,15 @@
         // for the response to the next request. The same value as before is not served then.
         let duplicates_suspected = upstreams.duplicates.suspected();
         let last = connection.last_response.take();
-        let last = last.filter(|_| duplicates_suspected && result.1.is_some());
+        let last = last.filter(|_| duplicates_suspected && result.value.is_some());
         if last.is_some_and(|last| last.repeated_by(fingerprint, self.request.value.is_some())) {
             log::debug!("host {}: the same response as to the request before", self.host.0);
-            return (AttemptOutcome::ConnectionFault, None);
+            return AttemptResult::without_value(AttemptOutcome::ConnectionFault);
         }
         connection.last_response = Some(fingerprint);
         // A copy of a rejection would say of the next attempt that it never ran: a rejection is the
         // last response on its connection then.
-        let last_of_connection = duplicates_suspected && result.0 == AttemptOutcome::Rejected;
+        let last_of_connection = duplicates_suspected && result.outcome == AttemptOutcome::Rejected;
         let keep = reusable && !more_follows && !last_of_connection;
         let Some(connection) = checked_out.take() else { return result };
         let kept = upstreams.pools.borrow_mut().answered(now, checked_out.id(), keep);
--- a/balancer/src/upstream/origin.rs
+++ b/balancer/src/upstream/origin.rs
@@ -10,7 +10,7 @@
 use super::messages::{
     LongValueHead, ParseTrailer, ParsedResponse, RequestBytes, ResponseError, Trailer, WholeResponse,
 };
-use crate::request::{ClientRequest, Value};
+use crate::request::{AttemptResult, ClientRequest, Value};
 
 /// The HTTP request for this request, of which so much time is left, to the origin at this address.
 pub fn encode(address: SocketAddr, request: &ClientRequest, time_left: Micros) -> RequestBytes {
@@ -45,9 +45,9 @@
     let parsed = http::parse_response(bytes, MAX_BUFFERED_VALUE)?;
     let Some(response) = parsed else { return Ok(None) };
     let result = match response.status {
-        200 => (AttemptOutcome::Succeeded, Some(Value::Whole(response.body))),
-        503 | 504 if response.unprocessed => (AttemptOutcome::Rejected, None),
-        _ => (AttemptOutcome::Error, None),
+        200 => AttemptResult::succeeded(Value::Whole(response.body)),
+        503 | 504 if response.unprocessed => AttemptResult::without_value(AttemptOutcome::Rejected),
+        _ => AttemptResult::without_value(AttemptOutcome::Error),
     };
     Ok(Some(ParsedResponse::Whole(WholeResponse {
         result,
--- a/settings/src/names.rs
+++ b/settings/src/names.rs
@@ -14,7 +14,7 @@
 pub struct IdTable {
     ids: HashMap<String, u32>,
     /// The name of each id; for a released id, the name that it had last.
-    pub names: Vec<String>,
+    names: Vec<String>,
     /// Ids that are free for reuse.
     released: Vec<u32>,
 }
