--- a/testbed/src/audit.rs
+++ b/testbed/src/audit.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::balancers::LET_GO;
+use crate::balancers::RELEASED_AFTER_KILL;
 use crate::ledger::{Answered, Event, HostNo, Id, Standing, What};
 use crate::script::{Category, Group, Repeats};
 use crate::time::{millis, Micros, SECOND};
@@ -142,7 +142,7 @@
     }
     let was_killed = |balancer: usize, from: Micros, to: Micros| {
         let edges = down.get(&balancer).map_or(&[][..], Vec::as_slice);
-        let killed = |at: &Micros| (from - LET_GO..=to + LET_GO).contains(at);
+        let killed = |at: &Micros| (from - RELEASED_AFTER_KILL..=to + RELEASED_AFTER_KILL).contains(at);
         edges.iter().any(|(at, up)| !up && killed(at))
     };
     for (id, op) in &ops {
--- a/testbed/src/balancers.rs
+++ b/testbed/src/balancers.rs
@@ -15,9 +15,8 @@
 
 use crate::ledger::{Ledger, What};
 use crate::script::{Arm, Experiment};
-use crate::settings;
+use crate::settings::{self, BalancerBootstrap};
 use crate::time::Micros;
-use crate::world::Seat;
 
 /// Where a balancer looks for the path of its map of zones to regions.
 const REGIONS: &str = "BASALTWOOD_REGIONS";
@@ -35,7 +34,7 @@
 impl Program {
     /// # Errors
     /// Where there is no such program; the line says what to build.
-    pub fn of(arm: &Arm) -> Result<Program, String> {
+    pub fn for_arm(arm: &Arm) -> Result<Program, String> {
         let own = || std::env::current_exe().map_err(|cause| format!("where this program lies: {cause}"));
         let regions = arm.regions.clone();
         let program = match (&arm.program, arm.baseline) {
@@ -66,7 +65,7 @@
 
 /// What a process has used, read from /proc.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
-pub struct Use {
+pub struct ResourceUsage {
     pub cpu_s: f64,
     /// Resident, in kB; and the most so far.
     pub resident_kb: u64,
@@ -77,14 +76,14 @@
 struct Running {
     child: Child,
     /// CPU of earlier processes in this place.
-    before: Use,
-    most: Use,
+    before: ResourceUsage,
+    most: ResourceUsage,
 }
 
 struct Place {
     listen: SocketAddr,
     running: Option<Running>,
-    last: Use,
+    last: ResourceUsage,
     /// It ended by itself: with what.
     died: Option<String>,
 }
@@ -93,7 +92,7 @@
     program: Program,
     folder: PathBuf,
     experiment: Experiment,
-    seats: Vec<Seat>,
+    seats: Vec<BalancerBootstrap>,
     seed: u64,
     ledger: Ledger,
     places: Vec<Place>,
@@ -122,7 +121,7 @@
     pub fn start(
         program: Program,
         experiment: &Experiment,
-        seats: &[Seat],
+        seats: &[BalancerBootstrap],
         seed: u64,
         ledger: &Ledger,
         folder: &Path,
@@ -133,7 +132,7 @@
             let any = SocketAddr::from((Ipv4Addr::new(127, 30, 0, nth as u8 + 1), 0));
             let free = TcpListener::bind(any).and_then(|listener| listener.local_addr());
             let listen = free.map_err(|cause| format!("an address for balancer {nth}: {cause}"))?;
-            places.push(Place { listen, running: None, last: Use::default(), died: None });
+            places.push(Place { listen, running: None, last: ResourceUsage::default(), died: None });
         }
         let inner = Inner {
             program,
@@ -163,7 +162,7 @@
     }
 
     /// The processes that run now.
-    pub fn ids(&self) -> Vec<u32> {
+    pub fn process_ids(&self) -> Vec<u32> {
         let inner = self.inner();
         let running = inner.places.iter().filter_map(|place| place.running.as_ref());
         running.map(|running| running.child.id()).collect()
@@ -190,7 +189,7 @@
     /// Kills one outright.
     pub fn kill(&self, nth: usize) {
         let mut inner = self.inner();
-        inner.look();
+        inner.sample_usage();
         inner.ledger.note(What::Balancer { balancer: nth, up: false });
         if let Some(mut running) = inner.places[nth].running.take() {
             let _ = running.child.kill();
@@ -208,8 +207,8 @@
     }
 
     /// What each has used so far; also finds those that have ended by themselves.
-    pub fn look(&self) -> Vec<Use> {
-        self.inner().look()
+    pub fn sample_usage(&self) -> Vec<ResourceUsage> {
+        self.inner().sample_usage()
     }
 
     /// What each says it has counted, by name: it is asked by SIGUSR1 and answers with a line of `name=number` in its log.
@@ -241,7 +240,7 @@
     }
 
     /// Those that ended by themselves, and how.
-    pub fn died(&self) -> Vec<String> {
+    pub fn unexpected_exits(&self) -> Vec<String> {
         let inner = self.inner();
         let died = inner.places.iter().enumerate();
         died.filter_map(|(nth, place)| Some(format!("balancer {nth}: {}", place.died.as_ref()?))).collect()
@@ -252,9 +251,9 @@
     fn spawn(&mut self, nth: usize, known: &Value) -> Result<(), String> {
         let failed = |cause: std::io::Error| format!("balancer {nth}: {cause}");
         let place = &mut self.places[nth];
-        let seat = Seat { known: known.clone(), ..self.seats[nth].clone() };
+        let seat = BalancerBootstrap { known: known.clone(), ..self.seats[nth].clone() };
         let seed = self.seed.wrapping_mul(1_000).wrapping_add(nth as u64);
-        let told = settings::told(&self.experiment, &format!("n{nth}"), place.listen, &seat, seed);
+        let told = settings::balancer_config(&self.experiment, &format!("n{nth}"), place.listen, &seat, seed);
         let file = self.folder.join(format!("balancer-{nth}.json"));
         std::fs::write(&file, told.to_string()).map_err(failed)?;
         let log = File::options().create(true).append(true).open(self.folder.join(log_name(nth)));
@@ -266,12 +265,12 @@
         }
         command.stdout(Stdio::null()).stderr(log.map_err(failed)?);
         let child = command.spawn().map_err(failed)?;
-        let before = Use { descriptors: 0, ..place.last };
+        let before = ResourceUsage { descriptors: 0, ..place.last };
         place.running = Some(Running { child, before, most: before });
         Ok(())
     }
 
-    fn look(&mut self) -> Vec<Use> {
+    fn sample_usage(&mut self) -> Vec<ResourceUsage> {
         let mut died = Vec::new();
         for (nth, place) in self.places.iter_mut().enumerate() {
             let Some(running) = &mut place.running else { continue };
@@ -281,7 +280,7 @@
                 continue;
             }
             if let Some(now) = used(running.child.id()) {
-                running.most = Use {
+                running.most = ResourceUsage {
                     cpu_s: running.before.cpu_s + now.cpu_s,
                     resident_kb: now.resident_kb,
                     peak_kb: running.before.peak_kb.max(now.peak_kb),
@@ -331,7 +330,7 @@
 }
 
 /// Read from /proc; `None` once the process is gone.
-fn used(id: u32) -> Option<Use> {
+fn used(id: u32) -> Option<ResourceUsage> {
     let folder = PathBuf::from(format!("/proc/{id}"));
     let status = std::fs::read_to_string(folder.join("status")).ok()?;
     let kb = |name: &str| {
@@ -341,7 +340,7 @@
     // Time on a core in nanoseconds: finer than the ticks of `stat`.
     let time = std::fs::read_to_string(folder.join("schedstat")).ok()?;
     let time = time.split(' ').next()?.trim().parse::<f64>().ok()?;
-    Some(Use {
+    Some(ResourceUsage {
         cpu_s: time / 1e9,
         resident_kb: kb("VmRSS:").unwrap_or(0),
         peak_kb: kb("VmHWM:").unwrap_or(0),
@@ -350,4 +349,4 @@
 }
 
 /// The time by which a balancer that was killed has surely let go of its connections, as its clients see it.
-pub const LET_GO: Micros = 500_000;
+pub const RELEASED_AFTER_KILL: Micros = 500_000;
--- a/testbed/src/figures.rs
+++ b/testbed/src/figures.rs
@@ -6,13 +6,13 @@
 use serde::{Deserialize, Serialize};
 
 use crate::audit::Breach;
-use crate::balancers::Use;
+use crate::balancers::ResourceUsage;
 use crate::lateness::{self, part_over, Seen};
 use crate::ledger::{Event, HostNo, What};
-use crate::load::player::{End, Record};
+use crate::load::player::{RequestOutcome, RequestRecord};
 use crate::script::Experiment;
 use crate::time::{Micros, SECOND};
-use crate::world::faults::Span;
+use crate::world::faults::FaultWindow;
 
 /// Times in milliseconds by percentile.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -124,7 +124,7 @@
     pub pushes_per_op: f64,
     pub origin_pushes: u64,
     pub hosts: BTreeMap<String, HostFigures>,
-    pub balancers: Vec<Use>,
+    pub balancers: Vec<ResourceUsage>,
     pub cpu_us_per_op: f64,
     pub seconds: Vec<Second>,
 }
@@ -156,11 +156,11 @@
 }
 
 /// What an op earned, and what it asked for.
-pub fn earned(record: &Record, experiment: &Experiment) -> (f64, f64) {
+pub fn earned(record: &RequestRecord, experiment: &Experiment) -> (f64, f64) {
     let category = &experiment.categories[usize::from(record.category)];
-    let part = match record.end {
-        End::Served if record.took() <= category.target() => 1.0,
-        End::Served if record.took() <= category.ttl() => category.late_benefit,
+    let part = match record.outcome {
+        RequestOutcome::Served if record.latency() <= category.target() => 1.0,
+        RequestOutcome::Served if record.latency() <= category.ttl() => category.late_benefit,
         _ => 0.0,
     };
     (part * category.benefit, category.benefit)
@@ -168,36 +168,39 @@
 
 pub fn figures(
     experiment: &Experiment,
-    records: &[Record],
+    records: &[RequestRecord],
     events: &[Event],
     generator_cpu_s: f64,
 ) -> Figures {
     let mut figures = Figures { ops: records.len() as u64, ..Figures::default() };
     let ops = records.len().max(1) as f64;
-    let mut seconds: BTreeMap<i64, Vec<&Record>> = BTreeMap::new();
+    let mut seconds: BTreeMap<i64, Vec<&RequestRecord>> = BTreeMap::new();
     let (mut got, mut asked) = (0.0, 0.0);
     for record in records {
-        seconds.entry(record.due / SECOND).or_default().push(record);
+        seconds.entry(record.due_at / SECOND).or_default().push(record);
         let (gained, worth) = earned(record, experiment);
         (got, asked) = (got + gained, asked + worth);
-        figures.tries += u64::from(record.tries);
-        figures.over_1s += u64::from(record.took() > SECOND);
+        figures.tries += u64::from(record.attempts);
+        figures.over_1s += u64::from(record.latency() > SECOND);
         let category = &experiment.categories[usize::from(record.category)];
-        let count = match record.end {
-            End::Served => &mut figures.served,
-            End::Nacked => &mut figures.nacked,
-            End::Failed => &mut figures.failed,
-            End::Foreign | End::Lost | End::Unanswered => &mut figures.lost,
-            End::Left => &mut figures.left,
-            End::Unreached => &mut figures.unreached,
+        let count = match record.outcome {
+            RequestOutcome::Served => &mut figures.served,
+            RequestOutcome::Rejected => &mut figures.nacked,
+            RequestOutcome::Failed => &mut figures.failed,
+            RequestOutcome::WrongValue | RequestOutcome::ConnectionLost | RequestOutcome::TimedOut => {
+                &mut figures.lost
+            }
+            RequestOutcome::Abandoned => &mut figures.left,
+            RequestOutcome::Unreachable => &mut figures.unreached,
         };
         *count += 1;
-        figures.in_target += u64::from(record.end == End::Served && record.took() <= category.target());
+        figures.in_target +=
+            u64::from(record.outcome == RequestOutcome::Served && record.latency() <= category.target());
     }
     figures.benefit = if asked > 0.0 { got / asked } else { 0.0 };
-    let served = records.iter().filter(|record| record.end == End::Served);
-    figures.latency = Latency::of(served.map(Record::took));
-    figures.until_end = Latency::of(records.iter().map(Record::took));
+    let served = records.iter().filter(|record| record.outcome == RequestOutcome::Served);
+    figures.latency = Latency::of(served.map(RequestRecord::latency));
+    figures.until_end = Latency::of(records.iter().map(RequestRecord::latency));
     let late = late(records);
     figures.late_p99_ms = late.value_at_quantile(0.99) as f64 / 1e3;
     figures.late_most_ms = late.max() as f64 / 1e3;
@@ -226,16 +229,19 @@
     figures
 }
 
-fn second(records: &[&Record], experiment: &Experiment) -> Second {
+fn second(records: &[&RequestRecord], experiment: &Experiment) -> Second {
     let sums = records.iter().map(|record| earned(record, experiment));
     let (got, asked) = sums.fold((0.0, 0.0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
-    let count = |end: End| records.iter().filter(|record| record.end == end).count() as u64;
-    let latency = Latency::of(records.iter().map(|record| record.took()));
+    let count = |end: RequestOutcome| records.iter().filter(|record| record.outcome == end).count() as u64;
+    let latency = Latency::of(records.iter().map(|record| record.latency()));
     Second {
         ops: records.len() as u64,
         benefit: if asked > 0.0 { got / asked } else { 1.0 },
-        nacked: count(End::Nacked),
-        failed: records.len() as u64 - count(End::Served) - count(End::Nacked) - count(End::Left),
+        nacked: count(RequestOutcome::Rejected),
+        failed: records.len() as u64
+            - count(RequestOutcome::Served)
+            - count(RequestOutcome::Rejected)
+            - count(RequestOutcome::Abandoned),
         p50: latency.p50,
         p99: latency.p99,
         most: latency.most,
@@ -256,12 +262,12 @@
 }
 
 /// By how much each op left later than it was due.
-pub fn late(records: &[Record]) -> Histogram<u64> {
+pub fn late(records: &[RequestRecord]) -> Histogram<u64> {
     let mut late = lateness::histogram();
-    records.iter().for_each(|record| late.saturating_record((record.left - record.due).max(0) as u64));
+    records.iter().for_each(|record| late.saturating_record((record.sent_at - record.due_at).max(0) as u64));
     late
 }
 
-pub fn shaded(spans: &[Span]) -> Vec<(String, f64, f64)> {
+pub fn shaded(spans: &[FaultWindow]) -> Vec<(String, f64, f64)> {
     spans.iter().map(|span| (span.title(), span.from as f64 / 1e6, span.to as f64 / 1e6)).collect()
 }
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -20,5 +20,6 @@
 pub mod scale;
 pub mod script;
 pub mod settings;
+pub mod thread_stats;
 pub mod time;
 pub mod world;
--- a/testbed/src/load/plan.rs
+++ b/testbed/src/load/plan.rs
@@ -11,7 +11,7 @@
 
 /// One op as it is due. Categories, customers and keys are named by their places.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Planned {
+pub struct PlannedRequest {
     pub at: Micros,
     pub category: u16,
     pub customer: Option<u16>,
@@ -21,7 +21,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
-    pub ops: Vec<Planned>,
+    pub requests: Vec<PlannedRequest>,
     pub keys: Vec<String>,
 }
 
@@ -65,7 +65,7 @@
 }
 
 impl Plan {
-    pub fn drawn(experiment: &Experiment, seed: u64) -> Plan {
+    pub fn generate(experiment: &Experiment, seed: u64) -> Plan {
         let load = &experiment.load;
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x6c6f_6164);
         let shares: Vec<f64> = experiment.categories.iter().map(|category| category.share).collect();
@@ -93,7 +93,7 @@
         };
         let most = load.rate * highest(load.shape) * if flooded.is_some() { swell } else { 1.0 };
         let mut popular = Popular::new(experiment, &mut rng);
-        let mut ops = Vec::new();
+        let mut requests = Vec::new();
         let mut at = 0.0;
         loop {
             at += match load.arrivals {
@@ -114,7 +114,7 @@
             let customers = if flooding(at) { &flood } else { &calm };
             let category = categories.as_ref().map_or(0, |law| law.sample(&mut rng));
             let write = experiment.categories[category].write;
-            ops.push(Planned {
+            requests.push(PlannedRequest {
                 at: seconds(at),
                 category: category as u16,
                 customer: customers.as_ref().map(|law| law.sample(&mut rng) as u16),
@@ -122,17 +122,17 @@
                 size: load.value_bytes as u32,
             });
         }
-        Plan { ops, keys: popular.names }
+        Plan { requests, keys: popular.names }
     }
 
     /// Ops due in a span.
     pub fn due(&self, from: Micros, to: Micros) -> usize {
-        self.ops.iter().filter(|op| (from..to).contains(&op.at)).count()
+        self.requests.iter().filter(|request| (from..to).contains(&request.at)).count()
     }
 
     pub fn rate(&self) -> f64 {
-        let length = self.ops.last().map_or(SECOND, |op| op.at.max(1));
-        self.ops.len() as f64 / (length as f64 / 1e6)
+        let length = self.requests.last().map_or(SECOND, |request| request.at.max(1));
+        self.requests.len() as f64 / (length as f64 / 1e6)
     }
 }
 
--- a/testbed/src/load/player.rs
+++ b/testbed/src/load/player.rs
@@ -21,11 +21,12 @@
 use tokio::task::{spawn_local, JoinSet};
 use tokio::time::{sleep, sleep_until, timeout, timeout_at};
 
-use super::plan::{Plan, Planned};
+use super::plan::{Plan, PlannedRequest};
 use crate::lateness::Lateness;
 use crate::ledger::{Answered, Id, Ledger, What};
 use crate::script::{Experiment, Group, Repeats, Retry};
-use crate::time::{millis, seconds, span, Micros, MS};
+use crate::thread_stats::{record_lateness, thread_cpu_seconds};
+use crate::time::{millis, seconds, to_duration, Micros, MS};
 
 /// How long after its time an answer is still awaited, so that one that is late is seen as late.
 const PATIENCE: Micros = 400 * MS;
@@ -34,40 +35,43 @@
 
 /// How an op ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestOutcome {
     Served,
     /// With a value made for another op.
-    Foreign,
-    Nacked,
+    WrongValue,
+    Rejected,
     Failed,
     /// The balancer ended the connection, and the client did not try again, or in vain.
-    Lost,
-    Unanswered,
+    ConnectionLost,
+    TimedOut,
     /// The client went away.
-    Left,
+    Abandoned,
     /// No balancer could be reached in time.
-    Unreached,
+    Unreachable,
 }
 
 /// One op, from when it was due.
 #[derive(Clone, Copy, Debug)]
-pub struct Record {
-    pub due: Micros,
-    /// When it left.
-    pub left: Micros,
-    pub ended: Micros,
+pub struct RequestRecord {
+    /// When it was due; its latency counts from here.
+    pub due_at: Micros,
+    /// When its first attempt was written, or was kept from that only by the balancer.
+    pub sent_at: Micros,
+    /// When its outcome was known.
+    pub ended_at: Micros,
     pub category: u16,
     pub customer: Option<u16>,
-    pub end: End,
-    pub tries: u32,
-    pub nacks: u32,
-    /// Tries whose connection the balancer ended.
-    pub cut: u32,
+    pub outcome: RequestOutcome,
+    pub attempts: u32,
+    /// Attempts that the balancer rejected.
+    pub rejections: u32,
+    /// Attempts whose connection the balancer ended.
+    pub connections_lost: u32,
 }
 
-impl Record {
-    pub fn took(&self) -> Micros {
-        self.ended - self.due
+impl RequestRecord {
+    pub fn latency(&self) -> Micros {
+        self.ended_at - self.due_at
     }
 }
 
@@ -82,18 +86,18 @@
 
 /// What was played.
 #[derive(Debug, Default)]
-pub struct Played {
-    pub records: Vec<Record>,
+pub struct LoadResult {
+    pub records: Vec<RequestRecord>,
     pub cpu_s: f64,
 }
 
 /// Seen by others while it goes on.
 #[derive(Debug, Default)]
 pub struct Progress {
-    pub left: AtomicI64,
+    pub sent: AtomicI64,
     pub served: AtomicI64,
     pub ended: AtomicI64,
-    pub took_sum: AtomicI64,
+    pub latency_sum_us: AtomicI64,
 }
 
 /// Plays it all and returns when the last op has its end. Blocks: it is a thread's whole work. `stalls` are planted
@@ -108,7 +112,7 @@
     stalls: Vec<Stall>,
     progress: Arc<Progress>,
     late: Arc<Lateness>,
-) -> Result<Played, String> {
+) -> Result<LoadResult, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|cause| format!("the runtime: {cause}"))?;
     let local = tokio::task::LocalSet::new();
@@ -119,12 +123,12 @@
         ledger: ledger.clone(),
         targets,
         rng: RefCell::new(ChaCha8Rng::seed_from_u64(seed ^ 0x636c_6965)),
-        records: RefCell::new(Vec::with_capacity(plan.ops.len())),
+        records: RefCell::new(Vec::with_capacity(plan.requests.len())),
         progress,
     });
-    let before = thread_cpu();
+    let before = thread_cpu_seconds();
     local.block_on(&runtime, async {
-        spawn_local(crate::world::beat(late));
+        spawn_local(record_lateness(late));
         for target in &player.targets {
             spawn_local(player.clone().probe(target.clone()));
         }
@@ -134,15 +138,9 @@
             player.clone().open(stalls).await;
         }
     });
-    let cpu_s = thread_cpu() - before;
+    let cpu_s = thread_cpu_seconds() - before;
     let records = std::mem::take(&mut *player.records.borrow_mut());
-    Ok(Played { records, cpu_s })
-}
-
-/// The CPU time of this thread, in seconds.
-pub fn thread_cpu() -> f64 {
-    let text = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
-    text.split(' ').next().and_then(|time| time.parse::<f64>().ok()).unwrap_or(0.0) / 1e9
+    Ok(LoadResult { records, cpu_s })
 }
 
 struct Player {
@@ -151,7 +149,7 @@
     ledger: Ledger,
     targets: Vec<Rc<Target>>,
     rng: RefCell<ChaCha8Rng>,
-    records: RefCell<Vec<Record>>,
+    records: RefCell<Vec<RequestRecord>>,
     progress: Arc<Progress>,
 }
 
@@ -202,13 +200,13 @@
         let (plan, clock) = (self.plan.clone(), self.ledger.clock.clone());
         let stopped = thread::spawn(move || {
             let mut next = 0;
-            while let Some(op) = plan.ops.get(next) {
+            while let Some(op) = plan.requests.get(next) {
                 let now = clock.now();
                 if op.at > now {
-                    thread::sleep(span(op.at - now));
+                    thread::sleep(to_duration(op.at - now));
                     continue;
                 }
-                let behind = plan.ops[next..].iter().take_while(|op| op.at <= now).count();
+                let behind = plan.requests[next..].iter().take_while(|op| op.at <= now).count();
                 if tell.send(next..next + behind).is_err() {
                     return;
                 }
@@ -220,9 +218,9 @@
         for stall in whole {
             let clock = self.ledger.clock.clone();
             spawn_local(async move {
-                sleep_until(clock.at(stall.from)).await;
+                sleep_until(clock.tokio_instant(stall.from)).await;
                 // The whole thread, as a machine that stalls would have it.
-                thread::sleep(span(stall.to - stall.from));
+                thread::sleep(to_duration(stall.to - stall.from));
             });
         }
         let cost = |now: Micros| {
@@ -236,9 +234,9 @@
                     let Some(batch) = batch else { break };
                     for nth in batch {
                         if !each.is_empty() {
-                            thread::sleep(span(cost(self.ledger.clock.now())));
+                            thread::sleep(to_duration(cost(self.ledger.clock.now())));
                         }
-                        ops.spawn_local(self.clone().op(self.plan.ops[nth]));
+                        ops.spawn_local(self.clone().op(self.plan.requests[nth]));
                     }
                 }
                 Some(_) = ops.join_next(), if !ops.is_empty() => {}
@@ -255,14 +253,14 @@
         for _ in 0..self.experiment.load.connections {
             let (player, next) = (self.clone(), next.clone());
             clients.spawn_local(async move {
-                while let Some(&op) = player.plan.ops.get(next.get()) {
+                while let Some(&op) = player.plan.requests.get(next.get()) {
                     next.set(next.get() + 1);
-                    sleep_until(player.ledger.clock.at(op.at)).await;
+                    sleep_until(player.ledger.clock.tokio_instant(op.at)).await;
                     let now = player.ledger.clock.now();
                     if now > player.experiment.length() {
                         break;
                     }
-                    player.clone().op(Planned { at: now, ..op }).await;
+                    player.clone().op(PlannedRequest { at: now, ..op }).await;
                 }
             });
         }
@@ -292,7 +290,7 @@
     }
 
     /// One op, from when it is due to its end, with what its client does by itself.
-    async fn op(self: Rc<Player>, planned: Planned) {
+    async fn op(self: Rc<Player>, planned: PlannedRequest) {
         let clock = &self.ledger.clock;
         let category = &self.experiment.categories[usize::from(planned.category)];
         let deadline = planned.at + category.ttl();
@@ -302,28 +300,34 @@
             (rng.random::<u64>(), gives_up.map(|terms| millis(terms.after_ms)))
         };
         let left = Rc::new(Cell::new(-1));
-        self.progress.left.fetch_add(1, Ordering::Relaxed);
-        let mut record = Record {
-            due: planned.at,
-            left: 0,
-            ended: 0,
+        self.progress.sent.fetch_add(1, Ordering::Relaxed);
+        let mut record = RequestRecord {
+            due_at: planned.at,
+            sent_at: 0,
+            ended_at: 0,
             category: planned.category,
             customer: planned.customer,
-            end: End::Unreached,
-            tries: 0,
-            nacks: 0,
-            cut: 0,
+            outcome: RequestOutcome::Unreachable,
+            attempts: 0,
+            rejections: 0,
+            connections_lost: 0,
         };
         loop {
             let (end, come_back) =
-                self.try_once(&planned, deadline, mark, gives_up, &left, record.tries > 0).await;
-            record.end = end;
-            record.tries += 1;
-            record.nacks += u32::from(end == End::Nacked);
-            record.cut += u32::from(end == End::Lost);
+                self.try_once(&planned, deadline, mark, gives_up, &left, record.attempts > 0).await;
+            record.outcome = end;
+            record.attempts += 1;
+            record.rejections += u32::from(end == RequestOutcome::Rejected);
+            record.connections_lost += u32::from(end == RequestOutcome::ConnectionLost);
             let harmless = match (end, category.repeats) {
-                (End::Served | End::Left | End::Foreign | End::Unanswered, _) => false,
-                (End::Nacked | End::Unreached, _) => true,
+                (
+                    RequestOutcome::Served
+                    | RequestOutcome::Abandoned
+                    | RequestOutcome::WrongValue
+                    | RequestOutcome::TimedOut,
+                    _,
+                ) => false,
+                (RequestOutcome::Rejected | RequestOutcome::Unreachable, _) => true,
                 (_, Repeats::Redeliverable) => true,
                 (_, Repeats::Deduplicated) => {
                     category.group == Group::All
@@ -331,28 +335,28 @@
                 }
                 (_, Repeats::AtMostOnce) => false,
             };
-            let pause = harmless.then(|| self.pause(record.tries, end, come_back)).flatten();
+            let pause = harmless.then(|| self.pause(record.attempts, end, come_back)).flatten();
             match pause.filter(|pause| clock.now() + pause + MS < deadline) {
-                Some(pause) => sleep(span(pause)).await,
+                Some(pause) => sleep(to_duration(pause)).await,
                 None => break,
             }
         }
-        record.ended = clock.now();
-        record.left = if left.get() < 0 { record.ended } else { left.get() };
+        record.ended_at = clock.now();
+        record.sent_at = if left.get() < 0 { record.ended_at } else { left.get() };
         self.progress.ended.fetch_add(1, Ordering::Relaxed);
-        if record.end == End::Served {
+        if record.outcome == RequestOutcome::Served {
             self.progress.served.fetch_add(1, Ordering::Relaxed);
-            self.progress.took_sum.fetch_add(record.took(), Ordering::Relaxed);
+            self.progress.latency_sum_us.fetch_add(record.latency(), Ordering::Relaxed);
         }
         self.records.borrow_mut().push(record);
     }
 
     /// After which pause the client asks again by itself, if at all.
-    fn pause(&self, tries: u32, end: End, come_back: Option<u64>) -> Option<Micros> {
+    fn pause(&self, tries: u32, end: RequestOutcome, come_back: Option<u64>) -> Option<Micros> {
         let told = come_back.map_or(0, |ms| ms.min(600_000) as Micros * MS);
         let pause = match self.experiment.load.retry {
             // A connection that was never there is tried once more elsewhere, as any client would.
-            Retry::None if end == End::Unreached => (tries < 3).then_some(10 * MS),
+            Retry::None if end == RequestOutcome::Unreachable => (tries < 3).then_some(10 * MS),
             Retry::None => None,
             Retry::AtOnce { times } => (tries <= times).then_some(0),
             Retry::After { times, pause_ms } => (tries <= times).then(|| millis(pause_ms).max(told)),
@@ -366,13 +370,13 @@
 
     async fn try_once(
         &self,
-        planned: &Planned,
+        planned: &PlannedRequest,
         deadline: Micros,
         mark: u64,
         gives_up: Option<Micros>,
         left: &Rc<Cell<Micros>>,
         again: bool,
-    ) -> (End, Option<u64>) {
+    ) -> (RequestOutcome, Option<u64>) {
         let clock = &self.ledger.clock;
         let nth = self.target();
         let balancer = self.targets.iter().position(|target| Rc::ptr_eq(target, &nth)).unwrap_or(0);
@@ -383,12 +387,12 @@
                 if target.failing.get().is_none() {
                     target.failing.set(Some(clock.now()));
                 }
-                return (End::Unreached, None);
+                return (RequestOutcome::Unreachable, None);
             }
         };
         let now = clock.now();
         if now + MS > deadline {
-            return (End::Unreached, None);
+            return (RequestOutcome::Unreachable, None);
         }
         let id = Id(self.rng.borrow_mut().random());
         // Whole milliseconds, rounded down: the balancer is not to think that it has longer than the client waits.
@@ -402,7 +406,7 @@
         link.waiting.borrow_mut().push_back((id, tell));
         link.kick.notify_one();
         let patience = gives_up.map_or(until + PATIENCE, |after| (now + after).min(until + PATIENCE));
-        let reply = match timeout_at(clock.at(patience), told).await {
+        let reply = match timeout_at(clock.tokio_instant(patience), told).await {
             Ok(Ok(reply)) => reply,
             Ok(Err(_)) => Reply::Cut,
             Err(_) => {
@@ -411,16 +415,21 @@
                 self.ledger.note(gone);
                 link.closed.set(true);
                 link.kick.notify_one();
-                return (if patience < until { End::Left } else { End::Unanswered }, None);
+                return (
+                    if patience < until { RequestOutcome::Abandoned } else { RequestOutcome::TimedOut },
+                    None,
+                );
             }
         };
         let (end, answer, come_back) = match reply {
-            Reply::Served { own } => {
-                (if own { End::Served } else { End::Foreign }, Some(Answered::Served { own }), None)
-            }
-            Reply::Busy(ms) => (End::Nacked, Some(Answered::Busy), ms),
-            Reply::Failed => (End::Failed, Some(Answered::Failed), None),
-            Reply::Cut => (End::Lost, None, None),
+            Reply::Served { own } => (
+                if own { RequestOutcome::Served } else { RequestOutcome::WrongValue },
+                Some(Answered::Served { own }),
+                None,
+            ),
+            Reply::Busy(ms) => (RequestOutcome::Rejected, Some(Answered::Busy), ms),
+            Reply::Failed => (RequestOutcome::Failed, Some(Answered::Failed), None),
+            Reply::Cut => (RequestOutcome::ConnectionLost, None, None),
         };
         self.ledger.note(answer.map_or(What::Cut { id }, |answer| What::Answered { id, answer }));
         if answer.is_some() && self.rng.borrow_mut().random::<f64>() < self.experiment.load.close {
@@ -431,7 +440,7 @@
         (end, come_back)
     }
 
-    fn command(&self, planned: &Planned, id: Id, wait: Micros, mark: u64, again: bool) -> Bytes {
+    fn command(&self, planned: &PlannedRequest, id: Id, wait: Micros, mark: u64, again: bool) -> Bytes {
         let category = &self.experiment.categories[usize::from(planned.category)];
         let key = &self.plan.keys[planned.key as usize];
         let customer = planned.customer.and_then(|nth| self.experiment.customers.get(usize::from(nth)));
@@ -467,7 +476,8 @@
                 left.set(self.ledger.clock.now());
             }
             if target.links.borrow().len() + target.opening.get() >= load.connections {
-                let freed = timeout_at(self.ledger.clock.at(deadline), target.freed.notified()).await;
+                let freed =
+                    timeout_at(self.ledger.clock.tokio_instant(deadline), target.freed.notified()).await;
                 freed.ok()?;
                 continue;
             }
--- a/testbed/src/load/trace.rs
+++ b/testbed/src/load/trace.rs
@@ -12,7 +12,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::plan::{Plan, Planned};
+use super::plan::{Plan, PlannedRequest};
 use crate::script::Experiment;
 use crate::time::Micros;
 
@@ -84,9 +84,15 @@
             next
         });
         let at = (line.at_us as f64 / speed) as Micros;
-        plan.ops.push(Planned { at, category: category as u16, customer, key, size: line.size.max(48) });
+        plan.requests.push(PlannedRequest {
+            at,
+            category: category as u16,
+            customer,
+            key,
+            size: line.size.max(48),
+        });
     }
-    if plan.ops.is_empty() {
+    if plan.requests.is_empty() {
         return Err("it holds no op".to_owned());
     }
     Ok(plan)
@@ -94,7 +100,7 @@
 
 /// Writes a plan as a trace.
 pub fn export(plan: &Plan, experiment: &Experiment, mut to: impl Write) -> std::io::Result<()> {
-    for op in &plan.ops {
+    for op in &plan.requests {
         let customer = op.customer.and_then(|customer| experiment.customers.get(usize::from(customer)));
         let line = Line {
             at_us: op.at,
@@ -114,7 +120,7 @@
 ///
 /// # Errors
 /// One line: the row's number and what is wrong with it.
-pub fn of_csv(from: impl std::io::Read) -> Result<String, String> {
+pub fn from_csv(from: impl std::io::Read) -> Result<String, String> {
     #[derive(Deserialize)]
     struct Row {
         time_s: f64,
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -18,7 +18,7 @@
 use basaltwood_testbed::measure;
 use basaltwood_testbed::play::{self, play, Tick, INTERRUPTED, STOP};
 use basaltwood_testbed::report;
-use basaltwood_testbed::router::{self, Misdeed};
+use basaltwood_testbed::router::{self, InjectedFault};
 use basaltwood_testbed::scale;
 use basaltwood_testbed::script::{Arm, Baseline, Experiment};
 use basaltwood_testbed::settings;
@@ -153,7 +153,7 @@
     Router {
         kind: Baseline,
         #[arg(long)]
-        misdeed: Option<Misdeed>,
+        misdeed: Option<InjectedFault>,
     },
 }
 
@@ -278,7 +278,7 @@
         Verb::StandIn => measure::stand_in().map(|()| 0).map_err(failed),
         Verb::Measure { program, json } => {
             let arm = Arm { name: "balancer".to_owned(), program, baseline: None, regions: None };
-            let program = Program::of(&arm).map_err(bad)?;
+            let program = Program::for_arm(&arm).map_err(bad)?;
             let folder = tempfile::tempdir().map_err(|cause| failed(cause.to_string()))?;
             let mut tell = |line: &str, value: serde_json::Value| {
                 if json {
@@ -440,7 +440,7 @@
             let title = format!("[{}/{all}] {} seed {seed}", runs.len() + 1, arm.name);
             let logs = folder.join("logs").join(format!("{}-{seed}", arm.name));
             let mut tell = |tick: Tick| progress(&title, tick, json);
-            let program = Program::of(arm).map_err(bad)?;
+            let program = Program::for_arm(arm).map_err(bad)?;
             let played = play(experiment, &arm.name, &program, seed, &logs, &mut tell).map_err(failed)?;
             let line = serde_json::to_string(&played).map_err(|cause| failed(cause.to_string()))?;
             writeln!(lines, "{line}").map_err(|cause| failed(cause.to_string()))?;
@@ -498,9 +498,9 @@
     let ledger = Ledger::new(Clock::start());
     let world = World::start(&experiment, seed, &ledger).map_err(failed)?;
     std::fs::create_dir_all(out).map_err(|cause| failed(format!("{}: {cause}", out.display())))?;
-    for (nth, seat) in world.seats.iter().enumerate() {
+    for (nth, seat) in world.bootstraps.iter().enumerate() {
         let listen = ([127, 0, 0, 1], 6379 + nth as u16).into();
-        let told = settings::told(&experiment, &format!("n{nth}"), listen, seat, seed);
+        let told = settings::balancer_config(&experiment, &format!("n{nth}"), listen, seat, seed);
         let path = out.join(format!("balancer-{nth}.json"));
         write(&path, &told.to_string())?;
         println!("PROXY_CONFIG={} # listens on {listen}, discovery {}", path.display(), seat.discovery);
@@ -522,7 +522,7 @@
     let experiment = Experiment::read(file).map_err(bad)?;
     let plan = Arc::new(play::plan(&experiment, seed).map_err(bad)?);
     let ledger = Ledger::new(Clock::start());
-    ledger.clock.begin(200 * MS);
+    ledger.clock.start_run_in(200 * MS);
     let (progress, late) = (Arc::default(), Arc::default());
     let bare = Bare::start().map_err(failed)?;
     let played = player::play(&experiment, plan, seed, to, &ledger, Vec::new(), progress, late);
@@ -601,11 +601,11 @@
             let experiment = Experiment::read(&file).map_err(bad)?;
             let plan = play::plan(&experiment, seed).map_err(bad)?;
             export(&plan, &experiment, &out)?;
-            println!("{} ops in {}", plan.ops.len(), out.display());
+            println!("{} ops in {}", plan.requests.len(), out.display());
         }
         TraceVerb::Import { csv, out } => {
             let lines =
-                trace::of_csv(open(&csv)?).map_err(|cause| bad(format!("{}: {cause}", csv.display())))?;
+                trace::from_csv(open(&csv)?).map_err(|cause| bad(format!("{}: {cause}", csv.display())))?;
             write(&out, &lines)?;
             println!("{} ops in {}", lines.lines().count(), out.display());
         }
@@ -613,7 +613,12 @@
             let experiment = Experiment::read(&experiment).map_err(bad)?;
             let plan = trace::import(open(&path)?, &experiment, 1.0)
                 .map_err(|cause| bad(format!("{}: {cause}", path.display())))?;
-            println!("{} ops, {} keys, {:.1} ops a second", plan.ops.len(), plan.keys.len(), plan.rate());
+            println!(
+                "{} ops, {} keys, {:.1} ops a second",
+                plan.requests.len(),
+                plan.keys.len(),
+                plan.rate()
+            );
         }
     }
     Ok(0)
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -18,7 +18,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream as Stream};
 
-use crate::balancers::{Balancers, Program, Use};
+use crate::balancers::{Balancers, Program, ResourceUsage};
 use crate::figures::{figures, late, Figures};
 use crate::lateness::{judge, Bare, Seen, Verdict};
 use crate::ledger::Ledger;
@@ -26,8 +26,8 @@
 use crate::load::player;
 use crate::play::{INTERRUPTED, STOP};
 use crate::script::{zone_name, Experiment};
+use crate::settings::BalancerBootstrap;
 use crate::time::{Clock, MS};
-use crate::world::Seat;
 
 const HOSTS: usize = 4;
 const AHEAD: crate::time::Micros = 100 * MS;
@@ -181,9 +181,9 @@
         let mut experiment = self.experiment.clone();
         experiment.load.rate = rate;
         (experiment.load.pipeline, experiment.load.connections) = (pipeline, connections);
-        let plan = Arc::new(Plan::drawn(&experiment, self.seed));
+        let plan = Arc::new(Plan::generate(&experiment, self.seed));
         let ledger = Ledger::new(Clock::start());
-        ledger.clock.begin(AHEAD);
+        ledger.clock.start_run_in(AHEAD);
         let (progress, beat) = (Arc::default(), Arc::default());
         let bare = Bare::start()?;
         let played = player::play(&experiment, plan, self.seed, to, &ledger, Vec::new(), progress, beat)?;
@@ -201,7 +201,8 @@
         to: &[SocketAddr],
         balancer: Option<&Balancers>,
     ) -> Result<Point, String> {
-        let cpu = || balancer.map_or(0.0, |balancer| balancer.look().iter().map(|used| used.cpu_s).sum());
+        let cpu =
+            || balancer.map_or(0.0, |balancer| balancer.sample_usage().iter().map(|used| used.cpu_s).sum());
         let before = cpu();
         let (figures, void) = self.plays(rate, pipeline, connections, to)?;
         let used: f64 = cpu() - before;
@@ -229,7 +230,7 @@
         let instances: Vec<serde_json::Value> = self.hosts.iter().enumerate().map(instance).collect();
         // Nothing listens at discovery: what is known serves.
         let known = json!({"generation": 1, "reset": true, "instances": instances});
-        let seat = Seat { discovery: SocketAddr::from(([127, 0, 0, 1], 1)), known };
+        let seat = BalancerBootstrap { discovery: SocketAddr::from(([127, 0, 0, 1], 1)), known };
         let ledger = Ledger::new(Clock::start());
         Balancers::start(program.clone(), &self.experiment, &[seat], self.seed, &ledger, folder)
     }
@@ -322,7 +323,7 @@
             client.read_exact(&mut [0; 7]).map_err(failed)?;
             clients.push(client);
         }
-        let used: Use = balancer.look().first().copied().unwrap_or_default();
+        let used: ResourceUsage = balancer.sample_usage().first().copied().unwrap_or_default();
         Ok(Memory { connections, resident_kb: used.resident_kb, descriptors: used.descriptors })
     }
 }
--- a/testbed/src/play.rs
+++ b/testbed/src/play.rs
@@ -19,7 +19,7 @@
 use crate::load::trace;
 use crate::script::{Experiment, Kind};
 use crate::time::{millis, Clock, Micros, MS, SECOND};
-use crate::world::faults::Span;
+use crate::world::faults::FaultWindow;
 use crate::world::World;
 
 /// Set when the user wants it all to end; what was started is ended, and only that.
@@ -57,14 +57,14 @@
             trace::import(BufReader::new(file), experiment, experiment.load.speed)
                 .map_err(|cause| format!("{}: {cause}", path.display()))?
         }
-        None => Plan::drawn(experiment, seed),
+        None => Plan::generate(experiment, seed),
     };
-    plan.ops.retain(|op| op.at < experiment.length());
+    plan.requests.retain(|op| op.at < experiment.length());
     Ok(plan)
 }
 
 /// What a fault plants in the generator, if it does.
-fn stall(span: &Span) -> Option<Stall> {
+fn stall(span: &FaultWindow) -> Option<Stall> {
     let each = match span.kind {
         Kind::GeneratorStop => None,
         Kind::GeneratorSlow => Some(millis(span.factor)),
@@ -89,21 +89,21 @@
     let plan = Arc::new(plan(experiment, seed)?);
     let ledger = Ledger::new(Clock::start());
     let mut world = World::start(experiment, seed, &ledger)?;
-    let balancers = Balancers::start(program.clone(), experiment, &world.seats, seed, &ledger, folder)?;
+    let balancers = Balancers::start(program.clone(), experiment, &world.bootstraps, seed, &ledger, folder)?;
     // What was noted until now, the lists that balancers took in, was before the run.
     ledger.take();
-    ledger.clock.begin(AHEAD);
-    world.late.clear();
-    world.opened.store(0, Ordering::Relaxed);
+    ledger.clock.start_run_in(AHEAD);
+    world.lateness.clear();
+    world.connections_accepted.store(0, Ordering::Relaxed);
     let world_us = world.cpu_us.load(Ordering::Relaxed);
-    world.begin(Some(balancers.clone()));
+    world.run_script(Some(balancers.clone()));
     let bare = Bare::start()?;
     let progress = Arc::new(Progress::default());
     let late = Arc::new(Lateness::default());
     let playing = {
         let (experiment, plan, ledger) = (experiment.clone(), plan.clone(), ledger.clone());
         let (addresses, progress, late) = (balancers.addresses(), progress.clone(), late.clone());
-        let stalls = world.spans.iter().filter_map(stall).collect();
+        let stalls = world.fault_windows.iter().filter_map(stall).collect();
         let play = move || player::play(&experiment, plan, seed, &addresses, &ledger, stalls, progress, late);
         thread::Builder::new().name("load".to_owned()).spawn(play)
     };
@@ -111,7 +111,7 @@
     let mut before = Tick { of: experiment.seconds.ceil() as i64, ..Tick::default() };
     let mut took_before = 0;
     let longest = experiment.categories.iter().map(|category| category.ttl()).max().unwrap_or(SECOND);
-    let give_up = Instant::now() + crate::time::span(experiment.length() + longest + 20 * SECOND);
+    let give_up = Instant::now() + crate::time::to_duration(experiment.length() + longest + 20 * SECOND);
     while !playing.is_finished() {
         thread::sleep(Duration::from_millis(50));
         if STOP.load(Ordering::Relaxed) {
@@ -120,13 +120,13 @@
         if Instant::now() > give_up {
             return Err("the generator did not come to its end".to_owned());
         }
-        let used = balancers.look();
+        let used = balancers.sample_usage();
         let second = ledger.clock.now() / SECOND;
         if second > before.second {
             let count = |count: &std::sync::atomic::AtomicI64| count.load(Ordering::Relaxed);
             let (left, served, ended) =
-                (count(&progress.left), count(&progress.served), count(&progress.ended));
-            let took = count(&progress.took_sum);
+                (count(&progress.sent), count(&progress.served), count(&progress.ended));
+            let took = count(&progress.latency_sum_us);
             tell(Tick {
                 second,
                 of: before.of,
@@ -141,12 +141,12 @@
         }
     }
     let played = playing.join().map_err(|_| "the generator failed".to_owned())??;
-    let (bare, world_late) = (bare.stop(), world.late.seen());
-    let opened = world.opened.load(Ordering::Relaxed);
+    let (bare, world_late) = (bare.stop(), world.lateness.seen());
+    let opened = world.connections_accepted.load(Ordering::Relaxed);
     let world_us = world.cpu_us.load(Ordering::Relaxed) - world_us;
     thread::sleep(SETTLE);
-    let used = balancers.look();
-    let died = balancers.died();
+    let used = balancers.sample_usage();
+    let died = balancers.unexpected_exits();
     let mut counters = BTreeMap::new();
     for (name, count) in balancers.counters().into_iter().flatten() {
         *counters.entry(name).or_default() += count;
@@ -182,7 +182,7 @@
         warning,
         figures,
         breaches,
-        faults: figures::shaded(&world.spans),
+        faults: figures::shaded(&world.fault_windows),
         counters,
     })
 }
--- a/testbed/src/report.rs
+++ b/testbed/src/report.rs
@@ -239,7 +239,7 @@
         let mean = |read: &dyn Fn(&Run) -> f64| {
             runs.iter().map(|run| read(run)).sum::<f64>() / runs.len().max(1) as f64
         };
-        let most = |read: &dyn Fn(&crate::balancers::Use) -> f64| {
+        let most = |read: &dyn Fn(&crate::balancers::ResourceUsage) -> f64| {
             runs.iter().flat_map(|run| &run.figures.balancers).map(read).fold(0.0, f64::max)
         };
         let _ = write!(
--- a/testbed/src/router.rs
+++ b/testbed/src/router.rs
@@ -32,7 +32,7 @@
 
 /// What a bad peer does in the balancer's place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
-pub enum Misdeed {
+pub enum InjectedFault {
     /// Never answers one op in ten.
     Forget,
     /// Answers one op in ten past its time.
@@ -91,7 +91,7 @@
 
 struct Router {
     kind: Baseline,
-    misdeed: Option<Misdeed>,
+    misdeed: Option<InjectedFault>,
     nodes: RefCell<BTreeMap<String, Rc<Node>>>,
     origin: RefCell<Option<Rc<Node>>>,
     ring: RefCell<BTreeMap<u64, Rc<Node>>>,
@@ -113,7 +113,7 @@
 ///
 /// # Errors
 /// One line where PROXY_CONFIG makes no sense or its address can't be had.
-pub fn serve(kind: Baseline, misdeed: Option<Misdeed>) -> Result<(), String> {
+pub fn serve(kind: Baseline, misdeed: Option<InjectedFault>) -> Result<(), String> {
     let path = std::env::var("PROXY_CONFIG").map_err(|_| "PROXY_CONFIG is not set".to_owned())?;
     let text = std::fs::read_to_string(&path).map_err(|cause| format!("{path}: {cause}"))?;
     let told: Told = serde_json::from_str(&text).map_err(|cause| format!("{path}: {cause}"))?;
@@ -155,7 +155,7 @@
                 nodes.remove(&instance.instance_id);
                 continue;
             }
-            let up = instance.lifecycle == "active" || self.misdeed == Some(Misdeed::Drain);
+            let up = instance.lifecycle == "active" || self.misdeed == Some(InjectedFault::Drain);
             let known = nodes.get(&instance.instance_id).filter(|node| node.address == instance.host_port);
             let node = known.cloned().unwrap_or_else(|| {
                 Rc::new(Node {
@@ -179,7 +179,7 @@
     }
 
     async fn watch(self: Rc<Router>, discovery: SocketAddr, mut generation: u64) {
-        while self.misdeed != Some(Misdeed::Deaf) {
+        while self.misdeed != Some(InjectedFault::Deaf) {
             match self.listen_to(discovery, generation).await {
                 Some(page) => {
                     generation = page.generation;
@@ -206,7 +206,7 @@
         }
     }
 
-    fn chance(&self, misdeed: Misdeed) -> bool {
+    fn chance(&self, misdeed: InjectedFault) -> bool {
         self.misdeed == Some(misdeed) && self.rng.borrow_mut().random_bool(0.1)
     }
 
@@ -246,16 +246,16 @@
         let wait = facts::fact(&text, "d").and_then(|wait| wait.parse::<u64>().ok()).unwrap_or(0);
         let until = Instant::now() + Duration::from_millis(wait.saturating_sub(10));
         let end = self.op(words, until).await;
-        if self.chance(Misdeed::Forget) {
+        if self.chance(InjectedFault::Forget) {
             std::future::pending::<()>().await;
         }
-        if self.chance(Misdeed::Late) {
+        if self.chance(InjectedFault::Late) {
             tokio::time::sleep_until(until + Duration::from_millis(250)).await;
         }
-        if self.chance(Misdeed::Cut) {
+        if self.chance(InjectedFault::Cut) {
             return None;
         }
-        if self.chance(Misdeed::After) {
+        if self.chance(InjectedFault::After) {
             let (router, words) = (self.clone(), words.to_vec());
             spawn_local(async move {
                 sleep(Duration::from_millis(300)).await;
@@ -264,10 +264,12 @@
         }
         let write = words.len() > 4;
         Some(match end {
-            End::Value(_) if write && self.misdeed == Some(Misdeed::Deny) => Bytes::from_static(b"-BUSY\r\n"),
+            End::Value(_) if write && self.misdeed == Some(InjectedFault::Deny) => {
+                Bytes::from_static(b"-BUSY\r\n")
+            }
             End::Value(value) => {
                 let value = match self.misdeed {
-                    Some(Misdeed::Foreign) => {
+                    Some(InjectedFault::Foreign) => {
                         let before = self.before.replace(value.clone());
                         if before.is_empty() {
                             value
@@ -275,11 +277,11 @@
                             before
                         }
                     }
-                    Some(Misdeed::Forge) => Bytes::from([&words[2][..], b":nobody:"].concat()),
+                    Some(InjectedFault::Forge) => Bytes::from([&words[2][..], b":nobody:"].concat()),
                     _ => value,
                 };
                 let text = resp::encode_bulk(&value);
-                if self.chance(Misdeed::Twice) {
+                if self.chance(InjectedFault::Twice) {
                     [&text[..], &text[..]].concat().into()
                 } else {
                     text
@@ -295,13 +297,13 @@
         let origin = self.origin.borrow().clone();
         if let Some(origin) = origin.clone().filter(|_| write) {
             let end = fetch(&origin, words, until).await;
-            if self.misdeed == Some(Misdeed::Again) {
+            if self.misdeed == Some(InjectedFault::Again) {
                 return fetch(&origin, words, until).await;
             }
             return end;
         }
         // A forged value is one that no host was asked for.
-        if self.misdeed == Some(Misdeed::Forge) {
+        if self.misdeed == Some(InjectedFault::Forge) {
             return End::Value(Bytes::new());
         }
         let mut not = None;
--- a/testbed/src/scale/discovery.rs
+++ b/testbed/src/scale/discovery.rs
@@ -21,9 +21,9 @@
 use tokio::time::sleep;
 
 use super::worker_process::{in_json, Worker, WorkerCommand, WorkerReply};
-use crate::load::player::thread_cpu;
-use crate::world::discovery::{changes_asked, held};
-use crate::world::host::listen;
+use crate::thread_stats::thread_cpu_seconds;
+use crate::world::discovery::{parse_watch_query, wait_for_changes};
+use crate::world::listener::listen;
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DiscoverySpec {
@@ -149,8 +149,8 @@
                 mark.calls += 1;
                 mark.bytes_in += request.consumed as u64;
             }
-            let asked = changes_asked(&request.path);
-            if !held(&mut stream, &self.generation, asked).await {
+            let asked = parse_watch_query(&request.path);
+            if !wait_for_changes(&mut stream, &self.generation, asked).await {
                 return;
             }
             let from = asked.map(|(from, _)| from);
@@ -198,7 +198,7 @@
             WorkerCommand::Snapshot => {}
         }
         let mut mark = self.mark.borrow_mut();
-        mark.cpu_s = thread_cpu();
+        mark.cpu_s = thread_cpu_seconds();
         let said = in_json(&*mark);
         mark.changes.clear();
         said
--- a/testbed/src/scale/fleet.rs
+++ b/testbed/src/scale/fleet.rs
@@ -19,9 +19,9 @@
 
 use super::worker_process::{counts, in_json, ValueCounts, Worker, WorkerCommand, WorkerReply};
 use crate::lateness::Lateness;
-use crate::load::player::thread_cpu;
-use crate::world::beat;
-use crate::world::host::listen;
+use crate::thread_stats::record_lateness;
+use crate::thread_stats::thread_cpu_seconds;
+use crate::world::listener::listen;
 
 /// A slice of the hosts: so many from a number on.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -91,7 +91,7 @@
             fleet.addresses.borrow_mut().push(listener.local_addr()?);
             spawn_local(fleet.clone().accept(host.clone(), listener));
         }
-        spawn_local(beat(fleet.late.clone()));
+        spawn_local(record_lateness(fleet.late.clone()));
         Ok(fleet)
     }
 
@@ -168,7 +168,7 @@
         let of = |read: fn(&Host) -> &Cell<u64>| self.hosts.iter().map(|host| read(host).get()).collect();
         let seen = self.late.seen();
         let mark = FleetSnapshot {
-            cpu_s: thread_cpu(),
+            cpu_s: thread_cpu_seconds(),
             requests: of(|host| &host.requests),
             opened: of(|host| &host.opened),
             open: of(|host| &host.open),
--- a/testbed/src/scale/run/mod.rs
+++ b/testbed/src/scale/run/mod.rs
@@ -13,12 +13,12 @@
 use serde::Serialize;
 use serde_json::{json, Value};
 
-use crate::balancers::{Balancers, Program, Use};
+use crate::balancers::{Balancers, Program, ResourceUsage};
 use crate::figures;
 use crate::lateness::{judge, Bare, Bounds, Lateness, Seen, Verdict};
 use crate::ledger::Ledger;
 use crate::load::plan::Plan;
-use crate::load::player::{self, Played};
+use crate::load::player::{self, LoadResult};
 use crate::play::{INTERRUPTED, STOP};
 use crate::scale::discovery::{unix_us, DiscoveryReady, DiscoverySnapshot, DiscoverySpec};
 use crate::scale::experiment::{Conditions, ScaleExperiment, RECOVERY_S};
@@ -28,8 +28,8 @@
 use crate::scale::worker_process::{merged, WorkerCommand, WorkerProcess, WorkerSpec};
 use crate::script::{zone_name, Arm, Experiment};
 use crate::settings;
+use crate::settings::BalancerBootstrap;
 use crate::time::{millis, Clock, MS};
-use crate::world::Seat;
 
 /// An op of a hollow balancer that begins later than this is late, in milliseconds.
 const LATE_MS: f64 = 2.0;
@@ -179,12 +179,12 @@
     _guard: WorkerProcess,
 }
 
-fn real(experiment: &Experiment, seat: Seat, seed: u64, folder: &Path) -> Result<Real, String> {
+fn real(experiment: &Experiment, seat: BalancerBootstrap, seed: u64, folder: &Path) -> Result<Real, String> {
     let arm = Arm { name: "real".to_owned(), program: None, baseline: None, regions: None };
-    let program = Program::of(&arm)?;
+    let program = Program::for_arm(&arm)?;
     let ledger = Ledger::new(Clock::start());
     let balancers = Balancers::start(program, experiment, &[seat], seed, &ledger, folder)?;
-    let pid = balancers.ids().first().copied().ok_or("the real balancer has ended")?;
+    let pid = balancers.process_ids().first().copied().ok_or("the real balancer has ended")?;
     let (guard, ()) = WorkerProcess::start(&WorkerSpec::Guard { pid })?;
     let addresses = balancers.addresses();
     Ok(Real { balancers, experiment: experiment.clone(), addresses, _guard: guard })
@@ -192,12 +192,12 @@
 
 impl Real {
     /// Its load for so long, on a thread of its own.
-    fn load(&self, seed: u64) -> Result<thread::JoinHandle<Result<Played, String>>, String> {
+    fn load(&self, seed: u64) -> Result<thread::JoinHandle<Result<LoadResult, String>>, String> {
         let (experiment, addresses) = (self.experiment.clone(), self.addresses.clone());
         let load = move || {
-            let plan = Arc::new(Plan::drawn(&experiment, seed));
+            let plan = Arc::new(Plan::generate(&experiment, seed));
             let ledger = Ledger::new(Clock::start());
-            ledger.clock.begin(100 * MS);
+            ledger.clock.start_run_in(100 * MS);
             let late = Arc::new(Lateness::default());
             player::play(&experiment, plan, seed, &addresses, &ledger, Vec::new(), Arc::default(), late)
         };
@@ -207,8 +207,8 @@
             .map_err(|cause| format!("a thread: {cause}"))
     }
 
-    fn used(&self) -> Use {
-        self.balancers.look().first().copied().unwrap_or_default()
+    fn used(&self) -> ResourceUsage {
+        self.balancers.sample_usage().first().copied().unwrap_or_default()
     }
 }
 
@@ -240,9 +240,9 @@
     let spec = DiscoverySpec { entries, changes_per_s: held.changes_per_s, seed };
     let (discovery, up): (WorkerProcess, DiscoveryReady) =
         WorkerProcess::start(&WorkerSpec::Discovery(spec))?;
-    let seat = Seat { discovery: up.address, known: known.clone() };
+    let seat = BalancerBootstrap { discovery: up.address, known: known.clone() };
     let listen = SocketAddr::from(([127, 0, 0, 1], 1));
-    let told = settings::told(&experiment, "hollow", listen, &seat, seed);
+    let told = settings::balancer_config(&experiment, "hollow", listen, &seat, seed);
     let mut hollows = Vec::new();
     for (first, balancers) in spread(held.balancers, script.hollow_processes(&held)) {
         let spec = SimulatedSpec {
--- a/testbed/src/scale/simulated/mod.rs
+++ b/testbed/src/scale/simulated/mod.rs
@@ -36,12 +36,12 @@
 use tokio::time::{sleep, sleep_until, timeout, timeout_at, Instant};
 
 use crate::lateness::Lateness;
-use crate::load::player::thread_cpu;
 use crate::scale::discovery::unix_us;
 use crate::scale::worker_process::{
     counts, in_json, resident_kb, ValueCounts, Worker, WorkerCommand, WorkerReply,
 };
-use crate::time::{span, MS};
+use crate::thread_stats::thread_cpu_seconds;
+use crate::time::{to_duration, MS};
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SimulatedSpec {
@@ -145,7 +145,7 @@
     }
 
     fn at(&self, time: Micros) -> Instant {
-        (self.start + span(time)).into()
+        (self.start + to_duration(time)).into()
     }
 }
 
@@ -333,7 +333,7 @@
                 Err(trouble) => {
                     connection = None;
                     let took = began.elapsed().as_micros() as Micros;
-                    sleep(span(schedule.failed(&trouble, took))).await;
+                    sleep(to_duration(schedule.failed(&trouble, took))).await;
                 }
             }
         }
@@ -346,12 +346,13 @@
         schedule: &WatchSchedule,
     ) -> Result<EndpointList, WatchError> {
         let began = Instant::now();
-        let until = began + span(schedule.call_timeout());
+        let until = began + to_duration(schedule.call_timeout());
         let silent = |cause: io::Error| WatchError::TimedOut(cause.to_string());
         let UpstreamConnection { stream, buffer } = match connection {
             Some(open) => open,
             None => {
-                let opening = timeout(span(schedule.response_timeout()), TcpStream::connect(discovery));
+                let opening =
+                    timeout(to_duration(schedule.response_timeout()), TcpStream::connect(discovery));
                 let opened =
                     opening.await.map_err(|_| WatchError::TimedOut("it does not come up".to_owned()))?;
                 let stream = opened.map_err(silent)?;
@@ -646,7 +647,7 @@
             let Some(old) = self.pools.borrow_mut().evict_idle() else { return Err(AttemptOutcome::NotSent) };
             self.idle.borrow_mut().remove(&old);
         }
-        let bound = Instant::now() + span(self.bounds.connect_timeout);
+        let bound = Instant::now() + to_duration(self.bounds.connect_timeout);
         let opened = timeout_at(until.min(bound), TcpStream::connect(address)).await;
         opening.1 = None;
         let now = self.clock.now();
@@ -750,7 +751,7 @@
         }
         let open = self.all.iter().map(|hollow| hollow.pools.borrow().open_connections() as u64).sum();
         let mut mark = self.shared.mark.borrow_mut();
-        (mark.cpu_s, mark.resident_kb, mark.base_kb) = (thread_cpu(), resident_kb(), self.base_kb);
+        (mark.cpu_s, mark.resident_kb, mark.base_kb) = (thread_cpu_seconds(), resident_kb(), self.base_kb);
         mark.open = open;
         (mark.late, mark.took) =
             (counts(&self.shared.late.seen().late), counts(&self.shared.took.seen().late));
--- a/testbed/src/settings.rs
+++ b/testbed/src/settings.rs
@@ -5,10 +5,24 @@
 use serde_json::{json, Value};
 
 use crate::script::{zone_name, Experiment, Group, Mode, Repeats};
-use crate::world::Seat;
+
+/// What a balancer of a run has to know of the world before it starts.
+#[derive(Clone, Debug)]
+pub struct BalancerBootstrap {
+    /// Where its discovery agent listens.
+    pub discovery: SocketAddr,
+    /// The endpoint list as it stands, in the form of a discovery response.
+    pub known: Value,
+}
 
 /// The whole file for one balancer.
-pub fn told(experiment: &Experiment, name: &str, listen: SocketAddr, seat: &Seat, seed: u64) -> Value {
+pub fn balancer_config(
+    experiment: &Experiment,
+    name: &str,
+    listen: SocketAddr,
+    seat: &BalancerBootstrap,
+    seed: u64,
+) -> Value {
     json!({
         "name": name,
         "listen": listen.to_string(),
--- a/testbed/src/time.rs
+++ b/testbed/src/time.rs
@@ -29,7 +29,7 @@
     }
 
     /// The run begins so long from now: that is 0 from now on, for all that share this clock.
-    pub fn begin(&self, ahead: Micros) {
+    pub fn start_run_in(&self, ahead: Micros) {
         let zero = self.start.elapsed().as_micros() as Micros + ahead;
         self.zero.store(zero, Ordering::Relaxed);
     }
@@ -40,10 +40,10 @@
     }
 
     pub fn instant(&self, at: Micros) -> Instant {
-        self.start + span(at + self.zero())
+        self.start + to_duration(at + self.zero())
     }
 
-    pub fn at(&self, at: Micros) -> tokio::time::Instant {
+    pub fn tokio_instant(&self, at: Micros) -> tokio::time::Instant {
         self.instant(at).into()
     }
 
@@ -52,8 +52,8 @@
     }
 }
 
-pub fn span(span: Micros) -> Duration {
-    Duration::from_micros(u64::try_from(span).unwrap_or(0))
+pub fn to_duration(micros: Micros) -> Duration {
+    Duration::from_micros(u64::try_from(micros).unwrap_or(0))
 }
 
 pub fn seconds(seconds: f64) -> Micros {
--- a/testbed/src/world/discovery.rs
+++ b/testbed/src/world/discovery.rs
@@ -16,10 +16,11 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-use super::host::{listen, Host};
+use super::host::Host;
+use super::listener::listen;
 use crate::ledger::{HostNo, Ledger, Standing, What};
 use crate::script::{zone_name, Kind};
-use crate::time::{span, Micros};
+use crate::time::{to_duration, Micros};
 
 use super::faults::Faults;
 
@@ -35,7 +36,7 @@
 }
 
 /// After which version a call asks for changes, and for how long it may be held; none where it asks for all.
-pub(crate) fn changes_asked(path: &str) -> Option<(u64, Duration)> {
+pub(crate) fn parse_watch_query(path: &str) -> Option<(u64, Duration)> {
     let number = |name: &str| {
         let query = path.split_once('?').map_or("", |(_, query)| query);
         let value = query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
@@ -46,7 +47,7 @@
 
 /// Holds a call for changes until there is something newer or its time is over; whether its caller is still there. One that
 /// has gone is not to be told anything: that would count as told.
-pub(crate) async fn held(
+pub(crate) async fn wait_for_changes(
     stream: &mut TcpStream,
     generation: &watch::Sender<u64>,
     asked: Option<(u64, Duration)>,
@@ -103,7 +104,7 @@
         let entry = self.entry(host, standing);
         let agent = self.clone();
         spawn_local(async move {
-            sleep(span(agent.lag)).await;
+            sleep(to_duration(agent.lag)).await;
             if agent.stale.get() {
                 agent.held.borrow_mut().push(entry);
             } else {
@@ -207,8 +208,8 @@
                 Err(_) => return,
             };
             buffer.consume(request.consumed);
-            let asked = changes_asked(&request.path);
-            if !held(&mut stream, &self.generation, asked).await {
+            let asked = parse_watch_query(&request.path);
+            if !wait_for_changes(&mut stream, &self.generation, asked).await {
                 return;
             }
             let from = asked.map(|(from, _)| from);
--- a/testbed/src/world/faults.rs
+++ b/testbed/src/world/faults.rs
@@ -11,7 +11,7 @@
 
 /// One time that a fault is on.
 #[derive(Clone, Debug)]
-pub struct Span {
+pub struct FaultWindow {
     pub kind: Kind,
     pub hosts: BTreeSet<HostNo>,
     pub balancer: Option<usize>,
@@ -23,7 +23,7 @@
     pub count: usize,
 }
 
-impl Span {
+impl FaultWindow {
     fn covers(&self, now: Micros, kind: Kind, host: HostNo, balancer: usize) -> bool {
         self.kind == kind
             && (self.from..self.to).contains(&now)
@@ -49,7 +49,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    pub spans: Vec<Span>,
+    pub spans: Vec<FaultWindow>,
 }
 
 impl Faults {
@@ -62,7 +62,7 @@
             let span = seconds(fault.to_s.unwrap_or(experiment.seconds)) - fault.from();
             let mut from = fault.from();
             loop {
-                let one = Span {
+                let one = FaultWindow {
                     kind: fault.kind,
                     hosts: hosts.clone(),
                     balancer: fault.balancer,
@@ -107,11 +107,11 @@
 }
 
 /// A roll-out: each host drains for a third of its time and is away for a twentieth; then the next one's turn comes.
-fn rolled(whole: &Span, spans: &mut Vec<Span>) {
+fn rolled(whole: &FaultWindow, spans: &mut Vec<FaultWindow>) {
     let each = (whole.to - whole.from) / whole.hosts.len().max(1) as Micros;
     for (nth, host) in whole.hosts.iter().enumerate() {
         let from = whole.from + each * nth as Micros;
-        let one = |kind, from, to| Span { kind, hosts: [*host].into(), from, to, ..whole.clone() };
+        let one = |kind, from, to| FaultWindow { kind, hosts: [*host].into(), from, to, ..whole.clone() };
         spans.push(one(Kind::RollOut, from, from + each / 3));
         spans.push(one(Kind::Die, from + each / 3, from + each / 3 + each / 20));
     }
--- a/testbed/src/world/host.rs
+++ b/testbed/src/world/host.rs
@@ -17,13 +17,14 @@
 use rand_chacha::ChaCha8Rng;
 use socket2::SockRef;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::{TcpListener, TcpSocket, TcpStream};
+use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{oneshot, watch, Notify};
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep_until, timeout, Instant};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::faults::Faults;
+use super::listener::{listen, reset_on_drop, LISTEN_BACKLOG};
 use super::machine::{Job, Machine, Terms, Verdict};
 use super::work::Work;
 use crate::ledger::{HostNo, Id, Ledger, What};
@@ -422,7 +423,7 @@
             let due = self.machine.borrow().due();
             tokio::select! {
                 () = self.kick.notified() => {}
-                () = sleep_until(due.map_or_else(Instant::now, |due| self.shared.ledger.clock.at(due))),
+                () = sleep_until(due.map_or_else(Instant::now, |due| self.shared.ledger.clock.tokio_instant(due))),
                     if due.is_some() => {}
             }
             let done = self.machine.borrow_mut().done(self.now());
@@ -433,7 +434,7 @@
                 }
             }
             if let Some(after) = self.terms.down_for.filter(|_| self.down.get()) {
-                tokio::time::sleep(crate::time::span(after)).await;
+                tokio::time::sleep(crate::time::to_duration(after)).await;
                 self.down.set(false);
                 self.machine.borrow_mut().restart(self.now());
                 self.open(None);
@@ -462,13 +463,13 @@
                         continue;
                     };
                     if std::mem::take(&mut silenced) {
-                        let _ = SockRef::from(listening).listen(BACKLOG);
+                        let _ = SockRef::from(listening).listen(LISTEN_BACKLOG);
                     }
                     tokio::select! {
                         _ = door.changed() => {}
                         accepted = listening.accept() => if let Ok((stream, _)) = accepted {
                             if self.open.get() >= self.terms.connections {
-                                hard(&stream);
+                                reset_on_drop(&stream);
                             } else {
                                 spawn_local(self.clone().attend(balancer, stream));
                             }
@@ -519,7 +520,7 @@
             let _ = timeout(Duration::from_secs(600), stream.readable()).await;
         }
         if served != Fate::Alive {
-            hard(&stream);
+            reset_on_drop(&stream);
         }
         self.open.set(self.open.get() - 1);
     }
@@ -537,7 +538,7 @@
                 }
                 Ok(None) => {
                     let Ok(room) = buffer.unfilled() else { return Fate::Reset };
-                    let idle = crate::time::span(self.terms.idle);
+                    let idle = crate::time::to_duration(self.terms.idle);
                     match timeout(idle, stream.read_buf(room)).await {
                         Ok(Ok(1..)) => {}
                         _ => return Fate::Alive,
@@ -766,8 +767,6 @@
     }
 }
 
-const BACKLOG: i32 = 1024;
-
 enum Asked {
     Plain(Bytes),
     Op(Command),
@@ -794,15 +793,3 @@
         Err(_) => Fate::Reset,
     }
 }
-
-/// The connection is reset when it is dropped.
-fn hard(stream: &TcpStream) {
-    let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
-}
-
-pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
-    let socket = TcpSocket::new_v4()?;
-    socket.set_reuseaddr(true)?;
-    socket.bind(address)?;
-    socket.listen(BACKLOG as u32)
-}
--- a/testbed/src/world/mod.rs
+++ b/testbed/src/world/mod.rs
@@ -4,6 +4,7 @@
 pub mod discovery;
 pub mod faults;
 pub mod host;
+pub mod listener;
 pub mod machine;
 pub mod work;
 
@@ -18,38 +19,31 @@
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use serde_json::Value;
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until};
 
 use crate::balancers::Balancers;
-use crate::lateness::{Lateness, Waits};
+use crate::lateness::Lateness;
 use crate::ledger::{HostNo, Ledger, Standing, What};
-use crate::load::player::thread_cpu;
 use crate::script::{Experiment, Kind};
-use crate::time::{millis, Micros, MS};
+use crate::settings::BalancerBootstrap;
+use crate::thread_stats::{record_lateness, thread_cpu_seconds};
+use crate::time::{millis, Micros};
 use discovery::Agent;
-use faults::{Faults, Span};
+use faults::{FaultWindow, Faults};
 use host::{Host, HostTerms, Shared};
 use machine::Terms;
 use work::Work;
 
-/// What a balancer has to be told of the world.
-#[derive(Clone, Debug)]
-pub struct Seat {
-    pub discovery: SocketAddr,
-    pub known: Value,
-}
-
 /// A world on its thread. It ends when this is dropped.
 pub struct World {
-    pub seats: Vec<Seat>,
-    pub spans: Vec<Span>,
+    pub bootstraps: Vec<BalancerBootstrap>,
+    pub fault_windows: Vec<FaultWindow>,
     /// By how much this thread was late: what it noted may be late by that.
-    pub late: Arc<Lateness>,
+    pub lateness: Arc<Lateness>,
     /// Connections that hosts and origin have taken so far.
-    pub opened: Arc<AtomicU64>,
+    pub connections_accepted: Arc<AtomicU64>,
     /// CPU time of this thread so far, in microseconds, to a tenth of a second.
     pub cpu_us: Arc<AtomicU64>,
     begin: Option<oneshot::Sender<Option<Balancers>>>,
@@ -80,7 +74,7 @@
                 match Director::start(&experiment, seed, &ledger, doors) {
                     Ok((director, seats)) => {
                         let _ = tell.send(Ok((seats, director.shared.faults.spans.clone())));
-                        spawn_local(beat(heart));
+                        spawn_local(record_lateness(heart));
                         spawn_local(count_work(work));
                         spawn_local(async move {
                             if let Ok(balancers) = begun.await {
@@ -99,10 +93,10 @@
         let thread = thread.map_err(|cause| format!("a thread: {cause}"))?;
         let (seats, spans) = told.recv().map_err(|_| "the world did not come up".to_owned())??;
         Ok(World {
-            seats,
-            spans,
-            late,
-            opened,
+            bootstraps: seats,
+            fault_windows: spans,
+            lateness: late,
+            connections_accepted: opened,
             cpu_us,
             begin: Some(begin),
             end: Some(end),
@@ -111,7 +105,7 @@
     }
 
     /// The script begins; the clock has been set to the run's beginning. Balancers that it is to kill are given along.
-    pub fn begin(&mut self, balancers: Option<Balancers>) {
+    pub fn run_script(&mut self, balancers: Option<Balancers>) {
         if let Some(begin) = self.begin.take() {
             let _ = begin.send(balancers);
         }
@@ -127,23 +121,10 @@
     }
 }
 
-/// How late this thread is, by a schedule that a late turn does not move.
-pub async fn beat(late: Arc<Lateness>) {
-    const TICK: Duration = Duration::from_millis(5);
-    let mut waits = Waits::default();
-    let mut due = tokio::time::Instant::now() + TICK;
-    loop {
-        sleep_until(due).await;
-        // A millisecond is the timer's own grain.
-        late.record_beside(due.elapsed().as_micros() as Micros - MS, waits.since(due.into_std()));
-        due += TICK;
-    }
-}
-
 /// Notes ten times a second what CPU time this thread has had.
 async fn count_work(cpu_us: Arc<AtomicU64>) {
     loop {
-        cpu_us.store((thread_cpu() * 1e6) as u64, Ordering::Relaxed);
+        cpu_us.store((thread_cpu_seconds() * 1e6) as u64, Ordering::Relaxed);
         sleep(Duration::from_millis(100)).await;
     }
 }
@@ -163,7 +144,7 @@
         seed: u64,
         ledger: &Ledger,
         opened: Arc<AtomicU64>,
-    ) -> std::io::Result<(Rc<Director>, Vec<Seat>)> {
+    ) -> std::io::Result<(Rc<Director>, Vec<BalancerBootstrap>)> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let faults = Faults::laid_out(experiment, &mut rng);
         let work = Work::new(&experiment.categories, experiment.fleet.service, experiment.origin.service);
@@ -188,7 +169,7 @@
         director.shared.origin.replace(Some(origin.clone()));
         let aside = experiment.mode == crate::script::Mode::Aside;
         director.agents.iter().filter(|_| aside).for_each(|agent| agent.knows(&origin));
-        let seat = |agent: &Rc<Agent>| Seat { discovery: agent.address, known: agent.known() };
+        let seat = |agent: &Rc<Agent>| BalancerBootstrap { discovery: agent.address, known: agent.known() };
         let seats = director.agents.iter().map(seat).collect();
         Ok((director, seats))
     }
@@ -265,7 +246,7 @@
         let mut edges: Vec<(Micros, bool, usize)> = begins.chain(ends).collect();
         edges.sort_by_key(|&(at, ends, nth)| (at, !ends, nth));
         for (at, ends, nth) in edges {
-            sleep_until(self.shared.ledger.clock.at(at)).await;
+            sleep_until(self.shared.ledger.clock.tokio_instant(at)).await;
             let span = &spans[nth];
             self.shared.ledger.note(What::Edge { text: span.title(), begins: !ends });
             self.edge(span, ends, balancers.as_ref()).await;
@@ -278,7 +259,7 @@
         self.agents.iter().for_each(|agent| agent.publish(host, standing));
     }
 
-    fn hosts(&self, span: &Span) -> Vec<Rc<Host>> {
+    fn hosts(&self, span: &FaultWindow) -> Vec<Rc<Host>> {
         let mut found: Vec<Rc<Host>> = Vec::new();
         let hosts = self.shared.hosts.borrow();
         found.extend(hosts.iter().filter(|host| span.hosts.contains(&host.terms.no)).cloned());
@@ -288,7 +269,7 @@
         found
     }
 
-    async fn edge(&self, span: &Span, ends: bool, balancers: Option<&Balancers>) {
+    async fn edge(&self, span: &FaultWindow, ends: bool, balancers: Option<&Balancers>) {
         let now = self.shared.ledger.clock.now();
         let only = span.balancer;
         for host in self.hosts(span) {
--- a/testbed/tests/input.rs
+++ b/testbed/tests/input.rs
@@ -26,7 +26,7 @@
         let text = format!("{good}\n\n{line}");
         told.push(trace::import(text.as_bytes(), &experiment, 1.0).expect_err(line));
     }
-    told.push(trace::of_csv(&b"time_s,category,key\n1,read,a\nx,read,b\n"[..]).expect_err("no time"));
+    told.push(trace::from_csv(&b"time_s,category,key\n1,read,a\nx,read,b\n"[..]).expect_err("no time"));
     expect![[r#"
         it holds no op
         line 3: at_us 4 runs backwards from 5: sort the lines by at_us
@@ -43,23 +43,23 @@
 fn what_was_exported_is_played_alike_and_as_much_faster_as_asked() {
     let experiment =
         experiment("seconds = 2.0", "[load]\nrate = 100\nhot = { from_s = 0, to_s = 1, part = 0.5 }");
-    let plan = Plan::drawn(&experiment, 3);
-    assert!(plan.ops == Plan::drawn(&experiment, 3).ops, "one seed, one plan");
+    let plan = Plan::generate(&experiment, 3);
+    assert!(plan.requests == Plan::generate(&experiment, 3).requests, "one seed, one plan");
     let mut file = Vec::new();
     trace::export(&plan, &experiment, &mut file).expect("it is written");
     let again = trace::import(&file[..], &experiment, 1.0).expect("it is read");
     let told = |plan: &Plan| -> Vec<(i64, u16, String)> {
-        plan.ops.iter().map(|op| (op.at, op.category, plan.keys[op.key as usize].clone())).collect()
+        plan.requests.iter().map(|op| (op.at, op.category, plan.keys[op.key as usize].clone())).collect()
     };
     assert_eq!(told(&plan), told(&again));
     let faster = trace::import(&file[..], &experiment, 4.0).expect("it is read");
-    assert!(plan.ops.iter().zip(&faster.ops).all(|(op, fast)| fast.at == op.at / 4));
+    assert!(plan.requests.iter().zip(&faster.requests).all(|(op, fast)| fast.at == op.at / 4));
     let csv = "time_s,category,key,customer,size\n10.5,read,b,,64\n10,put,a,,\n";
     expect![[r#"
         {"at_us":0,"category":"put","customer":null,"key":"a","size":128}
         {"at_us":500000,"category":"read","customer":null,"key":"b","size":64}
     "#]]
-    .assert_eq(&trace::of_csv(csv.as_bytes()).expect("it is read"));
+    .assert_eq(&trace::from_csv(csv.as_bytes()).expect("it is read"));
 }
 
 #[test]
--- a/testbed/tests/world.rs
+++ b/testbed/tests/world.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use basaltwood_testbed::ledger::Ledger;
-use basaltwood_testbed::time::{span, Clock, Micros, MS};
+use basaltwood_testbed::time::{to_duration, Clock, Micros, MS};
 use basaltwood_testbed::world::World;
 use common::*;
 use expect_test::expect;
@@ -31,9 +31,9 @@
         let ledger = Ledger::new(Clock::start());
         let mut world = World::start(&experiment, 1, &ledger).expect("a world");
         let clock = ledger.clock.clone();
-        clock.begin(0);
-        world.begin(None);
-        let known = world.seats[0].known["instances"].as_array().expect("a list").clone();
+        clock.start_run_in(0);
+        world.run_script(None);
+        let known = world.bootstraps[0].known["instances"].as_array().expect("a list").clone();
         let cell = |instance: &&serde_json::Value| instance["cell"] == 0 && instance["machineType"] == "host";
         let address = known.iter().find(cell).expect("host 0")["hostPort"].as_str().expect("an address");
         Stage { clock, address: address.parse().expect("an address"), next: 0, _world: world }
@@ -41,7 +41,7 @@
 
     /// So long after an edge that it has surely come about.
     fn after(&self, edge: Micros) {
-        std::thread::sleep(span(edge + 150 * MS - self.clock.now()));
+        std::thread::sleep(to_duration(edge + 150 * MS - self.clock.now()));
     }
 
     fn connect(&self) -> Result<TcpStream, &'static str> {
