--- a/testbed/src/audit.rs
+++ b/testbed/src/audit.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::audit::request::{Attempt, RequestHistory, SentRequest};
-use crate::balancers::LET_GO;
+use crate::balancers::RELEASED_AFTER_KILL;
 use crate::ledger::{EndpointStatus, Event, HostNo, Observation, RequestId};
 use crate::script::Category;
 use crate::time::{Micros, SECOND};
@@ -219,7 +219,7 @@
             let was_killed = |from, to| {
                 let balancer = request.sent.as_ref().map(|sent| sent.balancer);
                 let kills = balancer.and_then(|balancer| self.kills.get(&balancer));
-                let near = from - LET_GO..=to + LET_GO;
+                let near = from - RELEASED_AFTER_KILL..=to + RELEASED_AFTER_KILL;
                 kills.is_some_and(|kills| kills.iter().any(|at| near.contains(at)))
             };
             for breach in request.judge(id, self.settings, &was_killed) {
