--- a/testbed/src/audit.rs
+++ b/testbed/src/audit.rs
@@ -14,8 +14,8 @@
 
 use crate::audit::request::{Attempt, RequestHistory, SentRequest};
 use crate::balancers::RELEASED_AFTER_KILL;
+use crate::experiment::Category;
 use crate::ledger::{EndpointStatus, Event, HostNo, Observation, RequestId};
-use crate::script::Category;
 use crate::time::{Micros, SECOND};
 
 /// At most so many events are kept with a breach.
--- a/testbed/src/audit/request.rs
+++ b/testbed/src/audit/request.rs
@@ -1,8 +1,8 @@
 //! One request's history, and what rules 1 and 2 say of it.
 
 use super::{AuditSettings, Rule};
+use crate::experiment::{Category, DeduplicationScope, RetrySafety};
 use crate::ledger::{HostNo, Reply, RequestId};
-use crate::script::{Category, Group, Repeats};
 use crate::time::{millis, Micros, SECOND};
 
 /// How a request left its client.
@@ -95,10 +95,10 @@
         judge.final_answer(was_killed);
         judge.values();
         judge.attempts_after_end();
-        match category.repeats {
-            Repeats::Redeliverable => {}
-            Repeats::AtMostOnce => judge.at_most_once(),
-            Repeats::Deduplicated => judge.deduplicated(),
+        match category.retry_safety {
+            RetrySafety::Idempotent => {}
+            RetrySafety::AtMostOnce => judge.at_most_once(),
+            RetrySafety::Deduplicated => judge.deduplicated(),
         }
         judge.breaches
     }
@@ -221,7 +221,8 @@
             }
         }
         // Hosts of all groups deduplicate together: then a client that tries again does no harm.
-        let rejected_at = request.rejected_at().filter(|_| self.category.group != Group::All);
+        let rejected_at =
+            request.rejected_at().filter(|_| self.category.deduplication_scope != DeduplicationScope::All);
         if let Some(at) = rejected_at.filter(|&at| request.may_have_run_by(at)) {
             let what = format!("deduplicated op {id} was nacked though it may have run in one group");
             self.add(Rule::Once, at, what);
@@ -232,7 +233,7 @@
     /// `first` may have run as `retry` was sent.
     fn deduplicated_retry(&mut self, first: &Attempt, retry: &Attempt) {
         let id = self.id;
-        if self.group_of(first.host) != self.group_of(retry.host) {
+        if self.scope_of(first.host) != self.scope_of(retry.host) {
             let what = format!("deduplicated op {id} left its group: {}, then {}", first.host, retry.host);
             self.add(Rule::Once, retry.at, what);
         }
@@ -251,13 +252,13 @@
     }
 
     /// The number of the group of hosts that deduplicate together.
-    fn group_of(&self, host: HostNo) -> u32 {
-        match self.category.group {
-            Group::All => 0,
+    fn scope_of(&self, host: HostNo) -> u32 {
+        match self.category.deduplication_scope {
+            DeduplicationScope::All => 0,
             // The origin stands in the first zone.
-            Group::Zone if host == HostNo::ORIGIN => 0,
-            Group::Zone => host.0 % self.settings.zones.max(1),
-            Group::Cell => host.0,
+            DeduplicationScope::Zone if host == HostNo::ORIGIN => 0,
+            DeduplicationScope::Zone => host.0 % self.settings.zones.max(1),
+            DeduplicationScope::Cell => host.0,
         }
     }
 }
--- a/testbed/src/balancers.rs
+++ b/testbed/src/balancers.rs
@@ -13,8 +13,8 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
+use crate::experiment::{Arm, Experiment};
 use crate::ledger::{Ledger, Observation};
-use crate::script::{Arm, Experiment};
 use crate::settings::{self, BalancerBootstrap};
 use crate::time::Micros;
 
--- a/testbed/src/figures.rs
+++ b/testbed/src/figures.rs
@@ -7,10 +7,10 @@
 
 use crate::audit::Breach;
 use crate::balancers::ResourceUsage;
+use crate::experiment::Experiment;
 use crate::lateness::{self, part_over, LatenessHistograms};
 use crate::ledger::{Event, HostNo, Observation};
 use crate::load::player::{RequestOutcome, RequestRecord};
-use crate::script::Experiment;
 use crate::time::{Micros, SECOND};
 use crate::world::faults::FaultWindow;
 
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -1,5 +1,5 @@
 //! A world of our own, in which a balancer can be started, loaded, hurt and judged: an emulated fleet with its origin and
-//! discovery ([`world`]), an open-loop load generator ([`load`]), a script of faults ([`script`]), a ledger of all that
+//! discovery ([`world`]), an open-loop load generator ([`load`]), a script of faults ([`experiment`]), a ledger of all that
 //! crossed the sockets ([`ledger`]) and the audit of the four rules over it ([`audit`]).
 //!
 //! [`play::play`] plays one arm of an experiment with one seed. The lab starts balancers as programs and speaks to them
@@ -9,6 +9,7 @@
 pub mod audit;
 pub mod balancers;
 pub mod compare;
+pub mod experiment;
 pub mod figures;
 pub mod lateness;
 pub mod ledger;
@@ -18,7 +19,6 @@
 pub mod report;
 pub mod router;
 pub mod scale;
-pub mod script;
 pub mod settings;
 pub mod thread_stats;
 pub mod time;
--- a/testbed/src/load/plan.rs
+++ b/testbed/src/load/plan.rs
@@ -6,7 +6,7 @@
 use rand_distr::weighted::WeightedIndex;
 use rand_distr::{Distribution, Exp1, Zipf};
 
-use crate::script::{Arrivals, Experiment, Hot, Shape};
+use crate::experiment::{Arrivals, Experiment, HotKey, RateShape};
 use crate::time::{seconds, Micros, SECOND};
 
 /// One op as it is due. Categories, customers and keys are named by their places.
@@ -26,18 +26,18 @@
 }
 
 /// The rate at a time, as a multiple of the load's.
-pub fn level(shape: Shape, at: f64, length: f64) -> f64 {
+pub fn level(shape: RateShape, at: f64, length: f64) -> f64 {
     match shape {
-        Shape::Steady => 1.0,
-        Shape::Ramp { from, to } => from + (to - from) * (at / length).clamp(0.0, 1.0),
-        Shape::Step { at_s, level } => {
+        RateShape::Steady => 1.0,
+        RateShape::Ramp { from, to } => from + (to - from) * (at / length).clamp(0.0, 1.0),
+        RateShape::Step { at_s, level } => {
             if at < at_s {
                 1.0
             } else {
                 level
             }
         }
-        Shape::Surge { at_s, rise_s, hold_s, fall_s, peak } => {
+        RateShape::Surge { at_s, rise_s, hold_s, fall_s, peak } => {
             let since = at - at_s;
             let part = |span: f64, all: f64| if all > 0.0 { (span / all).clamp(0.0, 1.0) } else { 1.0 };
             let height = match since {
@@ -47,7 +47,7 @@
             };
             1.0 + (peak - 1.0) * height
         }
-        Shape::Daily { period_s, low } => {
+        RateShape::Daily { period_s, low } => {
             let turn = (at / period_s.max(0.001)) * std::f64::consts::TAU;
             low + (1.0 - low) * (1.0 - turn.cos()) / 2.0
         }
@@ -55,12 +55,12 @@
     .max(0.0)
 }
 
-fn highest(shape: Shape) -> f64 {
+fn highest(shape: RateShape) -> f64 {
     match shape {
-        Shape::Steady | Shape::Daily { .. } => 1.0,
-        Shape::Ramp { from, to } => from.max(to),
-        Shape::Step { level, .. } => level.max(1.0),
-        Shape::Surge { peak, .. } => peak.max(1.0),
+        RateShape::Steady | RateShape::Daily { .. } => 1.0,
+        RateShape::Ramp { from, to } => from.max(to),
+        RateShape::Step { level, .. } => level.max(1.0),
+        RateShape::Surge { peak, .. } => peak.max(1.0),
     }
 }
 
@@ -75,7 +75,7 @@
             (customer.unwrap_or(0), flood.from_s..flood.to_s, flood.times.max(1.0))
         });
         let customers = |flooding: bool| {
-            let share = |(nth, customer): (usize, &crate::script::Customer)| match &flooded {
+            let share = |(nth, customer): (usize, &crate::experiment::Tenant)| match &flooded {
                 Some((flooder, _, times)) if flooding && *flooder == nth => customer.share * times,
                 _ => customer.share,
             };
@@ -142,8 +142,8 @@
     law: Option<Zipf<f64>>,
     /// Popularity says nothing of a name: the order is shuffled.
     order: Vec<u32>,
-    hot: Option<Hot>,
-    shift: Option<crate::script::Shift>,
+    hot: Option<HotKey>,
+    shift: Option<crate::experiment::WorkingSetShift>,
 }
 
 impl Popular {
--- a/testbed/src/load/player.rs
+++ b/testbed/src/load/player.rs
@@ -22,9 +22,9 @@
 use tokio::time::{sleep, sleep_until, timeout, timeout_at};
 
 use super::plan::{Plan, PlannedRequest};
+use crate::experiment::{ClientRetry, DeduplicationScope, Experiment, RetrySafety};
 use crate::lateness::Lateness;
 use crate::ledger::{Ledger, Observation, Reply as AuditedReply, RequestId};
-use crate::script::{Experiment, Group, Repeats, Retry};
 use crate::thread_stats::{record_lateness, thread_cpu_seconds};
 use crate::time::{millis, seconds, to_duration, Micros, MS};
 
@@ -319,7 +319,7 @@
             record.attempts += 1;
             record.rejections += u32::from(end == RequestOutcome::Rejected);
             record.connections_lost += u32::from(end == RequestOutcome::ConnectionLost);
-            let harmless = match (end, category.repeats) {
+            let harmless = match (end, category.retry_safety) {
                 (
                     RequestOutcome::Served
                     | RequestOutcome::Abandoned
@@ -328,12 +328,12 @@
                     _,
                 ) => false,
                 (RequestOutcome::Rejected | RequestOutcome::Unreachable, _) => true,
-                (_, Repeats::Redeliverable) => true,
-                (_, Repeats::Deduplicated) => {
-                    category.group == Group::All
+                (_, RetrySafety::Idempotent) => true,
+                (_, RetrySafety::Deduplicated) => {
+                    category.deduplication_scope == DeduplicationScope::All
                         && clock.now() - planned.at < millis(category.window_ms) - 100 * MS
                 }
-                (_, Repeats::AtMostOnce) => false,
+                (_, RetrySafety::AtMostOnce) => false,
             };
             let pause = harmless.then(|| self.pause(record.attempts, end, come_back)).flatten();
             match pause.filter(|pause| clock.now() + pause + MS < deadline) {
@@ -356,11 +356,11 @@
         let told = come_back.map_or(0, |ms| ms.min(600_000) as Micros * MS);
         let pause = match self.experiment.load.retry {
             // A connection that was never there is tried once more elsewhere, as any client would.
-            Retry::None if end == RequestOutcome::Unreachable => (tries < 3).then_some(10 * MS),
-            Retry::None => None,
-            Retry::AtOnce { times } => (tries <= times).then_some(0),
-            Retry::After { times, pause_ms } => (tries <= times).then(|| millis(pause_ms).max(told)),
-            Retry::BackOff { times, pause_ms } => (tries <= times).then(|| {
+            ClientRetry::None if end == RequestOutcome::Unreachable => (tries < 3).then_some(10 * MS),
+            ClientRetry::None => None,
+            ClientRetry::AtOnce { times } => (tries <= times).then_some(0),
+            ClientRetry::After { times, pause_ms } => (tries <= times).then(|| millis(pause_ms).max(told)),
+            ClientRetry::BackOff { times, pause_ms } => (tries <= times).then(|| {
                 let most = millis(pause_ms) << (tries - 1).min(16);
                 most / 2 + self.rng.borrow_mut().random_range(0..=most / 2).max(told - most / 2)
             }),
@@ -458,8 +458,11 @@
         let key = &self.plan.keys[planned.key as usize];
         let customer = planned.customer.and_then(|nth| self.experiment.customers.get(usize::from(nth)));
         let customer = customer.map_or(String::new(), |customer| format!(",t={}", customer.name));
-        let marked =
-            if category.repeats == Repeats::Deduplicated { format!(",k={mark:016x}") } else { String::new() };
+        let marked = if category.retry_safety == RetrySafety::Deduplicated {
+            format!(",k={mark:016x}")
+        } else {
+            String::new()
+        };
         let again = if again { ",r=1" } else { "" };
         let facts = format!("c={}{customer},d={wait}{marked}{again},size={}", category.name, planned.size);
         let id = id.to_string();
--- a/testbed/src/load/trace.rs
+++ b/testbed/src/load/trace.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::plan::{Plan, PlannedRequest};
-use crate::script::Experiment;
+use crate::experiment::Experiment;
 use crate::time::Micros;
 
 #[derive(Debug, Serialize, Deserialize)]
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -11,6 +11,7 @@
 
 use basaltwood_testbed::balancers::Program;
 use basaltwood_testbed::compare;
+use basaltwood_testbed::experiment::{Arm, Baseline, Experiment};
 use basaltwood_testbed::figures::{self, Run};
 use basaltwood_testbed::lateness::{self, ReferenceThread};
 use basaltwood_testbed::ledger::Ledger;
@@ -20,7 +21,6 @@
 use basaltwood_testbed::report;
 use basaltwood_testbed::router::{self, InjectedFault};
 use basaltwood_testbed::scale;
-use basaltwood_testbed::script::{Arm, Baseline, Experiment};
 use basaltwood_testbed::settings;
 use basaltwood_testbed::time::{Clock, MS};
 use basaltwood_testbed::world::World;
@@ -234,7 +234,7 @@
 fn carry_out(verb: Verb) -> Result<u8, Trouble> {
     match verb {
         Verb::Demo { out } => {
-            let mut experiment = Experiment::parse(DEMO).map_err(failed)?;
+            let mut experiment = Experiment::parse(DEMO).map_err(|cause| failed(cause.to_string()))?;
             println!("{}\n", experiment.about);
             experiment.arms =
                 vec![Arm { name: "today".to_owned(), program: None, baseline: None, regions: None }];
@@ -242,7 +242,7 @@
             Ok(demo_code(&runs))
         }
         Verb::Run { file, arm, program, seeds, out, json, keep_trace } => {
-            let mut experiment = Experiment::read(&file).map_err(bad)?;
+            let mut experiment = Experiment::read(&file).map_err(|cause| bad(cause.to_string()))?;
             if !seeds.is_empty() {
                 experiment.seeds = seeds;
             }
@@ -494,7 +494,7 @@
 }
 
 fn up(file: &Path, seed: u64, out: &Path, seconds: Option<f64>) -> Result<u8, Trouble> {
-    let experiment = Experiment::read(file).map_err(bad)?;
+    let experiment = Experiment::read(file).map_err(|cause| bad(cause.to_string()))?;
     let ledger = Ledger::new(Clock::start());
     let world = World::start(&experiment, seed, &ledger).map_err(failed)?;
     std::fs::create_dir_all(out).map_err(|cause| failed(format!("{}: {cause}", out.display())))?;
@@ -519,7 +519,7 @@
     if let Some(address) = to.iter().find(|address| !address.ip().is_loopback()) {
         return Err(bad(format!("--to {address}: the lab loads loopback addresses only (127.0.0.0/8)")));
     }
-    let experiment = Experiment::read(file).map_err(bad)?;
+    let experiment = Experiment::read(file).map_err(|cause| bad(cause.to_string()))?;
     let plan = Arc::new(play::plan(&experiment, seed).map_err(bad)?);
     let ledger = Ledger::new(Clock::start());
     ledger.clock.start_run_in(200 * MS);
@@ -599,7 +599,7 @@
     };
     match verb {
         TraceVerb::Export { file, seed, out } => {
-            let experiment = Experiment::read(&file).map_err(bad)?;
+            let experiment = Experiment::read(&file).map_err(|cause| bad(cause.to_string()))?;
             let plan = play::plan(&experiment, seed).map_err(bad)?;
             export(&plan, &experiment, &out)?;
             println!("{} ops in {}", plan.requests.len(), out.display());
@@ -611,7 +611,7 @@
             println!("{} ops in {}", lines.lines().count(), out.display());
         }
         TraceVerb::Check { trace: path, experiment } => {
-            let experiment = Experiment::read(&experiment).map_err(bad)?;
+            let experiment = Experiment::read(&experiment).map_err(|cause| bad(cause.to_string()))?;
             let plan = trace::import(open(&path)?, &experiment, 1.0)
                 .map_err(|cause| bad(format!("{}: {cause}", path.display())))?;
             println!(
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -19,13 +19,13 @@
 use tokio::net::{TcpListener, TcpStream as Stream};
 
 use crate::balancers::{Balancers, Program, ResourceUsage};
+use crate::experiment::{zone_name, Experiment};
 use crate::figures::{figures, late, Figures};
 use crate::lateness::{judge, LatenessHistograms, ReferenceThread, Verdict};
 use crate::ledger::Ledger;
 use crate::load::plan::Plan;
 use crate::load::player;
 use crate::play::{INTERRUPTED, STOP};
-use crate::script::{zone_name, Experiment};
 use crate::settings::BalancerBootstrap;
 use crate::time::{Clock, MS};
 
@@ -247,7 +247,8 @@
     tell: &mut dyn FnMut(&str, serde_json::Value),
 ) -> Result<(), String> {
     let hosts = (0..HOSTS).map(|_| StandIn::start()).collect::<Result<Vec<_>, _>>()?;
-    let bench = Bench { experiment: Experiment::parse(PLAYED)?, hosts, seed };
+    let bench =
+        Bench { experiment: Experiment::parse(PLAYED).map_err(|cause| cause.to_string())?, hosts, seed };
     let direct: Vec<SocketAddr> = bench.hosts.iter().map(|host| host.address).collect();
     let mut say = |what: &str, point: &Point| {
         let line = format!(
--- a/testbed/src/play.rs
+++ b/testbed/src/play.rs
@@ -11,13 +11,13 @@
 
 use crate::audit::{self, audit, Breach, Rule};
 use crate::balancers::{Balancers, Program};
+use crate::experiment::{Experiment, FaultKind};
 use crate::figures::{self, Run};
 use crate::lateness::{judge, Lateness, ReferenceThread};
 use crate::ledger::{Ledger, Observation};
 use crate::load::plan::Plan;
 use crate::load::player::{self, Progress, Stall};
 use crate::load::trace;
-use crate::script::{Experiment, Kind};
 use crate::time::{millis, Clock, Micros, MS, SECOND};
 use crate::world::faults::FaultWindow;
 use crate::world::World;
@@ -66,8 +66,8 @@
 /// What a fault plants in the generator, if it does.
 fn stall(span: &FaultWindow) -> Option<Stall> {
     let each = match span.kind {
-        Kind::GeneratorStop => None,
-        Kind::GeneratorSlow => Some(millis(span.factor)),
+        FaultKind::GeneratorStop => None,
+        FaultKind::GeneratorSlow => Some(millis(span.factor)),
         _ => return None,
     };
     Some(Stall { from: span.from, to: span.to, each })
--- a/testbed/src/router.rs
+++ b/testbed/src/router.rs
@@ -25,7 +25,7 @@
 use tokio::time::{sleep, timeout_at, Instant};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::script::Baseline;
+use crate::experiment::Baseline;
 
 const POINTS: u64 = 64;
 const MOST_BODY: usize = 4 * 1024 * 1024;
--- a/testbed/src/scale/experiment.rs
+++ b/testbed/src/scale/experiment.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::script::{allowed_descriptors, Experiment};
+use crate::experiment::{allowed_descriptors, Experiment};
 
 /// Processes of a run at most: hollow ones, fleets, discovery, a real balancer.
 const MAX_PROCESSES: usize = 40;
@@ -423,7 +423,7 @@
             held.zipf,
             held.value_bytes.max(48),
         );
-        let mut experiment = Experiment::parse(&text)?;
+        let mut experiment = Experiment::parse(&text).map_err(|cause| cause.to_string())?;
         // All that ask at the same hosts: what is bounded is bounded for them together.
         experiment.balancers = held.balancers as usize + usize::from(held.real_rate > 0.0);
         Ok(experiment)
--- a/testbed/src/scale/run/mod.rs
+++ b/testbed/src/scale/run/mod.rs
@@ -14,6 +14,7 @@
 use serde_json::{json, Value};
 
 use crate::balancers::{Balancers, Program, ResourceUsage};
+use crate::experiment::{zone_name, Arm, Experiment};
 use crate::figures;
 use crate::lateness::{judge, Lateness, LatenessBounds, LatenessHistograms, ReferenceThread, Verdict};
 use crate::ledger::Ledger;
@@ -26,7 +27,6 @@
 use crate::scale::regression::{fit_line, LinearFit};
 use crate::scale::simulated::{SimulatedReady, SimulatedSnapshot, SimulatedSpec};
 use crate::scale::worker_process::{merged, WorkerCommand, WorkerProcess, WorkerSpec};
-use crate::script::{zone_name, Arm, Experiment};
 use crate::settings;
 use crate::settings::BalancerBootstrap;
 use crate::time::{millis, Clock, MS};
--- a/testbed/src/settings.rs
+++ b/testbed/src/settings.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{json, Value};
 
-use crate::script::{zone_name, Experiment, Group, Mode, Repeats};
+use crate::experiment::{zone_name, CacheMode, DeduplicationScope, Experiment, RetrySafety};
 
 /// What a balancer of a run has to know of the world before it starts.
 #[derive(Clone, Debug)]
@@ -39,7 +39,7 @@
 }
 
 fn settings(experiment: &Experiment) -> Value {
-    let Experiment { limits, cold, .. } = experiment;
+    let Experiment { limits, slow_start, .. } = experiment;
     let categories: Vec<Value> = experiment
         .categories
         .iter()
@@ -50,15 +50,15 @@
                 "ttlMs": category.ttl_ms,
                 "benefit": category.benefit,
                 "tardyBenefit": category.late_benefit,
-                "semantics": match category.repeats {
-                    Repeats::Redeliverable => "retryable",
-                    Repeats::Deduplicated => "dedup",
-                    Repeats::AtMostOnce => "fragile",
+                "semantics": match category.retry_safety {
+                    RetrySafety::Idempotent => "retryable",
+                    RetrySafety::Deduplicated => "dedup",
+                    RetrySafety::AtMostOnce => "fragile",
                 },
-                "group": match category.group {
-                    Group::All => "all",
-                    Group::Zone => "zone",
-                    Group::Cell => "cell",
+                "group": match category.deduplication_scope {
+                    DeduplicationScope::All => "all",
+                    DeduplicationScope::Zone => "zone",
+                    DeduplicationScope::Cell => "cell",
                 },
                 "windowMs": category.window_ms,
             })
@@ -76,8 +76,8 @@
         "dcs": zones,
         "discovery": "push",
         "domain": {
-            "mode": if experiment.mode == Mode::Aside { "aside" } else { "through" },
-            "originKind": if experiment.mode == Mode::Aside { 1 } else { -1 },
+            "mode": if experiment.mode == CacheMode::Aside { "aside" } else { "through" },
+            "originKind": if experiment.mode == CacheMode::Aside { 1 } else { -1 },
         },
         "machineTypes": ["host", "origin"],
         "groupSize": experiment.balancers,
@@ -85,20 +85,20 @@
         "tickMs": 1.0,
         "weights": "nominal",
         "invariants": {
-            "coldFrom": cold.from,
-            "warmWithinMs": cold.warm_ms,
-            "tipMultiple": cold.multiple,
-            "tipAfterMs": cold.window_ms,
+            "coldFrom": slow_start.from,
+            "warmWithinMs": slow_start.warm_ms,
+            "tipMultiple": slow_start.multiple,
+            "tipAfterMs": slow_start.window_ms,
             "stopSendingWithinMs": experiment.discovery.grace_ms,
             "graceToAnswerMs": 20.0,
         },
         "limits": {
-            "maxPushes": limits.max_pushes,
-            "mayDuplicate": limits.second_copies,
+            "maxPushes": limits.max_attempts,
+            "mayDuplicate": limits.may_hedge,
             "cancel": true,
             "probes": false,
-            "retryAfter": limits.come_back_ms > 0.0,
-            "maxRetryAfterMs": limits.come_back_ms,
+            "retryAfter": limits.max_retry_after_ms > 0.0,
+            "maxRetryAfterMs": limits.max_retry_after_ms,
             "connectTimeoutMs": 250.0,
             "keepaliveMs": experiment.fleet.idle_ms,
             "mostHeld": 20_000,
--- a/testbed/src/world/discovery.rs
+++ b/testbed/src/world/discovery.rs
@@ -18,8 +18,8 @@
 
 use super::host::Host;
 use super::listener::listen;
+use crate::experiment::{zone_name, FaultKind};
 use crate::ledger::{EndpointStatus, HostNo, Ledger, Observation};
-use crate::script::{zone_name, Kind};
 use crate::time::{to_duration, Micros};
 
 use super::faults::Faults;
@@ -142,7 +142,7 @@
     fn entry(&self, host: &Host, standing: EndpointStatus) -> Entry {
         let terms = &host.terms;
         let clock = &self.ledger.clock;
-        let wrong = self.faults.part(clock.now(), Kind::DiscoveryWrong, terms.no, self.balancer) > 0.0;
+        let wrong = self.faults.part(clock.now(), FaultKind::DiscoveryWrong, terms.no, self.balancer) > 0.0;
         // Port 1 has no listener on loopback.
         let address = if wrong { SocketAddr::from(([127, 0, 0, 1], 1)) } else { host.address(self.balancer) };
         let origin = terms.no == HostNo::ORIGIN;
--- a/testbed/src/world/faults.rs
+++ b/testbed/src/world/faults.rs
@@ -5,14 +5,14 @@
 use rand::seq::IteratorRandom;
 use rand_chacha::ChaCha8Rng;
 
+use crate::experiment::{Experiment, Fault, FaultKind, HostSelection};
 use crate::ledger::HostNo;
-use crate::script::{Experiment, Fault, Kind, Which};
 use crate::time::{seconds, Micros};
 
 /// One time that a fault is on.
 #[derive(Clone, Debug)]
 pub struct FaultWindow {
-    pub kind: Kind,
+    pub kind: FaultKind,
     pub hosts: BTreeSet<HostNo>,
     pub balancer: Option<usize>,
     pub from: Micros,
@@ -24,7 +24,7 @@
 }
 
 impl FaultWindow {
-    fn covers(&self, now: Micros, kind: Kind, host: HostNo, balancer: usize) -> bool {
+    fn covers(&self, now: Micros, kind: FaultKind, host: HostNo, balancer: usize) -> bool {
         self.kind == kind
             && (self.from..self.to).contains(&now)
             && self.balancer.is_none_or(|only| only == balancer)
@@ -35,8 +35,8 @@
         let name = serde_json::to_string(&self.kind).unwrap_or_default();
         let name = name.trim_matches('"');
         let of = match (self.kind, self.balancer) {
-            (Kind::Grow, _) => format!(" by {}", self.count),
-            (Kind::BalancerKill, Some(balancer)) => format!(" {balancer}"),
+            (FaultKind::Grow, _) => format!(" by {}", self.count),
+            (FaultKind::BalancerKill, Some(balancer)) => format!(" {balancer}"),
             _ if self.hosts.is_empty() => String::new(),
             _ => {
                 let hosts: Vec<String> = self.hosts.iter().map(|host| host.0.to_string()).collect();
@@ -70,9 +70,9 @@
                     to: from + span,
                     part: fault.part,
                     factor: fault.factor,
-                    count: if let Which::Count(count) = fault.hosts { count } else { 0 },
+                    count: if let HostSelection::Count(count) = fault.hosts { count } else { 0 },
                 };
-                if one.kind == Kind::RollOut {
+                if one.kind == FaultKind::RollOut {
                     rolled(&one, &mut spans);
                 } else {
                     spans.push(one);
@@ -88,7 +88,7 @@
     }
 
     /// How likely a push is hit by a fault of this kind now.
-    pub fn part(&self, now: Micros, kind: Kind, host: HostNo, balancer: usize) -> f64 {
+    pub fn part(&self, now: Micros, kind: FaultKind, host: HostNo, balancer: usize) -> f64 {
         let on = self.spans.iter().filter(|span| span.covers(now, kind, host, balancer));
         on.map(|span| span.part).fold(0.0, f64::max)
     }
@@ -97,12 +97,12 @@
 fn hosts(fault: &Fault, all: usize, rng: &mut ChaCha8Rng) -> BTreeSet<HostNo> {
     let every = (0..all as u32).map(HostNo);
     match (&fault.kind, &fault.hosts) {
-        (Kind::OriginSlow | Kind::OriginDown, _) => [HostNo::ORIGIN].into(),
-        (Kind::Grow | Kind::DiscoveryDown | Kind::DiscoveryStale, _) => BTreeSet::new(),
-        (Kind::BalancerKill | Kind::GeneratorStop | Kind::GeneratorSlow, _) => BTreeSet::new(),
-        (_, Which::Named(_)) => every.collect(),
-        (_, Which::These(hosts)) => hosts.iter().map(|&host| HostNo(host as u32)).collect(),
-        (_, Which::Count(count)) => every.choose_multiple(rng, *count).into_iter().collect(),
+        (FaultKind::OriginSlow | FaultKind::OriginDown, _) => [HostNo::ORIGIN].into(),
+        (FaultKind::Grow | FaultKind::DiscoveryDown | FaultKind::DiscoveryStale, _) => BTreeSet::new(),
+        (FaultKind::BalancerKill | FaultKind::GeneratorStop | FaultKind::GeneratorSlow, _) => BTreeSet::new(),
+        (_, HostSelection::Named(_)) => every.collect(),
+        (_, HostSelection::These(hosts)) => hosts.iter().map(|&host| HostNo(host as u32)).collect(),
+        (_, HostSelection::Count(count)) => every.choose_multiple(rng, *count).into_iter().collect(),
     }
 }
 
@@ -112,7 +112,7 @@
     for (nth, host) in whole.hosts.iter().enumerate() {
         let from = whole.from + each * nth as Micros;
         let one = |kind, from, to| FaultWindow { kind, hosts: [*host].into(), from, to, ..whole.clone() };
-        spans.push(one(Kind::RollOut, from, from + each / 3));
-        spans.push(one(Kind::Die, from + each / 3, from + each / 3 + each / 20));
+        spans.push(one(FaultKind::RollOut, from, from + each / 3));
+        spans.push(one(FaultKind::Die, from + each / 3, from + each / 3 + each / 20));
     }
 }
--- a/testbed/src/world/host.rs
+++ b/testbed/src/world/host.rs
@@ -27,8 +27,8 @@
 use super::listener::{listen, reset_on_drop, LISTEN_BACKLOG};
 use super::machine::{Job, Machine, Terms, Verdict};
 use super::work::Work;
+use crate::experiment::{CacheMode, DeduplicationScope, FaultKind, RetrySafety};
 use crate::ledger::{HostNo, Ledger, Observation, RequestId};
-use crate::script::{Group, Kind, Mode, Repeats};
 use crate::time::{millis, Micros, MS, SECOND};
 
 const MOST_BODY: usize = 64 * 1024;
@@ -69,7 +69,7 @@
     pub ledger: Ledger,
     pub faults: Faults,
     pub work: Work,
-    pub mode: Mode,
+    pub mode: CacheMode,
     pub rng: RefCell<ChaCha8Rng>,
     /// Connections taken so far.
     opened: Arc<AtomicU64>,
@@ -89,7 +89,7 @@
         ledger: Ledger,
         faults: Faults,
         work: Work,
-        mode: Mode,
+        mode: CacheMode,
         rng: ChaCha8Rng,
         opened: Arc<AtomicU64>,
     ) -> Rc<Shared> {
@@ -613,12 +613,12 @@
         let now = self.now();
         let began = if began == 0 { now } else { began };
         ledger.note(Observation::AttemptReceived { id, host: no, balancer, began });
-        let part = |kind: Kind| shared.faults.part(now, kind, no, balancer);
+        let part = |kind: FaultKind| shared.faults.part(now, kind, no, balancer);
         let turned = || {
             ledger.note(Observation::AttemptRejected { id, host: no });
             self.says(None, "-BUSY")
         };
-        if shared.chance(part(Kind::Busy)) {
+        if shared.chance(part(FaultKind::Busy)) {
             return Says::Text(turned());
         }
         let wait = fact(&asked.facts, "d").and_then(|wait| wait.parse::<f64>().ok()).unwrap_or(0.0);
@@ -629,14 +629,14 @@
         let there = asked.write
             || no == HostNo::ORIGIN
             || self.store.borrow().has(&asked.key, no, self.shared.last_written(&asked.key));
-        let work = if there || shared.mode == Mode::Through { need } else { need / 4 };
+        let work = if there || shared.mode == CacheMode::Through { need } else { need / 4 };
         match self.worked(work + open_cost, until).await {
             Worked::Ran => {}
             Worked::Never => return Says::Text(turned()),
             Worked::Died => return Says::Reset,
         }
         if !there {
-            if shared.mode == Mode::Aside {
+            if shared.mode == CacheMode::Aside {
                 ledger.note(Observation::KeyMissing { id, host: no });
                 let mut missed = shared.missed.borrow_mut();
                 missed.entry(id).or_default().push((self.clone(), asked.key.clone()));
@@ -649,7 +649,7 @@
                 Worked::Never => return Says::Text(turned()),
                 Worked::Died => return Says::Text(Bytes::from_static(b"-ERR failed\r\n")),
             }
-        } else if asked.write && no != HostNo::ORIGIN && shared.mode == Mode::Through {
+        } else if asked.write && no != HostNo::ORIGIN && shared.mode == CacheMode::Through {
             match self.through(&asked, need, until).await {
                 Worked::Ran => {}
                 Worked::Never => return Says::Text(turned()),
@@ -657,16 +657,16 @@
             }
         }
         self.ran(&asked, category);
-        if shared.chance(part(Kind::Error)) {
+        if shared.chance(part(FaultKind::Error)) {
             return Says::Text(self.says(None, "-ERR failed"));
         }
-        if shared.chance(part(Kind::Lost)) {
+        if shared.chance(part(FaultKind::Lost)) {
             return Says::Mute;
         }
-        if shared.chance(part(Kind::Reset)) {
+        if shared.chance(part(FaultKind::Reset)) {
             return Says::Reset;
         }
-        if shared.chance(part(Kind::Spoil)) {
+        if shared.chance(part(FaultKind::Spoil)) {
             let noise: [u8; 24] = shared.rng.borrow_mut().random();
             return Says::Last(Bytes::copy_from_slice(&noise));
         }
@@ -712,11 +712,11 @@
         if asked.write {
             let terms = category.map(|category| shared.work.terms(category));
             if let (Some(mark), Some(terms)) = (fact(&asked.facts, "k"), terms) {
-                if terms.repeats == Repeats::Deduplicated {
-                    let group = match terms.group {
-                        Group::All => 0,
-                        Group::Zone => 1 + self.terms.zone,
-                        Group::Cell => 1_000_000 + self.terms.no.0,
+                if terms.retry_safety == RetrySafety::Deduplicated {
+                    let group = match terms.deduplication_scope {
+                        DeduplicationScope::All => 0,
+                        DeduplicationScope::Zone => 1 + self.terms.zone,
+                        DeduplicationScope::Cell => 1_000_000 + self.terms.no.0,
                     };
                     let mut marks = shared.marks.borrow_mut();
                     let first = *marks.entry((Bytes::copy_from_slice(mark.as_bytes()), group)).or_insert(now);
--- a/testbed/src/world/mod.rs
+++ b/testbed/src/world/mod.rs
@@ -24,9 +24,9 @@
 use tokio::time::{sleep, sleep_until};
 
 use crate::balancers::Balancers;
+use crate::experiment::{Experiment, FaultKind};
 use crate::lateness::Lateness;
 use crate::ledger::{EndpointStatus, HostNo, Ledger, Observation};
-use crate::script::{Experiment, Kind};
 use crate::settings::BalancerBootstrap;
 use crate::thread_stats::{record_lateness, thread_cpu_seconds};
 use crate::time::{millis, Micros};
@@ -167,7 +167,7 @@
         }
         let origin = director.origin()?;
         director.shared.origin.replace(Some(origin.clone()));
-        let aside = experiment.mode == crate::script::Mode::Aside;
+        let aside = experiment.mode == crate::experiment::CacheMode::Aside;
         director.agents.iter().filter(|_| aside).for_each(|agent| agent.knows(&origin));
         let seat = |agent: &Rc<Agent>| BalancerBootstrap { discovery: agent.address, known: agent.known() };
         let seats = director.agents.iter().map(seat).collect();
@@ -179,7 +179,7 @@
         started: Option<Micros>,
         addresses: Option<&[SocketAddr]>,
     ) -> std::io::Result<Rc<Host>> {
-        let Experiment { fleet, cold, balancers, .. } = &self.experiment;
+        let Experiment { fleet, slow_start: cold, balancers, .. } = &self.experiment;
         let no = HostNo(self.next.get());
         self.next.set(no.0 + 1);
         let terms = HostTerms {
@@ -274,43 +274,45 @@
         let only = span.balancer;
         for host in self.hosts(span) {
             match (span.kind, ends) {
-                (Kind::Slow | Kind::OriginSlow, false) => host.slow(span.factor),
-                (Kind::Slow | Kind::OriginSlow, true) => host.slow(1.0),
-                (Kind::Hang, false) => host.freeze(),
-                (Kind::Hang, true) => host.thaw(),
-                (Kind::Silent, false) => host.fall_silent(only),
-                (Kind::Silent, true) => {
+                (FaultKind::Slow | FaultKind::OriginSlow, false) => host.slow(span.factor),
+                (FaultKind::Slow | FaultKind::OriginSlow, true) => host.slow(1.0),
+                (FaultKind::Hang, false) => host.freeze(),
+                (FaultKind::Hang, true) => host.thaw(),
+                (FaultKind::Silent, false) => host.fall_silent(only),
+                (FaultKind::Silent, true) => {
                     host.reset(only);
                     host.open(only);
                 }
-                (Kind::Stale, false) => host.deaden(only),
-                (Kind::StaleReset, false) => host.disown(only),
-                (Kind::Reset, false) => host.reset(only),
-                (Kind::Refuse | Kind::OriginDown, false) => host.refuse(only),
-                (Kind::Refuse | Kind::OriginDown, true) => host.open(only),
-                (Kind::Die | Kind::Replace, false) => host.die(),
-                (Kind::Die, true) => {
+                (FaultKind::Stale, false) => host.deaden(only),
+                (FaultKind::StaleReset, false) => host.disown(only),
+                (FaultKind::Reset, false) => host.reset(only),
+                (FaultKind::Refuse | FaultKind::OriginDown, false) => host.refuse(only),
+                (FaultKind::Refuse | FaultKind::OriginDown, true) => host.open(only),
+                (FaultKind::Die | FaultKind::Replace, false) => host.die(),
+                (FaultKind::Die, true) => {
                     host.come_back();
                     self.publish(&host, EndpointStatus::Active);
                 }
-                (Kind::Replace, true) => {
+                (FaultKind::Replace, true) => {
                     self.leave(&host).await;
                     if let Ok(new) = self.new_host(Some(now), Some(&host.every_address())) {
                         self.publish(&new, EndpointStatus::Active);
                     }
                 }
-                (Kind::Drain | Kind::RollOut, false) => self.publish(&host, EndpointStatus::Leaving),
-                (Kind::Drain, true) => self.leave(&host).await,
-                (Kind::DiscoveryWrong, _) => self.publish(&host, EndpointStatus::Active),
+                (FaultKind::Drain | FaultKind::RollOut, false) => {
+                    self.publish(&host, EndpointStatus::Leaving)
+                }
+                (FaultKind::Drain, true) => self.leave(&host).await,
+                (FaultKind::DiscoveryWrong, _) => self.publish(&host, EndpointStatus::Active),
                 _ => {}
             }
         }
         let agents = self.agents.iter().enumerate();
         let agents = agents.filter(|(nth, _)| only.is_none_or(|only| only == *nth)).map(|(_, agent)| agent);
         match span.kind {
-            Kind::DiscoveryDown => agents.for_each(|agent| agent.set_silent(!ends)),
-            Kind::DiscoveryStale => agents.for_each(|agent| agent.set_stale(!ends)),
-            Kind::Grow if !ends => {
+            FaultKind::DiscoveryDown => agents.for_each(|agent| agent.set_silent(!ends)),
+            FaultKind::DiscoveryStale => agents.for_each(|agent| agent.set_stale(!ends)),
+            FaultKind::Grow if !ends => {
                 for _ in 0..span.count {
                     match self.new_host(Some(now), None) {
                         Ok(new) => self.publish(&new, EndpointStatus::Active),
@@ -318,7 +320,7 @@
                     }
                 }
             }
-            Kind::BalancerKill => {
+            FaultKind::BalancerKill => {
                 for nth in only.map_or(0..self.agents.len(), |only| only..only + 1) {
                     let Some(balancers) = balancers else { continue };
                     if ends {
--- a/testbed/src/world/work.rs
+++ b/testbed/src/world/work.rs
@@ -3,17 +3,17 @@
 use rand::Rng;
 use rand_distr::{Distribution, Exp, LogNormal};
 
-use crate::script::{Category, Service, Spread};
+use crate::experiment::{Category, ServiceTime, TimeDistribution};
 use crate::time::{millis, Micros};
 
 pub struct Work {
     categories: Vec<Category>,
-    host: Service,
-    origin: Service,
+    host: ServiceTime,
+    origin: ServiceTime,
 }
 
 impl Work {
-    pub fn new(categories: &[Category], host: Service, origin: Service) -> Work {
+    pub fn new(categories: &[Category], host: ServiceTime, origin: ServiceTime) -> Work {
         Work { categories: categories.to_vec(), host, origin }
     }
 
@@ -32,13 +32,13 @@
 }
 
 /// A service time, at least a microsecond.
-pub fn drawn(rng: &mut impl Rng, service: Service) -> Micros {
+pub fn drawn(rng: &mut impl Rng, service: ServiceTime) -> Micros {
     let mean = service.mean_ms.max(1e-3);
     let ms = match service.kind {
-        Spread::Constant => mean,
-        Spread::Exponential => Exp::new(1.0 / mean).map_or(mean, |law| law.sample(rng)),
+        TimeDistribution::Constant => mean,
+        TimeDistribution::Exponential => Exp::new(1.0 / mean).map_or(mean, |law| law.sample(rng)),
         // The mean of exp(N(m, s)) is exp(m + s^2 / 2).
-        Spread::LogNormal => {
+        TimeDistribution::LogNormal => {
             let sigma = service.sigma.clamp(0.0, 4.0);
             let law = LogNormal::new(mean.ln() - sigma * sigma / 2.0, sigma);
             law.map_or(mean, |law| law.sample(rng))
--- a/testbed/tests/audit.rs
+++ b/testbed/tests/audit.rs
@@ -6,8 +6,8 @@
 use std::thread;
 
 use basaltwood_testbed::audit::{audit, AuditSettings, Rule};
+use basaltwood_testbed::experiment::{Category, DeduplicationScope, Experiment};
 use basaltwood_testbed::ledger::{EndpointStatus, Event, HostNo, Observation, Reply, RequestId};
-use basaltwood_testbed::script::{Category, Experiment, Group};
 use basaltwood_testbed::time::{Micros, MS, SECOND};
 use common::*;
 use expect_test::expect;
@@ -80,11 +80,11 @@
 const A: RequestId = RequestId(10);
 
 /// An op of one category, what happened to it by millisecond, and what the audit says.
-fn judged(category: &str, group: Group, happened: &[(Micros, Observation)]) -> String {
+fn judged(category: &str, group: DeduplicationScope, happened: &[(Micros, Observation)]) -> String {
     let experiment = experiment("seconds = 1.0", "[load]\nrate = 1");
     let nth = experiment.categories.iter().position(|other| other.name == category).expect("a category");
     let mut categories = experiment.categories;
-    categories[nth].group = group;
+    categories[nth].deduplication_scope = group;
     let asked = Observation::RequestSent { id: A, balancer: 0, category: nth, until: 2 * SECOND };
     let mut events = vec![Event { at: 0, observation: asked }];
     events.extend(
@@ -125,21 +125,25 @@
     let mut trace = Vec::new();
     let mut note = |title: &str, verdict: String| trace.push(format!("{title}: {verdict}"));
     let twice = [received(10, 0), rejected(20, 0), received(30, 1), executed(40, 1, true), served()];
-    note("once, turned away first", judged("once", Group::All, &twice));
+    note("once, turned away first", judged("once", DeduplicationScope::All, &twice));
     let blind = [received(10, 0), received(30, 1), executed(40, 1, true), served()];
-    note("once, blind", judged("once", Group::All, &blind));
+    note("once, blind", judged("once", DeduplicationScope::All, &blind));
     let both = [received(10, 0), executed(20, 0, true), received(30, 1), executed(40, 1, true), served()];
-    note("once, ran twice", judged("once", Group::All, &both));
+    note("once, ran twice", judged("once", DeduplicationScope::All, &both));
     let rejected_while_open = [received(10, 0), answered(30, Reply::Busy)];
-    note("once, nacked while out", judged("once", Group::All, &rejected_while_open));
-    note("put, nacked while out, one group", judged("put", Group::All, &rejected_while_open));
-    note("put, nacked while out, zones", judged("put", Group::Zone, &rejected_while_open));
+    note("once, nacked while out", judged("once", DeduplicationScope::All, &rejected_while_open));
+    note("put, nacked while out, one group", judged("put", DeduplicationScope::All, &rejected_while_open));
+    note("put, nacked while out, zones", judged("put", DeduplicationScope::Zone, &rejected_while_open));
     let same = [received(10, 0), received(30, 2), executed(40, 2, true), executed(45, 0, false), served()];
-    note("put, same zone", judged("put", Group::Zone, &same));
-    note("put, other zone", judged("put", Group::Zone, &blind));
+    note("put, same zone", judged("put", DeduplicationScope::Zone, &same));
+    note("put, other zone", judged("put", DeduplicationScope::Zone, &blind));
     note(
         "put, same cell",
-        judged("put", Group::Cell, &[received(10, 3), received(30, 3), executed(40, 3, true), served()]),
+        judged(
+            "put",
+            DeduplicationScope::Cell,
+            &[received(10, 3), received(30, 3), executed(40, 3, true), served()],
+        ),
     );
     expect![[r#"
         once, turned away first: nothing
@@ -158,10 +162,10 @@
 #[test]
 fn retry_past_window_origin_overload_and_killed_balancer_are_told_apart() {
     let late = [received(10, 0), received(5_200, 0), executed(5_300, 0, true)];
-    let late = judged("put", Group::All, &late);
+    let late = judged("put", DeduplicationScope::All, &late);
     let origin = |by_cold_misses| {
         let fell = Observation::Overloaded { host: HostNo::ORIGIN, cold: false, by_cold_misses };
-        judged("read", Group::All, &[(10, fell), answered(20, Reply::Failed)])
+        judged("read", DeduplicationScope::All, &[(10, fell), answered(20, Reply::Failed)])
     };
     let cut = (500, Observation::ConnectionClosed { id: A });
     let killed = (490, Observation::BalancerProcess { balancer: 0, up: false });
@@ -169,9 +173,9 @@
         late,
         origin(false),
         origin(true),
-        judged("read", Group::All, std::slice::from_ref(&cut)),
-        judged("read", Group::All, &[killed, cut]),
-        judged("read", Group::All, &[(2_400, Observation::Unanswered { id: A })]),
+        judged("read", DeduplicationScope::All, std::slice::from_ref(&cut)),
+        judged("read", DeduplicationScope::All, &[killed, cut]),
+        judged("read", DeduplicationScope::All, &[(2_400, Observation::Unanswered { id: A })]),
     ];
     expect![[r#"
         rule 1 at 5.200 s: op 000000000000000a went to host 0 3200.0 ms after its end
--- a/testbed/tests/common/mod.rs
+++ b/testbed/tests/common/mod.rs
@@ -4,9 +4,9 @@
 use std::path::Path;
 
 use basaltwood_testbed::balancers::Program;
+use basaltwood_testbed::experiment::Experiment;
 use basaltwood_testbed::figures::Run;
 use basaltwood_testbed::play::play;
-use basaltwood_testbed::script::Experiment;
 
 /// A quick fleet: two hosts and an origin that answer within milliseconds, one category of each kind.
 const BASE: &str = r#"
--- a/testbed/tests/input.rs
+++ b/testbed/tests/input.rs
@@ -2,9 +2,9 @@
 
 mod common;
 
+use basaltwood_testbed::experiment::Experiment;
 use basaltwood_testbed::load::plan::Plan;
 use basaltwood_testbed::load::trace;
-use basaltwood_testbed::script::Experiment;
 use common::*;
 use expect_test::expect;
 
@@ -89,7 +89,7 @@
     let told: Vec<String> = bad
         .iter()
         .map(|text| {
-            let cause = Experiment::parse(text).expect_err(text);
+            let cause = Experiment::parse(text).expect_err(text).to_string();
             assert!(!cause.contains('\n'), "one line: {cause}");
             // How many descriptors are allowed is this machine's matter.
             match cause.split_once(" and ") {
--- a/testbed/tests/pools.rs
+++ b/testbed/tests/pools.rs
@@ -8,7 +8,7 @@
 use common::*;
 
 /// Reads only, on six warm hosts; most ops go out on kept connections.
-fn reads(faults: &str) -> basaltwood_testbed::script::Experiment {
+fn reads(faults: &str) -> basaltwood_testbed::experiment::Experiment {
     let load = "[load]\nrate = 240\nkeys = 300\n";
     let mut experiment = larger("seconds = 3.0", &format!("{load}{faults}"));
     experiment.categories.truncate(1);
--- a/testbed/tests/runs.rs
+++ b/testbed/tests/runs.rs
@@ -17,7 +17,7 @@
     let open = experiment("seconds = 4.0", &load(""));
     let closed = experiment("seconds = 4.0", &load("closed_loop = true").replace("1000", "2"));
     // Reads only: a write goes to the origin, which is not paused.
-    let reads = |mut experiment: basaltwood_testbed::script::Experiment| {
+    let reads = |mut experiment: basaltwood_testbed::experiment::Experiment| {
         experiment.categories.truncate(1);
         experiment
     };
--- a/testbed/tests/scale.rs
+++ b/testbed/tests/scale.rs
@@ -8,10 +8,10 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
+use basaltwood_testbed::experiment::Experiment;
 use basaltwood_testbed::scale::experiment::{MachineLimits, ScaleExperiment};
 use basaltwood_testbed::scale::regression::fit_line;
 use basaltwood_testbed::scale::report::file_name;
-use basaltwood_testbed::script::Experiment;
 use serde_json::Value;
 
 const TESTBED: &str = env!("CARGO_BIN_EXE_basaltwood-testbed");
