--- a/testbed/src/cli/load.rs
+++ b/testbed/src/cli/load.rs
@@ -73,10 +73,10 @@
     let times = &figures.until_end;
     println!(
         "until the end: p50 {:.2} p90 {:.2} p99 {:.2} p99.9 {:.2} p99.99 {:.2} most {:.2} ms; {} over 1 s",
-        times.p50, times.p90, times.p99, times.p999, times.p9999, times.most, figures.over_1s
+        times.p50, times.p90, times.p99, times.p999, times.p9999, times.max, figures.over_1s
     );
     println!(
         "generator: {:.1} us of CPU an op; late by {:.3} ms at the 99th percentile, {:.1} ms at most",
-        figures.generator_us_per_op, figures.late_p99_ms, figures.late_most_ms
+        figures.generator_us_per_request, figures.late_p99_ms, figures.late_max_ms
     );
 }
--- a/testbed/src/compare.rs
+++ b/testbed/src/compare.rs
@@ -13,14 +13,14 @@
 pub const COMPARED: [(&str, bool, Reader); 13] = [
     ("benefit", true, |run| run.figures.benefit),
     ("served %", true, |run| part(run, run.figures.served)),
-    ("nacked %", false, |run| part(run, run.figures.nacked)),
+    ("nacked %", false, |run| part(run, run.figures.rejected)),
     ("failed %", false, |run| part(run, run.figures.failed)),
     ("lost %", false, |run| part(run, run.figures.lost)),
     ("p50 ms", false, |run| run.figures.latency.p50),
     ("p99 ms", false, |run| run.figures.latency.p99),
     ("p99.9 ms", false, |run| run.figures.latency.p999),
-    ("pushes an op", false, |run| run.figures.pushes_per_op),
-    ("CPU us an op", false, |run| run.figures.cpu_us_per_op),
+    ("pushes an op", false, |run| run.figures.attempts_per_request),
+    ("CPU us an op", false, |run| run.figures.cpu_us_per_request),
     ("peak memory kB", false, |run| {
         run.figures.balancers.iter().map(|used| used.peak_kb).max().unwrap_or(0) as f64
     }),
@@ -29,7 +29,7 @@
 ];
 
 fn part(run: &Run, count: u64) -> f64 {
-    100.0 * count as f64 / run.figures.ops.max(1) as f64
+    100.0 * count as f64 / run.figures.requests.max(1) as f64
 }
 
 #[derive(Clone, Debug, Serialize, PartialEq)]
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -209,14 +209,14 @@
         Ok(Point {
             path,
             rate,
-            served: figures.served as f64 / figures.ops.max(1) as f64,
+            served: figures.served as f64 / figures.requests.max(1) as f64,
             p50_ms: figures.latency.p50,
             p99_ms: figures.latency.p99,
             p999_ms: figures.latency.p999,
-            most_ms: figures.latency.most,
+            most_ms: figures.latency.max,
             late_p99_ms: figures.late_p99_ms,
-            generator_us: figures.generator_us_per_op,
-            balancer_us: used * 1e6 / figures.ops.max(1) as f64,
+            generator_us: figures.generator_us_per_request,
+            balancer_us: used * 1e6 / figures.requests.max(1) as f64,
             balancer_core: used / self.experiment.seconds,
             void,
         })
--- a/testbed/src/play.rs
+++ b/testbed/src/play.rs
@@ -154,9 +154,9 @@
     let events = ledger.take();
     let mut figures = figures::figures(experiment, &played.records, &events, played.cpu_s);
     figures.note_late(&bare, &world_late, experiment.load.late());
-    figures.world_us_per_op = world_us as f64 / played.records.len().max(1) as f64;
+    figures.world_us_per_request = world_us as f64 / played.records.len().max(1) as f64;
     figures.opened_per_s = opened as f64 / experiment.seconds;
-    figures.cpu_us_per_op =
+    figures.cpu_us_per_request =
         used.iter().map(|used| used.cpu_s).sum::<f64>() * 1e6 / played.records.len().max(1) as f64;
     figures.balancers = used;
     let audit_settings = audit::AuditSettings {
--- a/testbed/src/scale/run/mod.rs
+++ b/testbed/src/scale/run/mod.rs
@@ -305,7 +305,7 @@
         figures.insert("real: benefit", of.benefit);
         figures.insert("real: p50, ms", of.latency.p50);
         figures.insert("real: p99, ms", of.latency.p99);
-        figures.insert("real: CPU us an op", (used.cpu_s - before.cpu_s) * 1e6 / of.ops.max(1) as f64);
+        figures.insert("real: CPU us an op", (used.cpu_s - before.cpu_s) * 1e6 / of.requests.max(1) as f64);
         figures.insert("real: memory, MB", used.resident_kb as f64 / 1e3);
         figures.insert("real: descriptors", used.descriptors as f64);
         ops.add(figures::late(&played.records)).map_err(|cause| cause.to_string())?;
--- a/testbed/tests/audit.rs
+++ b/testbed/tests/audit.rs
@@ -40,7 +40,11 @@
         for (misdeed, experiment, expected) in cases {
             scope.spawn(move || {
                 let run = played(experiment, &router("random", misdeed));
-                assert!(run.figures.ops > 200 && run.figures.failed < 20, "{misdeed:?}: {:?}", run.figures);
+                assert!(
+                    run.figures.requests > 200 && run.figures.failed < 20,
+                    "{misdeed:?}: {:?}",
+                    run.figures
+                );
                 let found = breaches(&run);
                 match expected {
                     None => assert!(found.is_empty(), "{misdeed:?}: {found:#?}"),
--- a/testbed/tests/pools.rs
+++ b/testbed/tests/pools.rs
@@ -35,7 +35,7 @@
     let counters = sound(&run);
     // One push for each connection that was kept, at the most, and a second copy brings its value.
     assert!(counters["attempts_timed_out"] <= counters["connections_opened"], "{}", told(&run));
-    assert!(run.figures.served * 100 >= run.figures.ops * 97, "{}", told(&run));
+    assert!(run.figures.served * 100 >= run.figures.requests * 97, "{}", told(&run));
 }
 
 #[test]
@@ -46,8 +46,8 @@
     let counters = sound(&run);
     assert!(counters["attempts_connection_fault"] > 0 && counters["connection_faults"] > 0, "{}", told(&run));
     assert_eq!(counters["attempts_connection_lost"], 0, "none of it is a host's: {}", told(&run));
-    assert!(run.figures.served * 100 >= run.figures.ops * 99, "{}", told(&run));
-    assert_eq!(run.figures.nacked, 0, "{}", told(&run));
+    assert!(run.figures.served * 100 >= run.figures.requests * 99, "{}", told(&run));
+    assert_eq!(run.figures.rejected, 0, "{}", told(&run));
 }
 
 #[test]
@@ -58,8 +58,8 @@
     sound(&run);
     let host = |no: usize| &run.figures.hosts[&format!("host {no}")];
     // The one with dead connections goes on as ever; the hung one is left and comes back.
-    assert!(host(3).ran * 10 >= host(4).ran.min(host(5).ran) * 3, "{}", told(&run));
-    assert!(run.figures.served * 100 >= run.figures.ops * 95, "{}", told(&run));
+    assert!(host(3).executed * 10 >= host(4).executed.min(host(5).executed) * 3, "{}", told(&run));
+    assert!(run.figures.served * 100 >= run.figures.requests * 95, "{}", told(&run));
 }
 
 #[test]
@@ -73,13 +73,13 @@
     experiment.load.connections = 20;
     let run = played(&experiment, &balancer());
     sound(&run);
-    assert!(run.figures.served * 100 >= run.figures.ops * 85, "{}", told(&run));
+    assert!(run.figures.served * 100 >= run.figures.requests * 85, "{}", told(&run));
 }
 
 #[test]
 fn a_host_that_is_silent_costs_no_connect_time_out_after_the_first() {
     let run = played(&reads(&fault("silent", "hosts = [2]\nfrom_s = 0.8")), &balancer());
     let counters = sound(&run);
-    assert!(run.figures.served * 100 >= run.figures.ops * 95, "{}", told(&run));
-    assert!(counters["attempts_unreachable"] < run.figures.ops / 10, "{}", told(&run));
+    assert!(run.figures.served * 100 >= run.figures.requests * 95, "{}", told(&run));
+    assert!(counters["attempts_unreachable"] < run.figures.requests / 10, "{}", told(&run));
 }
--- a/testbed/tests/runs.rs
+++ b/testbed/tests/runs.rs
@@ -31,14 +31,14 @@
         let end = &figures.until_end;
         format!(
             "{} ops, {} over 1 s, p99 {:.0} ms, most {:.0} ms",
-            figures.ops, figures.over_1s, end.p99, end.most
+            figures.requests, figures.over_1s, end.p99, end.max
         )
     };
     let both = format!("open: {}; closed: {}", told(&open), told(&closed));
     println!("{both}");
     // One in 5 ms: those due in the pause's first second wait for longer than one more.
     assert!((190..=260).contains(&open.over_1s), "{both}");
-    assert!(open.until_end.p99 > 1_800.0 && open.until_end.most > 1_900.0, "{both}");
+    assert!(open.until_end.p99 > 1_800.0 && open.until_end.max > 1_900.0, "{both}");
     assert!(closed.over_1s <= 2 && closed.until_end.p99 < 1_000.0, "{both}");
 }
 
@@ -72,16 +72,19 @@
         let run = played(&two(retry), &router("least-in-flight", None));
         let figures = &run.figures;
         let sum = figures.served
-            + figures.nacked
+            + figures.rejected
             + figures.failed
             + figures.lost
-            + figures.left
-            + figures.unreached;
-        assert_eq!(sum, figures.ops, "every op has one end");
+            + figures.abandoned
+            + figures.unreachable;
+        assert_eq!(sum, figures.requests, "every op has one end");
         assert!(breaches(&run).is_empty(), "killed, not broken: {:#?}", breaches(&run));
         // At-most-once ops are not asked again even so.
-        assert!(if again { figures.tries > figures.ops } else { figures.lost > 5 }, "{retry}: {figures:?}");
-        assert!(figures.served * 2 > figures.ops, "{retry}: {figures:?}");
+        assert!(
+            if again { figures.client_attempts > figures.requests } else { figures.lost > 5 },
+            "{retry}: {figures:?}"
+        );
+        assert!(figures.served * 2 > figures.requests, "{retry}: {figures:?}");
     }
 }
 
@@ -125,9 +128,9 @@
                     let run = played(&larger("seconds = 2.5", &tables), program);
                     assert!(breaches(&run).is_empty(), "{name}: {:#?}", breaches(&run));
                     let figures = &run.figures;
-                    assert!(figures.ops > 200, "{name}: {} ops", figures.ops);
+                    assert!(figures.requests > 200, "{name}: {} ops", figures.requests);
                     // Half is far below what any of them leaves; a balancer that serves nothing is caught.
-                    assert!(figures.served * 2 > figures.ops, "{name}: {} of {} served", figures.served, figures.ops);
+                    assert!(figures.served * 2 > figures.requests, "{name}: {} of {} served", figures.served, figures.requests);
                 });
             }
         });
