--- a/testbed/src/report.rs
+++ b/testbed/src/report.rs
@@ -250,7 +250,7 @@
 /// The compared figures of a run by their names, for machines.
 pub fn as_json(run: &Run) -> serde_json::Value {
     let figures: serde_json::Map<String, serde_json::Value> =
-        COMPARED.iter().map(|(name, _, read)| ((*name).to_owned(), read(run).into())).collect();
+        COMPARED.iter().map(|figure| (figure.name.to_owned(), (figure.read)(run).into())).collect();
     serde_json::json!({
         "experiment": run.experiment, "arm": run.arm, "seed": run.seed, "void": run.void, "warning": run.warning,
         "breaches": run.breaches.len(), "figures": figures,
