--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -9,6 +9,7 @@
 pub mod audit;
 pub mod balancers;
 pub mod compare;
+mod discovery_calls;
 pub mod figures;
 pub mod lateness;
 pub mod ledger;
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -266,7 +266,7 @@
             Ok(0)
         }
         Verb::Scale { file, quick, out, json } => scale(&file, quick, &out, json),
-        Verb::ScalePart => scale::worker_process::serve().map(|()| 0).map_err(failed),
+        Verb::ScalePart => scale::worker::serve().map(|()| 0).map_err(|cause| failed(cause.to_string())),
         Verb::Report { folder } => {
             let runs = compare::read(&folder).map_err(bad)?;
             let name = runs.first().map_or("nothing", |run| &run.experiment).to_owned();
@@ -347,8 +347,9 @@
 
 /// Plays the points of a scale experiment, and writes raw points, lines and drawings as it goes.
 fn scale(file: &Path, quick: bool, out: &Path, json: bool) -> Result<u8, Trouble> {
-    let script = scale::experiment::ScaleExperiment::read(file, quick).map_err(bad)?;
-    let fits = script.fits(scale::experiment::MachineLimits::this());
+    let script =
+        scale::experiment::ScaleExperiment::read(file, quick).map_err(|cause| bad(cause.to_string()))?;
+    let fits = script.fits(scale::system::MachineLimits::this());
     fits.map_err(|cause| bad(format!("{}: {cause}", file.display())))?;
     let folder = fresh(out, &script.name)?;
     let text = std::fs::read_to_string(file).unwrap_or_default();
@@ -374,7 +375,8 @@
                 }
                 say(&format!("{title}  {on} {seconds:.0} s"));
             };
-            let point = scale::run::run_point(&script, at, seed, &logs, &mut tell).map_err(failed)?;
+            let point = scale::run::run_point(&script, at, seed, &logs, &mut tell)
+                .map_err(|cause| failed(cause.to_string()))?;
             let line = serde_json::to_string(&point).map_err(|cause| failed(cause.to_string()))?;
             writeln!(lines, "{line}").map_err(|cause| failed(cause.to_string()))?;
             if json {
@@ -385,11 +387,11 @@
             points.push(point);
         }
     }
-    let fitted = scale::run::fit_figures(&script, &points);
+    let fitted = scale::fit::fit_figures(&script, &points);
     let text = serde_json::to_string_pretty(&fitted).map_err(|cause| failed(cause.to_string()))?;
     write(&folder.join("lines.json"), &text)?;
     for figure in &fitted {
-        let svg = scale::report::svg(axis, figure).map_err(failed)?;
+        let svg = scale::report::svg(axis, figure).map_err(|cause| failed(cause.to_string()))?;
         write(&folder.join(scale::report::file_name(figure.figure)), &svg)?;
         if json {
             println!("{}", serde_json::to_string(figure).map_err(|cause| failed(cause.to_string()))?);
--- a/testbed/src/scale/discovery.rs
+++ b/testbed/src/scale/discovery.rs
@@ -1,206 +1,200 @@
-//! The emulated discovery of a scale run: one for all balancers. A call from a version on is held until there is
-//! something newer or its hold is over, as the platform's is; a host that is told as leaving is told as active
-//! again by the next change, so that the list keeps its size.
+//! The emulated discovery of a scale run: one for all balancers. A call for changes is held until
+//! the list is newer or its hold is over, as the platform's is. A host that one change lists as
+//! leaving the next lists as active again, so that the list keeps its size.
 
 use std::cell::{Cell, RefCell};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::Duration;
 
-use basaltwood_wire::buffer::Buffer;
-use basaltwood_wire::http;
 use bytes::Bytes;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use serde::{Deserialize, Serialize};
-use serde_json::{json, Value};
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use serde_json::Value;
+use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use super::worker_process::{in_json, Worker, WorkerCommand, WorkerReply};
+use super::protocol::{DiscoveryReady, DiscoverySnapshot, DiscoverySpec, WorkerCommand};
+use super::role::{to_reply, Reply, Role};
+use super::system::unix_micros;
+use crate::discovery_calls::{encode_list, Calls, ChangesQuery};
 use crate::load::player::thread_cpu;
-use crate::world::discovery::{changes_asked, held};
 use crate::world::host::listen;
 
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct DiscoverySpec {
-    /// The hosts as entries of the list.
-    pub entries: Vec<Value>,
-    /// Changes of the list a second, evenly, once it was asked to begin; the seed draws whose.
-    pub changes_per_s: f64,
-    pub seed: u64,
-}
-
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct DiscoveryReady {
-    pub address: SocketAddr,
-}
+/// How often discovery looks whether it is to change the list, and tries again to accept.
+const IDLE_INTERVAL: Duration = Duration::from_millis(5);
+/// The longest wait for a change, in seconds.
+const MAX_CHANGE_INTERVAL_S: f64 = 10.0;
+/// The first change comes after this part of the interval: the last of a stretch is then not due at
+/// its very end.
+const FIRST_CHANGE_PART: f64 = 0.25;
 
-/// Counters since the start; changes since the last mark.
-#[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct DiscoverySnapshot {
-    pub cpu_s: f64,
-    pub calls: u64,
-    /// Of requests and of answers, without what TCP adds.
-    pub bytes_in: u64,
-    pub bytes_out: u64,
-    /// Each version, and when it came (Unix time in microseconds).
-    pub changes: Vec<(u64, i64)>,
+/// An entry of the list, and the version that brought it.
+struct VersionedEntry {
+    version: u64,
+    entry: Value,
 }
 
-pub fn unix_us() -> i64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |unix| unix.as_micros() as i64)
+/// A response that was written, to send again: many balancers call alike.
+struct CachedResponse {
+    /// The version that the callers had; none where they asked for all.
+    after: Option<u64>,
+    /// The version that the response brings.
+    generation: u64,
+    response: Bytes,
 }
 
+/// The discovery of a run.
 pub struct Discovery {
     spec: DiscoverySpec,
     address: SocketAddr,
-    /// Each entry, and the version that brought it.
-    entries: RefCell<Vec<(u64, Value)>>,
+    entries: RefCell<Vec<VersionedEntry>>,
+    /// The newest version.
     generation: watch::Sender<u64>,
-    /// The last answer, since many ask alike: from which version to which.
-    page: RefCell<Option<(Option<u64>, u64, Bytes)>>,
+    cached: RefCell<Option<CachedResponse>>,
+    /// Whether calls are read and not answered.
     silent: watch::Sender<bool>,
+    /// Whether the list changes.
     changing: Cell<bool>,
-    mark: RefCell<DiscoverySnapshot>,
+    counters: RefCell<DiscoverySnapshot>,
 }
 
 impl Discovery {
+    /// Listens on an address of its own. The list does not change yet.
+    ///
     /// # Errors
-    /// Where it can't listen.
+    /// The address can't be listened on.
     pub fn start(spec: DiscoverySpec) -> std::io::Result<Rc<Discovery>> {
         let listener = listen((Ipv4Addr::new(127, 31, 0, 1), 0).into())?;
+        let initial = |entry: &Value| VersionedEntry { version: 1, entry: entry.clone() };
         let discovery = Rc::new(Discovery {
             address: listener.local_addr()?,
-            entries: RefCell::new(spec.entries.iter().map(|entry| (1, entry.clone())).collect()),
+            entries: RefCell::new(spec.entries.iter().map(initial).collect()),
             generation: watch::Sender::new(1),
-            page: RefCell::default(),
+            cached: RefCell::default(),
             silent: watch::Sender::new(false),
             changing: Cell::new(false),
-            mark: RefCell::default(),
+            counters: RefCell::default(),
             spec,
         });
         spawn_local(discovery.clone().accept(listener));
-        spawn_local(discovery.clone().change());
+        spawn_local(discovery.clone().change_list());
         Ok(discovery)
     }
 
-    async fn change(self: Rc<Discovery>) {
+    /// Changes the list at even intervals while it is to: a short stretch sees as many changes with
+    /// every seed.
+    async fn change_list(self: Rc<Discovery>) {
         let mut rng = ChaCha8Rng::seed_from_u64(self.spec.seed);
         let mut leaving = None;
-        let mut begun = false;
+        let mut interval_part = FIRST_CHANGE_PART;
         loop {
             if !self.changing.get() || self.spec.changes_per_s <= 0.0 {
-                begun = false;
-                sleep(Duration::from_millis(5)).await;
+                interval_part = FIRST_CHANGE_PART;
+                sleep(IDLE_INTERVAL).await;
                 continue;
             }
-            // Evenly: a short stretch is to see as many with every seed; and none at its very end.
-            let part = if std::mem::replace(&mut begun, true) { 1.0 } else { 0.25 };
-            sleep(Duration::from_secs_f64((part / self.spec.changes_per_s).min(10.0))).await;
-            let hosts = self.spec.entries.len();
-            let (nth, lifecycle) = match leaving.take() {
-                Some(nth) => (nth, "active"),
-                None => (*leaving.insert(rng.random_range(0..hosts)), "leaving"),
-            };
-            let generation = *self.generation.borrow() + 1;
-            if let Some(entry) = self.entries.borrow_mut().get_mut(nth) {
-                entry.0 = generation;
-                entry.1["lifecycle"] = lifecycle.into();
+            let interval_s = interval_part / self.spec.changes_per_s;
+            sleep(Duration::from_secs_f64(interval_s.min(MAX_CHANGE_INTERVAL_S))).await;
+            interval_part = 1.0;
+            match leaving.take() {
+                Some(host) => self.set_lifecycle(host, "active"),
+                None => {
+                    let host = rng.random_range(0..self.spec.entries.len());
+                    leaving = Some(host);
+                    self.set_lifecycle(host, "leaving");
+                }
             }
-            self.mark.borrow_mut().changes.push((generation, unix_us()));
-            self.generation.send_replace(generation);
         }
     }
 
+    /// A new version of the list, in which one host has another lifecycle.
+    fn set_lifecycle(&self, host: usize, lifecycle: &str) {
+        let generation = *self.generation.borrow() + 1;
+        if let Some(changed) = self.entries.borrow_mut().get_mut(host) {
+            changed.version = generation;
+            changed.entry["lifecycle"] = lifecycle.into();
+        }
+        self.counters.borrow_mut().changes.push((generation, unix_micros()));
+        self.generation.send_replace(generation);
+    }
+
     async fn accept(self: Rc<Discovery>, listener: TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
                     spawn_local(self.clone().serve(stream));
                 }
-                Err(_) => sleep(Duration::from_millis(5)).await,
+                Err(_) => sleep(IDLE_INTERVAL).await,
             }
         }
     }
 
-    async fn serve(self: Rc<Discovery>, mut stream: TcpStream) {
+    /// Answers the calls of one connection until that ends.
+    async fn serve(self: Rc<Discovery>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let mut buffer = Buffer::new(16 * 1024);
+        let mut calls = Calls::new(stream);
         let mut silent = self.silent.subscribe();
-        loop {
-            let request = match http::parse_request(buffer.bytes(), 0) {
-                Ok(Some(request)) => request,
-                Ok(None) => {
-                    let Ok(room) = buffer.unfilled() else { return };
-                    match stream.read_buf(room).await {
-                        Ok(1..) => continue,
-                        _ => return,
-                    }
-                }
-                Err(_) => return,
-            };
-            buffer.consume(request.consumed);
-            {
-                let mut mark = self.mark.borrow_mut();
-                mark.calls += 1;
-                mark.bytes_in += request.consumed as u64;
-            }
-            let asked = changes_asked(&request.path);
-            if !held(&mut stream, &self.generation, asked).await {
+        while let Some(call) = calls.next().await {
+            self.count_call(call.consumed);
+            let changes = ChangesQuery::parse(&call.path);
+            if !calls.hold(&self.generation, changes).await {
                 return;
             }
-            let from = asked.map(|(from, _)| from);
             if silent.wait_for(|silent| !silent).await.is_err() {
                 return;
             }
-            let text = self.page(from);
-            if stream.write_all(&text).await.is_err() {
+            let response = self.response(changes.map(|changes| changes.after));
+            if calls.stream().write_all(&response).await.is_err() {
                 return;
             }
-            self.mark.borrow_mut().bytes_out += text.len() as u64;
+            self.counters.borrow_mut().bytes_out += response.len() as u64;
         }
     }
 
+    fn count_call(&self, bytes: usize) {
+        let mut counters = self.counters.borrow_mut();
+        counters.calls += 1;
+        counters.bytes_in += bytes as u64;
+    }
+
     /// What is newer than a version, or all.
-    fn page(&self, from: Option<u64>) -> Bytes {
+    fn response(&self, after: Option<u64>) -> Bytes {
         let generation = *self.generation.borrow();
-        if let Some((of, to, text)) = &*self.page.borrow() {
-            if (*of, *to) == (from, generation) {
-                return text.clone();
+        if let Some(cached) = &*self.cached.borrow() {
+            if (cached.after, cached.generation) == (after, generation) {
+                return cached.response.clone();
             }
         }
         let entries = self.entries.borrow();
-        let newer = entries.iter().filter(|entry| from.is_none_or(|from| entry.0 > from));
-        let instances: Vec<&Value> = newer.map(|entry| &entry.1).collect();
-        let page = json!({"generation": generation, "reset": from.is_none(), "instances": instances});
-        let body = page.to_string();
-        let text = http::encode_response(200, &[("Content-Type", "application/json")], body.as_bytes());
-        self.page.replace(Some((from, generation, text.clone())));
-        text
+        let newer = entries.iter().filter(|entry| after.is_none_or(|after| entry.version > after));
+        let instances: Vec<&Value> = newer.map(|entry| &entry.entry).collect();
+        let response = encode_list(generation, after.is_none(), &instances);
+        self.cached.replace(Some(CachedResponse { after, generation, response: response.clone() }));
+        response
     }
 }
 
-impl Worker for Discovery {
-    fn up(&self) -> WorkerReply {
-        in_json(&DiscoveryReady { address: self.address })
+impl Role for Discovery {
+    fn ready(&self) -> Reply {
+        to_reply(&DiscoveryReady { address: self.address })
     }
 
-    fn asked(self: Rc<Self>, asked: WorkerCommand) -> WorkerReply {
-        match asked {
+    fn handle(&self, command: WorkerCommand) -> Reply {
+        match command {
             WorkerCommand::Start => self.changing.set(true),
             WorkerCommand::Stop => self.changing.set(false),
             WorkerCommand::StopResponding => drop(self.silent.send_replace(true)),
             WorkerCommand::ResumeResponding => drop(self.silent.send_replace(false)),
             WorkerCommand::Snapshot => {}
         }
-        let mut mark = self.mark.borrow_mut();
-        mark.cpu_s = thread_cpu();
-        let said = in_json(&*mark);
-        mark.changes.clear();
-        said
+        let mut counters = self.counters.borrow_mut();
+        counters.cpu_s = thread_cpu();
+        let reply = to_reply(&*counters);
+        counters.changes.clear();
+        reply
     }
 }
--- a/testbed/src/scale/fleet.rs
+++ b/testbed/src/scale/fleet.rs
@@ -1,8 +1,8 @@
-//! Emulated cache hosts of a scale run: each on an address of its own in 127.64.0.0/10, shared by all balancers.
-//! A host answers each command after its time with a value; it has no queue, no store and no faults but one:
-//! while it hangs it takes commands and says nothing.
+//! Emulated cache hosts of a scale run: each on an address of its own in 127.64.0.0/10, shared by
+//! all balancers. A host answers each command with a value after its service time. It has no queue,
+//! no store and one fault only: while it hangs it reads commands and answers none.
 
-use std::cell::{Cell, RefCell};
+use std::cell::Cell;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -11,171 +11,175 @@
 use basaltwood_wire::buffer::Buffer;
 use basaltwood_wire::resp;
 use bytes::Bytes;
-use serde::{Deserialize, Serialize};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-use super::worker_process::{counts, in_json, ValueCounts, Worker, WorkerCommand, WorkerReply};
+use super::protocol::{value_counts, FleetReady, FleetSnapshot, FleetSpec, WorkerCommand};
+use super::role::{to_reply, Reply, Role};
 use crate::lateness::Lateness;
 use crate::load::player::thread_cpu;
 use crate::world::beat;
 use crate::world::host::listen;
 
-/// A slice of the hosts: so many from a number on.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct FleetSpec {
-    pub first: u32,
-    pub hosts: u32,
-    /// How long a command takes.
-    pub service_ms: f64,
-    pub value_bytes: usize,
-    /// A connection that stands idle for so long is closed.
-    pub idle_ms: f64,
+/// After a connection could not be accepted: no descriptor is left, and one comes free some time.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
+/// How often a command that a hang holds up looks whether it is over.
+const HANG_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+
+/// One host's counters, and whether it hangs.
+#[derive(Default)]
+struct HostState {
+    requests: Cell<u64>,
+    accepted: Cell<u64>,
+    open: Cell<u64>,
+    hanging: Cell<bool>,
 }
 
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct FleetReady {
-    pub addresses: Vec<SocketAddr>,
+/// A connection that is counted as open until this is dropped.
+struct OpenGuard<'a>(&'a Cell<u64>);
+
+impl<'a> OpenGuard<'a> {
+    fn new(open: &'a Cell<u64>) -> OpenGuard<'a> {
+        increment(open);
+        OpenGuard(open)
+    }
 }
 
-/// Counters since the start; lateness since the last mark.
-#[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct FleetSnapshot {
-    pub cpu_s: f64,
-    /// By host.
-    pub requests: Vec<u64>,
-    /// Connections taken, by host.
-    pub opened: Vec<u64>,
-    /// Connections that are open now, by host.
-    pub open: Vec<u64>,
-    pub late: ValueCounts,
-    /// Beside waits for a core.
-    pub own: ValueCounts,
+impl Drop for OpenGuard<'_> {
+    fn drop(&mut self) {
+        self.0.set(self.0.get() - 1);
+    }
 }
 
-#[derive(Default)]
-struct Host {
-    requests: Cell<u64>,
-    opened: Cell<u64>,
-    open: Cell<u64>,
-    hangs: Cell<bool>,
+fn increment(count: &Cell<u64>) {
+    count.set(count.get() + 1);
 }
 
+/// The hosts of one process.
 pub struct Fleet {
-    spec: FleetSpec,
-    addresses: RefCell<Vec<SocketAddr>>,
-    hosts: Vec<Rc<Host>>,
-    late: Arc<Lateness>,
+    addresses: Vec<SocketAddr>,
+    hosts: Vec<Rc<HostState>>,
+    lateness: Arc<Lateness>,
 }
 
-fn more(count: &Cell<u64>) {
-    count.set(count.get() + 1);
+/// How a host serves.
+#[derive(Clone, Copy)]
+struct Service {
+    duration: Duration,
+    idle_timeout: Duration,
+    value_bytes: usize,
 }
 
 impl Fleet {
+    /// Listens for each host.
+    ///
     /// # Errors
-    /// Where an address can't be listened on.
+    /// An address can't be listened on.
     pub fn start(spec: FleetSpec) -> std::io::Result<Rc<Fleet>> {
-        let fleet = Rc::new(Fleet {
-            addresses: RefCell::default(),
-            hosts: (0..spec.hosts).map(|_| Rc::default()).collect(),
-            late: Arc::default(),
-            spec,
-        });
-        for (nth, host) in (fleet.spec.first + 1..).zip(&fleet.hosts) {
-            let [_, high, mid, low] = nth.to_be_bytes();
-            let address = Ipv4Addr::new(127, 64 | (high & 0x3f), mid, low);
-            let listener = listen((address, 0).into())?;
-            fleet.addresses.borrow_mut().push(listener.local_addr()?);
-            spawn_local(fleet.clone().accept(host.clone(), listener));
+        let service = Service {
+            duration: Duration::from_secs_f64(spec.service_ms / 1e3),
+            idle_timeout: Duration::from_secs_f64(spec.idle_timeout_ms / 1e3),
+            value_bytes: spec.value_bytes,
+        };
+        let mut addresses = Vec::new();
+        let hosts: Vec<Rc<HostState>> = (0..spec.hosts).map(|_| Rc::default()).collect();
+        for (number, host) in (spec.first_host + 1..).zip(&hosts) {
+            let listener = listen((host_ip(number), 0).into())?;
+            addresses.push(listener.local_addr()?);
+            spawn_local(accept(host.clone(), service, listener));
         }
-        spawn_local(beat(fleet.late.clone()));
-        Ok(fleet)
+        let lateness: Arc<Lateness> = Arc::default();
+        spawn_local(beat(lateness.clone()));
+        Ok(Rc::new(Fleet { addresses, hosts, lateness }))
     }
+}
 
-    async fn accept(self: Rc<Fleet>, host: Rc<Host>, listener: TcpListener) {
-        loop {
-            match listener.accept().await {
-                Ok((stream, _)) => {
-                    spawn_local(self.clone().attend(host.clone(), stream));
-                }
-                // No descriptor is left; one comes free sooner or later.
-                Err(_) => sleep(Duration::from_millis(5)).await,
+/// The address of a host, counted from 1.
+fn host_ip(number: u32) -> Ipv4Addr {
+    let [_, high, middle, low] = number.to_be_bytes();
+    Ipv4Addr::new(127, 64 | (high & 0x3f), middle, low)
+}
+
+async fn accept(host: Rc<HostState>, service: Service, listener: TcpListener) {
+    loop {
+        match listener.accept().await {
+            Ok((stream, _)) => {
+                spawn_local(serve(host.clone(), service, stream));
             }
+            Err(_) => sleep(ACCEPT_RETRY_INTERVAL).await,
         }
     }
+}
 
-    async fn attend(self: Rc<Fleet>, host: Rc<Host>, stream: TcpStream) {
-        let _ = stream.set_nodelay(true);
-        more(&host.opened);
-        more(&host.open);
-        self.serve(&host, stream).await;
-        host.open.set(host.open.get() - 1);
-    }
-
-    async fn serve(&self, host: &Host, mut stream: TcpStream) {
-        let mut buffer = Buffer::new(resp::MAX_BUFFERED_MESSAGE);
-        let idle = Duration::from_secs_f64(self.spec.idle_ms / 1e3);
-        let service = Duration::from_secs_f64(self.spec.service_ms / 1e3);
-        loop {
-            match resp::parse_complete_command(buffer.bytes()) {
-                Ok(Some(resp::CompleteCommand { words, consumed: used })) => {
-                    buffer.consume(used);
-                    more(&host.requests);
-                    sleep(service).await;
-                    while host.hangs.get() {
-                        sleep(Duration::from_millis(50)).await;
-                    }
-                    if stream.write_all(&self.value(&words)).await.is_err() {
-                        return;
-                    }
+/// Answers the commands of one connection until that ends or was idle for too long.
+async fn serve(host: Rc<HostState>, service: Service, mut stream: TcpStream) {
+    let _ = stream.set_nodelay(true);
+    increment(&host.accepted);
+    let _open = OpenGuard::new(&host.open);
+    let mut buffer = Buffer::new(resp::MAX_BUFFERED_MESSAGE);
+    loop {
+        match resp::parse_complete_command(buffer.bytes()) {
+            Ok(Some(command)) => {
+                buffer.consume(command.consumed);
+                increment(&host.requests);
+                sleep(service.duration).await;
+                while host.hanging.get() {
+                    sleep(HANG_CHECK_INTERVAL).await;
                 }
-                Ok(None) => {
-                    let Ok(room) = buffer.unfilled() else { return };
-                    if !matches!(timeout(idle, stream.read_buf(room)).await, Ok(Ok(1..))) {
-                        return;
-                    }
+                let reply = encode_value(&command.words, service.value_bytes);
+                if stream.write_all(&reply).await.is_err() {
+                    return;
                 }
-                Err(_) => return,
             }
+            Ok(None) => {
+                let Ok(unfilled) = buffer.unfilled() else { return };
+                let read = timeout(service.idle_timeout, stream.read_buf(unfilled)).await;
+                if !matches!(read, Ok(Ok(1..))) {
+                    return;
+                }
+            }
+            Err(_) => return,
         }
     }
 }
 
-impl Fleet {
-    /// The value made for an op: it begins with the op's id, which its client looks for.
-    fn value(&self, words: &[Bytes]) -> Bytes {
-        let mut value = words.get(2).map_or_else(Vec::new, |id| id.to_vec());
-        value.resize(value.len().max(self.spec.value_bytes), b'.');
-        resp::encode_reply(Some(&value), None)
-    }
+/// The value made for a request: it begins with the request's id, which its client looks for.
+fn encode_value(command: &[Bytes], value_bytes: usize) -> Bytes {
+    let mut value = command.get(2).map_or_else(Vec::new, |id| id.to_vec());
+    value.resize(value.len().max(value_bytes), b'.');
+    resp::encode_reply(Some(&value), None)
 }
 
-impl Worker for Fleet {
-    fn up(&self) -> WorkerReply {
-        in_json(&FleetReady { addresses: self.addresses.borrow().clone() })
+impl Role for Fleet {
+    fn ready(&self) -> Reply {
+        to_reply(&FleetReady { addresses: self.addresses.clone() })
     }
 
-    fn asked(self: Rc<Self>, asked: WorkerCommand) -> WorkerReply {
-        match asked {
+    fn handle(&self, command: WorkerCommand) -> Reply {
+        match command {
             // The first of its slice hangs.
-            WorkerCommand::StopResponding => self.hosts.iter().take(1).for_each(|host| host.hangs.set(true)),
-            WorkerCommand::ResumeResponding => self.hosts.iter().for_each(|host| host.hangs.set(false)),
+            WorkerCommand::StopResponding => {
+                self.hosts.iter().take(1).for_each(|host| host.hanging.set(true));
+            }
+            WorkerCommand::ResumeResponding => {
+                self.hosts.iter().for_each(|host| host.hanging.set(false));
+            }
             WorkerCommand::Start | WorkerCommand::Stop | WorkerCommand::Snapshot => {}
         }
-        let of = |read: fn(&Host) -> &Cell<u64>| self.hosts.iter().map(|host| read(host).get()).collect();
-        let seen = self.late.seen();
-        let mark = FleetSnapshot {
+        let by_host =
+            |read: fn(&HostState) -> &Cell<u64>| self.hosts.iter().map(|host| read(host).get()).collect();
+        let seen = self.lateness.seen();
+        let snapshot = FleetSnapshot {
             cpu_s: thread_cpu(),
-            requests: of(|host| &host.requests),
-            opened: of(|host| &host.opened),
-            open: of(|host| &host.open),
-            late: counts(&seen.late),
-            own: counts(&seen.own),
+            requests_by_host: by_host(|host| &host.requests),
+            accepted_by_host: by_host(|host| &host.accepted),
+            open_by_host: by_host(|host| &host.open),
+            lateness: value_counts(&seen.late),
+            own_lateness: value_counts(&seen.own),
         };
-        self.late.clear();
-        in_json(&mark)
+        self.lateness.clear();
+        to_reply(&snapshot)
     }
 }
--- a/testbed/src/scale/report.rs
+++ b/testbed/src/scale/report.rs
@@ -1,13 +1,29 @@
-//! What a scale run comes to: a table for a terminal, and each figure as SVG with its points, its line and the
-//! budget.
+//! What a scale run comes to: a table for a terminal, and each figure as SVG with its points, its
+//! line and the budget.
 
 use std::fmt::Write as _;
 
+use plotters::coord::types::RangedCoordf64;
+use plotters::coord::Shift;
 use plotters::prelude::*;
+use thiserror::Error;
 
-use super::run::{FittedFigure, MeasuredPoint};
+use super::fit::FittedFigure;
+use super::point::MeasuredPoint;
 
-const WIDE: (u32, u32) = (720, 400);
+/// The size of a drawing, in pixels.
+const DRAWING_SIZE: (u32, u32) = (720, 400);
+/// A budget so many times the highest point is written in the title instead of drawn: the drawing
+/// would flatten all else.
+const MAX_BUDGET_TO_HIGHEST: f64 = 4.0;
+
+/// A drawing failed.
+#[derive(Debug, Error)]
+#[error("{figure}: {cause}")]
+pub struct DrawError {
+    figure: &'static str,
+    cause: String,
+}
 
 fn short(value: f64) -> String {
     match value.abs() {
@@ -19,102 +35,166 @@
     }
 }
 
-fn with_half(value: f64, half: Option<f64>) -> String {
-    half.map_or(short(value), |half| format!("{} ± {}", short(value), short(half)))
+fn with_interval(value: f64, half_width: Option<f64>) -> String {
+    match half_width {
+        Some(half_width) => format!("{} ± {}", short(value), short(half_width)),
+        None => short(value),
+    }
 }
 
-/// The table: a figure a line, its mean at each point, its slope and what that gives at the plan's size.
-pub fn table(axis: &str, points: &[MeasuredPoint], all: &[FittedFigure]) -> String {
-    let mut at: Vec<f64> = points.iter().map(|point| point.at).collect();
-    at.sort_by(f64::total_cmp);
-    at.dedup();
-    let mut out = String::new();
-    let planned = all.first().map_or(0.0, |fitted| fitted.planned_at);
-    let beyond = all.first().and_then(|fitted| fitted.beyond);
-    let _ = write!(out, "{:<46}", format!("by {axis}"));
-    for at in &at {
-        let _ = write!(out, "{at:>12}");
-    }
-    let beyond = beyond.map_or(String::new(), |beyond| format!(" ({beyond:.1} x the largest)"));
-    let to_plan = format!("at {planned}{beyond}");
-    let _ = writeln!(out, "{:>26}{to_plan:>34}{:>10}", "slope", "budget");
-    for fitted in all {
-        let _ = write!(out, "{:<46}", fitted.figure);
-        for &at in &at {
-            let of: Vec<f64> =
-                fitted.points.iter().filter(|point| point.0 == at).map(|point| point.1).collect();
-            let mean = of.iter().sum::<f64>() / of.len() as f64;
-            let _ = write!(out, "{:>12}", if of.is_empty() { "-".to_owned() } else { short(mean) });
-        }
-        let (slope, there) = fitted.line.map_or(("-".to_owned(), "-".to_owned()), |line| {
-            (with_half(line.slope, line.slope_half), with_half(line.there, line.there_half))
-        });
-        let budget = fitted.budget.map_or(String::new(), short);
-        let _ = writeln!(out, "{slope:>26}{there:>34}{budget:>10}");
+/// The table: a figure a line, its mean at each point, its slope and what that gives at the planned
+/// size; then why points don't count, and what must be known of them.
+pub fn table(axis: &str, points: &[MeasuredPoint], figures: &[FittedFigure]) -> String {
+    let mut places: Vec<f64> = points.iter().map(|point| point.at).collect();
+    places.sort_by(f64::total_cmp);
+    places.dedup();
+    let mut table = heading(axis, &places, figures.first());
+    for figure in figures {
+        table += &row(figure, &places);
     }
     for point in points {
-        if let Some(void) = &point.void {
-            let _ = writeln!(out, "VOID: {axis} = {} seed {}: {void}", point.at, point.seed);
-        }
-        if let Some(warning) = &point.warning {
-            let _ = writeln!(out, "WARNING: {axis} = {} seed {}: {warning}", point.at, point.seed);
-        }
+        table += &remarks(axis, point);
+    }
+    table
+}
+
+fn heading(axis: &str, places: &[f64], first: Option<&FittedFigure>) -> String {
+    let mut line = format!("{:<46}", format!("by {axis}"));
+    for place in places {
+        let _ = write!(line, "{place:>12}");
+    }
+    let planned_at = first.map_or(0.0, |figure| figure.planned_at);
+    let extrapolation = first.and_then(|figure| figure.extrapolation);
+    let times = extrapolation.map_or(String::new(), |times| format!(" ({times:.1} x the largest)"));
+    let planned = format!("at {planned_at}{times}");
+    let _ = writeln!(line, "{:>26}{planned:>34}{:>10}", "slope", "budget");
+    line
+}
+
+fn row(figure: &FittedFigure, places: &[f64]) -> String {
+    let mut line = format!("{:<46}", figure.figure);
+    for &place in places {
+        let mean = mean_at(&figure.points, place).map_or("-".to_owned(), short);
+        let _ = write!(line, "{mean:>12}");
+    }
+    let (slope, prediction) = match figure.line {
+        Some(line) => (
+            with_interval(line.slope, line.slope_half_width),
+            with_interval(line.prediction, line.prediction_half_width),
+        ),
+        None => ("-".to_owned(), "-".to_owned()),
+    };
+    let budget = figure.budget.map_or(String::new(), short);
+    let _ = writeln!(line, "{slope:>26}{prediction:>34}{budget:>10}");
+    line
+}
+
+/// The mean over the repeats of a point; none where none counts.
+fn mean_at(points: &[(f64, f64)], place: f64) -> Option<f64> {
+    let values: Vec<f64> = points.iter().filter(|(at, _)| *at == place).map(|(_, value)| *value).collect();
+    if values.is_empty() {
+        return None;
+    }
+    Some(values.iter().sum::<f64>() / values.len() as f64)
+}
+
+fn remarks(axis: &str, point: &MeasuredPoint) -> String {
+    let mut lines = String::new();
+    let MeasuredPoint { at, seed, .. } = point;
+    if let Some(void) = &point.void {
+        let _ = writeln!(lines, "VOID: {axis} = {at} seed {seed}: {void}");
+    }
+    if let Some(warning) = &point.warning {
+        let _ = writeln!(lines, "WARNING: {axis} = {at} seed {seed}: {warning}");
     }
-    out
+    lines
 }
 
-/// A figure's file name.
+/// The name of a figure's drawing.
 pub fn file_name(figure: &str) -> String {
-    let letter =
+    let to_letter =
         |letter: char| if letter.is_ascii_alphanumeric() { letter.to_ascii_lowercase() } else { '-' };
-    let name: String = figure.chars().map(letter).collect();
-    let parts: Vec<&str> = name.split('-').filter(|part| !part.is_empty()).collect();
-    parts.join("-") + ".svg"
+    let name: String = figure.chars().map(to_letter).collect();
+    let words: Vec<&str> = name.split('-').filter(|word| !word.is_empty()).collect();
+    words.join("-") + ".svg"
 }
 
-/// A figure with its line and budget.
+/// A figure with its line and budget, as SVG.
 ///
 /// # Errors
 /// What the drawing failed of.
-pub fn svg(axis: &str, fitted: &FittedFigure) -> Result<String, String> {
+pub fn svg(axis: &str, figure: &FittedFigure) -> Result<String, DrawError> {
     let mut svg = String::new();
-    let failed = |cause: &dyn std::fmt::Display| format!("{}: {cause}", fitted.figure);
-    let all = || fitted.points.iter().chain(&fitted.void);
-    let right = all().map(|point| point.0).fold(1.0, f64::max) * 1.05;
-    let highest = all().map(|point| point.1).fold(1e-9, f64::max);
-    // A budget far above would flatten all else: it is told in the title then.
-    let near = fitted.budget.filter(|&budget| budget < 4.0 * highest);
-    let top = near.map_or(highest, |budget| budget.max(highest)) * 1.15;
-    let title = match (fitted.budget, near) {
-        (Some(budget), None) => format!("{} (budget {})", fitted.figure, short(budget)),
-        _ => fitted.figure.to_owned(),
-    };
-    {
-        let area = SVGBackend::with_string(&mut svg, WIDE).into_drawing_area();
-        area.fill(&WHITE).map_err(|cause| failed(&cause))?;
-        let mut chart = ChartBuilder::on(&area)
-            .caption(title, ("sans-serif", 16))
-            .margin(8)
-            .x_label_area_size(34)
-            .y_label_area_size(64)
-            .build_cartesian_2d(0.0..right, 0.0..top)
-            .map_err(|cause| failed(&cause))?;
-        chart.configure_mesh().x_desc(axis).light_line_style(WHITE).draw().map_err(|cause| failed(&cause))?;
-        let blue = RGBColor(31, 119, 180);
-        let dots = fitted.points.iter().map(|&point| Circle::new(point, 4, blue.filled()));
-        chart.draw_series(dots).map_err(|cause| failed(&cause))?;
-        let rings = fitted.void.iter().map(|&point| Circle::new(point, 4, BLACK.mix(0.4)));
-        chart.draw_series(rings).map_err(|cause| failed(&cause))?;
-        if let Some(line) = fitted.line {
-            let ends = [0.0, right].map(|x| (x, line.intercept + line.slope * x));
-            let drawn = LineSeries::new(ends, blue.stroke_width(1));
-            chart.draw_series(drawn).map_err(|cause| failed(&cause))?;
-        }
-        if let Some(budget) = near {
-            let drawn = LineSeries::new([(0.0, budget), (right, budget)], RED.stroke_width(1));
-            chart.draw_series(drawn).map_err(|cause| failed(&cause))?;
-        }
-        area.present().map_err(|cause| failed(&cause))?;
-    }
+    let area = SVGBackend::with_string(&mut svg, DRAWING_SIZE).into_drawing_area();
+    let drawn = draw(&area, axis, figure);
+    drop(area);
+    drawn.map_err(|cause| DrawError { figure: figure.figure, cause: cause.to_string() })?;
     Ok(svg)
 }
+
+/// How far the axes of a drawing go, and where its budget is.
+struct Layout {
+    right: f64,
+    top: f64,
+    /// The budget, where it is low enough to be drawn.
+    drawn_budget: Option<f64>,
+    title: String,
+}
+
+impl Layout {
+    fn of(figure: &FittedFigure) -> Layout {
+        let points = || figure.points.iter().chain(&figure.void_points);
+        let rightmost = points().map(|(x, _)| *x).fold(1.0, f64::max);
+        let highest = points().map(|(_, y)| *y).fold(1e-9, f64::max);
+        let drawn_budget = figure.budget.filter(|&budget| budget < MAX_BUDGET_TO_HIGHEST * highest);
+        let title = match (figure.budget, drawn_budget) {
+            (Some(budget), None) => format!("{} (budget {})", figure.figure, short(budget)),
+            _ => figure.figure.to_owned(),
+        };
+        let top = drawn_budget.map_or(highest, |budget| budget.max(highest)) * 1.15;
+        Layout { right: rightmost * 1.05, top, drawn_budget, title }
+    }
+}
+
+type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
+type Chart<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
+type Drawn<'a> = Result<(), DrawingAreaErrorKind<<SVGBackend<'a> as DrawingBackend>::ErrorType>>;
+
+fn draw<'a>(area: &Area<'a>, axis: &str, figure: &FittedFigure) -> Drawn<'a> {
+    let layout = Layout::of(figure);
+    area.fill(&WHITE)?;
+    let mut chart = ChartBuilder::on(area)
+        .caption(&layout.title, ("sans-serif", 16))
+        .margin(8)
+        .x_label_area_size(34)
+        .y_label_area_size(64)
+        .build_cartesian_2d(0.0..layout.right, 0.0..layout.top)?;
+    chart.configure_mesh().x_desc(axis).light_line_style(WHITE).draw()?;
+    draw_points(&mut chart, figure)?;
+    draw_lines(&mut chart, figure, &layout)?;
+    area.present()
+}
+
+const FIGURE_COLOR: RGBColor = RGBColor(31, 119, 180);
+
+/// Points that count as discs, the others as grey circles.
+fn draw_points<'b>(chart: &mut Chart<'_, 'b>, figure: &FittedFigure) -> Drawn<'b> {
+    let discs = figure.points.iter().map(|&point| Circle::new(point, 4, FIGURE_COLOR.filled()));
+    chart.draw_series(discs)?;
+    let circles = figure.void_points.iter().map(|&point| Circle::new(point, 4, BLACK.mix(0.4)));
+    chart.draw_series(circles)?;
+    Ok(())
+}
+
+fn draw_lines<'b>(chart: &mut Chart<'_, 'b>, figure: &FittedFigure, layout: &Layout) -> Drawn<'b> {
+    let right = layout.right;
+    if let Some(line) = figure.line {
+        let ends = [0.0, right].map(|x| (x, line.intercept + line.slope * x));
+        chart.draw_series(LineSeries::new(ends, FIGURE_COLOR.stroke_width(1)))?;
+    }
+    if let Some(budget) = layout.drawn_budget {
+        let ends = [(0.0, budget), (right, budget)];
+        chart.draw_series(LineSeries::new(ends, RED.stroke_width(1)))?;
+    }
+    Ok(())
+}
--- /dev/null
+++ b/testbed/src/scale/run/faults.rs
@@ -0,0 +1,64 @@
+//! What goes wrong on purpose: a host that hangs, a discovery that is silent.
+
+use super::progress::{wait, Progress, Stage};
+use super::propagation;
+use super::workers::{Snapshots, Workers};
+use crate::scale::error::RunError;
+use crate::scale::experiment::RECOVERY_S;
+use crate::scale::point::Figures;
+use crate::scale::protocol::{DiscoverySnapshot, FleetSnapshot, WorkerCommand};
+use crate::scale::system::unix_micros;
+
+/// Has one host hang for so long while requests go on; none for 0. The snapshots are those after its
+/// recovery.
+///
+/// # Errors
+/// A worker does not reply, or the run was interrupted.
+pub(super) fn hang_host(
+    workers: &mut Workers,
+    seconds: f64,
+    progress: &mut Progress,
+) -> Result<Option<Snapshots>, RunError> {
+    let Some(fleet) = workers.fleets.first_mut().filter(|_| seconds > 0.0) else { return Ok(None) };
+    Stage::HostHangs.report(progress);
+    let _: FleetSnapshot = fleet.command(WorkerCommand::StopResponding)?;
+    wait(seconds, progress)?;
+    let _: FleetSnapshot = fleet.command(WorkerCommand::ResumeResponding)?;
+    wait(RECOVERY_S, progress)?;
+    workers.snapshots(WorkerCommand::Snapshot, WorkerCommand::Snapshot).map(Some)
+}
+
+/// Discovery is silent for so long while the list changes and there are no requests; nothing for 0.
+/// What is measured: how long after its return all that changed is in force, and how often it was
+/// called.
+///
+/// # Errors
+/// A worker does not reply, or the run was interrupted.
+pub(super) fn discovery_outage(
+    workers: &mut Workers,
+    seconds: f64,
+    balancers: u32,
+    progress: &mut Progress,
+) -> Result<Figures, RunError> {
+    if seconds <= 0.0 {
+        return Ok(Figures::new());
+    }
+    Stage::DiscoveryDown.report(progress);
+    let start = workers.snapshots(WorkerCommand::Snapshot, WorkerCommand::StopResponding)?;
+    let _: DiscoverySnapshot = workers.discovery.command(WorkerCommand::Start)?;
+    wait(seconds, progress)?;
+    let end = workers.snapshots(WorkerCommand::Snapshot, WorkerCommand::Stop)?;
+    let resumed_at = unix_micros();
+    let _: DiscoverySnapshot = workers.discovery.command(WorkerCommand::ResumeResponding)?;
+    wait(RECOVERY_S, progress)?;
+    let recovered = workers.snapshots(WorkerCommand::Snapshot, WorkerCommand::Snapshot)?;
+    let mut figures = propagation::after_outage(&[&end, &recovered], balancers, resumed_at);
+    let calls_per_balancer = |from: &Snapshots, to: &Snapshots, seconds: f64| {
+        (to.discovery.calls - from.discovery.calls) as f64 / seconds / f64::from(balancers)
+    };
+    let during = calls_per_balancer(&start, &end, seconds);
+    let after = calls_per_balancer(&end, &recovered, RECOVERY_S);
+    figures.insert("discovery down: calls/s a balancer", during);
+    figures.insert("discovery back: calls/s a balancer", after);
+    Ok(figures)
+}
--- /dev/null
+++ b/testbed/src/scale/run/real_balancer.rs
@@ -0,0 +1,113 @@
+//! A real balancer beside the simulated ones, and its load.
+
+use std::net::SocketAddr;
+use std::path::Path;
+use std::sync::Arc;
+use std::thread::{self, JoinHandle};
+
+use crate::balancers::{Balancers, Program, Use};
+use crate::lateness::Lateness;
+use crate::ledger::Ledger;
+use crate::load::plan::Plan;
+use crate::load::player::{self, Played};
+use crate::scale::error::RunError;
+use crate::scale::protocol::WorkerSpec;
+use crate::scale::worker_process::WorkerProcess;
+use crate::script::{Arm, Experiment};
+use crate::time::{Clock, Micros, MS};
+use crate::world::Seat;
+
+/// The load begins so long after its thread, which connects first.
+const LOAD_STARTS_AFTER: Micros = 100 * MS;
+
+/// A real balancer. Dropping it ends it; the guard ends it where this process is killed.
+pub(super) struct RealBalancer {
+    balancers: Balancers,
+    pub(super) experiment: Experiment,
+    addresses: Vec<SocketAddr>,
+    _guard: WorkerProcess,
+}
+
+/// A load that is being played.
+pub(super) struct RunningLoad {
+    usage_before: Use,
+    thread: JoinHandle<Result<Played, RunError>>,
+}
+
+/// A load that was played.
+pub(super) struct LoadResult {
+    /// What the balancer had used before it.
+    pub(super) usage_before: Use,
+    pub(super) played: Played,
+}
+
+impl RealBalancer {
+    /// Starts the balancer beside this program.
+    ///
+    /// # Errors
+    /// There is none, it does not come up, or the run was interrupted.
+    pub(super) fn start(
+        experiment: Experiment,
+        seat: Seat,
+        seed: u64,
+        folder: &Path,
+    ) -> Result<RealBalancer, RunError> {
+        let balancers = start_program(&experiment, seat, seed, folder)?;
+        let pid = balancers.ids().first().copied();
+        let pid = pid.ok_or_else(|| RunError::RealBalancer("the real balancer has ended".to_owned()))?;
+        let (guard, ()) = WorkerProcess::start(&WorkerSpec::Guard { pid })?;
+        let addresses = balancers.addresses();
+        Ok(RealBalancer { balancers, experiment, addresses, _guard: guard })
+    }
+
+    /// Starts its load, on a thread of its own.
+    ///
+    /// # Errors
+    /// There is no further thread.
+    pub(super) fn start_load(&self, seed: u64) -> Result<RunningLoad, RunError> {
+        let usage_before = self.usage();
+        let (experiment, addresses) = (self.experiment.clone(), self.addresses.clone());
+        let play = move || play_load(&experiment, &addresses, seed);
+        let thread = thread::Builder::new().name("load".to_owned()).spawn(play).map_err(RunError::Thread)?;
+        Ok(RunningLoad { usage_before, thread })
+    }
+
+    /// What it has used until now.
+    pub(super) fn usage(&self) -> Use {
+        self.balancers.look().first().copied().unwrap_or_default()
+    }
+}
+
+fn start_program(
+    experiment: &Experiment,
+    seat: Seat,
+    seed: u64,
+    folder: &Path,
+) -> Result<Balancers, RunError> {
+    let arm = Arm { name: "real".to_owned(), program: None, baseline: None, regions: None };
+    let program = Program::of(&arm).map_err(|cause| RunError::RealBalancer(cause.to_string()))?;
+    let ledger = Ledger::new(Clock::start());
+    Balancers::start(program, experiment, &[seat], seed, &ledger, folder)
+        .map_err(|cause| RunError::RealBalancer(cause.to_string()))
+}
+
+fn play_load(experiment: &Experiment, addresses: &[SocketAddr], seed: u64) -> Result<Played, RunError> {
+    let plan = Arc::new(Plan::drawn(experiment, seed));
+    let ledger = Ledger::new(Clock::start());
+    ledger.clock.begin(LOAD_STARTS_AFTER);
+    let lateness = Arc::new(Lateness::default());
+    player::play(experiment, plan, seed, addresses, &ledger, Vec::new(), Arc::default(), lateness)
+        .map_err(|cause| RunError::Load(cause.to_string()))
+}
+
+impl RunningLoad {
+    /// Waits until the load is over.
+    ///
+    /// # Errors
+    /// The generator failed.
+    pub(super) fn join(self) -> Result<LoadResult, RunError> {
+        let panicked = |_| RunError::Load("the generator failed".to_owned());
+        let played = self.thread.join().map_err(panicked)??;
+        Ok(LoadResult { usage_before: self.usage_before, played })
+    }
+}
--- /dev/null
+++ b/testbed/src/scale/run/workers.rs
@@ -0,0 +1,179 @@
+//! The worker processes of a point, and what all of them report of one moment.
+
+use std::net::SocketAddr;
+use std::time::{Duration, Instant};
+
+use serde::de::DeserializeOwned;
+use serde_json::{json, Value};
+
+use crate::discovery_calls::list;
+use crate::scale::error::RunError;
+use crate::scale::experiment::{Conditions, ScaleExperiment};
+use crate::scale::protocol::{
+    DiscoveryReady, DiscoverySnapshot, DiscoverySpec, FleetReady, FleetSnapshot, FleetSpec, SimulatedReady,
+    SimulatedSnapshot, SimulatedSpec, WorkerCommand, WorkerSpec,
+};
+use crate::scale::worker_process::WorkerProcess;
+use crate::script::{zone_name, Experiment};
+use crate::settings;
+use crate::world::Seat;
+
+/// The worker processes of a point.
+pub(super) struct Workers {
+    pub(super) fleets: Vec<WorkerProcess>,
+    pub(super) discovery: WorkerProcess,
+    simulated: Vec<WorkerProcess>,
+}
+
+/// What all workers reported of one moment.
+pub(super) struct Snapshots {
+    /// The moment.
+    at: Instant,
+    pub(super) fleets: Vec<FleetSnapshot>,
+    pub(super) discovery: DiscoverySnapshot,
+    pub(super) simulated: Vec<SimulatedSnapshot>,
+}
+
+impl Snapshots {
+    /// The time from this moment to a later one; a millisecond at least, since figures are divided
+    /// by it.
+    pub(super) fn seconds_until(&self, later: &Snapshots) -> f64 {
+        (later.at - self.at).max(Duration::from_millis(1)).as_secs_f64()
+    }
+}
+
+impl Workers {
+    /// Starts the workers. Requests and changes of the list do not begin yet.
+    ///
+    /// # Errors
+    /// One of them does not come up, or the run was interrupted.
+    pub(super) fn start(
+        experiment: &ScaleExperiment,
+        conditions: &Conditions,
+        load_experiment: &Experiment,
+        seed: u64,
+    ) -> Result<(Workers, Seat), RunError> {
+        let (fleets, addresses) = start_fleets(conditions, experiment.processes.fleet)?;
+        let entries = list_entries(conditions, &addresses);
+        let known = list(1, true, &entries.iter().collect::<Vec<_>>());
+        let spec = DiscoverySpec { entries, changes_per_s: conditions.changes_per_s, seed };
+        let (discovery, ready): (_, DiscoveryReady) = WorkerProcess::start(&WorkerSpec::Discovery(spec))?;
+        let seat = Seat { discovery: ready.address, known };
+        // Nobody connects to a simulated balancer.
+        let listen = SocketAddr::from(([127, 0, 0, 1], 1));
+        let config = settings::told(load_experiment, "hollow", listen, &seat, seed);
+        let processes = experiment.simulated_processes(conditions);
+        let simulated = start_simulated(conditions, &config["settings"], &seat, processes, seed)?;
+        Ok((Workers { fleets, discovery, simulated }, seat))
+    }
+
+    /// Sends a command to each worker and gathers the replies; fleets are sent
+    /// [`WorkerCommand::Snapshot`].
+    ///
+    /// # Errors
+    /// A worker does not reply, or the run was interrupted.
+    pub(super) fn snapshots(
+        &mut self,
+        to_simulated: WorkerCommand,
+        to_discovery: WorkerCommand,
+    ) -> Result<Snapshots, RunError> {
+        Ok(Snapshots {
+            at: Instant::now(),
+            simulated: command_all(&mut self.simulated, to_simulated)?,
+            fleets: command_all(&mut self.fleets, WorkerCommand::Snapshot)?,
+            discovery: self.discovery.command(to_discovery)?,
+        })
+    }
+}
+
+fn command_all<Snapshot: DeserializeOwned>(
+    workers: &mut [WorkerProcess],
+    command: WorkerCommand,
+) -> Result<Vec<Snapshot>, RunError> {
+    workers.iter_mut().map(|worker| worker.command(command)).collect()
+}
+
+/// The hosts of a point, in so many processes, and their addresses.
+fn start_fleets(
+    conditions: &Conditions,
+    processes: u32,
+) -> Result<(Vec<WorkerProcess>, Vec<SocketAddr>), RunError> {
+    let mut workers = Vec::new();
+    let mut addresses = Vec::new();
+    for Slice { first, count } in divide_evenly(conditions.hosts, processes) {
+        let spec = FleetSpec {
+            first_host: first,
+            hosts: count,
+            service_ms: conditions.service_ms,
+            value_bytes: conditions.value_bytes,
+            idle_timeout_ms: conditions.idle_timeout_ms,
+        };
+        let (worker, ready): (_, FleetReady) = WorkerProcess::start(&WorkerSpec::Fleet(spec))?;
+        addresses.extend(ready.addresses);
+        workers.push(worker);
+    }
+    Ok((workers, addresses))
+}
+
+/// The simulated balancers of a point, in so many processes.
+fn start_simulated(
+    conditions: &Conditions,
+    settings: &Value,
+    seat: &Seat,
+    processes: u32,
+    seed: u64,
+) -> Result<Vec<WorkerProcess>, RunError> {
+    let mut workers = Vec::new();
+    for Slice { first, count } in divide_evenly(conditions.balancers, processes) {
+        let spec = SimulatedSpec {
+            settings: settings.clone(),
+            initial_list: seat.known.clone(),
+            discovery: seat.discovery,
+            first_balancer: first,
+            balancers: count,
+            seed,
+            rate: conditions.rate,
+            keys: conditions.keys,
+            zipf: conditions.zipf,
+            max_connections: conditions.max_connections,
+            target_ms: conditions.target_ms,
+            ttl_ms: conditions.ttl_ms,
+        };
+        let (worker, _): (_, SimulatedReady) = WorkerProcess::start(&WorkerSpec::Simulated(spec))?;
+        workers.push(worker);
+    }
+    Ok(workers)
+}
+
+/// Consecutive numbers.
+struct Slice {
+    first: u32,
+    count: u32,
+}
+
+/// So many things over so many processes, as evenly as can be; none is empty.
+fn divide_evenly(things: u32, processes: u32) -> Vec<Slice> {
+    let start_of = |process: u32| (u64::from(things) * u64::from(process) / u64::from(processes)) as u32;
+    let slice_of = |process: u32| {
+        let first = start_of(process);
+        Slice { first, count: start_of(process + 1) - first }
+    };
+    (0..processes).map(slice_of).filter(|slice| slice.count > 0).collect()
+}
+
+/// The hosts as discovery lists them.
+fn list_entries(conditions: &Conditions, addresses: &[SocketAddr]) -> Vec<Value> {
+    let entry = |(number, address): (u32, &SocketAddr)| {
+        json!({
+            "instanceId": format!("h-{number:05}"),
+            "hostPort": address.to_string(),
+            "zone": zone_name(number % conditions.zones),
+            "machineType": "host",
+            "cell": number,
+            "lifecycle": "active",
+            "weight": 1.0,
+            "startedAtMs": 0.0,
+        })
+    };
+    (0..).zip(addresses).map(entry).collect()
+}
--- /dev/null
+++ b/testbed/src/scale/simulated/clock.rs
@@ -0,0 +1,36 @@
+//! The clock that the balancers of a process share.
+
+use std::time::Instant as SystemInstant;
+
+use basaltwood::types::Micros;
+use tokio::time::Instant;
+
+use crate::scale::system::unix_micros;
+use crate::time::span;
+
+/// Counts microseconds since the process started.
+pub(super) struct ProcessClock {
+    start: SystemInstant,
+    unix_start: Micros,
+}
+
+impl ProcessClock {
+    pub(super) fn start() -> ProcessClock {
+        let unix_start = unix_micros();
+        ProcessClock { start: SystemInstant::now(), unix_start }
+    }
+
+    /// Unix time at the start.
+    pub(super) fn unix_start(&self) -> Micros {
+        self.unix_start
+    }
+
+    pub(super) fn now(&self) -> Micros {
+        self.start.elapsed().as_micros() as Micros
+    }
+
+    /// A time of this clock as the runtime's timers take it.
+    pub(super) fn at(&self, time: Micros) -> Instant {
+        (self.start + span(time)).into()
+    }
+}
--- a/testbed/src/scale/worker_process.rs
+++ b/testbed/src/scale/worker_process.rs
@@ -1,96 +1,47 @@
-//! A process of a scale run: it is told what to be by the first line on its standard input, and answers each
-//! further line by one on its standard output. It ends when its input does, so that none outlives who started
-//! it, however that ended.
+//! A worker process as the coordinator of a run sees it: started, asked, ended.
 
 use std::io::{BufRead, BufReader, Write};
-use std::process::{Child, ChildStdin, Command, Stdio};
-use std::rc::Rc;
+use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 use std::sync::atomic::Ordering;
 use std::sync::mpsc::{self, RecvTimeoutError};
 use std::thread;
 use std::time::{Duration, Instant};
 
-use hdrhistogram::Histogram;
 use serde::de::DeserializeOwned;
-use serde::{Deserialize, Serialize};
+use serde::Serialize;
 
-use super::discovery::{Discovery, DiscoverySpec};
-use super::fleet::{Fleet, FleetSpec};
-use super::simulated::{SimulatedBalancers, SimulatedSpec};
-use crate::lateness;
-use crate::play::{INTERRUPTED, STOP};
+use super::error::{RunError, WorkerError};
+use super::protocol::{WorkerCommand, WorkerSpec};
+use crate::play::STOP;
 
-/// What a process is to be.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-#[serde(tag = "role", rename_all = "kebab-case")]
-pub enum WorkerSpec {
-    Fleet(FleetSpec),
-    Discovery(DiscoverySpec),
-    #[serde(rename = "hollow")]
-    Simulated(SimulatedSpec),
-    /// Ends this process when its input ends, if it still runs: one that knows nothing of inputs.
-    Guard {
-        pid: u32,
-    },
-}
-
-/// What it is asked for while it runs.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum WorkerCommand {
-    /// Its counters now, and what came since it was last asked.
-    #[serde(rename = "mark")]
-    Snapshot,
-    /// Begin with what takes time: ops, changes.
-    #[serde(rename = "begin")]
-    Start,
-    /// No more of it.
-    #[serde(rename = "rest")]
-    Stop,
-    /// Say nothing more, and speak again.
-    #[serde(rename = "silent")]
-    StopResponding,
-    #[serde(rename = "speak")]
-    ResumeResponding,
-}
-
-/// A histogram's values and how often each was seen.
-pub type ValueCounts = Vec<(u64, u64)>;
-
-pub fn counts(seen: &Histogram<u64>) -> ValueCounts {
-    seen.iter_recorded().map(|step| (step.value_iterated_to(), step.count_at_value())).collect()
-}
-
-/// All of these in one histogram.
-pub fn merged<'a>(all: impl Iterator<Item = &'a ValueCounts>) -> Histogram<u64> {
-    let mut merged = lateness::histogram();
-    for &(value, count) in all.flatten() {
-        merged.saturating_record_n(value, count);
-    }
-    merged
-}
-
-/// Longer than any process needs to come up or to answer.
+/// Longer than any process needs to come up or to reply.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(30);
-
-/// A process that was started here. Dropping it ends it.
+/// How often a wait for a reply looks whether the run is to end.
+const INTERRUPT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// How long a process may take to end by itself before it is killed.
+const EXIT_TIMEOUT: Duration = Duration::from_millis(500);
+/// How often a wait for its end looks.
+const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+
+/// A worker process that was started here. Dropping it ends it.
 pub struct WorkerProcess {
     child: Child,
     input: Option<ChildStdin>,
     lines: mpsc::Receiver<String>,
-    what: &'static str,
+    /// What it is, as error messages name it.
+    role: &'static str,
 }
 
 impl Drop for WorkerProcess {
     fn drop(&mut self) {
-        // The end of its input is its own end; by its id where it should hang over something.
+        // It ends when its input does; it is killed only if it hangs.
         drop(self.input.take());
-        let began = Instant::now();
-        while began.elapsed() < Duration::from_millis(500) {
+        let closed_at = Instant::now();
+        while closed_at.elapsed() < EXIT_TIMEOUT {
             if matches!(self.child.try_wait(), Ok(Some(_)) | Err(_)) {
                 return;
             }
-            thread::sleep(Duration::from_millis(5));
+            thread::sleep(EXIT_CHECK_INTERVAL);
         }
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -98,65 +49,71 @@
 }
 
 impl WorkerProcess {
-    /// Starts one; what it says once it is up.
+    /// Starts a worker and waits for its role's `...Ready` message.
     ///
     /// # Errors
-    /// One line where it does not come up.
-    pub fn start<T: DeserializeOwned>(spec: &WorkerSpec) -> Result<(WorkerProcess, T), String> {
-        let what = match spec {
-            WorkerSpec::Fleet(_) => "a fleet",
-            WorkerSpec::Discovery(_) => "discovery",
-            WorkerSpec::Simulated(_) => "hollow balancers",
-            WorkerSpec::Guard { .. } => "a guard",
-        };
-        let failed = |cause: std::io::Error| format!("{what}: {cause}");
-        let own = std::env::current_exe().map_err(failed)?;
-        let mut command = Command::new(own);
+    /// It does not come up, or the run was interrupted.
+    pub fn start<Ready: DeserializeOwned>(spec: &WorkerSpec) -> Result<(WorkerProcess, Ready), RunError> {
+        let role = role_name(spec);
+        let mut worker =
+            WorkerProcess::spawn(role).map_err(|cause| RunError::Worker { role, cause: cause.into() })?;
+        let ready = worker.request(spec)?;
+        Ok((worker, ready))
+    }
+
+    fn spawn(role: &'static str) -> std::io::Result<WorkerProcess> {
+        let program = std::env::current_exe()?;
+        let mut command = Command::new(program);
         command.arg("scale-part").stdin(Stdio::piped()).stdout(Stdio::piped());
-        let mut child = command.spawn().map_err(failed)?;
+        let mut child = command.spawn()?;
         let input = child.stdin.take();
-        let (tell, lines) = mpsc::channel();
+        let (sender, lines) = mpsc::channel();
         if let Some(output) = child.stdout.take() {
-            let read = move || {
-                let lines = BufReader::new(output).lines().map_while(Result::ok);
-                lines.map_while(|line| tell.send(line).ok()).for_each(drop);
-            };
-            thread::Builder::new().name("part".to_owned()).spawn(read).map_err(failed)?;
+            let read = move || forward_lines(output, &sender);
+            thread::Builder::new().name("part".to_owned()).spawn(read)?;
         }
-        let mut part = WorkerProcess { child, input, lines, what };
-        let up = part.asks(spec)?;
-        Ok((part, up))
+        Ok(WorkerProcess { child, input, lines, role })
     }
 
-    pub fn id(&self) -> u32 {
-        self.child.id()
+    /// Sends a command and waits for the snapshot that it is replied with.
+    ///
+    /// # Errors
+    /// It does not reply in time, has ended, or reports an error; or the run was interrupted.
+    pub fn command<Snapshot: DeserializeOwned>(
+        &mut self,
+        command: WorkerCommand,
+    ) -> Result<Snapshot, RunError> {
+        self.request(&command)
     }
 
-    /// # Errors
-    /// One line where it does not answer.
-    pub fn ask<T: DeserializeOwned>(&mut self, asked: WorkerCommand) -> Result<T, String> {
-        self.asks(&asked)
+    fn request<Reply: DeserializeOwned>(&mut self, message: &impl Serialize) -> Result<Reply, RunError> {
+        let role = self.role;
+        let failed = |cause| RunError::Worker { role, cause };
+        self.send(message).map_err(failed)?;
+        let line = self.receive()?;
+        let reply = serde_json::from_str::<Result<Reply, String>>(&line);
+        reply.map_err(|cause| failed(cause.into()))?.map_err(RunError::ReportedByWorker)
     }
 
-    fn asks<T: DeserializeOwned>(&mut self, asked: &impl Serialize) -> Result<T, String> {
-        let what = self.what;
-        let mut line = serde_json::to_string(asked).map_err(|cause| cause.to_string())?;
+    fn send(&mut self, message: &impl Serialize) -> Result<(), WorkerError> {
+        let mut line = serde_json::to_string(message)?;
         line.push('\n');
-        let input = self.input.as_mut().ok_or_else(|| format!("{what}: it has ended"))?;
-        input.write_all(line.as_bytes()).map_err(|cause| format!("{what}: {cause}"))?;
-        let began = Instant::now();
+        let input = self.input.as_mut().ok_or(WorkerError::Ended)?;
+        Ok(input.write_all(line.as_bytes())?)
+    }
+
+    fn receive(&self) -> Result<String, RunError> {
+        let failed = |cause| Err(RunError::Worker { role: self.role, cause });
+        let sent_at = Instant::now();
         loop {
-            match self.lines.recv_timeout(Duration::from_millis(50)) {
-                Ok(line) => {
-                    let said = serde_json::from_str::<Result<T, String>>(&line);
-                    return said.map_err(|cause| format!("{what}: {cause}"))?;
-                }
-                Err(RecvTimeoutError::Disconnected) => return Err(format!("{what}: it ended by itself")),
+            match self.lines.recv_timeout(INTERRUPT_CHECK_INTERVAL) {
+                Ok(line) => return Ok(line),
+                Err(RecvTimeoutError::Disconnected) => return failed(WorkerError::EndedByItself),
                 Err(RecvTimeoutError::Timeout) if STOP.load(Ordering::Relaxed) => {
-                    return Err(INTERRUPTED.to_owned());
+                    return Err(RunError::Interrupted);
                 }
-                Err(RecvTimeoutError::Timeout) if began.elapsed() > REPLY_TIMEOUT => {
-                    return Err(format!("{what}: it does not answer"));
+                Err(RecvTimeoutError::Timeout) if sent_at.elapsed() > REPLY_TIMEOUT => {
+                    return failed(WorkerError::TimedOut);
                 }
                 Err(RecvTimeoutError::Timeout) => {}
             }
@@ -164,106 +121,21 @@
     }
 }
 
-fn say(said: &Result<impl Serialize, String>) -> Result<(), String> {
-    let line = serde_json::to_string(said).map_err(|cause| cause.to_string())?;
-    let mut out = std::io::stdout().lock();
-    writeln!(out, "{line}").and_then(|()| out.flush()).map_err(|cause| cause.to_string())
-}
-
-/// A role's answer, in JSON.
-pub type WorkerReply = Result<serde_json::Value, String>;
-
-pub fn in_json(what: &impl Serialize) -> WorkerReply {
-    serde_json::to_value(what).map_err(|cause| cause.to_string())
-}
-
-/// What each role can be asked.
-pub trait Worker {
-    fn up(&self) -> WorkerReply;
-    fn asked(self: Rc<Self>, asked: WorkerCommand) -> WorkerReply;
-}
-
-async fn answers(role: Rc<impl Worker>, mut asked: tokio::sync::mpsc::UnboundedReceiver<String>) {
-    if say(&role.up()).is_err() {
-        return;
-    }
-    while let Some(line) = asked.recv().await {
-        let said = serde_json::from_str(&line).map_err(|cause| cause.to_string());
-        if say(&said.and_then(|asked| role.clone().asked(asked))).is_err() {
-            return;
-        }
+fn role_name(spec: &WorkerSpec) -> &'static str {
+    match spec {
+        WorkerSpec::Fleet(_) => "a fleet",
+        WorkerSpec::Discovery(_) => "discovery",
+        WorkerSpec::Simulated(_) => "hollow balancers",
+        WorkerSpec::Guard { .. } => "a guard",
     }
 }
 
-/// The process itself: `basaltwood-testbed scale-part`.
-///
-/// # Errors
-/// One line where its first line makes no sense.
-pub fn serve() -> Result<(), String> {
-    let mut first = String::new();
-    std::io::stdin().read_line(&mut first).map_err(|cause| cause.to_string())?;
-    let spec: WorkerSpec = serde_json::from_str(&first).map_err(|cause| cause.to_string())?;
-    let (tell, asked) = tokio::sync::mpsc::unbounded_channel();
-    let guarded = match spec {
-        WorkerSpec::Guard { pid } => began(pid).map(|at| (pid, at)),
-        _ => None,
-    };
-    let read = move || {
-        let lines = std::io::stdin().lines().map_while(Result::ok);
-        lines.map_while(|line| tell.send(line).ok()).for_each(drop);
-        if let Some((pid, _)) = guarded.filter(|(pid, at)| began(*pid).as_ref() == Some(at)) {
-            let _ = Command::new("kill").args(["-KILL", &pid.to_string()]).status();
-        }
-        // Whoever started this has ended: nothing here is to go on.
-        std::process::exit(0);
-    };
-    thread::Builder::new().spawn(read).map_err(|cause| cause.to_string())?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|cause| format!("the runtime: {cause}"))?;
-    let local = tokio::task::LocalSet::new();
-    local.block_on(&runtime, async {
-        match spec {
-            WorkerSpec::Fleet(spec) => match Fleet::start(spec) {
-                Ok(fleet) => answers(fleet, asked).await,
-                Err(cause) => say(&Err::<(), _>(format!("a listener: {cause}")))?,
-            },
-            WorkerSpec::Discovery(spec) => match Discovery::start(spec) {
-                Ok(discovery) => answers(discovery, asked).await,
-                Err(cause) => say(&Err::<(), _>(format!("a listener: {cause}")))?,
-            },
-            WorkerSpec::Simulated(spec) => match SimulatedBalancers::start(spec) {
-                Ok(hollows) => answers(hollows, asked).await,
-                Err(cause) => say(&Err::<(), _>(cause))?,
-            },
-            WorkerSpec::Guard { .. } => answers(Rc::new(Guard), asked).await,
+/// Passes a worker's output on line by line, until it ends or nobody reads it any more.
+fn forward_lines(output: ChildStdout, sender: &mpsc::Sender<String>) {
+    for line in BufReader::new(output).lines() {
+        let Ok(line) = line else { return };
+        if sender.send(line).is_err() {
+            return;
         }
-        Ok(())
-    })
-}
-
-struct Guard;
-
-impl Worker for Guard {
-    fn up(&self) -> WorkerReply {
-        Ok(serde_json::Value::Null)
-    }
-
-    fn asked(self: Rc<Self>, _: WorkerCommand) -> WorkerReply {
-        Ok(serde_json::Value::Null)
     }
 }
-
-/// When a process began, as the system counts it: another one of the same number began at another time.
-fn began(pid: u32) -> Option<String> {
-    let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-    // The name in brackets may hold spaces; the 22nd field of all is the 20th after it.
-    let (_, fields) = stat.rsplit_once(')')?;
-    fields.split_whitespace().nth(19).map(str::to_owned)
-}
-
-/// The resident memory of this process in kB.
-pub fn resident_kb() -> u64 {
-    let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-    line.and_then(|line| line.trim().trim_end_matches(" kB").parse().ok()).unwrap_or(0)
-}
--- a/testbed/src/world/discovery.rs
+++ b/testbed/src/world/discovery.rs
@@ -7,16 +7,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use basaltwood_wire::buffer::Buffer;
-use basaltwood_wire::http;
 use serde_json::{json, Value};
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{watch, Notify};
 use tokio::task::spawn_local;
-use tokio::time::{sleep, timeout};
+use tokio::time::sleep;
 
 use super::host::{listen, Host};
+use crate::discovery_calls::{encode_list, list, Calls, ChangesQuery};
 use crate::ledger::{HostNo, Ledger, Standing, What};
 use crate::script::{zone_name, Kind};
 use crate::time::{span, Micros};
@@ -34,33 +33,6 @@
     body: Value,
 }
 
-/// After which version a call asks for changes, and for how long it may be held; none where it asks for all.
-pub(crate) fn changes_asked(path: &str) -> Option<(u64, Duration)> {
-    let number = |name: &str| {
-        let query = path.split_once('?').map_or("", |(_, query)| query);
-        let value = query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
-        value.and_then(|value| value.parse::<u64>().ok())
-    };
-    Some((number("from")?, Duration::from_millis(number("hold_ms").unwrap_or(0).min(60_000))))
-}
-
-/// Holds a call for changes until there is something newer or its time is over; whether its caller is still there. One that
-/// has gone is not to be told anything: that would count as told.
-pub(crate) async fn held(
-    stream: &mut TcpStream,
-    generation: &watch::Sender<u64>,
-    asked: Option<(u64, Duration)>,
-) -> bool {
-    let Some((from, hold)) = asked else { return true };
-    let mut generation = generation.subscribe();
-    let newer = generation.wait_for(|&generation| generation > from);
-    let gone = async { while !matches!(stream.read(&mut [0]).await, Ok(0) | Err(_)) {} };
-    tokio::select! {
-        _ = timeout(hold, newer) => true,
-        () = gone => false,
-    }
-}
-
 /// What one balancer's agent knows.
 pub struct Agent {
     balancer: usize,
@@ -123,7 +95,7 @@
         let entries = self.entries.borrow();
         let there = entries.values().filter(|(_, entry)| entry.standing != Standing::Left);
         let instances: Vec<&Value> = there.map(|(_, entry)| &entry.body).collect();
-        json!({"generation": *self.generation.borrow(), "reset": true, "instances": instances})
+        list(*self.generation.borrow(), true, &instances)
     }
 
     pub fn set_silent(&self, silent: bool) {
@@ -192,31 +164,18 @@
         }
     }
 
-    async fn serve(self: Rc<Agent>, mut stream: TcpStream) {
-        let mut buffer = Buffer::new(16 * 1024);
-        loop {
-            let request = match http::parse_request(buffer.bytes(), 0) {
-                Ok(Some(request)) => request,
-                Ok(None) => {
-                    let Ok(room) = buffer.unfilled() else { return };
-                    match stream.read_buf(room).await {
-                        Ok(1..) => continue,
-                        _ => return,
-                    }
-                }
-                Err(_) => return,
-            };
-            buffer.consume(request.consumed);
-            let asked = changes_asked(&request.path);
-            if !held(&mut stream, &self.generation, asked).await {
+    async fn serve(self: Rc<Agent>, stream: TcpStream) {
+        let mut calls = Calls::new(stream);
+        while let Some(call) = calls.next().await {
+            let changes = ChangesQuery::parse(&call.path);
+            if !calls.hold(&self.generation, changes).await {
                 return;
             }
-            let from = asked.map(|(from, _)| from);
             while self.silent.get() {
                 self.woken.notified().await;
             }
-            let (text, told) = self.page(from);
-            if stream.write_all(&text).await.is_err() {
+            let (text, told) = self.page(changes.map(|changes| changes.after));
+            if calls.stream().write_all(&text).await.is_err() {
                 return;
             }
             for (host, standing) in told {
@@ -234,13 +193,7 @@
         });
         let newer: Vec<&Entry> = newer.map(|(_, entry)| entry).collect();
         let instances: Vec<&Value> = newer.iter().map(|entry| &entry.body).collect();
-        let page = json!({
-            "generation": *self.generation.borrow(),
-            "reset": from.is_none(),
-            "instances": instances,
-        });
-        let text =
-            http::encode_response(200, &[("Content-Type", "application/json")], page.to_string().as_bytes());
+        let text = encode_list(*self.generation.borrow(), from.is_none(), &instances);
         (text, newer.iter().map(|entry| (entry.no, entry.standing)).collect())
     }
 }
