--- a/balancer/tests/admin.rs
+++ b/balancer/tests/admin.rs
@@ -236,7 +236,7 @@
         let config = config.replace(r#""mgmt":"127.0.0.1:0""#, &format!(r#""mgmt":"{address}""#));
         let mut program = Program::with_config(BINARY, &config);
         let code = program.ended().code();
-        let log = program.rest();
+        let log = program.remaining_log();
         let line = log.last().expect("a line").replace(address, "ADDRESS");
         let cause = line.split_once(": ").expect("a cause").1;
         lines.push(format!("{code:?} {}", cause.rsplit(".json: ").next().unwrap_or("")));
--- a/balancer/tests/departed_clients.rs
+++ b/balancer/tests/departed_clients.rs
@@ -25,7 +25,7 @@
     for (nth, client) in inside.iter_mut().enumerate() {
         client.get(&format!("slow{nth}"), &format!("in{nth}"), "c=once,d=1900");
     }
-    program.counts("attempts", 8);
+    program.wait_for_counter("attempts", 8);
 
     // One that is accepted and waits for a descriptor, and two behind it.
     for nth in 0..3 {
@@ -42,11 +42,11 @@
     }
     inside.iter_mut().for_each(|client| assert_eq!(client.answer(), "v"));
     drop(inside);
-    program.counts("clients", 11);
+    program.wait_for_counter("clients", 11);
 
     // A client that comes after them is served.
     assert_eq!(program.client().command(&["CACHE.GET", "after", "after", "c=once,d=1900"]), "v");
-    let line = program.counts("succeeded", 9);
+    let line = program.wait_for_counter("succeeded", 9);
     assert!(line.contains(" attempts=9 "), "{departure:?}: {line}");
     for (_, host) in &hosts {
         while let Some(line) = host.seen() {
--- a/balancer/tests/drains.rs
+++ b/balancer/tests/drains.rs
@@ -30,18 +30,18 @@
     let (mut read, mut once) = (program.client(), program.client());
     read.get("k", "id2", "c=read,d=9000");
     once.get("l", "id3", "c=once,d=9000");
-    program.counts("requests", 4);
+    program.wait_for_counter("requests", 4);
 
     let mut list = vec![entry("b", b.address, "active")];
     list.extend((!lifecycle.is_empty()).then(|| entry("a", a.address, lifecycle)));
-    discovery.tell(&list);
+    discovery.publish(&list);
     trace.extend([read.answer(), once.answer()]);
     release.send(()).expect("it waits");
     // What is in flight goes on; its connection is closed after it.
     trace.extend([slow.answer(), a.next()]);
     assert!(a.quiet(), "nothing came after the drain was announced");
 
-    let line = program.counts("attempts_not_sent", 2);
+    let line = program.wait_for_counter("attempts_not_sent", 2);
     assert!(line.contains(" attempts_not_sent=2 "), "each of those that waited is counted once: {line}");
     trace.join("\n")
 }
@@ -73,10 +73,10 @@
     let program = Program::start_by(BINARY, discovery.peer.address, &known, [192, 1024], &patient_settings());
     let mut client = program.client();
     client.get("k", "id", "c=once,d=9000");
-    program.counts("attempts", 1);
+    program.wait_for_counter("attempts", 1);
 
-    discovery.tell(&[changed(a.address), entry("b", b.address, "active")]);
-    program.counts("endpoint_lists", 2);
+    discovery.publish(&[changed(a.address), entry("b", b.address, "active")]);
+    program.wait_for_counter("endpoint_lists", 2);
     // From here on the handshake can come to its end.
     let (_, wrote) = a.accept_all();
 
@@ -120,9 +120,9 @@
         let known = [entry("a", a.address, "active"), entry("b", b.address, "active")];
         let program = Program::start(BINARY, discovery.peer.address, &known, 1024);
 
-        discovery.tell(&[absurd.to_owned(), entry("b", b.address, "active")]);
+        discovery.publish(&[absurd.to_owned(), entry("b", b.address, "active")]);
 
-        let line = program.counts("endpoint_lists", 2);
+        let line = program.wait_for_counter("endpoint_lists", 2);
         assert!(line.contains(" endpoints_refused=0 "), "{line}");
         only_b_serves(&program, &a, absurd);
     }
@@ -154,7 +154,7 @@
 
     program.reload_with(&old.address.to_string(), &new.address.to_string());
     trace.extend([new.next(), new.next()]);
-    program.counts("endpoint_lists", 3);
+    program.wait_for_counter("endpoint_lists", 3);
     only_b_serves(&program, &a, "nothing goes to the host that leaves");
 
     expect![[r#"
@@ -184,9 +184,9 @@
     let mut trace = vec![a.next(), discovery.peer.next()];
 
     program.signal("TERM");
-    program.logged("Draining");
+    program.wait_for_log("Draining");
     let up = ["a", "c"].into_iter().zip([a.address, c.address]).map(|(name, at)| entry(name, at, "active"));
-    discovery.tell(&up.chain([entry("b", b.address, "leaving")]).collect::<Vec<_>>());
+    discovery.publish(&up.chain([entry("b", b.address, "leaving")]).collect::<Vec<_>>());
     // The next call shows that this list was read.
     trace.push(discovery.peer.next());
     release.send(()).expect("it waits");
@@ -260,7 +260,7 @@
     let mut trace = vec![discovery.next()];
 
     let silent = Instant::now();
-    program.counts("endpoint_lists", 2);
+    program.wait_for_counter("endpoint_lists", 2);
     assert!(silent.elapsed() < Duration::from_secs(6), "the change came after {:?}", silent.elapsed());
     trace.extend([discovery.next(), discovery.next(), discovery.next()]);
     only_b_serves(&program, &a, "nothing goes to the host that leaves");
@@ -298,7 +298,7 @@
         let known = [known, vec![entry("b", b.address, "active")]].concat();
         let program = Program::start(BINARY, discovery.address, &known, 1024);
 
-        let line = program.counts("endpoint_lists", 2);
+        let line = program.wait_for_counter("endpoint_lists", 2);
         assert!(line.contains(" discovery_invalid=0 "), "{way}: {line}");
         only_b_serves(&program, &a, way);
     }
@@ -355,7 +355,7 @@
     let known = [entry("a", at, "active"), entry("c", gone, "active"), entry("b", b.address, "active")];
     let program = Program::start(BINARY, discovery.address, &known, 1024);
 
-    let line = program.counts("endpoint_lists", 4);
+    let line = program.wait_for_counter("endpoint_lists", 4);
     assert!(line.contains(" hosts_released=2"), "each host once, and one that drains is not gone: {line}");
     only_b_serves(&program, &a, "nothing goes to the host that leaves");
 }
--- a/balancer/tests/endings.rs
+++ b/balancer/tests/endings.rs
@@ -47,7 +47,7 @@
 
     let began = Instant::now();
     program.signal("TERM");
-    program.logged("Flushing");
+    program.wait_for_log("Flushing");
 
     // The final answers come, and then each connection closes.
     let mut trace = sent.to_vec();
@@ -81,7 +81,7 @@
     for (nth, client) in accepted.iter_mut().enumerate() {
         client.get(&format!("slow{nth}"), &format!("in{nth}"), "c=once,d=9000");
     }
-    let line = program.counts("attempts", 8);
+    let line = program.wait_for_counter("attempts", 8);
     assert!(line.contains(" rejected=0 "), "{line}");
 
     let mut waiting: Vec<Client> = (0..4).map(|_| program.client()).collect();
@@ -90,7 +90,7 @@
     }
 
     program.signal("TERM");
-    program.logged("Closing");
+    program.wait_for_log("Closing");
     hosts.iter().for_each(|host| release_up_to(&host.0, 8));
     let mut answers: Vec<String> = accepted.iter_mut().chain(&mut waiting).map(Client::answer).collect();
 
@@ -113,18 +113,18 @@
 
     let mut client = program.client();
     (0..100).for_each(|nth| client.get("slow", &format!("id{nth}"), "c=read,d=1900"));
-    program.counts("attempts", 1);
+    program.wait_for_counter("attempts", 1);
 
     departure.apply(client);
-    let line = program.counts("abandoned", 1);
+    let line = program.wait_for_counter("abandoned", 1);
     assert!(line.contains(" attempts_succeeded=0 "), "nothing was answered yet: {line}");
 
     release_up_to(&release, 100);
     // Attempts in flight run on, and their responses go to nobody.
-    program.counts("attempts_succeeded", 1);
+    program.wait_for_counter("attempts_succeeded", 1);
 
     assert_eq!(program.client().command(&["PING"]), "+PONG");
-    let line = program.counts("requests", 32);
+    let line = program.wait_for_counter("requests", 32);
     assert!(line.contains(" requests=32 "), "as many as may be open at a time, and none after: {line}");
 }
 
@@ -144,7 +144,7 @@
     host.next();
 
     departure.apply(client);
-    let line = program.counts("abandoned", 1);
+    let line = program.wait_for_counter("abandoned", 1);
     assert!(line.contains(" attempts_succeeded=0 ") && line.contains(" attempts_timed_out=0 "), "{line}");
     drop(release);
 }
@@ -163,7 +163,7 @@
     client.writing.shutdown(Shutdown::Write).expect("it ends");
 
     assert_eq!(client.answer(), "closed");
-    let line = program.counts("abandoned", 1);
+    let line = program.wait_for_counter("abandoned", 1);
     assert!(line.contains(" attempts_succeeded=0 ") && line.contains(" attempts_timed_out=0 "), "{line}");
     drop(release);
 }
@@ -195,7 +195,7 @@
     program
         .reload_with(&format!(r#""discovery":"{old}""#), &format!(r#""discovery":"{}""#, new.peer.address));
     program.signal("TERM");
-    program.logged("Draining");
+    program.wait_for_log("Draining");
     assert_eq!(new.peer.next(), "GET /v1/servers");
 
     program.signal("TERM");
@@ -214,7 +214,7 @@
 
     let (mut kept, mut fresh) = (program.client(), program.client());
     assert_eq!(kept.command(&["PING"]), "+PONG");
-    program.counts("clients", 2);
+    program.wait_for_counter("clients", 2);
 
     program.signal("STOP");
     kept.get("k", "id1", "c=read,d=1900");
@@ -255,7 +255,7 @@
     assert_eq!(program.client().command(&["PING"]), "+PONG");
 
     departure.apply(departing);
-    let line = program.counts("abandoned", 1);
+    let line = program.wait_for_counter("abandoned", 1);
     // The client that holds the memory has not timed out yet.
     assert!(line.contains(" malformed=0 ") && line.contains(" attempts_timed_out=0 "), "{line}");
     drop((release, holder));
@@ -285,7 +285,7 @@
     drop(client);
 
     // The host's first concurrency limit admits six, and they are abandoned while in flight.
-    let line = program.counts("abandoned", 6);
+    let line = program.wait_for_counter("abandoned", 6);
     assert!(line.contains(" attempts_timed_out=0 ") && line.contains(" requests=32 "), "{line}");
     drop(release);
 }
--- a/balancer/tests/host_churn.rs
+++ b/balancer/tests/host_churn.rs
@@ -32,7 +32,7 @@
             assert_eq!(client.command(&["CACHE.GET", &key, &id, "c=read,d=2000"]), "v");
         }
         drop(clients);
-        discovery.tell(&hosts(round));
+        discovery.publish(&hosts(round));
         // Its next call shows that it has read this list.
         while !discovery.peer.next().contains(&format!("from={}&", round + 1)) {}
         if round == SETTLED {
@@ -41,7 +41,7 @@
     }
 
     let released = ((LISTS - 1) * HOSTS) as u64;
-    program.counts("hosts_released", released);
+    program.wait_for_counter("hosts_released", released);
     let (memory, descriptors) = (program.memory_kb(), program.descriptors());
     assert!(memory <= settled.0 + 1_024, "{} kB after {SETTLED} lists, {memory} kB at the end", settled.0);
     assert!(descriptors <= settled.1 + HOSTS, "{} descriptors, then {descriptors}", settled.1);
--- a/balancer/tests/long_values.rs
+++ b/balancer/tests/long_values.rs
@@ -86,14 +86,14 @@
     let (all, mut client) = taken.join().expect("it ends");
     assert!(all[..LONG - 5] == rest[..] && all.ends_with(b"\r\n"), "the value came as it was");
     assert!(program.metrics("edge_proxy_active 0").contains("ok{kind=\"once\"} 1"));
-    program.counts("attempts_succeeded", 1);
+    program.wait_for_counter("attempts_succeeded", 1);
     client
         .write_all(b"*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk\r\n$3\r\nid2\r\n$12\r\nc=once,d=900\r\n")
         .expect("open");
     let (_, mut host) = requests.recv().expect("a request");
     host.write_all(b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n").expect("it is read");
     assert_eq!(read_bytes(&mut client, 7), b"$1\r\nv\r\n");
-    assert!(program.counts("succeeded", 2).contains("connections_opened=1 connections_reused=1"));
+    assert!(program.wait_for_counter("succeeded", 2).contains("connections_opened=1 connections_reused=1"));
 }
 
 #[test]
@@ -115,7 +115,7 @@
 
         let page = program.metrics(&format!("edge_proxy_errors{{kind=\"{category}\"}} 1"));
         assert!(page.contains("tries 1") && page.contains("active 0"), "{page}");
-        program.counts("values_truncated", 1);
+        program.wait_for_counter("values_truncated", 1);
     }
     assert!(other.quiet());
 }
@@ -273,7 +273,7 @@
             assert_eq!(client.answer(), "-ERR dead-lettered");
         }
 
-        let line = program.counts(ended, 1);
+        let line = program.wait_for_counter(ended, 1);
         assert!(line.contains(" attempts=1 ") && line.contains(" attempts_timed_out=0 "), "{line}");
         let mut rest = Vec::new();
         // It may end as a reset: what it is not is whole.
--- a/balancer/tests/mixed_fleet.rs
+++ b/balancer/tests/mixed_fleet.rs
@@ -50,7 +50,7 @@
     let new = Program::starting(BINARY, discovery.peer.address, &known, [192, 1024], &new_shape());
     let mut trace = vec![];
     for _ in 0..2 {
-        let line = new.logged("allowed and not used");
+        let line = new.wait_for_log("allowed and not used");
         trace.push(line.split_once("not used, ").expect("what").1.to_owned());
     }
     let new = new.serving();
@@ -80,10 +80,10 @@
     let broken = at_a[1].load(Ordering::SeqCst) + at_b[1].load(Ordering::SeqCst);
     assert_eq!(broken, 2, "each was sent once, wherever it went");
 
-    discovery.tell(&[entry("a", a.address, "leaving"), entry("b", b.address, "active")]);
+    discovery.publish(&[entry("a", a.address, "leaving"), entry("b", b.address, "active")]);
     // Once both have the list, neither sends it anything more.
     for program in [&old, &new] {
-        program.counts("endpoint_lists", 2);
+        program.wait_for_counter("endpoint_lists", 2);
     }
     let before = at_a[0].load(Ordering::SeqCst);
     for client in &mut clients {
--- a/balancer/tests/races.rs
+++ b/balancer/tests/races.rs
@@ -32,10 +32,10 @@
     let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &patient_settings());
     let mut client = program.client();
     client.get("k", "id", "c=once,d=9000");
-    program.counts("attempts", 1);
+    program.wait_for_counter("attempts", 1);
 
     departure.apply(client);
-    program.counts("attempts_cancelled", 1);
+    program.wait_for_counter("attempts_cancelled", 1);
     let (_, wrote) = a.accept_all();
     let mut other = program.client();
     other.get("l", "id2", "c=once,d=9000");
@@ -43,7 +43,7 @@
     // The one that comes is the other's: its port is not that of the first.
     let ports = [wrote.recv().expect("the other's"), wrote.try_recv().unwrap_or(nowhere())];
     assert_eq!(ports[1], nowhere(), "nobody else wrote");
-    let line = program.counts("attempts", 2);
+    let line = program.wait_for_counter("attempts", 2);
     assert!(line.contains(" abandoned=1 ") && line.contains(" attempts_cancelled=1 "), "{line}");
 }
 
@@ -61,10 +61,10 @@
     let (mut slow, mut trace) = one_attempt_in_flight(&program, &a);
     let mut client = program.client();
     client.get("k", "id2", "c=read,d=9000");
-    program.counts("requests", 3);
+    program.wait_for_counter("requests", 3);
 
     departure.apply(client);
-    program.counts("attempts_cancelled", 1);
+    program.wait_for_counter("attempts_cancelled", 1);
     release.send(()).expect("it waits");
     trace.push(slow.answer());
     // The next request there is another client's.
@@ -93,7 +93,7 @@
     let mut waits = program.client();
     // The time stands first: stand-ins hide it anywhere else.
     waits.get("k", "id2", "d=9000,c=read");
-    program.counts("requests", 3);
+    program.wait_for_counter("requests", 3);
 
     // From here on, since its time counts from when the request is read.
     let began = Instant::now();
@@ -130,10 +130,10 @@
         host.next();
 
         departure.apply(client);
-        program.counts("abandoned", 1);
+        program.wait_for_counter("abandoned", 1);
         release.send(()).expect("it waits");
 
-        let line = program.counts(ended, 1);
+        let line = program.wait_for_counter(ended, 1);
         assert!(line.contains(" attempts=1 ") && other.quiet() && origin.quiet(), "{ended}: {line}");
     }
 }
@@ -148,7 +148,7 @@
     let mut client = program.client();
     let began = Instant::now();
     client.get("k", "id", "c=once,d=1500");
-    program.counts("attempts", 1);
+    program.wait_for_counter("attempts", 1);
 
     program.signal("STOP");
     let (accepted, _wrote) = a.accept_all();
@@ -158,7 +158,7 @@
     program.signal("CONT");
 
     assert_eq!(client.answer(), "-ERR dead-lettered");
-    let line = program.counts("failed", 1);
+    let line = program.wait_for_counter("failed", 1);
     assert!(line.contains(" attempts_timed_out=0 "), "nothing was written: {line}");
 }
 
@@ -173,7 +173,7 @@
     let mut late = program.client();
     let began = Instant::now();
     late.get("k", "id2", "c=once,d=300");
-    program.counts("requests", 3);
+    program.wait_for_counter("requests", 3);
 
     program.signal("STOP");
     release.send(()).expect("it waits");
@@ -182,7 +182,7 @@
     program.signal("CONT");
 
     assert_eq!([slow.answer(), late.answer()], ["from a", "-ERR dead-lettered"]);
-    let line = program.counts("failed", 1);
+    let line = program.wait_for_counter("failed", 1);
     assert!(line.contains(" attempts_timed_out=0 "), "nothing was written: {line}");
     // What else is seen there is the end of a connection, if one was opened.
     assert_ne!(a.seen(), Some("CACHE.GET k id2 c=once,d=..".to_owned()));
@@ -205,11 +205,11 @@
     let mut sent = 0;
     for client in &mut clients {
         loop {
-            let before = program.counts("requests", sent);
+            let before = program.wait_for_counter("requests", sent);
             client.get(&format!("slow{sent}"), &format!("id{sent}"), "c=once,d=9000");
             sent += 1;
             // A request that found the last descriptor taken is rejected, and sent again.
-            let after = program.counts("requests", sent);
+            let after = program.wait_for_counter("requests", sent);
             let count =
                 |line: &str| line.split(" rejected=").nth(1).map(|rest| rest.split(' ').next() == Some("0"));
             if count(&before) == count(&after) {
@@ -218,12 +218,12 @@
             client.answer();
         }
     }
-    let line = program.counts("connections_opened", 8);
+    let line = program.wait_for_counter("connections_opened", 8);
     assert!(line.contains(" endpoint_lists=1 "), "{line}");
 
     back.store(true, Ordering::Relaxed);
 
-    let line = program.counts("endpoint_lists", 2);
+    let line = program.wait_for_counter("endpoint_lists", 2);
     assert!(line.contains(" succeeded=0 ") && line.contains(" failed=0 "), "all is held still: {line}");
 }
 
--- a/balancer/tests/regions/hosts.rs
+++ b/balancer/tests/regions/hosts.rs
@@ -27,7 +27,7 @@
     ];
     let program = start(discovery.peer.address, &known, SETTINGS);
     let mut trace = vec![answering_hosts(&program, &["a", "b"])];
-    discovery.tell(&known);
+    discovery.publish(&known);
     wait_until_read(&discovery.peer, 2);
     trace.push(answering_hosts(&program, &["a", "b"]));
     // For a key whose home is b: its value comes from the origin, which is in the south.
@@ -39,7 +39,7 @@
     trace.push(format!("fetched: {fetched}"));
     let metrics = program.metrics("edge_proxy_regions_hosts_ring 2");
     trace.extend(metrics.lines().filter(|line| line.contains("regions_")).map(str::to_owned));
-    let line = program.counts("endpoint_lists", 2);
+    let line = program.wait_for_counter("endpoint_lists", 2);
     trace.extend(line.split(' ').filter(|word| word.starts_with("regions_")).map(str::to_owned));
     assert!(
         outside.iter().all(UntouchedListener::is_untouched),
@@ -77,9 +77,9 @@
             [zoned_entry("a", "n1", a.address, "active"), zoned_entry("b", "n2", b.address, "active")];
         let program = start(discovery.peer.address, &known, SETTINGS);
         assert_eq!(answering_hosts(&program, &["a", "b"]), "a b");
-        discovery.tell(&[invalid.to_owned(), known[1].clone()]);
+        discovery.publish(&[invalid.to_owned(), known[1].clone()]);
         wait_until_read(&discovery.peer, 2);
-        let line = program.counts("endpoint_lists", 2);
+        let line = program.wait_for_counter("endpoint_lists", 2);
         assert!(line.contains(" endpoints_refused=0 "), "{line}");
         assert_eq!(answering_hosts(&program, &["b"]), "b", "{invalid}");
     }
@@ -98,13 +98,13 @@
     let (mut read, mut once) = (program.client(), program.client());
     read.get("k", "id2", "c=read,d=9000");
     once.get("l", "id3", "c=once,d=9000");
-    program.counts("requests", 4);
+    program.wait_for_counter("requests", 4);
     let b_up = zoned_entry("b", "n2", b.address, "active");
-    discovery.tell(&[zoned_entry("a", "s1", a.address, "active"), b_up.clone()]);
+    discovery.publish(&[zoned_entry("a", "s1", a.address, "active"), b_up.clone()]);
     trace.extend([read.answer(), once.answer()]);
     release.send(()).expect("it waits");
     trace.extend([slow.answer(), a.next()]);
-    let line = program.counts("attempts_not_sent", 2);
+    let line = program.wait_for_counter("attempts_not_sent", 2);
     assert!(line.contains(" attempts_not_sent=2 ") && line.contains(" regions_hosts_out=1 "), "{line}");
     trace.push(answering_hosts(&program, &["from b"]));
     assert!(a.quiet(), "nothing was sent after it was moved out");
@@ -143,7 +143,7 @@
     .iter()
     .enumerate()
     {
-        discovery.tell(list);
+        discovery.publish(list);
         wait_until_read(&discovery.peer, round + 2);
         trace.push(answering_hosts(&program, awaited));
     }
@@ -194,7 +194,7 @@
         wait_until_read(&discovery, round + 2);
         trace.push(answering_hosts(&program, &[awaited]));
     }
-    let line = program.counts("hosts_released", 6);
+    let line = program.wait_for_counter("hosts_released", 6);
     trace.extend(line.split(' ').filter(|word| word.starts_with("hosts_released")).map(str::to_owned));
     expect![[r#"
         a
@@ -247,7 +247,7 @@
     hangs.1.notify_all();
     b.opened("b");
     trace.push(answering_hosts(&program, &["a", "b"]));
-    let line = program.counts("requests", 24);
+    let line = program.wait_for_counter("requests", 24);
     trace.extend(line.split(' ').filter(|word| word.starts_with("regions_rings")).map(str::to_owned));
     assert_eq!(accepted.load(Ordering::SeqCst), 0, "a connection was opened to the other region");
     // The other region could have answered all the time.
--- a/balancer/tests/regions/maps.rs
+++ b/balancer/tests/regions/maps.rs
@@ -14,7 +14,7 @@
     let mut refused = |mut program: Program| {
         let code = program.ended().code();
         let log: Vec<String> =
-            program.rest().iter().map(|line| text_after(line, "basaltwood-balancer: ")).collect();
+            program.remaining_log().iter().map(|line| text_after(line, "basaltwood-balancer: ")).collect();
         lines.push(format!("{code:?} {}", log.join(" / ")));
     };
     for map in
@@ -44,7 +44,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let serve = |folder: &Path, awaited: &[&str]| {
         let program = Program::with_config_in(BINARY, &text, folder).serving();
-        let line = program.counts("endpoint_lists", 1);
+        let line = program.wait_for_counter("endpoint_lists", 1);
         (answering_hosts(&program, awaited), line.contains(" regions_rings=0 "))
     };
     assert_eq!(serve(folder.path(), &["a", "b"]), ("a b".to_owned(), true));
@@ -77,7 +77,7 @@
     }
     // The metric of a host that nobody uses shows when this list has been applied.
     let drained = [list("leaving"), vec![zoned_entry("x", "x1", nowhere(), "active")]].concat();
-    discovery.tell(&drained);
+    discovery.publish(&drained);
     for program in &programs {
         program.metrics("edge_proxy_regions_hosts_unnamed 1");
     }
@@ -108,8 +108,8 @@
     let text = config(nowhere(), &known, SETTINGS);
     let versions = |map: &str| {
         let mut program = Program::in_regions(BINARY, &text, map);
-        let line = program.logged("regions: map");
-        program.mgmt = program.logged("mgmt on").rsplit(' ').next().expect("an address").to_owned();
+        let line = program.wait_for_log("regions: map");
+        program.mgmt = program.wait_for_log("mgmt on").rsplit(' ').next().expect("an address").to_owned();
         let program = program.serving();
         let metrics = program.metrics("edge_proxy_regions_hosts_ring 1");
         let metric = metrics.lines().find(|line| line.starts_with("regions_map")).expect("a metric");
--- a/balancer/tests/regions/minimum.rs
+++ b/balancer/tests/regions/minimum.rs
@@ -24,13 +24,13 @@
     let program = start_with_map(map, discovery.peer.address, &list(&SIX), SETTINGS);
     let mut trace = vec![answering_hosts(&program, &SIX)];
     for (round, up) in lists.iter().enumerate() {
-        discovery.tell(&list(up));
+        discovery.publish(&list(up));
         wait_until_read(&discovery.peer, round + 2);
         let min_hosts = if map.contains("hosts = 4") { 4 } else { 1 };
         let awaited = if up.len() < min_hosts { &SOUTH[..] } else { up };
         trace.push(format!("{}: {}", up.len(), answering_hosts(&program, awaited)));
     }
-    let line = program.counts("endpoint_lists", lists.len() as u64 + 1);
+    let line = program.wait_for_counter("endpoint_lists", lists.len() as u64 + 1);
     trace.extend(line.split(' ').filter(|word| word.starts_with("regions_")).map(str::to_owned));
     trace.join("\n")
 }
@@ -97,7 +97,7 @@
         SETTINGS,
     );
     let mut trace = vec![answering_hosts(&program, &["b"])];
-    discovery.tell(&[just_started(&zoned_entry("a", "n1", a.address, "active")), south]);
+    discovery.publish(&[just_started(&zoned_entry("a", "n1", a.address, "active")), south]);
     wait_until_read(&discovery.peer, 2);
     trace.push(answering_hosts(&program, &["-BUSY 400", "a"]));
     expect![[r#"
@@ -115,7 +115,7 @@
     let known = [zoned_entry("a", "n1", first.address, "leaving"), south.clone()];
     let program = start_with_map(&map_with_min_hosts(2), discovery.peer.address, &known, SETTINGS);
     let mut trace = vec![answering_hosts(&program, &["b"])];
-    discovery.tell(&[just_started(&zoned_entry("a", "n1", first.address, "active")), south]);
+    discovery.publish(&[just_started(&zoned_entry("a", "n1", first.address, "active")), south]);
     wait_until_read(&discovery.peer, 2);
     trace.push(answering_hosts(&program, &["b"]));
     assert!(first.is_untouched(), "a connection was opened to a host of a region below its minimum");
--- a/balancer/tests/sockets/config.rs
+++ b/balancer/tests/sockets/config.rs
@@ -35,7 +35,8 @@
     ] {
         let mut program = Program::with_config(BINARY, text);
         let code = program.ended().code();
-        let log: Vec<String> = program.rest().iter().map(|line| text_after(line, ".json: ")).collect();
+        let log: Vec<String> =
+            program.remaining_log().iter().map(|line| text_after(line, ".json: ")).collect();
         lines.push(format!("{code:?} {}", log.join(" / ")));
     }
 
--- a/balancer/tests/sockets/discovery.rs
+++ b/balancer/tests/sockets/discovery.rs
@@ -23,16 +23,16 @@
     let invalid = [r#"{"instanceId":"c","hostPort":"::","lifecycle":"active"}"#, "7", r#"{"instanceId":[]}"#];
     let mut entries = vec![entry("a", a.address, "leaving"), entry("b", b.address, "active")];
     entries.extend(invalid.map(str::to_owned));
-    discovery.tell(&entries);
+    discovery.publish(&entries);
     trace.push(discovery.peer.next());
     for _ in invalid {
-        trace.push(text_after(&program.logged("list entry"), "endpoints] "));
+        trace.push(text_after(&program.wait_for_log("list entry"), "endpoints] "));
     }
     trace.push(get("id2"));
     // The draining host's idle connection was closed.
     trace.extend([a.next(), a.next(), b.next()]);
 
-    discovery.tell(&[entry("a", a.address, "active"), entry("b", b.address, "left")]);
+    discovery.publish(&[entry("a", a.address, "active"), entry("b", b.address, "left")]);
     trace.extend([discovery.peer.next(), get("id3")]);
 
     expect![[r#"
@@ -57,13 +57,13 @@
 fn start_among_many_balancers_calls_discovery_at_once() {
     let (a, b) = (Peer::host(|_| hit("from a")), Peer::host(|_| hit("from b")));
     let discovery = Discovery::start();
-    discovery.tell(&[entry("a", a.address, "leaving"), entry("b", b.address, "active")]);
+    discovery.publish(&[entry("a", a.address, "leaving"), entry("b", b.address, "active")]);
     let known = [entry("a", a.address, "active"), entry("b", b.address, "active")];
     let settings = SETTINGS.replace(r#""groupSize":2"#, r#""groupSize":300"#);
     let program = Program::start_by(BINARY, discovery.peer.address, &known, [192, 1024], &settings);
 
     let began = Instant::now();
-    program.counts("endpoint_lists", 2);
+    program.wait_for_counter("endpoint_lists", 2);
     // If calls were spread over all of them, this one's would come after several seconds.
     assert!(began.elapsed() < Duration::from_millis(1_500), "it called after {:?}", began.elapsed());
 
@@ -81,13 +81,13 @@
 
     for nth in 0..20 {
         let old = entry(&format!("host-{nth}"), host.address, "left");
-        discovery.tell(&[old, entry(&format!("host-{}", nth + 1), host.address, "active")]);
-        program.counts("endpoint_lists", nth + 2);
+        discovery.publish(&[old, entry(&format!("host-{}", nth + 1), host.address, "active")]);
+        program.wait_for_counter("endpoint_lists", nth + 2);
         let id = format!("id{nth}");
         assert_eq!(client.command(&["CACHE.GET", "k", &id, "c=once,d=600"]), id);
     }
 
-    let line = program.counts("hosts_released", 20);
+    let line = program.wait_for_counter("hosts_released", 20);
     expect!["succeeded=20 attempts_succeeded=20 attempts_connection_lost=0 hosts_released=20"].assert_eq(
         &selected_counters(
             &line,
@@ -157,14 +157,14 @@
     let (old_address, new_address) = (old.peer.address.to_string(), new.peer.address.to_string());
 
     program.reload_with(&old_address, "nonsense");
-    trace.push(text_after(&program.logged("all stays as it is"), ".json: "));
+    trace.push(text_after(&program.wait_for_log("all stays as it is"), ".json: "));
     assert!(old.peer.quiet(), "an invalid file ends no watch");
 
     program.reload_with("nonsense", &new_address);
     // The whole list is requested, and then its changes.
     trace.extend([new.peer.next(), new.peer.next()]);
 
-    new.tell(&[entry("b", b.address, "active")]);
+    new.publish(&[entry("b", b.address, "active")]);
     trace.push(new.peer.next());
     trace.push(client.command(&["CACHE.GET", HOME_A, "id2", "c=once,d=600"]));
 
--- a/balancer/tests/sockets/hosts.rs
+++ b/balancer/tests/sockets/hosts.rs
@@ -16,13 +16,13 @@
     host.next();
 
     drop(client);
-    program.counts("abandoned", 1);
+    program.wait_for_counter("abandoned", 1);
 
     release.send(()).expect("it waits");
-    program.counts("attempts_succeeded", 1);
+    program.wait_for_counter("attempts_succeeded", 1);
     assert_eq!(program.client().command(&["CACHE.GET", "k", "id2", "c=read,d=600"]), "v");
 
-    let line = program.counts("requests", 2);
+    let line = program.wait_for_counter("requests", 2);
     let names = [
         "succeeded",
         "abandoned",
@@ -149,7 +149,7 @@
     }
 
     program.signal("USR1");
-    let line = program.logged("counters");
+    let line = program.wait_for_log("counters");
     trace.push(selected_counters(
         &line,
         &["attempts_succeeded", "attempts_connection_lost", "connections_opened", "connections_reused"],
@@ -200,13 +200,13 @@
     program.signal("STOP");
     std::thread::sleep(Duration::from_millis(450));
     program.signal("CONT");
-    program.counts("process_stalls", 1);
+    program.wait_for_counter("process_stalls", 1);
 
     // A host suspected of silence would get one attempt at a time, and the others would be rejected.
     for id in ["id4", "id5", "id6"] {
         client.get("k", id, "c=read,d=1500");
     }
-    program.counts("requests", 6);
+    program.wait_for_counter("requests", 6);
 
     (0..3).for_each(|_| release.send(()).expect("it waits"));
     (0..6).map(|_| client.answer()).collect()
@@ -227,7 +227,7 @@
         assert_eq!(client.command(&["CACHE.GET", &key, &id, "c=read,d=1500"]), "v");
     }
 
-    let line = program.counts("requests", 40);
+    let line = program.wait_for_counter("requests", 40);
     assert!(
         selected_counters(&line, &["succeeded", "attempts_connection_fault"])
             == "succeeded=40 attempts_connection_fault=0"
--- a/balancer/tests/sockets/limits.rs
+++ b/balancer/tests/sockets/limits.rs
@@ -23,7 +23,7 @@
         half.raw(if nth % 2 == 0 { b"*4\r\n$9\r\nCACHE" } else { b"" });
         halves.push(half);
     }
-    program.counts("clients", 12);
+    program.wait_for_counter("clients", 12);
 
     // The limit is reached. The idle one is closed first, then the one that was silent longest.
     let mut late: Vec<Client> = Vec::new();
@@ -36,7 +36,7 @@
     }
 
     assert_eq!([idle.answer(), halves[0].answer()], ["closed", "closed"]);
-    assert!(program.counts("clients_shed", 2).contains("clients_slow=0"));
+    assert!(program.wait_for_counter("clients_shed", 2).contains("clients_slow=0"));
 }
 
 #[test]
@@ -161,7 +161,7 @@
     let answers: Vec<String> = (0..11).map(|nth| clients[nth % 4].answer()).collect();
     assert_eq!(answers, ["v"; 11]);
 
-    let line = program.counts("succeeded", 11);
+    let line = program.wait_for_counter("succeeded", 11);
     expect!["-BUSY 400; attempts_not_sent=4 attempts_unreachable=0"].assert_eq(&format!(
         "{refused}; {}",
         selected_counters(&line, &["attempts_not_sent", "attempts_unreachable"])
@@ -185,6 +185,6 @@
     }
 
     assert_eq!(program.client().command(&["PING"]), "+PONG");
-    program.counts("clients_slow", 1);
+    program.wait_for_counter("clients_slow", 1);
     assert!(program.memory() < 32, "{} MB of 192", program.memory());
 }
--- a/balancer/tests/sockets/shutdown.rs
+++ b/balancer/tests/sockets/shutdown.rs
@@ -17,7 +17,7 @@
     host.next();
 
     program.signal("TERM");
-    program.logged("Draining");
+    program.wait_for_log("Draining");
 
     let mut late = program.client();
     trace.push(format!("idle: {}", idle.answer()));
@@ -29,7 +29,7 @@
     trace.push(format!("slow: {}", slow.answer()));
     trace.push(format!("{:?}", program.ended().code()));
 
-    let log = program.rest();
+    let log = program.remaining_log();
     let phases = log.iter().filter_map(|line| line.split_once("process] ")).map(|found| found.1);
     trace.extend(phases.map(|line| {
         if line.contains('=') {
@@ -63,7 +63,7 @@
 
     let began = Instant::now();
     program.signal("TERM");
-    program.logged("Draining");
+    program.wait_for_log("Draining");
 
     // A command that is still being sent is read to its end.
     slow.raw(b"NG\r\n");
--- a/balancer/tests/starts.rs
+++ b/balancer/tests/starts.rs
@@ -17,7 +17,7 @@
 
 /// A process that listens, with the address of its admin interface read from the log.
 fn serving(mut program: Program) -> Program {
-    program.mgmt = program.logged("mgmt on").rsplit(' ').next().expect("an address").to_owned();
+    program.mgmt = program.wait_for_log("mgmt on").rsplit(' ').next().expect("an address").to_owned();
     program.serving()
 }
 
@@ -71,11 +71,11 @@
     let stop = Arc::new(AtomicBool::new(false));
     let crowd = || thread::spawn(idle_clients(program.address.clone(), stop.clone()));
     let crowds: Vec<_> = (0..4).map(|_| crowd()).collect();
-    program.counts("clients", 200);
+    program.wait_for_counter("clients", 200);
 
     discovery_up.store(true, Ordering::Relaxed);
     let since = Instant::now();
-    program.counts("endpoint_lists", 2);
+    program.wait_for_counter("endpoint_lists", 2);
     assert!(since.elapsed() < Duration::from_secs(6), "the list came after {:?}", since.elapsed());
 
     assert_eq!(program.call("GET /_ready HTTP/1.1\r\n\r\n").0, 200);
--- a/balancer/tests/takeover.rs
+++ b/balancer/tests/takeover.rs
@@ -48,9 +48,9 @@
 
     fn start_in(&self, folder: &Path) -> Program {
         let mut program = Program::inheriting(BINARY, &self.config, &self.listener, folder);
-        program.mgmt = program.logged("mgmt on").rsplit(' ').next().expect("an address").to_owned();
+        program.mgmt = program.wait_for_log("mgmt on").rsplit(' ').next().expect("an address").to_owned();
         program.address = self.listener.local_addr().expect("an address").to_string();
-        program.logged("Serving");
+        program.wait_for_log("Serving");
         program
     }
 }
@@ -109,13 +109,13 @@
     let clients: Vec<_> = (0..6).map(|name| steady_client(old.address.clone(), name, stop.clone())).collect();
     for _ in 0..3 {
         let new = platform.start();
-        new.logged("Beginning");
-        new.logged("Half");
+        new.wait_for_log("Beginning");
+        new.wait_for_log("Half");
         let both = old.descriptors() + new.descriptors();
         assert!(both <= 192, "{both} descriptors");
         old.signal("TERM");
         assert_eq!(old.ended().code(), Some(0));
-        new.logged("Alone");
+        new.wait_for_log("Alone");
         old = new;
     }
     stop.store(true, Ordering::Relaxed);
@@ -128,7 +128,7 @@
     // A process that is killed leaves nothing behind that hinders the next one.
     drop(old);
     let next = platform.start();
-    next.logged("Alone");
+    next.wait_for_log("Alone");
     assert_eq!(next.client().command(&["CACHE.GET", "k", "last", "c=once,d=900"]), "v");
     assert!(served > 100, "only {served} were served");
     // Each request that was served reached the host once, none twice.
@@ -156,7 +156,7 @@
     assert_eq!(kept.answer(), "closed");
     let new = platform.start();
     old.signal("TERM");
-    old.logged("Takeover");
+    old.wait_for_log("Takeover");
     // From now on the new process answers, and is not in lame-duck mode.
     let mut late = new.client();
     let mut trace = vec![late.command(&["PING"]), late.command(&["CACHE.GET", "k", "id2", "c=once,d=900"])];
@@ -171,7 +171,7 @@
     let host = Peer::host(|_| hit("v"));
     let platform = Platform::new("no-folder", &[("a", &host)]);
     let program = platform.start_in(Path::new("/nonexistent"));
-    program.logged("Half");
+    program.wait_for_log("Half");
     assert_eq!(program.client().command(&["CACHE.GET", "k", "id1", "c=once,d=900"]), "v");
 }
 
@@ -186,7 +186,7 @@
         let mut program =
             Program::inheriting_as(BINARY, &platform.config, &other, &platform.folder, descriptor);
         let code = program.ended().code();
-        let line = program.rest().pop().expect("a line");
+        let line = program.remaining_log().pop().expect("a line");
         let line = line.replace(&actual, "ACTUAL").replace(&configured, "CONFIGURED");
         let cause = line.split_once("PROXY_INHERITED_FD").expect("it names the variable").1;
         lines.push(format!("{code:?} {cause}"));
@@ -206,7 +206,7 @@
     let record = platform.folder.join(format!("basaltwood-{address}-learnt"));
     std::fs::write(&record, "nonsense").expect("a file");
     let program = Program::inheriting(BINARY, &platform.config, &platform.listener, &platform.folder);
-    program.logged("a record that is not whole; it begins with no learned limits");
+    program.wait_for_log("a record that is not whole; it begins with no learned limits");
     // Once a second the program records its limits, atomically.
     let began = Instant::now();
     while std::fs::read(&record).is_ok_and(|bytes| bytes == b"nonsense") {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -465,7 +465,7 @@
         Discovery { peer, state }
     }
 
-    pub fn tell(&self, entries: &[String]) {
+    pub fn publish(&self, entries: &[String]) {
         let mut state = self.state.0.lock().expect("a lock");
         *state = (state.0 + 1, entries.join(","));
         self.state.1.notify_all();
@@ -542,13 +542,13 @@
     /// With an address for operators beside the clients' one.
     pub fn managed(binary: &str, known: &[String], limits: [u32; 2]) -> Program {
         let mut program = Program::with_config(binary, &managed(known, limits));
-        program.mgmt = address_in(&program.logged("mgmt on"));
+        program.mgmt = address_in(&program.wait_for_log("mgmt on"));
         program.serving()
     }
 
     pub fn serving(mut self) -> Program {
-        self.address = address_in(&self.logged("listens on"));
-        self.logged("Serving");
+        self.address = address_in(&self.wait_for_log("listens on"));
+        self.wait_for_log("Serving");
         self
     }
 
@@ -644,7 +644,7 @@
     }
 
     /// The next line of the log that holds this.
-    pub fn logged(&self, what: &str) -> String {
+    pub fn wait_for_log(&self, what: &str) -> String {
         loop {
             let line = self.log.recv_timeout(TEST_TIMEOUT).unwrap_or_else(|_| panic!("no line with {what}"));
             if line.contains(what) {
@@ -654,11 +654,11 @@
     }
 
     /// Its counters, once this one shows so much or more.
-    pub fn counts(&self, name: &str, minimum: u64) -> String {
+    pub fn wait_for_counter(&self, name: &str, minimum: u64) -> String {
         let began = Instant::now();
         loop {
             self.signal("USR1");
-            let line = self.logged("counters");
+            let line = self.wait_for_log("counters");
             let mut words = line.split(' ').filter_map(|word| word.split_once('='));
             let count = words.find(|word| word.0 == name).and_then(|word| word.1.parse::<u64>().ok());
             if count.expect("such a counter") >= minimum {
@@ -669,7 +669,7 @@
     }
 
     /// All that is left of the log once the program has ended.
-    pub fn rest(&self) -> Vec<String> {
+    pub fn remaining_log(&self) -> Vec<String> {
         self.log.iter().collect()
     }
 
@@ -711,7 +711,7 @@
         // When a test fails, the program's log is printed.
         if thread::panicking() {
             eprintln!("the program: {ended:?}");
-            self.rest().iter().for_each(|line| eprintln!("{line}"));
+            self.remaining_log().iter().for_each(|line| eprintln!("{line}"));
         }
         let _ = std::fs::remove_file(&self.config_file);
         let _ = std::fs::remove_file(self.config_file.with_extension("toml"));
