--- a/balancer/tests/regions/fleet.rs
+++ b/balancer/tests/regions/fleet.rs
@@ -39,7 +39,7 @@
 
 pub fn start_with_map(map: &str, discovery: SocketAddr, known: &[String], settings: &str) -> Program {
     let mut program = Program::in_regions(BINARY, &config(discovery, known, settings), map);
-    program.mgmt = program.wait_for_log("mgmt on").rsplit(' ').next().expect("an address").to_owned();
+    program.wait_for_admin();
     program.serving()
 }
 
--- a/balancer/tests/regions/maps.rs
+++ b/balancer/tests/regions/maps.rs
@@ -109,7 +109,7 @@
     let versions = |map: &str| {
         let mut program = Program::in_regions(BINARY, &text, map);
         let line = program.wait_for_log("regions: map");
-        program.mgmt = program.wait_for_log("mgmt on").rsplit(' ').next().expect("an address").to_owned();
+        program.wait_for_admin();
         let program = program.serving();
         let metrics = program.metrics("edge_proxy_regions_hosts_ring 1");
         let metric = metrics.lines().find(|line| line.starts_with("regions_map")).expect("a metric");
--- a/balancer/tests/starts.rs
+++ b/balancer/tests/starts.rs
@@ -17,7 +17,7 @@
 
 /// A process that listens, with the address of its admin interface read from the log.
 fn serving(mut program: Program) -> Program {
-    program.mgmt = program.wait_for_log("mgmt on").rsplit(' ').next().expect("an address").to_owned();
+    program.wait_for_admin();
     program.serving()
 }
 
--- a/balancer/tests/takeover.rs
+++ b/balancer/tests/takeover.rs
@@ -48,7 +48,7 @@
 
     fn start_in(&self, folder: &Path) -> Program {
         let mut program = Program::inheriting(BINARY, &self.config, &self.listener, folder);
-        program.mgmt = program.wait_for_log("mgmt on").rsplit(' ').next().expect("an address").to_owned();
+        program.wait_for_admin();
         program.address = self.listener.local_addr().expect("an address").to_string();
         program.wait_for_log("Serving");
         program
--- a/tests/common/program.rs
+++ b/tests/common/program.rs
@@ -47,6 +47,11 @@
 }
 
 impl Program {
+    /// Waits until the admin interface listens, and takes its address from the log.
+    pub fn wait_for_admin(&mut self) {
+        self.mgmt = address_in(&self.wait_for_log("mgmt on"));
+    }
+
     /// Starts it and waits until it serves.
     pub fn start(binary: &str, discovery: SocketAddr, known: &[String], sockets: u32) -> Program {
         Program::start_by(binary, discovery, known, [192, sockets], SETTINGS)
@@ -83,7 +88,7 @@
     /// With an address for operators beside the clients' one.
     pub fn managed(binary: &str, known: &[String], limits: [u32; 2]) -> Program {
         let mut program = Program::with_config(binary, &managed(known, limits));
-        program.mgmt = address_in(&program.wait_for_log("mgmt on"));
+        program.wait_for_admin();
         program.serving()
     }
 
