--- a/testbed/src/scale/run/faults.rs
+++ b/testbed/src/scale/run/faults.rs
@@ -2,7 +2,8 @@
 
 use super::progress::{wait, Progress, Stage};
 use super::propagation;
-use super::workers::{Snapshots, Workers};
+use super::snapshots::Snapshots;
+use super::workers::Workers;
 use crate::scale::error::RunError;
 use crate::scale::experiment::RECOVERY_S;
 use crate::scale::point::Figures;
--- a/testbed/src/scale/run/figures.rs
+++ b/testbed/src/scale/run/figures.rs
@@ -1,8 +1,7 @@
 //! The figures of a point, from the snapshots around its stretches.
 
 use super::real_balancer::{LoadResult, RealBalancer};
-use super::workers::Snapshots;
-use super::LoadSnapshots;
+use super::snapshots::{LoadSnapshots, Snapshots};
 use crate::figures as testbed_figures;
 use crate::scale::experiment::Conditions;
 use crate::scale::point::Figures;
--- a/testbed/src/scale/run/mod.rs
+++ b/testbed/src/scale/run/mod.rs
@@ -3,30 +3,28 @@
 
 mod faults;
 mod figures;
+mod lateness;
 mod progress;
 mod propagation;
 mod real_balancer;
+mod snapshots;
 mod workers;
 
 use std::path::Path;
 
-use hdrhistogram::Histogram;
-
 use self::figures::insert_real_balancer;
+use self::lateness::RunLateness;
 pub use self::progress::Progress;
 use self::progress::{wait, Stage};
-use self::real_balancer::{LoadResult, RealBalancer};
-use self::workers::{Snapshots, Workers};
+use self::real_balancer::RealBalancer;
+use self::snapshots::{LoadSnapshots, SettledSnapshots, Snapshots};
+use self::workers::Workers;
 use super::error::RunError;
 use super::experiment::{Conditions, ScaleExperiment, FINAL_CHANGES_S};
 use super::point::{Figures, MeasuredPoint};
-use super::protocol::{merge_histograms, WorkerCommand};
+use super::protocol::WorkerCommand;
 use crate::figures::late as request_lateness;
-use crate::lateness::{judge, Bare, Bounds, Seen, Verdict};
-use crate::time::millis;
-
-/// A request of a simulated balancer that begins later than this is late.
-const LATE_REQUEST_MS: f64 = 2.0;
+use crate::lateness::Bare;
 
 /// Plays one point with one seed; files and logs of a real balancer go to `folder`. All processes
 /// are ended when it is over, however it ends.
@@ -77,26 +75,6 @@
     workers: Workers,
 }
 
-/// The snapshots around the stretches without faults, and what was measured beside them.
-struct LoadSnapshots {
-    /// The start and the end of the stretch without requests, in which the list changes.
-    quiet_start: Snapshots,
-    quiet_end: Snapshots,
-    /// The start and the end of the stretch with requests that counts.
-    load_start: Snapshots,
-    load_end: Snapshots,
-    /// Of the load of a real balancer, where there is one.
-    real: Option<LoadResult>,
-    /// Of a thread that does nothing but wake up.
-    bare_thread: Seen,
-}
-
-/// The snapshots around the time in which the last changes may come into force.
-struct SettledSnapshots {
-    stopped: Snapshots,
-    settled: Snapshots,
-}
-
 impl<'a> PointRun<'a> {
     fn start(
         experiment: &'a ScaleExperiment,
@@ -170,47 +148,3 @@
         faults::discovery_outage(&mut self.workers, seconds, self.conditions.balancers, self.progress)
     }
 }
-
-/// How late requests, the fleet, and a thread that does nothing else were.
-struct RunLateness {
-    requests: Histogram<u64>,
-    fleet: Seen,
-    bare_thread: Seen,
-}
-
-impl RunLateness {
-    fn of(load: &LoadSnapshots) -> RunLateness {
-        let end = &load.load_end;
-        RunLateness {
-            requests: merge_histograms(end.simulated.iter().map(|snapshot| &snapshot.lateness)),
-            fleet: Seen {
-                late: merge_histograms(end.fleets.iter().map(|snapshot| &snapshot.lateness)),
-                own: merge_histograms(end.fleets.iter().map(|snapshot| &snapshot.own_lateness)),
-            },
-            bare_thread: load.bare_thread.clone(),
-        }
-    }
-
-    fn insert_into(&self, figures: &mut Figures) {
-        let p99_ms = |histogram: &Histogram<u64>| histogram.value_at_quantile(0.99) as f64 / 1e3;
-        figures.insert("late p99 of ops, ms", p99_ms(&self.requests));
-        figures.insert("late p99 of the fleet, ms", p99_ms(&self.fleet.late));
-        figures.insert("late p99 of a bare thread, ms", p99_ms(&self.bare_thread.late));
-    }
-
-    /// Whether the point counts: (why not, what must be known of it).
-    fn judge(&self, conditions: &Conditions, figures: &Figures) -> (Option<String>, Option<String>) {
-        let simulated = figures.get("in target, part").copied().unwrap_or(1.0);
-        let real = figures.get("real: benefit");
-        let earned = real.map_or(simulated, |benefit| benefit.min(simulated));
-        let bounds = Bounds {
-            late: millis(LATE_REQUEST_MS),
-            target: millis(conditions.target_ms),
-            missed: 1.0 - earned,
-        };
-        match judge(bounds, &self.requests, &self.fleet, &self.bare_thread) {
-            Verdict::Sound => (None, None),
-            verdict => verdict.told(),
-        }
-    }
-}
--- a/testbed/src/scale/run/propagation.rs
+++ b/testbed/src/scale/run/propagation.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::workers::Snapshots;
+use super::snapshots::Snapshots;
 use crate::scale::point::Figures;
 
 /// The shares of the balancers by which a change is timed.
--- a/testbed/src/scale/run/workers.rs
+++ b/testbed/src/scale/run/workers.rs
@@ -1,17 +1,18 @@
 //! The worker processes of a point, and what all of them report of one moment.
 
 use std::net::SocketAddr;
-use std::time::{Duration, Instant};
+use std::time::Instant;
 
 use serde::de::DeserializeOwned;
 use serde_json::{json, Value};
 
+use super::snapshots::Snapshots;
 use crate::discovery_calls::list;
 use crate::scale::error::RunError;
 use crate::scale::experiment::{Conditions, ScaleExperiment};
 use crate::scale::protocol::{
-    DiscoveryReady, DiscoverySnapshot, DiscoverySpec, FleetReady, FleetSnapshot, FleetSpec, SimulatedReady,
-    SimulatedSnapshot, SimulatedSpec, WorkerCommand, WorkerSpec,
+    DiscoveryReady, DiscoverySpec, FleetReady, FleetSpec, SimulatedReady, SimulatedSpec, WorkerCommand,
+    WorkerSpec,
 };
 use crate::scale::worker_process::WorkerProcess;
 use crate::script::{zone_name, Experiment};
@@ -25,23 +26,6 @@
     simulated: Vec<WorkerProcess>,
 }
 
-/// What all workers reported of one moment.
-pub(super) struct Snapshots {
-    /// The moment.
-    at: Instant,
-    pub(super) fleets: Vec<FleetSnapshot>,
-    pub(super) discovery: DiscoverySnapshot,
-    pub(super) simulated: Vec<SimulatedSnapshot>,
-}
-
-impl Snapshots {
-    /// The time from this moment to a later one; a millisecond at least, since figures are divided
-    /// by it.
-    pub(super) fn seconds_until(&self, later: &Snapshots) -> f64 {
-        (later.at - self.at).max(Duration::from_millis(1)).as_secs_f64()
-    }
-}
-
 impl Workers {
     /// Starts the workers. Requests and changes of the list do not begin yet.
     ///
--- a/testbed/src/scale/simulated/load.rs
+++ b/testbed/src/scale/simulated/load.rs
@@ -7,13 +7,19 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1, Zipf};
+use tokio::sync::watch::Receiver;
 use tokio::task::spawn_local;
 use tokio::time::sleep_until;
 
-use super::SimulatedBalancers;
+use super::balancer::SimulatedBalancer;
+use super::clock::ProcessClock;
+use super::counters::Counters;
 use crate::scale::protocol::SimulatedSpec;
 use crate::time::MS;
 
+/// Keys are hashes of their ranks with this, so that popular ones lie apart on the ring.
+const KEY_SALT: u64 = 7;
+
 /// How often each key is drawn, by its rank.
 enum KeyPopularity {
     Zipf(Zipf<f64>),
@@ -36,22 +42,30 @@
     }
 }
 
-impl SimulatedBalancers {
-    /// Draws requests for all balancers together, each for one of them by chance: that is a Poisson
-    /// process at each.
-    pub(super) async fn generate_load(self: Rc<SimulatedBalancers>) {
+/// Draws the requests of all balancers of a process.
+pub(super) struct LoadGenerator {
+    pub(super) spec: SimulatedSpec,
+    pub(super) clock: Rc<ProcessClock>,
+    pub(super) counters: Rc<Counters>,
+    pub(super) balancers: Rc<Vec<Rc<SimulatedBalancer>>>,
+}
+
+impl LoadGenerator {
+    /// Draws requests while `generating` says so: for all balancers together, each for one of them
+    /// by chance, which is a Poisson process at each.
+    pub(super) async fn run(self, mut generating: Receiver<bool>) {
+        // The processes of a run draw differently.
         let seed = self.spec.seed ^ u64::from(self.spec.first_balancer) << 20;
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let popularity = KeyPopularity::new(&self.spec);
         let rate = self.spec.rate * f64::from(self.spec.balancers);
-        let mut generating = self.generating.subscribe();
         loop {
             let started = generating.wait_for(|&generating| generating).await.is_ok();
             if !started || rate <= 0.0 || self.balancers.is_empty() {
                 return;
             }
             let mut due = self.clock.now() as f64;
-            while *self.generating.borrow() {
+            while *generating.borrow() {
                 due += rng.sample::<f64, _>(Exp1) / rate * 1e6;
                 self.wait_until(due as Micros).await;
                 self.start_request(&popularity, &mut rng, due as Micros);
@@ -74,6 +88,6 @@
         let rank = popularity.draw_rank(rng);
         let balancer = self.balancers[rng.random_range(0..self.balancers.len())].clone();
         self.counters.count(|counters| counters.requests += 1);
-        spawn_local(balancer.run_request(RingPosition(rank).mixed(7).0, due));
+        spawn_local(balancer.run_request(RingPosition(rank).mixed(KEY_SALT).0, due));
     }
 }
