--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -63,14 +63,14 @@
         self.next_start_at = now + (latency as f64 * (1.0 / self.limit.min(1.0) - 1.0)) as Micros;
     }
 
-    /// Follows the minimum latency over the present one; a present one up to `floor` is bearable
-    /// anyway. All three are in microseconds; `steps` multiplies the growth.
-    pub fn evaluate(&mut self, present: Option<f64>, quarter: f64, floor: f64, steps: f64, in_flight: usize) {
+    /// Follows the minimum latency, at most `ceiling`, over the present one; a present one up to
+    /// `floor` is bearable anyway. All three are in microseconds; `steps` multiplies the growth.
+    pub fn evaluate(&mut self, present: Option<f64>, ceiling: f64, floor: f64, steps: f64, in_flight: usize) {
         let step = (self.growth * steps).min(steps.max(1.0));
         let is_measured = self.has_new_samples && self.latencies.total() >= MIN_SAMPLES;
         if let Some(present) = present.filter(|_| is_measured) {
             // A host that was in a jam when first met must not pass its jam for its minimum latency.
-            self.min_latency = (self.min_latency * MIN_LATENCY_DRIFT).min(present).min(quarter);
+            self.min_latency = (self.min_latency * MIN_LATENCY_DRIFT).min(present).min(ceiling);
             self.decrease(((LATENCY_TOLERANCE * self.min_latency).max(floor) / present).min(1.0));
             self.limit = (self.limit + step).min(MAX_LIMIT);
         } else if self.limit < 1.0 {
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -81,7 +81,7 @@
         let Some(request) = self.requests.get(&id) else { return };
         let Some(in_doubt) = request.in_flight_attempt(number) else { return };
         if self.connection_retry_budget.is_available() {
-            self.refund(id, AttemptOutcome::ConnectionFault, Some(in_doubt));
+            self.settle_retry_cost(id, AttemptOutcome::ConnectionFault, Some(in_doubt));
             self.retry(id, mailboxes);
         }
     }
@@ -99,8 +99,8 @@
             }
         }
         // A key that fails at every host is itself the cause, and no host is blamed for it.
-        let is_own_fault = outcome == Error && self.record_error(attempt.request, host);
-        let outcome = if is_own_fault { NotSent } else { outcome };
+        let is_key_fault = outcome == Error && self.record_error(attempt.request, host);
+        let outcome = if is_key_fault { NotSent } else { outcome };
         mailboxes.send_to_host(host, HostMessage::AttemptEnded { attempt, outcome, elapsed });
     }
 
@@ -142,13 +142,13 @@
         if key_fails && outcome == AttemptOutcome::Error && request.in_flight.is_empty() {
             return self.close(id, false, mailboxes);
         }
-        self.refund(id, outcome, sent);
+        self.settle_retry_cost(id, outcome, sent);
         self.retry(id, mailboxes);
     }
 
     /// What reached no host costs no retry; a connection's fault is paid from a budget of its own,
     /// as its host is healthy.
-    fn refund(&mut self, id: RequestId, outcome: AttemptOutcome, sent: Option<SentAttempt>) {
+    fn settle_retry_cost(&mut self, id: RequestId, outcome: AttemptOutcome, sent: Option<SentAttempt>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let is_fault = outcome == AttemptOutcome::ConnectionFault;
         let is_paid = is_fault && self.connection_retry_budget.is_available();
--- a/src/policy/fleet.rs
+++ b/src/policy/fleet.rs
@@ -11,7 +11,7 @@
     /// Looks at zones, load and fleet, and has each host that is not idle look at itself.
     pub fn sweep(&mut self, mailboxes: &mut Mailboxes) {
         let caches = self.host_statuses.iter().filter(|status| status.is_cache());
-        let dark = self.zones.newly_dark(caches.map(|status| (status.zone(), status.activity)));
+        let dark = self.zones.update(caches.map(|status| (status.zone(), status.activity)));
         self.suspect_zones(&dark, mailboxes);
         self.loads.sweep(mailboxes.now);
         let is_evaluation = mailboxes.now - self.fleet.evaluated_at >= EVALUATION_INTERVAL;
--- a/src/policy/host.rs
+++ b/src/policy/host.rs
@@ -103,7 +103,7 @@
         // request.
         if self.status.activity.answered_at < sent_at {
             let is_only = self.in_flight.is_empty();
-            self.failure_evidence += if is_only { 2.0 * FAILURE_EVIDENCE } else { FAILURE_EVIDENCE };
+            self.failure_evidence += if is_only { ONLY_ATTEMPT_EVIDENCE } else { FAILURE_EVIDENCE };
         }
     }
 
@@ -118,11 +118,11 @@
                     self.restore(now);
                 }
             }
-            Error => self.failure_evidence += FAILURE_EVIDENCE / 2.0,
+            Error => self.failure_evidence += ERROR_EVIDENCE,
             // A host that only rejects drains or shuts down, whatever the endpoint list shows.
             Rejected => {
                 self.status.limit.decrease(REJECTION_DECREASE);
-                self.failure_evidence += FAILURE_EVIDENCE / 3.0;
+                self.failure_evidence += REJECTION_EVIDENCE;
             }
             Unreachable | ConnectionLost => self.failure_evidence += FAILURE_EVIDENCE,
             TimedOut | ConnectionFault | Cancelled | NotSent => {}
@@ -133,13 +133,13 @@
     pub fn sweep(&mut self, fleet: FleetMeasures, mailboxes: &mut Mailboxes) {
         let now = mailboxes.now;
         let may_be_suspected = self.suspected_since.is_none() && !self.status.is_origin();
-        if may_be_suspected && self.silence(fleet, now) > SUSPECT_EVIDENCE {
+        if may_be_suspected && self.evidence_against(fleet, now) > SUSPECT_EVIDENCE {
             self.suspected_since = Some(now);
             self.report_suspected(mailboxes);
         }
-        // Long enough for a restart, so it is taken for cold. Quiet balancers wait for as long as
-        // their own sends lie apart: if each probed a jammed host more often, the jam would never
-        // end.
+        // Long enough for a restart, so it is taken for cold. A quiet balancer waits for as long as its
+        // own sends lie apart, without upper bound: if each probed a jammed host more often, the jam
+        // would never end.
         let ejected_for = self.sample_gap.min(fleet.send_interval).max(MIN_EJECTION_TIME);
         if self.suspected_since.is_some_and(|since| now - since >= ejected_for) {
             self.warming_since = Some(now);
@@ -150,8 +150,8 @@
         }
     }
 
-    /// The evidence that it does not answer, in typical latencies.
-    fn silence(&self, fleet: FleetMeasures, now: Micros) -> f64 {
+    /// The evidence that it does not answer, in typical latencies: of ended attempts and waiting ones.
+    fn evidence_against(&self, fleet: FleetMeasures, now: Micros) -> f64 {
         // Time-outs count as latencies too: hence the bound, or silence would look like slowness.
         let own = self.status.limit.latencies.mean().unwrap_or(fleet.typical_latency);
         let latency = own.max(fleet.typical_latency).min(fleet.quarter_objective);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -3,9 +3,8 @@
 //! [`Policy::handle`] takes each event in turn and adds the actions to be done, purely: no clock,
 //! no I/O, no global state. The vocabulary is in `types`.
 //!
-//! Each host has a tracker (`HostTracker`), and a dispatcher (`Dispatcher`) holds the requests.
-//! They share nothing but messages. `admission.rs` is the gate of every attempt and final answer,
-//! and there the four rules are kept.
+//! Each host has a tracker (`HostTracker`), and a dispatcher (`Dispatcher`) holds the requests: they share
+//! nothing but messages. `admission.rs` gates each attempt and final answer; it keeps the four rules.
 
 use crate::dispatcher::Dispatcher;
 use crate::host_tracker::{HostStatus, HostTracker, Mailboxes};
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -94,7 +94,7 @@
 
     /// Whether a host gets nothing now but what probes for its return.
     pub fn is_avoided(&self, status: &HostStatus) -> bool {
-        status.is_suspected || self.zones.is_dark(status.zone(), status.activity)
+        status.is_suspected || self.zones.keeps_away_from(status.zone(), status.activity)
     }
 
     fn select_origin(&self, request: &OpenRequest, now: Micros) -> Option<HostId> {
--- a/src/policy/zones.rs
+++ b/src/policy/zones.rs
@@ -18,7 +18,7 @@
 
 impl ZoneOutageDetector {
     /// Looks at all hosts anew; the zones that went dark since the last look.
-    pub fn newly_dark(&mut self, hosts: impl Iterator<Item = (ZoneId, HostActivity)>) -> BTreeSet<ZoneId> {
+    pub fn update(&mut self, hosts: impl Iterator<Item = (ZoneId, HostActivity)>) -> BTreeSet<ZoneId> {
         let mut zones = ZoneActivity::by_zone(hosts);
         zones.retain(|_, zone| {
             let lost = zone.lost_at.iter().filter(|lost_at| **lost_at > zone.answered_at);
@@ -30,7 +30,7 @@
 
     /// Whether to keep away from a host of this zone. One that lost an attempt itself and is taken
     /// back probes for the zone: its answer, like any, brings the zone back.
-    pub fn is_dark(&self, zone: ZoneId, host: HostActivity) -> bool {
+    pub fn keeps_away_from(&self, zone: ZoneId, host: HostActivity) -> bool {
         host.lost_at <= host.answered_at && self.dark_zones.contains(&zone)
     }
 }
