--- a/balancer/src/discovery/endpoints.rs
+++ b/balancer/src/discovery/endpoints.rs
@@ -84,8 +84,12 @@
 /// Which listed hosts form this balancer's ring.
 pub type HostRegions = Regions<HostDetails>;
 
-/// Applies a list to the policy and to the upstream connections; `whole` if it is complete. Returns
-/// the list's version.
+/// Applies a list; `whole` if it is complete. Returns the list's version.
+///
+/// In this order: the regions choose the ring's hosts; names get numbers and upstream connections
+/// their addresses; the policy takes the endpoints; attempts that wait for a connection to a host
+/// that accepts nothing more end unsent; requests that something was decided for are woken; what is
+/// known of hosts that are gone is freed.
 pub fn apply_list(shared: &Shared, list: EndpointList, whole: bool) -> u64 {
     let now = shared.clock.now();
     let hosts = valid_hosts(shared, list.instances, now);
--- a/balancer/src/downstream/connection.rs
+++ b/balancer/src/downstream/connection.rs
@@ -21,28 +21,28 @@
 use crate::requests;
 use crate::shared::Shared;
 
-/// Commands of one connection that wait for their replies; more are left unread.
+/// Commands of one connection that may wait for their replies; more are left unread.
 const MAX_PENDING_REPLIES: usize = 32;
 /// The same while a reply is being written: a client that does not read must not fill the memory of
 /// all.
 const MAX_PENDING_WHILE_WRITING: usize = 4;
-/// A client that takes longer over one reply is cut off.
+/// A client that takes longer to read one reply is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// A command is whole by then but for its value, the first counted from when the connection came,
-/// and of a value something comes in every such time: clients that send nothing, or part of
-/// something, must not hold descriptors and memory of others.
+/// A command without its value must be complete within this time, the first one counted from the
+/// accept; a value must make progress within it. Clients that send nothing, or part of something,
+/// must not hold descriptors and memory of others.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(2_600);
-/// So long a connection that has just come, or of which part of a command has just come, is not
-/// closed: it may be about to send the rest.
+/// A connection is not closed for this long after it was accepted, or after part of a command came:
+/// it may be about to send the rest.
 const QUIET_PERIOD: Duration = Duration::from_millis(250);
-/// A connection on which no command ever came is kept so long during a drain: it may be about to
-/// send one.
+/// During a drain a connection that has not sent any command is kept for this long: it may be about
+/// to send one.
 const FIRST_COMMAND_GRACE: Duration = Duration::from_secs(1);
-/// Idle connections are closed so long after another process took over: a close before that could
+/// Idle connections are closed this long after another process took over: a close before that could
 /// cross a request.
 const KEEP_ALIVE_AFTER_TAKEOVER: Duration = Duration::from_millis(600);
-/// A client that is sent away and goes on sending before it has its replies is served so long; what
-/// it sends then goes unread, and it asks anew elsewhere.
+/// During a drain a client that goes on sending is served for this long. What it sends after that
+/// stays unread, and it sends it again elsewhere.
 const MAX_DRAIN_TIME: Duration = Duration::from_secs(3);
 
 /// How this side ends a connection.
@@ -157,15 +157,15 @@
             if let Some(close) = self.closing.filter(|_| is_idle) {
                 return close;
             }
-            let now = self.snapshot(is_idle);
-            if now.is_idle && (now.drain_overdue || self.is_due_to_close(&now)) {
-                if self.confirm_close(&now).await {
+            let snapshot = self.snapshot(is_idle);
+            if snapshot.is_idle && (snapshot.drain_overdue || self.is_due_to_close(&snapshot)) {
+                if self.confirm_close(&snapshot).await {
                     return Close::AfterReply;
                 }
                 continue;
             }
-            self.update_step_deadline(&now);
-            let event = self.next_event(&now).await;
+            self.update_step_deadline(&snapshot);
+            let event = self.next_event(&snapshot).await;
             if let ControlFlow::Break(close) = self.handle(event) {
                 return close;
             }
@@ -266,22 +266,22 @@
     }
 
     /// Whether the phase ends a connection that is idle.
-    fn is_due_to_close(&self, now: &Snapshot) -> bool {
-        match now.phase {
+    fn is_due_to_close(&self, snapshot: &Snapshot) -> bool {
+        match snapshot.phase {
             Phase::Starting | Phase::Serving => false,
             // One that has just come must not be sent away unserved.
             Phase::LameDuck => {
-                !now.is_partial
+                !snapshot.is_partial
                     && (self.had_command || has_passed(Some(self.last_input_at), FIRST_COMMAND_GRACE))
             }
-            Phase::Draining => !now.is_partial && (self.had_command || now.is_quiet),
+            Phase::Draining => !snapshot.is_partial && (self.had_command || snapshot.is_quiet),
             // Later ones go to the other process. A close that follows a reply crosses no request.
             Phase::Takeover => {
-                !now.is_partial && (self.replied_in_takeover || self.keep_alive_is_over_after_takeover())
+                !snapshot.is_partial && (self.replied_in_takeover || self.keep_alive_is_over_after_takeover())
             }
             // Part of a command that nothing is added to will not be whole, and a balancer must not
             // stay away for it.
-            Phase::Closing => now.is_quiet || (!now.is_partial && self.had_command),
+            Phase::Closing => snapshot.is_quiet || (!snapshot.is_partial && self.had_command),
             Phase::Flushing | Phase::Ended => true,
         }
     }
@@ -292,9 +292,9 @@
 
     /// Whether an idle connection is to be closed now. What came in the meantime is served: a close
     /// by a timer must cross as few requests as can be.
-    async fn confirm_close(&mut self, now: &Snapshot) -> bool {
+    async fn confirm_close(&mut self, snapshot: &Snapshot) -> bool {
         yield_now().await;
-        if now.drain_overdue || !self.input.try_read(&mut self.reader) {
+        if snapshot.drain_overdue || !self.input.try_read(&mut self.reader) {
             return true;
         }
         self.last_input_at = Instant::now();
@@ -302,38 +302,38 @@
     }
 
     /// Bounds the step that the client has to take next, from when it was first owed.
-    fn update_step_deadline(&mut self, now: &Snapshot) {
-        self.step_deadline = match self.step_timeout(now) {
+    fn update_step_deadline(&mut self, snapshot: &Snapshot) {
+        self.step_deadline = match self.step_timeout(snapshot) {
             Some(timeout) => Some(self.step_deadline.unwrap_or_else(|| Instant::now() + timeout)),
             None => None,
         };
     }
 
-    fn step_timeout(&self, now: &Snapshot) -> Option<Duration> {
+    fn step_timeout(&self, snapshot: &Snapshot) -> Option<Duration> {
         if self.outgoing.has_text() {
             return Some(WRITE_TIMEOUT);
         }
         // It waits for its host, or for memory, and not for its client.
-        if !self.outgoing.is_empty() || now.awaits_memory {
+        if !self.outgoing.is_empty() || snapshot.awaits_memory {
             return None;
         }
-        let owes_command = now.is_idle && (now.is_partial || !self.had_command);
+        let owes_command = snapshot.is_idle && (snapshot.is_partial || !self.had_command);
         owes_command.then_some(COMMAND_TIMEOUT)
     }
 
-    fn read_plan(&self, now: &Snapshot) -> ReadPlan {
+    fn read_plan(&self, snapshot: &Snapshot) -> ReadPlan {
         let may_read = self.closing.is_none()
-            && !now.awaits_memory
-            && !now.drain_overdue
-            && now.phase != Phase::Flushing;
+            && !snapshot.awaits_memory
+            && !snapshot.drain_overdue
+            && snapshot.phase != Phase::Flushing;
         let takes_commands = may_read && self.pending.len() < self.max_pending();
         let awaits_reply = self.pending.iter().any(|reply| matches!(reply, PendingReply::Awaited(..)));
-        let works_for_client = now.awaits_memory || awaits_reply;
+        let works_for_client = snapshot.awaits_memory || awaits_reply;
         // What waits for its turn is read all the same while a request goes on: of a client whose
         // unread bytes fill its window the end can't be seen, and nothing may go on for one that
         // has gone.
         let reads_ahead = may_read && !takes_commands && works_for_client && self.input.can_read_ahead();
-        let has_memory = self.shared.budget.has_memory() || self.input.may_exceed_memory(now.is_idle);
+        let has_memory = self.shared.budget.has_memory() || self.input.may_exceed_memory(snapshot.is_idle);
         let reads = (takes_commands || reads_ahead) && has_memory;
         // The client's end is looked for where something goes on for it; a reply that is there is
         // written, whoever still reads.
@@ -342,8 +342,9 @@
     }
 
     /// When one of the times of an idle connection is over that no event tells of.
-    fn next_recheck(&self, now: &Snapshot) -> Option<Instant> {
-        let is_timed = now.is_idle && (now.is_partial || !self.had_command || self.draining_since.is_some());
+    fn next_recheck(&self, snapshot: &Snapshot) -> Option<Instant> {
+        let is_timed =
+            snapshot.is_idle && (snapshot.is_partial || !self.had_command || self.draining_since.is_some());
         if !is_timed {
             return None;
         }
@@ -356,11 +357,12 @@
         times.into_iter().flatten().filter(|at| *at > Instant::now()).min()
     }
 
-    async fn next_event(&mut self, now: &Snapshot) -> Event {
-        let plan = self.read_plan(now);
-        let recheck_at = self.next_recheck(now);
-        let can_be_shed = now.is_idle && (now.is_quiet || (self.had_command && !now.is_partial));
-        let has_no_command = now.is_partial || !self.had_command;
+    async fn next_event(&mut self, snapshot: &Snapshot) -> Event {
+        let plan = self.read_plan(snapshot);
+        let recheck_at = self.next_recheck(snapshot);
+        let can_be_shed =
+            snapshot.is_idle && (snapshot.is_quiet || (self.had_command && !snapshot.is_partial));
+        let has_no_command = snapshot.is_partial || !self.had_command;
         let waits_for_memory = plan.takes_commands && !plan.has_memory;
         let is_writing = !self.outgoing.is_empty();
         let budget = &self.shared.budget;
--- a/balancer/src/downstream/reply.rs
+++ b/balancer/src/downstream/reply.rs
@@ -10,14 +10,14 @@
 
 use crate::metrics::{ActiveRequest, RequestOutcome};
 use crate::request::{StreamedValue, Value};
-use crate::requests::{Delivery, FinalAnswer};
+use crate::requests::{AnswerDelivery, FinalAnswer};
 
 /// The reply to one command.
 pub enum PendingReply {
     /// It is there.
     Ready(Bytes),
     /// It comes with the final answer to a request.
-    Awaited(oneshot::Receiver<Delivery>, ActiveRequest),
+    Awaited(oneshot::Receiver<AnswerDelivery>, ActiveRequest),
 }
 
 /// The reply that is being written, and what it means for its request.
@@ -146,7 +146,7 @@
         _ => std::future::pending().await,
     };
     match (pending.pop_front(), delivered) {
-        (Some(PendingReply::Awaited(_, request)), Ok(Delivery { answer, .. })) => {
+        (Some(PendingReply::Awaited(_, request)), Ok(AnswerDelivery { answer, .. })) => {
             Some(OutgoingReply::of_request(request, answer))
         }
         _ => None,
--- a/balancer/src/requests.rs
+++ b/balancer/src/requests.rs
@@ -13,7 +13,6 @@
 use crate::budget::MemoryGuard;
 use crate::request::{AttemptResult, ClientRequest, Value};
 use crate::shared::Shared;
-use crate::upstream::AttemptKey;
 
 /// The final answer to a request, in no protocol's form.
 pub enum FinalAnswer {
@@ -29,7 +28,7 @@
 }
 
 /// A final answer on its way to the client's connection.
-pub struct Delivery {
+pub struct AnswerDelivery {
     /// The answer.
     pub answer: FinalAnswer,
     /// The memory that it takes until the connection takes it up.
@@ -42,7 +41,7 @@
     shared: Rc<Shared>,
     request: ClientRequest,
     new_request: NewRequest,
-    delivery: oneshot::Sender<Delivery>,
+    delivery: oneshot::Sender<AnswerDelivery>,
     memory: MemoryGuard,
 ) {
     shared.counters.requests.add();
@@ -73,7 +72,7 @@
     id: RequestId,
     request: Rc<ClientRequest>,
     /// None once the request has its final answer, or its client has gone.
-    delivery: Option<oneshot::Sender<Delivery>>,
+    delivery: Option<oneshot::Sender<AnswerDelivery>>,
     /// What the request holds until it has its final answer, or its last attempt has ended.
     memory: Option<MemoryGuard>,
     attempts: JoinSet<(AttemptNumber, AttemptResult)>,
@@ -130,7 +129,7 @@
             (deadline - shared.clock.now()) / 1000
         );
         let request = self.request.clone();
-        let key = AttemptKey { request: self.id, attempt };
+        let key = AttemptKey { request: self.id, number: attempt };
         let task = async move {
             let upstreams = &shared.upstreams;
             let result = upstreams.attempt(host, key, &request, deadline).await;
@@ -205,11 +204,11 @@
         };
         memory.set(held);
         // A client that has just gone needs none.
-        let _ = delivery.send(Delivery { answer, _memory: memory });
+        let _ = delivery.send(AnswerDelivery { answer, _memory: memory });
     }
 }
 
-async fn client_gone(delivery: &mut Option<oneshot::Sender<Delivery>>) {
+async fn client_gone(delivery: &mut Option<oneshot::Sender<AnswerDelivery>>) {
     match delivery {
         Some(delivery) => delivery.closed().await,
         None => std::future::pending().await,
--- a/balancer/src/shared.rs
+++ b/balancer/src/shared.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use basaltwood::router::Router;
-use basaltwood::types::{PolicyConfig, RequestId};
+use basaltwood::types::{AttemptKey, PolicyConfig, RequestId};
 use basaltwood_regions::RegionMap;
 use basaltwood_settings::NameTable;
 use bytes::Bytes;
@@ -16,7 +16,7 @@
 use crate::counters::Counters;
 use crate::discovery::HostRegions;
 use crate::metrics::Metrics;
-use crate::upstream::{AttemptKey, UpstreamEvent, Upstreams};
+use crate::upstream::{UpstreamEvent, Upstreams};
 
 /// All that serving a request takes. It lives from start to exit.
 pub struct Shared {
@@ -103,17 +103,17 @@
         }
     }
 
-    /// The same for what has been told until now.
+    /// Reports what has been recorded until now.
     pub fn process_upstream_events(&self) {
         for event in self.upstreams.take_events() {
             let now = self.clock.now();
             let mut router = self.router.borrow_mut();
             match event {
-                UpstreamEvent::AttemptInDoubt(AttemptKey { request, attempt }) => {
-                    router.attempt_in_doubt(now, request, attempt);
+                UpstreamEvent::AttemptInDoubt(AttemptKey { request, number }) => {
+                    router.attempt_in_doubt(now, request, number);
                 }
-                UpstreamEvent::NewConnection(AttemptKey { request, attempt }) => {
-                    router.attempt_on_new_connection(now, request, attempt);
+                UpstreamEvent::NewConnection(AttemptKey { request, number }) => {
+                    router.attempt_on_new_connection(now, request, number);
                 }
                 UpstreamEvent::HostAlive(host) => router.host_alive(now, host),
                 UpstreamEvent::ProcessStalled(span) => router.process_stalled(now, span),
--- a/balancer/src/upstream/checkout.rs
+++ b/balancer/src/upstream/checkout.rs
@@ -3,12 +3,12 @@
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 
-use basaltwood::types::{AttemptOutcome, HostId, Micros};
+use basaltwood::types::{AttemptKey, AttemptOutcome, HostId, Micros};
 use basaltwood_connection_pool::{Checkout, ConnectFailure, ConnectionId};
 use basaltwood_wire::resp::MAX_BUFFERED_MESSAGE;
 use tokio::time::{timeout_at, Instant};
 
-use super::{AttemptKey, UpstreamConnection, UpstreamEvent, Upstreams};
+use super::{UpstreamConnection, UpstreamEvent, Upstreams};
 use crate::budget::DescriptorPermit;
 use crate::clock::duration;
 
--- a/balancer/src/upstream/exchange.rs
+++ b/balancer/src/upstream/exchange.rs
@@ -5,7 +5,7 @@
 
 use std::rc::Rc;
 
-use basaltwood::types::{AttemptOutcome, HostId, Micros};
+use basaltwood::types::{AttemptKey, AttemptOutcome, HostId, Micros};
 use basaltwood_connection_pool::Fault;
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
@@ -15,7 +15,7 @@
 use super::duplicates::ResponseFingerprint;
 use super::messages::{LongValueHead, ParseResponse, ParsedResponse, RequestBytes, WholeResponse};
 use super::streaming::ValueStream;
-use super::{AttemptKey, Upstreams};
+use super::Upstreams;
 use crate::read;
 use crate::request::{AttemptResult, ClientRequest, StreamedValue, Value};
 
--- a/balancer/src/upstream/mod.rs
+++ b/balancer/src/upstream/mod.rs
@@ -20,7 +20,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use basaltwood::types::{AttemptNumber, HostId, Micros, RequestId};
+use basaltwood::types::{AttemptKey, HostId, Micros};
 use basaltwood_connection_pool::{ConnectionId, ConnectionPools, PoolAction, PoolStats};
 use basaltwood_settings::RuntimeLimits;
 use tokio::sync::Notify;
@@ -36,13 +36,6 @@
 
 pub use connection::UpstreamConnection;
 
-/// An attempt of a request, as the router numbers both.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AttemptKey {
-    pub request: RequestId,
-    pub attempt: AttemptNumber,
-}
-
 /// What connections tell of attempts and hosts.
 pub enum UpstreamEvent {
     /// Later attempts of its host are answered, and this one is not.
@@ -250,7 +243,7 @@
         let Some(key) = in_flight else { return };
         log::debug!(
             "attempt {} of request {} is in doubt: later ones are answered",
-            key.attempt.0,
+            key.number.0,
             key.request.0
         );
         self.record_event(UpstreamEvent::AttemptInDoubt(key));
