--- a/testbed/src/scale/error.rs
+++ b/testbed/src/scale/error.rs
@@ -3,6 +3,7 @@
 use std::io;
 use std::path::PathBuf;
 
+use basaltwood_settings::SettingsError;
 use thiserror::Error;
 
 use crate::play::INTERRUPTED;
@@ -174,5 +175,5 @@
     Runtime(io::Error),
     /// The operators' settings make no sense.
     #[error("{0}")]
-    Settings(String),
+    Settings(#[from] SettingsError),
 }
--- a/testbed/src/scale/simulated/balancer.rs
+++ b/testbed/src/scale/simulated/balancer.rs
@@ -75,7 +75,7 @@
     ) -> Result<Rc<SimulatedBalancer>, RoleError> {
         let settings = OperatorSettings::deserialize(&spec.settings)?;
         let seed = RingPosition(spec.seed).mixed(u64::from(number)).0;
-        let config = settings.policy_config(seed).map_err(|error| RoleError::Settings(error.to_string()))?;
+        let config = settings.policy_config(seed)?;
         let limits = settings.runtime_limits();
         let pools = ConnectionPools::new(PoolConfig {
             seed: config.seed,
--- a/testbed/src/scale/worker_process.rs
+++ b/testbed/src/scale/worker_process.rs
@@ -1,4 +1,4 @@
-//! A worker process as the coordinator of a run sees it: started, asked, ended.
+//! A worker process as the coordinator of a run sees it: started, sent commands, ended.
 
 use std::io::{BufRead, BufReader, Write};
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
@@ -70,7 +70,7 @@
         let (sender, lines) = mpsc::channel();
         if let Some(output) = child.stdout.take() {
             let read = move || forward_lines(output, &sender);
-            thread::Builder::new().name("part".to_owned()).spawn(read)?;
+            thread::Builder::new().name("worker output".to_owned()).spawn(read)?;
         }
         Ok(WorkerProcess { child, input, lines, role })
     }
