--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -496,7 +496,7 @@
 fn up(file: &Path, seed: u64, out: &Path, seconds: Option<f64>) -> Result<u8, Trouble> {
     let experiment = Experiment::read(file).map_err(bad)?;
     let ledger = Ledger::new(Clock::start());
-    let world = World::start(&experiment, seed, &ledger).map_err(failed)?;
+    let world = World::start(&experiment, seed, &ledger).map_err(|error| failed(error.to_string()))?;
     std::fs::create_dir_all(out).map_err(|cause| failed(format!("{}: {cause}", out.display())))?;
     for (nth, seat) in world.bootstraps.iter().enumerate() {
         let listen = ([127, 0, 0, 1], 6379 + nth as u16).into();
--- a/testbed/src/play.rs
+++ b/testbed/src/play.rs
@@ -88,7 +88,7 @@
     std::fs::create_dir_all(folder).map_err(|cause| format!("{}: {cause}", folder.display()))?;
     let plan = Arc::new(plan(experiment, seed)?);
     let ledger = Ledger::new(Clock::start());
-    let mut world = World::start(experiment, seed, &ledger)?;
+    let mut world = World::start(experiment, seed, &ledger).map_err(|error| error.to_string())?;
     let balancers = Balancers::start(program.clone(), experiment, &world.bootstraps, seed, &ledger, folder)?;
     // What was noted until now, the lists that balancers took in, was before the run.
     ledger.take();
--- /dev/null
+++ b/testbed/src/world/director.rs
@@ -0,0 +1,320 @@
+//! Builds the machines and discovery agents of a world, and carries out the script of faults.
+
+use std::cell::{Cell, RefCell};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::atomic::AtomicU64;
+use std::sync::Arc;
+use std::time::Duration;
+
+use rand::{Rng, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use tokio::time::{sleep, sleep_until};
+
+use super::discovery::Agent;
+use super::faults::{FaultSchedule, FaultWindow};
+use super::host::{Host, HostSettings, Shared};
+use super::machine::MachineSettings;
+use super::service_time::ServiceTimes;
+use crate::balancers::Balancers;
+use crate::ledger::{HostNo, Ledger, Standing, What};
+use crate::script::{Experiment, Kind, Mode};
+use crate::settings::BalancerBootstrap;
+use crate::time::{millis, Micros};
+
+/// How long the addresses of a host that was removed are left alone before another one listens there.
+const ADDRESSES_FREED_AFTER: Duration = Duration::from_millis(1);
+
+/// Which end of a fault's window has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Boundary {
+    Begin,
+    End,
+}
+
+/// The machines, the agents and the script.
+pub(super) struct Director {
+    shared: Rc<Shared>,
+    /// By balancer.
+    agents: Vec<Rc<Agent>>,
+    experiment: Experiment,
+    next_host: Cell<u32>,
+    /// Hosts that were removed. They are kept until the run is over, as all that was started.
+    removed: RefCell<Vec<Rc<Host>>>,
+}
+
+impl Director {
+    /// Brings up all agents, hosts and the origin.
+    pub(super) fn start(
+        experiment: &Experiment,
+        seed: u64,
+        ledger: &Ledger,
+        connections_accepted: Arc<AtomicU64>,
+    ) -> std::io::Result<Rc<Director>> {
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let faults = FaultSchedule::new(experiment, &mut rng);
+        let service_times =
+            ServiceTimes::new(&experiment.categories, experiment.fleet.service, experiment.origin.service);
+        // The world's draws go on from here; those for the agents' lags are made beside them.
+        let shared = Shared::new(
+            ledger.clone(),
+            faults.clone(),
+            service_times,
+            experiment.mode,
+            rng.clone(),
+            connections_accepted,
+        );
+        let mut agents = Vec::new();
+        for balancer in 0..experiment.balancers {
+            let lag_ms = experiment.discovery.lag_ms + rng.random::<f64>() * experiment.discovery.spread_ms;
+            agents.push(Agent::start(balancer, millis(lag_ms), ledger.clone(), faults.clone())?);
+        }
+        let director = Rc::new(Director {
+            shared,
+            agents,
+            experiment: experiment.clone(),
+            next_host: Cell::new(0),
+            removed: RefCell::default(),
+        });
+        director.start_machines()?;
+        Ok(director)
+    }
+
+    fn start_machines(&self) -> std::io::Result<()> {
+        for _ in 0..self.experiment.fleet.hosts {
+            let host = self.start_host(None, None)?;
+            self.agents.iter().for_each(|agent| agent.add_initial(&host));
+        }
+        let origin = self.start_origin()?;
+        self.shared.origin.replace(Some(origin.clone()));
+        // Balancers that never ask the origin themselves don't learn of it.
+        if self.experiment.mode == Mode::Aside {
+            self.agents.iter().for_each(|agent| agent.add_initial(&origin));
+        }
+        Ok(())
+    }
+
+    /// What each balancer has to know before it starts.
+    pub(super) fn bootstraps(&self) -> Vec<BalancerBootstrap> {
+        let bootstrap =
+            |agent: &Rc<Agent>| BalancerBootstrap { discovery: agent.address, known: agent.endpoint_list() };
+        self.agents.iter().map(bootstrap).collect()
+    }
+
+    /// The faults as they were laid out.
+    pub(super) fn fault_windows(&self) -> Vec<FaultWindow> {
+        self.shared.faults.windows.clone()
+    }
+
+    /// Starts a host, one that was always there or one that is empty and warming up, at new addresses or at those
+    /// of another one.
+    fn start_host(
+        &self,
+        started_at: Option<Micros>,
+        addresses: Option<&[SocketAddr]>,
+    ) -> std::io::Result<Rc<Host>> {
+        let no = HostNo(self.next_host.get());
+        self.next_host.set(no.0 + 1);
+        let settings = self.host_settings(no, started_at);
+        let new_addresses = Host::new_addresses(no, self.experiment.balancers);
+        let host = Host::start(&self.shared, settings, addresses.unwrap_or(&new_addresses))?;
+        self.shared.hosts.borrow_mut().push(host.clone());
+        Ok(host)
+    }
+
+    fn host_settings(&self, no: HostNo, started_at: Option<Micros>) -> HostSettings {
+        let Experiment { fleet, cold, .. } = &self.experiment;
+        HostSettings {
+            no,
+            name: format!("h-{:08x}", self.shared.rng.borrow_mut().random::<u32>()),
+            zone: no.0 % fleet.zones as u32,
+            machine: MachineSettings {
+                cores: fleet.cores,
+                speed: fleet.speed,
+                max_queue: fleet.queue,
+                initial_capacity: cold.from,
+                warm_up: millis(cold.warm_ms),
+                overload_multiple: cold.multiple,
+                overload_window: millis(cold.window_ms),
+                overloads_only_while_warming: true,
+            },
+            max_connections: fleet.connections,
+            idle_timeout: millis(fleet.idle_ms),
+            connection_cost: millis(fleet.open_ms),
+            store_capacity: fleet.store,
+            initial_fill: if started_at.is_some() { 0.0 } else { fleet.filled },
+            report_interval: millis(fleet.report_ms),
+            started_at,
+            restart_after: None,
+        }
+    }
+
+    fn start_origin(&self) -> std::io::Result<Rc<Host>> {
+        let Experiment { origin, balancers, fleet, .. } = &self.experiment;
+        let settings = HostSettings {
+            no: HostNo::ORIGIN,
+            name: "origin".to_owned(),
+            zone: 0,
+            machine: MachineSettings {
+                cores: origin.cores,
+                speed: 1.0,
+                max_queue: origin.queue,
+                initial_capacity: 1.0,
+                warm_up: 0,
+                overload_multiple: origin.fall_multiple,
+                overload_window: millis(origin.fall_ms),
+                overloads_only_while_warming: false,
+            },
+            max_connections: origin.connections,
+            idle_timeout: millis(fleet.idle_ms),
+            connection_cost: millis(fleet.open_ms),
+            store_capacity: 1,
+            initial_fill: 0.0,
+            report_interval: 0,
+            started_at: None,
+            restart_after: Some(millis(origin.down_ms)),
+        };
+        Host::start(&self.shared, settings, &Host::new_addresses(HostNo::ORIGIN, *balancers))
+    }
+
+    /// Carries out the script. Never returns: what was started may not be dropped before the run is over.
+    pub(super) async fn run_script(self: Rc<Director>, balancers: Option<Balancers>) {
+        let windows = &self.shared.faults.windows;
+        let mut boundaries = Vec::new();
+        for (nth, window) in windows.iter().enumerate() {
+            boundaries.push((window.from, Boundary::Begin, nth));
+            boundaries.push((window.to, Boundary::End, nth));
+        }
+        // What ends at a time is over before anything begins at it.
+        boundaries.sort_by_key(|&(at, boundary, nth)| (at, boundary == Boundary::Begin, nth));
+        for (at, boundary, nth) in boundaries {
+            sleep_until(self.shared.ledger.clock.tokio_instant(at)).await;
+            let window = &windows[nth];
+            let begins = boundary == Boundary::Begin;
+            self.shared.ledger.note(What::Edge { text: window.title(), begins });
+            self.apply(window, boundary, balancers.as_ref()).await;
+        }
+        std::future::pending::<()>().await;
+    }
+
+    async fn apply(&self, window: &FaultWindow, boundary: Boundary, balancers: Option<&Balancers>) {
+        let now = self.shared.ledger.clock.now();
+        for host in self.concerned_hosts(window) {
+            match boundary {
+                Boundary::Begin => self.begin_at_host(&host, window),
+                Boundary::End => self.end_at_host(&host, window, now).await,
+            }
+        }
+        match window.kind {
+            Kind::DiscoveryDown => {
+                let silent = boundary == Boundary::Begin;
+                self.concerned_agents(window).for_each(|agent| agent.set_silent(silent));
+            }
+            Kind::DiscoveryStale => {
+                let stale = boundary == Boundary::Begin;
+                self.concerned_agents(window).for_each(|agent| agent.set_stale(stale));
+            }
+            Kind::Grow if boundary == Boundary::Begin => self.grow(window.count, now),
+            Kind::BalancerKill => self.kill_or_restart(window, boundary, balancers),
+            _ => {}
+        }
+    }
+
+    fn begin_at_host(&self, host: &Host, window: &FaultWindow) {
+        let balancer = window.balancer;
+        match window.kind {
+            Kind::Slow | Kind::OriginSlow => host.set_slowdown(window.factor),
+            Kind::Hang => host.freeze(),
+            Kind::Silent => host.become_unresponsive(balancer),
+            Kind::Stale => host.mute_connections(balancer),
+            Kind::StaleReset => host.forget_connections(balancer),
+            Kind::Reset => host.reset_connections(balancer),
+            Kind::Refuse | Kind::OriginDown => host.refuse(balancer),
+            Kind::Die | Kind::Replace => host.die(),
+            Kind::Drain | Kind::RollOut => self.publish(host, Standing::Leaving),
+            Kind::DiscoveryWrong => self.publish(host, Standing::Up),
+            _ => {}
+        }
+    }
+
+    async fn end_at_host(&self, host: &Rc<Host>, window: &FaultWindow, now: Micros) {
+        let balancer = window.balancer;
+        match window.kind {
+            Kind::Slow | Kind::OriginSlow => host.set_slowdown(1.0),
+            Kind::Hang => host.thaw(),
+            Kind::Silent => {
+                host.reset_connections(balancer);
+                host.open(balancer);
+            }
+            Kind::Refuse | Kind::OriginDown => host.open(balancer),
+            Kind::Die => {
+                host.restart();
+                self.publish(host, Standing::Up);
+            }
+            Kind::Replace => {
+                self.remove(host).await;
+                if let Ok(replacement) = self.start_host(Some(now), Some(&host.addresses())) {
+                    self.publish(&replacement, Standing::Up);
+                }
+            }
+            Kind::Drain => self.remove(host).await,
+            Kind::DiscoveryWrong => self.publish(host, Standing::Up),
+            _ => {}
+        }
+    }
+
+    fn concerned_hosts(&self, window: &FaultWindow) -> Vec<Rc<Host>> {
+        let hosts = self.shared.hosts.borrow();
+        let named = hosts.iter().filter(|host| window.hosts.contains(&host.settings.no));
+        let mut concerned: Vec<Rc<Host>> = named.cloned().collect();
+        if window.hosts.contains(&HostNo::ORIGIN) {
+            concerned.extend(self.shared.origin.borrow().clone());
+        }
+        concerned
+    }
+
+    fn concerned_agents(&self, window: &FaultWindow) -> impl Iterator<Item = &Rc<Agent>> {
+        let only = window.balancer;
+        let is_concerned = move |balancer: usize| only.is_none_or(|only| only == balancer);
+        let by_balancer = self.agents.iter().enumerate();
+        by_balancer.filter(move |(balancer, _)| is_concerned(*balancer)).map(|(_, agent)| agent)
+    }
+
+    /// All agents learn of a host's status, each after its lag.
+    fn publish(&self, host: &Host, status: Standing) {
+        self.agents.iter().for_each(|agent| agent.publish(host, status));
+    }
+
+    fn grow(&self, count: usize, now: Micros) {
+        for _ in 0..count {
+            match self.start_host(Some(now), None) {
+                Ok(host) => self.publish(&host, Standing::Up),
+                Err(cause) => log::warn!("a new host: {cause}"),
+            }
+        }
+    }
+
+    fn kill_or_restart(&self, window: &FaultWindow, boundary: Boundary, balancers: Option<&Balancers>) {
+        let Some(balancers) = balancers else { return };
+        let concerned = match window.balancer {
+            Some(only) => only..only + 1,
+            None => 0..self.agents.len(),
+        };
+        for balancer in concerned {
+            match boundary {
+                Boundary::Begin => balancers.kill(balancer),
+                Boundary::End => balancers.restart(balancer, &self.agents[balancer].endpoint_list()),
+            }
+        }
+    }
+
+    /// Removes a host for good.
+    async fn remove(&self, host: &Rc<Host>) {
+        host.remove().await;
+        self.publish(host, Standing::Left);
+        self.shared.hosts.borrow_mut().retain(|other| !Rc::ptr_eq(other, host));
+        self.removed.borrow_mut().push(host.clone());
+        // Its addresses may be taken over at once.
+        sleep(ADDRESSES_FREED_AFTER).await;
+    }
+}
--- a/testbed/src/world/discovery.rs
+++ b/testbed/src/world/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: each balancer has an agent of its own, which hears of changes after a lag of its own and tells them to the
+//! Discovery: each balancer has an agent of its own, which learns of changes after a lag of its own and answers the
 //! balancer's watch.
 
 use std::cell::{Cell, RefCell};
@@ -9,6 +9,7 @@
 
 use basaltwood_wire::buffer::Buffer;
 use basaltwood_wire::http;
+use bytes::Bytes;
 use serde_json::{json, Value};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -16,37 +17,61 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
+use super::faults::FaultSchedule;
 use super::host::Host;
 use super::listener::listen;
 use crate::ledger::{HostNo, Ledger, Standing, What};
 use crate::script::{zone_name, Kind};
 use crate::time::{to_duration, Micros};
 
-use super::faults::Faults;
-
-/// What discovery has to tell counts as told after this at the latest, by the protocol.
-const AT_LATEST: Duration = Duration::from_secs(6);
+/// By the protocol a balancer counts as informed of a change after this time at the latest, also by an agent that
+/// does not answer.
+const INFORMED_AT_LATEST: Duration = Duration::from_secs(6);
+/// The longest time that a call for changes is held.
+const MAX_HOLD_MS: u64 = 60_000;
+/// The longest request that an agent reads, in bytes.
+const MAX_REQUEST_BYTES: usize = 16 * 1024;
+/// Nothing listens there on loopback.
+const UNUSED_PORT: u16 = 1;
+/// Cells are host numbers below this, so that the origin has one in range.
+const CELLS: u32 = 1_000_000;
 
+/// What an agent knows of one host.
 #[derive(Clone)]
-struct Entry {
+struct Endpoint {
     name: String,
-    no: HostNo,
-    standing: Standing,
+    host: HostNo,
+    status: Standing,
+    /// As responses give it.
     body: Value,
 }
 
-/// After which version a call asks for changes, and for how long it may be held; none where it asks for all.
+/// An endpoint and the generation of the list that brought it.
+struct ListedEndpoint {
+    generation: u64,
+    endpoint: Endpoint,
+}
+
+/// A response and what it announces, to be recorded once it is written.
+struct WatchResponse {
+    text: Bytes,
+    announced: Vec<(HostNo, Standing)>,
+}
+
+/// After which generation a call asks for changes, and for how long it may be held; `None` where it asks for the
+/// whole list.
 pub(crate) fn parse_watch_query(path: &str) -> Option<(u64, Duration)> {
     let number = |name: &str| {
         let query = path.split_once('?').map_or("", |(_, query)| query);
         let value = query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
         value.and_then(|value| value.parse::<u64>().ok())
     };
-    Some((number("from")?, Duration::from_millis(number("hold_ms").unwrap_or(0).min(60_000))))
+    let hold_ms = number("hold_ms").unwrap_or(0).min(MAX_HOLD_MS);
+    Some((number("from")?, Duration::from_millis(hold_ms)))
 }
 
-/// Holds a call for changes until there is something newer or its time is over; whether its caller is still there. One that
-/// has gone is not to be told anything: that would count as told.
+/// Holds a call for changes until there is something newer or its time is over; whether its caller is still there.
+/// A caller that has gone may not be answered: that would count as an announcement to it.
 pub(crate) async fn wait_for_changes(
     stream: &mut TcpStream,
     generation: &watch::Sender<u64>,
@@ -62,25 +87,37 @@
     }
 }
 
-/// What one balancer's agent knows.
+/// The discovery agent of one balancer.
 pub struct Agent {
     balancer: usize,
+    /// Where it listens.
     pub address: SocketAddr,
+    /// How long after a change it learns of it.
     lag: Micros,
     ledger: Ledger,
-    faults: Faults,
+    faults: FaultSchedule,
+    /// The generation of the list.
     generation: watch::Sender<u64>,
-    /// By name: the entry, and the version that brought it.
-    entries: RefCell<BTreeMap<String, (u64, Entry)>>,
-    /// Changes that have not been taken in: discovery is stale.
-    held: RefCell<Vec<Entry>>,
+    /// The list, by name.
+    endpoints: RefCell<BTreeMap<String, ListedEndpoint>>,
+    /// Changes that are not in the list: discovery is stale.
+    withheld: RefCell<Vec<Endpoint>>,
     silent: Cell<bool>,
     stale: Cell<bool>,
-    woken: Notify,
+    silence_changed: Notify,
 }
 
 impl Agent {
-    pub fn start(balancer: usize, lag: Micros, ledger: Ledger, faults: Faults) -> std::io::Result<Rc<Agent>> {
+    /// Starts the agent of a balancer with an empty list.
+    ///
+    /// # Errors
+    /// What the kernel says where its address can't be had.
+    pub fn start(
+        balancer: usize,
+        lag: Micros,
+        ledger: Ledger,
+        faults: FaultSchedule,
+    ) -> std::io::Result<Rc<Agent>> {
         let listener = listen((Ipv4Addr::new(127, 31, 0, balancer as u8 + 1), 0).into())?;
         let agent = Rc::new(Agent {
             balancer,
@@ -89,102 +126,110 @@
             ledger,
             faults,
             generation: watch::Sender::new(1),
-            entries: RefCell::default(),
-            held: RefCell::default(),
+            endpoints: RefCell::default(),
+            withheld: RefCell::default(),
             silent: Cell::new(false),
             stale: Cell::new(false),
-            woken: Notify::new(),
+            silence_changed: Notify::new(),
         });
         spawn_local(agent.clone().accept(listener));
         Ok(agent)
     }
 
-    /// A host's standing has changed; the agent hears of it after its lag.
-    pub fn publish(self: &Rc<Agent>, host: &Host, standing: Standing) {
-        let entry = self.entry(host, standing);
+    /// A host's status has changed; the agent learns of it after its lag.
+    pub fn publish(self: &Rc<Agent>, host: &Host, status: Standing) {
+        let endpoint = self.endpoint(host, status);
         let agent = self.clone();
         spawn_local(async move {
             sleep(to_duration(agent.lag)).await;
             if agent.stale.get() {
-                agent.held.borrow_mut().push(entry);
+                agent.withheld.borrow_mut().push(endpoint);
             } else {
-                agent.take(entry);
+                agent.add(endpoint);
             }
         });
     }
 
-    /// The same at the start: known at once.
-    pub fn knows(&self, host: &Host) {
-        let entry = self.entry(host, Standing::Up);
-        self.entries.borrow_mut().insert(entry.name.clone(), (1, entry));
+    /// A host that is there from the start.
+    pub fn add_initial(&self, host: &Host) {
+        let endpoint = self.endpoint(host, Standing::Up);
+        let name = endpoint.name.clone();
+        self.endpoints.borrow_mut().insert(name, ListedEndpoint { generation: 1, endpoint });
     }
 
-    /// The list as a balancer has it at its start.
-    pub fn known(&self) -> Value {
-        let entries = self.entries.borrow();
-        let there = entries.values().filter(|(_, entry)| entry.standing != Standing::Left);
-        let instances: Vec<&Value> = there.map(|(_, entry)| &entry.body).collect();
+    /// The whole list, as a balancer is given it at its start.
+    pub fn endpoint_list(&self) -> Value {
+        let endpoints = self.endpoints.borrow();
+        let present = endpoints.values().filter(|listed| listed.endpoint.status != Standing::Left);
+        let instances: Vec<&Value> = present.map(|listed| &listed.endpoint.body).collect();
         json!({"generation": *self.generation.borrow(), "reset": true, "instances": instances})
     }
 
+    /// While it is silent it takes calls and answers none.
     pub fn set_silent(&self, silent: bool) {
         self.silent.set(silent);
-        self.woken.notify_waiters();
+        self.silence_changed.notify_waiters();
     }
 
+    /// While it is stale its list does not change; what it has missed is added at the end.
     pub fn set_stale(self: &Rc<Agent>, stale: bool) {
         self.stale.set(stale);
         if !stale {
-            self.held.take().into_iter().for_each(|entry| self.take(entry));
+            self.withheld.take().into_iter().for_each(|endpoint| self.add(endpoint));
         }
     }
 
-    fn entry(&self, host: &Host, standing: Standing) -> Entry {
-        let terms = &host.terms;
+    fn endpoint(&self, host: &Host, status: Standing) -> Endpoint {
+        let settings = &host.settings;
         let clock = &self.ledger.clock;
-        let wrong = self.faults.part(clock.now(), Kind::DiscoveryWrong, terms.no, self.balancer) > 0.0;
-        // Port 1 has no listener on loopback.
-        let address = if wrong { SocketAddr::from(([127, 0, 0, 1], 1)) } else { host.address(self.balancer) };
-        let origin = terms.no == HostNo::ORIGIN;
-        let lifecycle = match standing {
+        let wrong_address =
+            self.faults.probability(clock.now(), Kind::DiscoveryWrong, settings.no, self.balancer) > 0.0;
+        let address = if wrong_address {
+            SocketAddr::from((Ipv4Addr::LOCALHOST, UNUSED_PORT))
+        } else {
+            host.address(self.balancer)
+        };
+        let lifecycle = match status {
             Standing::Up => "active",
             Standing::Leaving => "leaving",
             Standing::Left => "left",
         };
         let body = json!({
-            "instanceId": terms.name,
+            "instanceId": settings.name,
             "hostPort": address.to_string(),
-            "zone": zone_name(terms.zone),
-            "machineType": if origin { "origin" } else { "host" },
-            "cell": terms.no.0 % 1_000_000,
+            "zone": zone_name(settings.zone),
+            "machineType": if settings.no == HostNo::ORIGIN { "origin" } else { "host" },
+            "cell": settings.no.0 % CELLS,
             "lifecycle": lifecycle,
-            "weight": terms.machine.cores as f64,
-            "startedAtMs": host.started().map_or(0.0, |started| clock.unix_ms(started)),
+            "weight": settings.machine.cores as f64,
+            "startedAtMs": host.started_at().map_or(0.0, |started_at| clock.unix_ms(started_at)),
         });
-        Entry { name: terms.name.clone(), no: terms.no, standing, body }
+        Endpoint { name: settings.name.clone(), host: settings.no, status, body }
     }
 
-    /// The agent has it from now on, and that counts as told, also to a balancer that has no call open: an agent that
-    /// speaks would tell it at once. Of a silent one it counts as told after [`AT_LATEST`].
-    fn take(self: &Rc<Agent>, entry: Entry) {
+    /// Adds a change to the list. From then on the balancer counts as informed, also one that has no call open: an
+    /// agent that answers would inform it at once. With a silent one it counts so after [`INFORMED_AT_LATEST`].
+    fn add(self: &Rc<Agent>, endpoint: Endpoint) {
         let generation = *self.generation.borrow() + 1;
-        let due = What::Due { balancer: self.balancer, host: entry.no, standing: entry.standing };
+        let due = What::Due { balancer: self.balancer, host: endpoint.host, standing: endpoint.status };
         if self.silent.get() {
-            let (agent, name) = (self.clone(), entry.name.clone());
-            spawn_local(async move {
-                sleep(AT_LATEST).await;
-                // Unless something newer is known of it by then.
-                if agent.entries.borrow().get(&name).is_some_and(|(newest, _)| *newest == generation) {
-                    agent.ledger.note(due);
-                }
-            });
+            spawn_local(self.clone().note_unless_outdated(due, endpoint.name.clone(), generation));
         } else {
             self.ledger.note(due);
         }
-        self.entries.borrow_mut().insert(entry.name.clone(), (generation, entry));
+        self.endpoints.borrow_mut().insert(endpoint.name.clone(), ListedEndpoint { generation, endpoint });
         self.generation.send_replace(generation);
     }
 
+    async fn note_unless_outdated(self: Rc<Agent>, due: What, name: String, generation: u64) {
+        sleep(INFORMED_AT_LATEST).await;
+        let is_newest =
+            self.endpoints.borrow().get(&name).is_some_and(|listed| listed.generation == generation);
+        if is_newest {
+            self.ledger.note(due);
+        }
+    }
+
     async fn accept(self: Rc<Agent>, listener: TcpListener) {
         loop {
             if let Ok((stream, _)) = listener.accept().await {
@@ -194,54 +239,57 @@
     }
 
     async fn serve(self: Rc<Agent>, mut stream: TcpStream) {
-        let mut buffer = Buffer::new(16 * 1024);
-        loop {
-            let request = match http::parse_request(buffer.bytes(), 0) {
-                Ok(Some(request)) => request,
-                Ok(None) => {
-                    let Ok(room) = buffer.unfilled() else { return };
-                    match stream.read_buf(room).await {
-                        Ok(1..) => continue,
-                        _ => return,
-                    }
-                }
-                Err(_) => return,
-            };
-            buffer.consume(request.consumed);
-            let asked = parse_watch_query(&request.path);
+        let mut buffer = Buffer::new(MAX_REQUEST_BYTES);
+        while let Some(path) = next_request(&mut stream, &mut buffer).await {
+            let asked = parse_watch_query(&path);
             if !wait_for_changes(&mut stream, &self.generation, asked).await {
                 return;
             }
-            let from = asked.map(|(from, _)| from);
             while self.silent.get() {
-                self.woken.notified().await;
+                self.silence_changed.notified().await;
             }
-            let (text, told) = self.page(from);
-            if stream.write_all(&text).await.is_err() {
+            let response = self.changes_since(asked.map(|(from, _)| from));
+            if stream.write_all(&response.text).await.is_err() {
                 return;
             }
-            for (host, standing) in told {
+            for (host, standing) in response.announced {
                 self.ledger.note(What::Told { balancer: self.balancer, host, standing });
             }
         }
     }
 
-    /// What is newer than a version, or all.
-    fn page(&self, from: Option<u64>) -> (bytes::Bytes, Vec<(HostNo, Standing)>) {
-        let entries = self.entries.borrow();
-        let newer = entries.values().filter(|(generation, entry)| match from {
-            Some(from) => *generation > from,
-            None => entry.standing != Standing::Left,
-        });
-        let newer: Vec<&Entry> = newer.map(|(_, entry)| entry).collect();
-        let instances: Vec<&Value> = newer.iter().map(|entry| &entry.body).collect();
-        let page = json!({
+    /// What is newer than a generation, or the whole list.
+    fn changes_since(&self, from: Option<u64>) -> WatchResponse {
+        let endpoints = self.endpoints.borrow();
+        let is_asked_for = |listed: &&ListedEndpoint| match from {
+            Some(from) => listed.generation > from,
+            None => listed.endpoint.status != Standing::Left,
+        };
+        let asked_for: Vec<&Endpoint> =
+            endpoints.values().filter(is_asked_for).map(|listed| &listed.endpoint).collect();
+        let instances: Vec<&Value> = asked_for.iter().map(|endpoint| &endpoint.body).collect();
+        let body = json!({
             "generation": *self.generation.borrow(),
             "reset": from.is_none(),
             "instances": instances,
         });
-        let text =
-            http::encode_response(200, &[("Content-Type", "application/json")], page.to_string().as_bytes());
-        (text, newer.iter().map(|entry| (entry.no, entry.standing)).collect())
+        let headers = [("Content-Type", "application/json")];
+        let text = http::encode_response(200, &headers, body.to_string().as_bytes());
+        let announced = asked_for.iter().map(|endpoint| (endpoint.host, endpoint.status)).collect();
+        WatchResponse { text, announced }
+    }
+}
+
+/// The path of the next request; `None` where the connection is over.
+async fn next_request(stream: &mut TcpStream, buffer: &mut Buffer) -> Option<String> {
+    loop {
+        if let Some(request) = http::parse_request(buffer.bytes(), 0).ok()? {
+            buffer.consume(request.consumed);
+            return Some(request.path);
+        }
+        let unfilled = buffer.unfilled().ok()?;
+        if stream.read_buf(unfilled).await.ok()? == 0 {
+            return None;
+        }
     }
 }
--- a/testbed/src/world/faults.rs
+++ b/testbed/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! The script of faults, laid out in time: which edges come when, and how likely a fault is for a push. Pure.
+//! The script of faults laid out in time: which faults are on when, and how likely one strikes an attempt. Pure.
 
 use std::collections::BTreeSet;
 
@@ -12,14 +12,21 @@
 /// One time that a fault is on.
 #[derive(Clone, Debug)]
 pub struct FaultWindow {
+    /// What it does.
     pub kind: Kind,
+    /// The machines that it concerns.
     pub hosts: BTreeSet<HostNo>,
+    /// The one balancer that it concerns or that sees it; all where it is `None`.
     pub balancer: Option<usize>,
+    /// When it begins, in microseconds of the run.
     pub from: Micros,
+    /// When it is over.
     pub to: Micros,
-    pub part: f64,
+    /// How likely it strikes an attempt.
+    pub probability: f64,
+    /// How much slower work is under it.
     pub factor: f64,
-    /// For growth: how many.
+    /// For growth: how many hosts are added.
     pub count: usize,
 }
 
@@ -31,10 +38,11 @@
             && self.hosts.contains(&host)
     }
 
+    /// Its kind and whom it concerns, as reports show it.
     pub fn title(&self) -> String {
         let name = serde_json::to_string(&self.kind).unwrap_or_default();
         let name = name.trim_matches('"');
-        let of = match (self.kind, self.balancer) {
+        let target = match (self.kind, self.balancer) {
             (Kind::Grow, _) => format!(" by {}", self.count),
             (Kind::BalancerKill, Some(balancer)) => format!(" {balancer}"),
             _ if self.hosts.is_empty() => String::new(),
@@ -43,76 +51,90 @@
                 format!(" of {}", hosts.join(","))
             }
         };
-        format!("{name}{of}")
+        format!("{name}{target}")
     }
 }
 
+/// All faults of a run.
 #[derive(Clone, Debug, Default)]
-pub struct Faults {
-    pub spans: Vec<FaultWindow>,
+pub struct FaultSchedule {
+    /// In the order of their beginnings.
+    pub windows: Vec<FaultWindow>,
 }
 
-impl Faults {
-    /// All times that faults are on, in the order of their beginnings. Which hosts are meant by a number is drawn once.
-    pub fn laid_out(experiment: &Experiment, rng: &mut ChaCha8Rng) -> Faults {
-        let length = experiment.length();
-        let mut spans = Vec::new();
+impl FaultSchedule {
+    /// Lays out the faults of an experiment. Which hosts are meant by a number is drawn once for each fault.
+    pub fn new(experiment: &Experiment, rng: &mut ChaCha8Rng) -> FaultSchedule {
+        let mut windows = Vec::new();
         for fault in &experiment.faults {
-            let hosts = hosts(fault, experiment.fleet.hosts, rng);
-            let span = seconds(fault.to_s.unwrap_or(experiment.seconds)) - fault.from();
-            let mut from = fault.from();
-            loop {
-                let one = FaultWindow {
-                    kind: fault.kind,
-                    hosts: hosts.clone(),
-                    balancer: fault.balancer,
-                    from,
-                    to: from + span,
-                    part: fault.part,
-                    factor: fault.factor,
-                    count: if let Which::Count(count) = fault.hosts { count } else { 0 },
-                };
-                if one.kind == Kind::RollOut {
-                    rolled(&one, &mut spans);
-                } else {
-                    spans.push(one);
-                }
-                match fault.every_s.map(seconds).filter(|&every| from + every < length) {
-                    Some(every) => from += every,
-                    None => break,
-                }
-            }
+            let hosts = draw_hosts(fault, experiment.fleet.hosts, rng);
+            add_windows(fault, &hosts, experiment, &mut windows);
         }
-        spans.sort_by_key(|span| span.from);
-        Faults { spans }
+        windows.sort_by_key(|window| window.from);
+        FaultSchedule { windows }
     }
 
-    /// How likely a push is hit by a fault of this kind now.
-    pub fn part(&self, now: Micros, kind: Kind, host: HostNo, balancer: usize) -> f64 {
-        let on = self.spans.iter().filter(|span| span.covers(now, kind, host, balancer));
-        on.map(|span| span.part).fold(0.0, f64::max)
+    /// How likely an attempt is struck by a fault of this kind now.
+    pub fn probability(&self, now: Micros, kind: Kind, host: HostNo, balancer: usize) -> f64 {
+        let on = self.windows.iter().filter(|window| window.covers(now, kind, host, balancer));
+        on.map(|window| window.probability).fold(0.0, f64::max)
     }
 }
 
-fn hosts(fault: &Fault, all: usize, rng: &mut ChaCha8Rng) -> BTreeSet<HostNo> {
-    let every = (0..all as u32).map(HostNo);
+fn draw_hosts(fault: &Fault, fleet_size: usize, rng: &mut ChaCha8Rng) -> BTreeSet<HostNo> {
+    let all = (0..fleet_size as u32).map(HostNo);
     match (&fault.kind, &fault.hosts) {
         (Kind::OriginSlow | Kind::OriginDown, _) => [HostNo::ORIGIN].into(),
         (Kind::Grow | Kind::DiscoveryDown | Kind::DiscoveryStale, _) => BTreeSet::new(),
         (Kind::BalancerKill | Kind::GeneratorStop | Kind::GeneratorSlow, _) => BTreeSet::new(),
-        (_, Which::Named(_)) => every.collect(),
+        (_, Which::Named(_)) => all.collect(),
         (_, Which::These(hosts)) => hosts.iter().map(|&host| HostNo(host as u32)).collect(),
-        (_, Which::Count(count)) => every.choose_multiple(rng, *count).into_iter().collect(),
+        (_, Which::Count(count)) => all.choose_multiple(rng, *count).into_iter().collect(),
+    }
+}
+
+/// Adds the times that one fault is on: once, or again and again until the run is over.
+fn add_windows(
+    fault: &Fault,
+    hosts: &BTreeSet<HostNo>,
+    experiment: &Experiment,
+    windows: &mut Vec<FaultWindow>,
+) {
+    let duration = seconds(fault.to_s.unwrap_or(experiment.seconds)) - fault.from();
+    let mut from = fault.from();
+    loop {
+        let window = FaultWindow {
+            kind: fault.kind,
+            hosts: hosts.clone(),
+            balancer: fault.balancer,
+            from,
+            to: from + duration,
+            probability: fault.part,
+            factor: fault.factor,
+            count: if let Which::Count(count) = fault.hosts { count } else { 0 },
+        };
+        if window.kind == Kind::RollOut {
+            add_roll_out(&window, windows);
+        } else {
+            windows.push(window);
+        }
+        let interval = fault.every_s.map(seconds);
+        match interval.filter(|&interval| from + interval < experiment.length()) {
+            Some(interval) => from += interval,
+            None => break,
+        }
     }
 }
 
-/// A roll-out: each host drains for a third of its time and is away for a twentieth; then the next one's turn comes.
-fn rolled(whole: &FaultWindow, spans: &mut Vec<FaultWindow>) {
-    let each = (whole.to - whole.from) / whole.hosts.len().max(1) as Micros;
+/// A roll-out takes one host after the other: each drains for a third of its time and is down for a twentieth.
+fn add_roll_out(whole: &FaultWindow, windows: &mut Vec<FaultWindow>) {
+    let per_host = (whole.to - whole.from) / whole.hosts.len().max(1) as Micros;
     for (nth, host) in whole.hosts.iter().enumerate() {
-        let from = whole.from + each * nth as Micros;
-        let one = |kind, from, to| FaultWindow { kind, hosts: [*host].into(), from, to, ..whole.clone() };
-        spans.push(one(Kind::RollOut, from, from + each / 3));
-        spans.push(one(Kind::Die, from + each / 3, from + each / 3 + each / 20));
+        let from = whole.from + per_host * nth as Micros;
+        let drained = from + per_host / 3;
+        let restarted = drained + per_host / 20;
+        let window = |kind, from, to| FaultWindow { kind, hosts: [*host].into(), from, to, ..whole.clone() };
+        windows.push(window(Kind::RollOut, from, drained));
+        windows.push(window(Kind::Die, drained, restarted));
     }
 }
--- /dev/null
+++ b/testbed/src/world/host/attempt.rs
@@ -0,0 +1,227 @@
+//! One attempt of a balancer at a machine: from its last byte to the response, with its effects on stores and the
+//! faults that strike it.
+
+use std::rc::Rc;
+
+use basaltwood_wire::facts::fact;
+use basaltwood_wire::resp;
+use bytes::Bytes;
+use rand::Rng;
+
+use super::connection::Response;
+use super::cores::JobOutcome;
+use super::protocol::{Command, Reply};
+use super::{Host, RecentMiss};
+use crate::ledger::What;
+use crate::script::{Group, Kind, Mode, Repeats};
+use crate::time::{millis, Micros, SECOND};
+
+/// The longest time that a command may wait for a core, in milliseconds.
+const MAX_WAIT_MS: f64 = 3.6e6;
+/// A miss costs a host this fraction of the work on a hit: it is found out at once.
+const MISS_WORK_DIVISOR: Micros = 4;
+/// How long the origin remembers misses; longer than any overload window in use.
+const MISSES_KEPT: Micros = 10 * SECOND;
+/// Bytes of a reply that is garbled by a fault.
+const GARBLED_REPLY_BYTES: usize = 24;
+/// Deduplication scopes of cells are numbered from here, beyond those of zones.
+const FIRST_CELL_SCOPE: u32 = 1_000_000;
+
+/// A command as one machine works on it.
+struct Attempt {
+    command: Command,
+    balancer: usize,
+    received_at: Micros,
+    /// It is rejected if its work has not begun by this time.
+    start_by: Micros,
+    /// The index of its request class, if it has one.
+    class: Option<usize>,
+    service_time: Micros,
+    /// Whether the machine can do it without the value from elsewhere.
+    is_hit: bool,
+}
+
+impl Host {
+    /// Takes an attempt whose first byte came at `first_byte_at` (its last one otherwise), and works on it.
+    /// `connection_cost` is work that comes on top.
+    pub(super) async fn handle_attempt(
+        self: &Rc<Host>,
+        balancer: usize,
+        command: Command,
+        first_byte_at: Option<Micros>,
+        connection_cost: Micros,
+    ) -> Response {
+        let received_at = self.now();
+        let began = first_byte_at.unwrap_or(received_at);
+        let (id, host) = (command.id, self.settings.no);
+        self.shared.ledger.note(What::Pushed { id, host, balancer, began });
+        if self.is_struck_by(Kind::Busy, received_at, balancer) {
+            return self.reject(&command);
+        }
+        let attempt = self.prepare(balancer, command, received_at);
+        let does_full_work = attempt.is_hit || self.shared.mode == Mode::Through;
+        let work =
+            if does_full_work { attempt.service_time } else { attempt.service_time / MISS_WORK_DIVISOR };
+        match self.run_job(work + connection_cost, attempt.start_by).await {
+            JobOutcome::Completed => {}
+            JobOutcome::Rejected => return self.reject(&attempt.command),
+            JobOutcome::HostDown => return Response::Reset,
+        }
+        if let Some(response) = self.complete_elsewhere(&attempt).await {
+            return response;
+        }
+        self.record_execution(&attempt);
+        self.respond(&attempt)
+    }
+
+    fn prepare(&self, balancer: usize, command: Command, received_at: Micros) -> Attempt {
+        let service_times = &self.shared.service_times;
+        let timeout_ms = fact(&command.facts, "d").and_then(|ms| ms.parse::<f64>().ok()).unwrap_or(0.0);
+        let class = fact(&command.facts, "c").and_then(|name| service_times.class_index(name));
+        let service_time = {
+            let mut rng = self.shared.rng.borrow_mut();
+            service_times.draw(&mut *rng, class, self.is_origin())
+        };
+        let is_hit = command.write || self.is_origin() || self.holds(&command.key);
+        let start_by = received_at + millis(timeout_ms.clamp(0.0, MAX_WAIT_MS));
+        Attempt { command, balancer, received_at, start_by, class, service_time, is_hit }
+    }
+
+    fn holds(&self, key: &Bytes) -> bool {
+        self.store.borrow().holds(key, self.shared.last_write_to(key))
+    }
+
+    /// Whether a fault of this kind, which was on when the attempt came, strikes it.
+    fn is_struck_by(&self, kind: Kind, received_at: Micros, balancer: usize) -> bool {
+        let probability = self.shared.faults.probability(received_at, kind, self.settings.no, balancer);
+        self.shared.draw(probability)
+    }
+
+    /// What is left to do elsewhere once this machine has done its part; a response where that ends the attempt.
+    async fn complete_elsewhere(self: &Rc<Host>, attempt: &Attempt) -> Option<Response> {
+        let passes_on = self.shared.mode == Mode::Through;
+        if !attempt.is_hit && !passes_on {
+            return Some(self.report_miss(&attempt.command));
+        }
+        let is_write_through = attempt.command.write && !self.is_origin() && passes_on;
+        if attempt.is_hit && !is_write_through {
+            return None;
+        }
+        match self.call_origin(attempt).await {
+            JobOutcome::Completed if attempt.is_hit => None,
+            JobOutcome::Completed => {
+                self.keep(attempt.command.key.clone());
+                None
+            }
+            JobOutcome::Rejected => Some(self.reject(&attempt.command)),
+            JobOutcome::HostDown => Some(self.reply(&Reply::Failed)),
+        }
+    }
+
+    fn report_miss(self: &Rc<Host>, command: &Command) -> Response {
+        let id = command.id;
+        self.shared.ledger.note(What::Missed { id, host: self.settings.no });
+        self.shared.record_miss(id, self.clone(), command.key.clone());
+        self.report_miss_to_origin();
+        self.reply(&Reply::Miss)
+    }
+
+    /// The origin's part of a read or write that a host passes on itself.
+    async fn call_origin(&self, attempt: &Attempt) -> JobOutcome {
+        self.report_miss_to_origin();
+        let origin = self.shared.origin.borrow().clone();
+        let Some(origin) = origin.filter(|origin| !origin.is_down()) else { return JobOutcome::HostDown };
+        let service_times = &self.shared.service_times;
+        let at_origin = {
+            let mut rng = self.shared.rng.borrow_mut();
+            service_times.draw(&mut *rng, attempt.class, true)
+        };
+        origin.run_job(at_origin.max(attempt.service_time), attempt.start_by).await
+    }
+
+    /// The origin keeps account of which hosts cause its load, should it be overloaded.
+    fn report_miss_to_origin(&self) {
+        let now = self.now();
+        let host_warming_up = self.machine.borrow().is_warming_up(now);
+        if let Some(origin) = &*self.shared.origin.borrow() {
+            let mut misses = origin.misses.borrow_mut();
+            misses.push_back(RecentMiss { at: now, host_warming_up });
+            while misses.front().is_some_and(|miss| miss.at < now - MISSES_KEPT) {
+                misses.pop_front();
+            }
+        }
+    }
+
+    /// It ran: what that does to stores, recorded with whether it took effect.
+    fn record_execution(&self, attempt: &Attempt) {
+        let command = &attempt.command;
+        let mut effect = command.write;
+        if command.write {
+            effect = self.takes_effect(attempt);
+            self.shared.record_write(&command.key);
+        } else if self.is_origin() {
+            self.shared.fill_missed(command.id);
+        }
+        let (id, host) = (command.id, self.settings.no);
+        self.shared.ledger.note(What::Ran { id, host, effect });
+    }
+
+    /// Whether a write is no repeat that its deduplication scope drops.
+    fn takes_effect(&self, attempt: &Attempt) -> bool {
+        let Some(idempotency_key) = fact(&attempt.command.facts, "k") else { return true };
+        let Some(class) = attempt.class else { return true };
+        let class = self.shared.service_times.class(class);
+        if class.repeats != Repeats::Deduplicated {
+            return true;
+        }
+        let scope = match class.group {
+            Group::All => 0,
+            Group::Zone => 1 + self.settings.zone,
+            Group::Cell => FIRST_CELL_SCOPE + self.settings.no.0,
+        };
+        let now = self.now();
+        let first_run = self.shared.first_run(idempotency_key, scope, now);
+        first_run == now || now - first_run > millis(class.window_ms)
+    }
+
+    /// The response to what ran, or what faults make of it.
+    fn respond(&self, attempt: &Attempt) -> Response {
+        let is_struck_by = |kind| self.is_struck_by(kind, attempt.received_at, attempt.balancer);
+        if is_struck_by(Kind::Error) {
+            return self.reply(&Reply::Failed);
+        }
+        if is_struck_by(Kind::Lost) {
+            return Response::Mute;
+        }
+        if is_struck_by(Kind::Reset) {
+            return Response::Reset;
+        }
+        if is_struck_by(Kind::Spoil) {
+            let garbled: [u8; GARBLED_REPLY_BYTES] = self.shared.rng.borrow_mut().random();
+            return Response::LastReply(Bytes::copy_from_slice(&garbled));
+        }
+        self.reply(&Reply::Value(&self.value_for(&attempt.command)))
+    }
+
+    /// The value made for this request: it begins with the request's id, by which a client knows it as its own.
+    fn value_for(&self, command: &Command) -> Vec<u8> {
+        let mut value = format!("{}:{}:", command.id, self.settings.name).into_bytes();
+        let size = fact(&command.facts, "size").and_then(|size| size.parse::<usize>().ok()).unwrap_or(0);
+        let length = value.len().max(size.min(resp::MAX_BUFFERED_VALUE));
+        value.resize(length, b'.');
+        value
+    }
+
+    fn reject(&self, command: &Command) -> Response {
+        let (id, host) = (command.id, self.settings.no);
+        self.shared.ledger.note(What::Turned { id, host });
+        self.reply(&Reply::Rejected)
+    }
+
+    fn reply(&self, reply: &Reply<'_>) -> Response {
+        let carries_report = matches!(reply, Reply::Value(_) | Reply::Miss);
+        let sends_reports = !self.is_origin() && self.settings.report_interval > 0;
+        let load_report = (carries_report && sends_reports).then(|| self.load_report());
+        Response::Reply(self.protocol().encode(reply, load_report.as_deref()))
+    }
+}
--- /dev/null
+++ b/testbed/src/world/host/mod.rs
@@ -0,0 +1,354 @@
+//! A machine of the emulated world on its sockets: a cache host that stores, or the origin. It has a listener for
+//! each balancer, so that a fault can be seen by one of them alone.
+//!
+//! This file holds what a machine is, its start and its faults; [`accept`] takes connections, [`connection`] serves
+//! one, [`attempt`] works on a command, [`cores`] runs its jobs, [`protocol`] reads and writes its bytes.
+
+mod accept;
+mod attempt;
+mod connection;
+mod cores;
+mod protocol;
+mod shared;
+mod store;
+
+use std::cell::{Cell, RefCell};
+use std::collections::{HashMap, VecDeque};
+use std::net::{Ipv4Addr, SocketAddr};
+use std::rc::Rc;
+
+use bytes::Bytes;
+use tokio::net::TcpListener;
+use tokio::sync::{oneshot, watch, Notify};
+use tokio::task::{spawn_local, JoinHandle};
+
+pub use shared::Shared;
+
+use super::listener::listen;
+use super::machine::{Machine, MachineSettings};
+use crate::ledger::HostNo;
+use crate::time::{Micros, MS};
+use accept::Acceptor;
+use protocol::Protocol;
+use store::KeyStore;
+
+/// How an open connection goes on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ConnectionState {
+    /// As each begins.
+    Open,
+    /// It stays open, and nothing more is sent on it.
+    Mute,
+    /// The host knows it no more: it is reset as soon as anything comes on it.
+    Forgotten,
+    Reset,
+}
+
+/// How new connections fare.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ListenerState {
+    Accepting,
+    Refusing,
+    /// They never come up.
+    Unresponsive,
+}
+
+/// The way from one balancer to a host.
+struct BalancerPath {
+    address: SocketAddr,
+    /// What happens to the connections that are open when it is sent.
+    connection_state: watch::Sender<ConnectionState>,
+    listener_state: watch::Sender<ListenerState>,
+    acceptor: RefCell<Option<JoinHandle<()>>>,
+}
+
+impl BalancerPath {
+    fn open(address: SocketAddr) -> std::io::Result<(BalancerPath, TcpListener)> {
+        let listener = listen(address)?;
+        let path = BalancerPath {
+            address: listener.local_addr()?,
+            connection_state: watch::Sender::new(ConnectionState::Open),
+            listener_state: watch::Sender::new(ListenerState::Accepting),
+            acceptor: RefCell::default(),
+        };
+        Ok((path, listener))
+    }
+
+    fn set_listener(&self, state: ListenerState) {
+        self.listener_state.send_if_modified(|now| std::mem::replace(now, state) != state);
+    }
+}
+
+/// What a machine is. Times are in microseconds.
+pub struct HostSettings {
+    /// Its number in the world.
+    pub no: HostNo,
+    /// Its instance id in discovery.
+    pub name: String,
+    /// The number of its zone.
+    pub zone: u32,
+    /// Its cores and queue.
+    pub machine: MachineSettings,
+    /// Connections that it has open at the same time; more are reset.
+    pub max_connections: usize,
+    /// A connection on which nothing comes for so long is closed.
+    pub idle_timeout: Micros,
+    /// Work that the first command on a connection costs on top.
+    pub connection_cost: Micros,
+    /// Keys that it can store.
+    pub store_capacity: usize,
+    /// The share of all keys that it holds from the start.
+    pub initial_fill: f64,
+    /// How old a load report may be; with 0 its replies carry none.
+    pub report_interval: Micros,
+    /// When it started; `None` for long before the run.
+    pub started_at: Option<Micros>,
+    /// How long it stays down after an overload; `None` for good.
+    pub restart_after: Option<Micros>,
+}
+
+/// A load report and when it was made.
+#[derive(Default)]
+struct LoadReport {
+    made_at: Micros,
+    /// Empty before the first.
+    text: String,
+}
+
+/// A miss at a cache host, as the origin keeps account of it.
+struct RecentMiss {
+    at: Micros,
+    host_warming_up: bool,
+}
+
+/// A machine that is up, or at least has its addresses.
+pub struct Host {
+    /// What it is.
+    pub settings: HostSettings,
+    shared: Rc<Shared>,
+    machine: RefCell<Machine>,
+    /// Those who wait for a job: sent whether it ran, and dropped where the machine goes down.
+    jobs: RefCell<HashMap<u64, oneshot::Sender<bool>>>,
+    next_job: Cell<u64>,
+    machine_changed: Notify,
+    store: RefCell<KeyStore>,
+    /// By balancer.
+    paths: Vec<BalancerPath>,
+    open_connections: Cell<usize>,
+    last_load_report: RefCell<LoadReport>,
+    /// After an overload or at its end: it can't be made to accept connections meanwhile.
+    down: Cell<bool>,
+    started_at: Cell<Option<Micros>>,
+    /// At the origin: misses that came of late.
+    misses: RefCell<VecDeque<RecentMiss>>,
+}
+
+impl Host {
+    /// Brings a machine up with a listener for each balancer, at new addresses or at those of another machine.
+    ///
+    /// # Errors
+    /// What the kernel says where an address can't be had.
+    pub fn start(
+        shared: &Rc<Shared>,
+        settings: HostSettings,
+        addresses: &[SocketAddr],
+    ) -> std::io::Result<Rc<Host>> {
+        let mut paths = Vec::new();
+        let mut listeners = Vec::new();
+        for &address in addresses {
+            let (path, listener) = BalancerPath::open(address)?;
+            paths.push(path);
+            listeners.push(listener);
+        }
+        let store = KeyStore::new(settings.no, settings.store_capacity, settings.initial_fill);
+        let host = Rc::new(Host {
+            machine: RefCell::new(Machine::new(settings.machine, settings.started_at)),
+            jobs: RefCell::default(),
+            next_job: Cell::new(0),
+            machine_changed: Notify::new(),
+            store: RefCell::new(store),
+            paths,
+            open_connections: Cell::new(0),
+            last_load_report: RefCell::default(),
+            down: Cell::new(false),
+            started_at: Cell::new(settings.started_at),
+            misses: RefCell::default(),
+            shared: shared.clone(),
+            settings,
+        });
+        for (balancer, listener) in listeners.into_iter().enumerate() {
+            let acceptor = Acceptor::new(host.clone(), balancer, listener);
+            let running = spawn_local(acceptor.run());
+            host.paths[balancer].acceptor.replace(Some(running));
+        }
+        spawn_local(host.clone().complete_jobs());
+        Ok(host)
+    }
+
+    /// New addresses for a machine: each has its own, and each balancer sees another.
+    pub fn new_addresses(no: HostNo, balancers: usize) -> Vec<SocketAddr> {
+        let [high, low] = (no.0 as u16).wrapping_add(1).to_be_bytes();
+        let address = |balancer: usize| Ipv4Addr::new(127, 32 + balancer as u8, high, low);
+        (0..balancers).map(|balancer| SocketAddr::from((address(balancer), 0))).collect()
+    }
+
+    /// Its address for one balancer.
+    pub fn address(&self, balancer: usize) -> SocketAddr {
+        self.paths[balancer].address
+    }
+
+    /// Its addresses for all balancers, by their numbers.
+    pub fn addresses(&self) -> Vec<SocketAddr> {
+        self.paths.iter().map(|path| path.address).collect()
+    }
+
+    /// When it last started; `None` for long before the run.
+    pub fn started_at(&self) -> Option<Micros> {
+        self.started_at.get()
+    }
+
+    /// Whether it is overloaded or dead.
+    pub fn is_down(&self) -> bool {
+        self.down.get()
+    }
+
+    fn is_origin(&self) -> bool {
+        self.settings.no == HostNo::ORIGIN
+    }
+
+    fn protocol(&self) -> Protocol {
+        if self.is_origin() {
+            Protocol::Http
+        } else {
+            Protocol::Resp
+        }
+    }
+
+    fn now(&self) -> Micros {
+        self.shared.ledger.clock.now()
+    }
+
+    /// The way from one balancer, or from all.
+    fn paths_of(&self, balancer: Option<usize>) -> &[BalancerPath] {
+        match balancer {
+            Some(balancer) => self.paths.get(balancer..=balancer).unwrap_or(&[]),
+            None => &self.paths,
+        }
+    }
+
+    fn set_connections(&self, balancer: Option<usize>, state: ConnectionState) {
+        for path in self.paths_of(balancer) {
+            path.connection_state.send_replace(state);
+        }
+    }
+
+    fn set_listeners(&self, balancer: Option<usize>, state: ListenerState) {
+        for path in self.paths_of(balancer) {
+            path.set_listener(state);
+        }
+    }
+
+    /// Stores a key with its present value.
+    fn keep(&self, key: Bytes) {
+        self.store.borrow_mut().put(key, self.shared.last_write());
+    }
+
+    /// The load report, made anew where the last one is too old.
+    fn load_report(&self) -> String {
+        let now = self.now();
+        let mut report = self.last_load_report.borrow_mut();
+        let max_age = self.settings.report_interval.max(MS);
+        if report.text.is_empty() || now - report.made_at >= max_age {
+            let machine = self.machine.borrow();
+            let (in_flight, utilization) = (machine.in_flight(), machine.load(now).min(1.0));
+            report.made_at = now;
+            report.text = format!("inflight={in_flight},util={utilization:.2}");
+        }
+        report.text.clone()
+    }
+}
+
+/// Faults, as the script of an experiment brings them about. Those that name a balancer are seen by it alone, and
+/// by all where it is `None`.
+impl Host {
+    /// Works on nothing until [`Host::thaw`]; connections and commands are still taken.
+    pub fn freeze(&self) {
+        self.machine.borrow_mut().freeze(self.now());
+    }
+
+    /// Works again.
+    pub fn thaw(&self) {
+        self.machine.borrow_mut().thaw(self.now());
+        self.machine_changed.notify_one();
+    }
+
+    /// Works this many times as long on each command.
+    pub fn set_slowdown(&self, slowdown: f64) {
+        self.machine.borrow_mut().set_slowdown(slowdown);
+    }
+
+    /// Connections that are open stay so, and nothing more is sent on them.
+    pub fn mute_connections(&self, balancer: Option<usize>) {
+        self.set_connections(balancer, ConnectionState::Mute);
+    }
+
+    /// Connections that are open are known no more: what comes on one is met by a reset.
+    pub fn forget_connections(&self, balancer: Option<usize>) {
+        self.set_connections(balancer, ConnectionState::Forgotten);
+    }
+
+    /// Resets the connections that are open.
+    pub fn reset_connections(&self, balancer: Option<usize>) {
+        self.set_connections(balancer, ConnectionState::Reset);
+    }
+
+    /// Resets connections and refuses new ones.
+    pub fn refuse(&self, balancer: Option<usize>) {
+        self.set_listeners(balancer, ListenerState::Refusing);
+        self.reset_connections(balancer);
+    }
+
+    /// Sends nothing more to anyone, and no new connection comes up.
+    pub fn become_unresponsive(&self, balancer: Option<usize>) {
+        self.set_listeners(balancer, ListenerState::Unresponsive);
+        self.mute_connections(balancer);
+    }
+
+    /// Accepts connections, unless it is down.
+    pub fn open(&self, balancer: Option<usize>) {
+        if !self.down.get() {
+            self.set_listeners(balancer, ListenerState::Accepting);
+        }
+    }
+
+    /// Loses all that it holds, and answers nobody.
+    pub fn die(&self) {
+        self.down.set(true);
+        self.refuse(None);
+        self.jobs.borrow_mut().clear();
+        self.store.borrow_mut().clear();
+        let now = self.now();
+        self.machine.borrow_mut().restart(now);
+    }
+
+    /// Comes up again after its death, empty and warming up.
+    pub fn restart(&self) {
+        let now = self.now();
+        self.down.set(false);
+        self.started_at.set(Some(now));
+        self.machine.borrow_mut().restart(now);
+        self.open(None);
+    }
+
+    /// Dies for good; its addresses are free when this returns.
+    pub async fn remove(&self) {
+        self.die();
+        for path in &self.paths {
+            let acceptor = path.acceptor.take();
+            if let Some(acceptor) = acceptor {
+                acceptor.abort();
+                let _ = acceptor.await;
+            }
+        }
+    }
+}
--- a/testbed/src/world/machine.rs
+++ b/testbed/src/world/machine.rs
@@ -1,196 +1,220 @@
-//! A machine's cores, its queue and its cold start: what comes in, when it is done, when it falls over. Pure: time comes in
-//! with every call, and the work of a command is drawn by whoever brings it.
+//! The cores, the queue and the warm-up of an emulated machine: what it accepts, when work is done and when it
+//! is overloaded. Pure: time comes in with every call, and the caller draws how much work a command is.
 
 use std::collections::VecDeque;
 
 use crate::time::Micros;
 
+/// How a machine is built.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct MachineSettings {
+    /// Commands that it works on at the same time.
     pub cores: usize,
-    /// 1 works through a command in the time that was drawn for it.
+    /// 1 finishes a command in the time that was drawn for it.
     pub speed: f64,
-    /// Commands that wait for a core; more are turned away.
-    pub queue: usize,
-    /// The part of its capacity that a machine has when it starts, and when it has all.
-    pub cold_from: f64,
-    pub warm_after: Micros,
-    /// Asked for more than so many times its present capacity over the window it falls over; 0 for never.
-    pub fall_multiple: f64,
-    pub fall_window: Micros,
-    /// Whether it can fall only while it is cold.
-    pub falls_cold_only: bool,
+    /// Commands that may wait for a core; more are rejected.
+    pub max_queue: usize,
+    /// The share of its capacity that a machine has when it starts.
+    pub initial_capacity: f64,
+    /// How long after its start a machine has its whole capacity.
+    pub warm_up: Micros,
+    /// More work than this many times its present capacity over the window overloads it; 0 for never.
+    pub overload_multiple: f64,
+    /// The time over which arriving work is added up.
+    pub overload_window: Micros,
+    /// Whether only a machine that is warming up can be overloaded.
+    pub overloads_only_while_warming: bool,
 }
 
+/// One command as a machine sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Job {
-    pub no: u64,
-    /// Work at full speed.
-    pub need: Micros,
-    /// Not begun any more after this.
-    pub until: Micros,
+    /// Chosen by the caller, who finds the job by it again.
+    pub id: u64,
+    /// Time that it takes at full speed.
+    pub work: Micros,
+    /// It is dropped if no core is free for it by this time.
+    pub start_by: Micros,
 }
 
+/// What becomes of a job on its arrival.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Verdict {
-    Taken,
-    /// The queue is full.
-    Full,
-    /// This was too much: it is down from now on.
-    Fell,
+pub enum Admission {
+    /// It has a core or waits for one.
+    Accepted,
+    /// As many jobs wait as may.
+    QueueFull,
+    /// This was too much work: the machine is down from now on.
+    Overloaded,
 }
 
+/// A job that needs its core no more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Done {
-    pub no: u64,
-    /// Or its time was over before it began.
+pub struct CompletedJob {
+    /// The job's id.
+    pub id: u64,
+    /// Whether it ran; otherwise it was dropped because no core was free in time.
     pub ran: bool,
 }
 
+/// The state of a machine.
 #[derive(Debug)]
 pub struct Machine {
-    terms: Terms,
-    /// What each core works on, and by when it will have done so.
+    settings: MachineSettings,
+    /// The job that each core works on, and when it will be done.
     cores: Vec<Option<(Micros, Job)>>,
     queue: VecDeque<Job>,
     /// When it last started; `None` for long ago.
-    started: Option<Micros>,
-    frozen: Option<Micros>,
-    /// Takes so many times as long.
-    factor: f64,
-    /// Work that came within the window, taken or not.
-    came: VecDeque<(Micros, Micros)>,
-    pressure: Micros,
-    over: Vec<Done>,
+    started_at: Option<Micros>,
+    frozen_at: Option<Micros>,
+    /// Jobs take this many times as long.
+    slowdown: f64,
+    /// Work that arrived within the window, whether or not it was accepted, by its time.
+    arrivals: VecDeque<(Micros, Micros)>,
+    /// The sum of `arrivals`.
+    work_in_window: Micros,
+    completed: Vec<CompletedJob>,
 }
 
 impl Machine {
-    pub fn new(terms: Terms, started: Option<Micros>) -> Machine {
+    /// A machine that started at a time, or long ago (`None`).
+    pub fn new(settings: MachineSettings, started_at: Option<Micros>) -> Machine {
         Machine {
-            cores: vec![None; terms.cores],
-            terms,
+            cores: vec![None; settings.cores],
+            settings,
             queue: VecDeque::new(),
-            started,
-            frozen: None,
-            factor: 1.0,
-            came: VecDeque::new(),
-            pressure: 0,
-            over: Vec::new(),
+            started_at,
+            frozen_at: None,
+            slowdown: 1.0,
+            arrivals: VecDeque::new(),
+            work_in_window: 0,
+            completed: Vec::new(),
         }
     }
 
-    /// The part of its capacity that it has.
-    pub fn part(&self, now: Micros) -> f64 {
-        match self.started {
-            Some(started) if self.terms.warm_after > 0 => {
-                let age = ((now - started) as f64 / self.terms.warm_after as f64).clamp(0.0, 1.0);
-                self.terms.cold_from + (1.0 - self.terms.cold_from) * age
+    /// The share of its capacity that it has, from `initial_capacity` to 1.
+    pub fn capacity_share(&self, now: Micros) -> f64 {
+        match self.started_at {
+            Some(started) if self.settings.warm_up > 0 => {
+                let age = ((now - started) as f64 / self.settings.warm_up as f64).clamp(0.0, 1.0);
+                self.settings.initial_capacity + (1.0 - self.settings.initial_capacity) * age
             }
             _ => 1.0,
         }
     }
 
-    pub fn cold(&self, now: Micros) -> bool {
-        self.started.is_some_and(|started| now - started < self.terms.warm_after)
+    /// Whether its capacity still grows.
+    pub fn is_warming_up(&self, now: Micros) -> bool {
+        self.started_at.is_some_and(|started| now - started < self.settings.warm_up)
     }
 
-    pub fn held(&self) -> usize {
+    /// Jobs on a core or waiting for one.
+    pub fn in_flight(&self) -> usize {
         self.queue.len() + self.cores.iter().flatten().count()
     }
 
-    /// Work that came within the last window, as a multiple of what it could have done in that time.
-    pub fn pressure(&self, now: Micros) -> f64 {
-        let capacity = self.terms.cores as f64 * self.terms.speed * self.part(now);
-        self.pressure as f64 / (capacity * self.terms.fall_window.max(1) as f64)
+    /// Work that arrived within the last window, as a multiple of what the machine can do in that time.
+    pub fn load(&self, now: Micros) -> f64 {
+        let capacity = self.settings.cores as f64 * self.settings.speed * self.capacity_share(now);
+        self.work_in_window as f64 / (capacity * self.settings.overload_window.max(1) as f64)
     }
 
-    pub fn arrive(&mut self, now: Micros, job: Job) -> Verdict {
+    /// A job arrives.
+    pub fn submit(&mut self, now: Micros, job: Job) -> Admission {
         self.advance(now);
-        if self.terms.fall_multiple > 0.0 {
-            self.came.push_back((now, job.need));
-            self.pressure += job.need;
-            while self.came.front().is_some_and(|&(at, _)| at <= now - self.terms.fall_window) {
-                self.pressure -= self.came.pop_front().map_or(0, |(_, need)| need);
-            }
-            let may = !self.terms.falls_cold_only || self.cold(now);
-            if may && self.pressure(now) > self.terms.fall_multiple {
-                return Verdict::Fell;
-            }
+        if self.is_overloaded_by(now, job.work) {
+            return Admission::Overloaded;
         }
-        if self.queue.len() >= self.terms.queue && self.cores.iter().all(Option::is_some) {
-            return Verdict::Full;
+        if self.queue.len() >= self.settings.max_queue && self.cores.iter().all(Option::is_some) {
+            return Admission::QueueFull;
         }
         self.queue.push_back(job);
-        self.begin(now);
-        Verdict::Taken
+        self.start_queued(now);
+        Admission::Accepted
     }
 
-    /// When something will be done next, by what is known now.
-    pub fn due(&self) -> Option<Micros> {
-        if self.frozen.is_some() {
+    /// Adds work to the window; whether that is more than the machine bears.
+    fn is_overloaded_by(&mut self, now: Micros, work: Micros) -> bool {
+        if self.settings.overload_multiple <= 0.0 {
+            return false;
+        }
+        self.arrivals.push_back((now, work));
+        self.work_in_window += work;
+        let window_start = now - self.settings.overload_window;
+        while self.arrivals.front().is_some_and(|&(at, _)| at <= window_start) {
+            self.work_in_window -= self.arrivals.pop_front().map_or(0, |(_, work)| work);
+        }
+        let can_overload = !self.settings.overloads_only_while_warming || self.is_warming_up(now);
+        can_overload && self.load(now) > self.settings.overload_multiple
+    }
+
+    /// When the next job will be done, by what is known now.
+    pub fn next_completion_at(&self) -> Option<Micros> {
+        if self.frozen_at.is_some() {
             return None;
         }
         self.cores.iter().flatten().map(|(end, _)| *end).min()
     }
 
-    /// What was done by now.
-    pub fn done(&mut self, now: Micros) -> Vec<Done> {
+    /// The jobs that were done by now, each given once.
+    pub fn take_completed(&mut self, now: Micros) -> Vec<CompletedJob> {
         self.advance(now);
-        std::mem::take(&mut self.over)
+        std::mem::take(&mut self.completed)
     }
 
-    /// Nothing goes on until it is thawed.
+    /// Stops all work until `thaw`.
     pub fn freeze(&mut self, now: Micros) {
         self.advance(now);
-        self.frozen.get_or_insert(now);
+        self.frozen_at.get_or_insert(now);
     }
 
+    /// Work goes on; what was begun is done later by the length of the pause.
     pub fn thaw(&mut self, now: Micros) {
-        if let Some(since) = self.frozen.take() {
+        if let Some(since) = self.frozen_at.take() {
             for (end, _) in self.cores.iter_mut().flatten() {
                 *end += now - since;
             }
-            self.begin(now);
+            self.start_queued(now);
         }
     }
 
-    /// What begins from now on takes so many times as long.
-    pub fn slow(&mut self, factor: f64) {
-        self.factor = factor;
+    /// Jobs that start from now on take `slowdown` times as long.
+    pub fn set_slowdown(&mut self, slowdown: f64) {
+        self.slowdown = slowdown;
     }
 
-    /// It starts anew: cold, with nothing held.
+    /// It starts anew: its warm-up begins, and its jobs are lost.
     pub fn restart(&mut self, now: Micros) {
-        *self = Machine::new(self.terms, Some(now));
+        *self = Machine::new(self.settings, Some(now));
     }
 
     fn advance(&mut self, now: Micros) {
-        if self.frozen.is_some() {
+        if self.frozen_at.is_some() {
             return;
         }
-        // In the order of time: what a core begins next depends on when it was free.
-        while let Some(end) = self.due().filter(|&end| end <= now) {
+        // In the order of time: which job a core starts next depends on when it was free.
+        while let Some(end) = self.next_completion_at().filter(|&end| end <= now) {
             for core in &mut self.cores {
                 if let Some((_, job)) = core.take_if(|(at, _)| *at <= end) {
-                    self.over.push(Done { no: job.no, ran: true });
+                    self.completed.push(CompletedJob { id: job.id, ran: true });
                 }
             }
-            self.begin(end);
+            self.start_queued(end);
         }
     }
 
-    fn begin(&mut self, now: Micros) {
-        if self.frozen.is_some() {
+    fn start_queued(&mut self, now: Micros) {
+        if self.frozen_at.is_some() {
             return;
         }
-        let rate = self.terms.speed * self.part(now) / self.factor;
+        let rate = self.settings.speed * self.capacity_share(now) / self.slowdown;
         for core in self.cores.iter_mut().filter(|core| core.is_none()) {
             while let Some(job) = self.queue.pop_front() {
-                if job.until < now {
-                    self.over.push(Done { no: job.no, ran: false });
+                if job.start_by < now {
+                    self.completed.push(CompletedJob { id: job.id, ran: false });
                     continue;
                 }
-                *core = Some((now + (job.need as f64 / rate) as Micros, job));
+                *core = Some((now + (job.work as f64 / rate) as Micros, job));
                 break;
             }
         }
@@ -198,50 +222,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::time::{MS, SECOND};
-
-    const TERMS: Terms = Terms {
-        cores: 1,
-        speed: 1.0,
-        queue: 2,
-        cold_from: 0.25,
-        warm_after: 10 * SECOND,
-        fall_multiple: 2.0,
-        fall_window: SECOND,
-        falls_cold_only: true,
-    };
-
-    fn job(no: u64) -> Job {
-        Job { no, need: 100 * MS, until: 5 * SECOND }
-    }
-
-    #[test]
-    fn a_pause_delays_what_is_held_by_its_length_and_ends_what_is_over() {
-        let mut machine = Machine::new(TERMS, None);
-        for no in 0..3 {
-            assert_eq!(machine.arrive(0, Job { until: 250 * MS, ..job(no) }), Verdict::Taken);
-        }
-        assert_eq!(machine.arrive(0, job(3)), Verdict::Full);
-        machine.freeze(50 * MS);
-        assert_eq!(machine.due(), None);
-        assert_eq!(machine.done(2 * SECOND), []);
-        machine.thaw(2_050 * MS);
-        let done = machine.done(2_100 * MS);
-        assert_eq!(done[0], Done { no: 0, ran: true });
-        assert!(done[1..].iter().all(|done| !done.ran) && done.len() == 3, "{done:?}");
-    }
-
-    #[test]
-    fn a_cold_machine_works_slower_and_falls_where_a_warm_one_does_not() {
-        let mut cold = Machine::new(TERMS, Some(0));
-        cold.arrive(0, job(0));
-        assert_eq!(cold.due(), Some(400 * MS));
-        let fell = (1..20).position(|no| cold.arrive(no as Micros, job(no)) == Verdict::Fell);
-        // Twice a quarter of a second's work within a second: the sixth command is too much.
-        assert_eq!(fell, Some(4));
-        let mut warm = Machine::new(TERMS, None);
-        assert!((0..20).all(|no| warm.arrive(no as Micros, job(no)) != Verdict::Fell));
-    }
-}
+mod tests;
--- /dev/null
+++ b/testbed/src/world/service_time.rs
@@ -0,0 +1,54 @@
+//! How much work a command is: drawn by its request class, for hosts and for the origin.
+
+use rand::Rng;
+use rand_distr::{Distribution, Exp, LogNormal};
+
+use crate::script::{Category, Service, Spread};
+use crate::time::{millis, Micros};
+
+/// The service times of an experiment.
+pub struct ServiceTimes {
+    classes: Vec<Category>,
+    host: Service,
+    origin: Service,
+}
+
+impl ServiceTimes {
+    /// Hosts and the origin each have a distribution; a request class may have its own at hosts.
+    pub fn new(classes: &[Category], host: Service, origin: Service) -> ServiceTimes {
+        ServiceTimes { classes: classes.to_vec(), host, origin }
+    }
+
+    /// The index of the request class with this name.
+    pub fn class_index(&self, name: &str) -> Option<usize> {
+        self.classes.iter().position(|class| class.name == name)
+    }
+
+    /// The request class at an index that [`ServiceTimes::class_index`] gave.
+    pub fn class(&self, index: usize) -> &Category {
+        &self.classes[index]
+    }
+
+    /// Draws how long one command of a class is worked on, at a host or at the origin.
+    pub fn draw(&self, rng: &mut impl Rng, class: Option<usize>, at_origin: bool) -> Micros {
+        let of_class = class.and_then(|index| self.classes[index].service);
+        let at_host = of_class.unwrap_or(self.host);
+        draw_service_time(rng, if at_origin { self.origin } else { at_host })
+    }
+}
+
+/// Draws a service time of at least a microsecond.
+pub fn draw_service_time(rng: &mut impl Rng, service: Service) -> Micros {
+    let mean = service.mean_ms.max(1e-3);
+    let ms = match service.kind {
+        Spread::Constant => mean,
+        Spread::Exponential => Exp::new(1.0 / mean).map_or(mean, |law| law.sample(rng)),
+        // The mean of exp(N(m, s)) is exp(m + s^2 / 2).
+        Spread::LogNormal => {
+            let sigma = service.sigma.clamp(0.0, 4.0);
+            let law = LogNormal::new(mean.ln() - sigma * sigma / 2.0, sigma);
+            law.map_or(mean, |law| law.sample(rng))
+        }
+    };
+    millis(ms).max(1)
+}
