--- /dev/null
+++ b/testbed/src/load/connection.rs
@@ -0,0 +1,186 @@
+//! One connection of the load generator to a balancer: commands go out in a pipeline, replies come in their order.
+
+use std::cell::{Cell, RefCell};
+use std::collections::VecDeque;
+use std::rc::Rc;
+
+use basaltwood_wire::buffer::Buffer;
+use basaltwood_wire::resp;
+use bytes::{BufMut, BytesMut};
+use tokio::io::{AsyncReadExt, AsyncWrite, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::sync::{oneshot, Notify};
+
+use crate::ledger::{Id, Ledger, What};
+use crate::time::Micros;
+
+/// Bytes beside the value that one read may bring.
+const READ_AHEAD_BYTES: usize = 16 * 1024;
+/// A value begins with the id of the request for which it was made, of so many digits.
+const REQUEST_ID_DIGITS: usize = 16;
+
+/// A balancer's reply to a command.
+pub(super) enum ClientReply {
+    /// A value; `own` where it was made for this command.
+    Value {
+        own: bool,
+    },
+    /// `-BUSY`, perhaps with the time after which the client may try again.
+    Rejected {
+        retry_after_ms: Option<u64>,
+    },
+    Failed,
+}
+
+/// When a request's first attempt was written; shared by its attempts.
+pub(super) type SentAt = Rc<Cell<Option<Micros>>>;
+
+/// A command that stands in the output.
+struct Unsent {
+    /// To be recorded once it is written.
+    observation: What,
+    sent_at: SentAt,
+}
+
+/// A command whose reply is awaited.
+struct Awaited {
+    id: Id,
+    reply: oneshot::Sender<ClientReply>,
+}
+
+/// An open connection. Its task ends it once it is marked as closed.
+#[derive(Default)]
+pub(super) struct Connection {
+    output: RefCell<BytesMut>,
+    unsent: RefCell<Vec<Unsent>>,
+    awaited: RefCell<VecDeque<Awaited>>,
+    changed: Notify,
+    closed: Cell<bool>,
+}
+
+impl Connection {
+    pub(super) fn is_closed(&self) -> bool {
+        self.closed.get()
+    }
+
+    /// Commands without a reply.
+    pub(super) fn in_flight(&self) -> usize {
+        self.awaited.borrow().len()
+    }
+
+    /// Sends a command. The receiver fails where the connection ends before its reply.
+    pub(super) fn send(
+        &self,
+        id: Id,
+        command: &[u8],
+        observation: What,
+        sent_at: SentAt,
+    ) -> oneshot::Receiver<ClientReply> {
+        let (reply, receiver) = oneshot::channel();
+        self.output.borrow_mut().put_slice(command);
+        self.unsent.borrow_mut().push(Unsent { observation, sent_at });
+        self.awaited.borrow_mut().push_back(Awaited { id, reply });
+        self.changed.notify_one();
+        receiver
+    }
+
+    /// Ends the connection.
+    pub(super) fn close(&self) {
+        self.closed.set(true);
+        self.changed.notify_one();
+    }
+
+    /// Writes what stands in the output; whether there was anything.
+    async fn write_output(
+        &self,
+        writing: &mut (impl AsyncWrite + Unpin),
+        ledger: &Ledger,
+    ) -> std::io::Result<bool> {
+        let output = self.output.borrow_mut().split().freeze();
+        if output.is_empty() {
+            return Ok(false);
+        }
+        let now = ledger.clock.now();
+        let unsent = self.unsent.take();
+        for command in &unsent {
+            set_if_unset(&command.sent_at, now);
+        }
+        writing.write_all(&output).await?;
+        for command in unsent {
+            ledger.note(command.observation);
+        }
+        Ok(true)
+    }
+
+    /// Gives each whole reply in the buffer to the command that it answers.
+    fn deliver_replies(
+        &self,
+        buffer: &mut Buffer,
+        balancer: usize,
+        ledger: &Ledger,
+    ) -> Result<(), resp::RespError> {
+        while let Some((reply, consumed)) = resp::parse_balancer_reply(buffer.bytes())? {
+            let made_for = made_for(&reply, buffer.bytes());
+            buffer.consume(consumed);
+            let awaited = self.awaited.borrow_mut().pop_front();
+            let Some(awaited) = awaited else {
+                ledger.note(What::Stray { balancer });
+                continue;
+            };
+            let reply = match reply {
+                resp::BalancerReply::Value(_) => ClientReply::Value { own: made_for == Some(awaited.id) },
+                resp::BalancerReply::Busy(retry_after_ms) => ClientReply::Rejected { retry_after_ms },
+                resp::BalancerReply::Failed => ClientReply::Failed,
+            };
+            // A client that has gone away in this moment needs none.
+            let _ = awaited.reply.send(reply);
+        }
+        Ok(())
+    }
+}
+
+/// Sets when a request was first sent.
+pub(super) fn set_if_unset(sent_at: &Cell<Option<Micros>>, now: Micros) {
+    if sent_at.get().is_none() {
+        sent_at.set(Some(now));
+    }
+}
+
+/// The request for which a value was made.
+fn made_for(reply: &resp::BalancerReply, bytes: &[u8]) -> Option<Id> {
+    let resp::BalancerReply::Value(range) = reply else { return None };
+    let value = bytes.get(range.clone())?;
+    Id::read(value.get(..REQUEST_ID_DIGITS)?)
+}
+
+/// Serves a connection to a balancer until either side ends it, which `freed` then tells.
+pub(super) async fn run(
+    connection: Rc<Connection>,
+    mut stream: TcpStream,
+    balancer: usize,
+    freed: Rc<Notify>,
+    ledger: Ledger,
+) {
+    let mut buffer = Buffer::new(resp::MAX_BUFFERED_MESSAGE + READ_AHEAD_BYTES);
+    let (mut reading, mut writing) = stream.split();
+    while !connection.is_closed() {
+        match connection.write_output(&mut writing, &ledger).await {
+            Ok(true) => continue,
+            Ok(false) => {}
+            Err(_) => break,
+        }
+        let Ok(unfilled) = buffer.unfilled() else { break };
+        tokio::select! {
+            biased;
+            read = reading.read_buf(unfilled) => if !matches!(read, Ok(1..)) { break },
+            () = connection.changed.notified() => continue,
+        }
+        if connection.deliver_replies(&mut buffer, balancer, &ledger).is_err() {
+            break;
+        }
+    }
+    connection.closed.set(true);
+    // Those who await a reply learn by this that the connection is over.
+    connection.awaited.borrow_mut().clear();
+    freed.notify_one();
+}
--- a/testbed/src/load/plan.rs
+++ b/testbed/src/load/plan.rs
@@ -1,4 +1,7 @@
-//! Arrivals laid out ahead: when each op is due, of what category, for whom, on which key. Pure; all from one seed.
+//! Arrivals laid out ahead: when each request is due, of which class, for whom, on which key. Pure; all from one seed.
+
+use std::f64::consts::TAU;
+use std::ops::Range;
 
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -6,181 +9,258 @@
 use rand_distr::weighted::WeightedIndex;
 use rand_distr::{Distribution, Exp1, Zipf};
 
-use crate::script::{Arrivals, Experiment, Hot, Shape};
+use crate::script::{Arrivals, Customer, Experiment, Hot, Shape, Shift};
 use crate::time::{seconds, Micros, SECOND};
 
-/// One op as it is due. Categories, customers and keys are named by their places.
+/// Tells the plan's draws apart from those of other parts with the same seed ("load").
+const SEED_MASK: u64 = 0x6c6f_6164;
+/// Where no request comes for a while, evenly spaced arrivals look again as if so many came a second.
+const MIN_EVEN_RATE_PER_S: f64 = 10.0;
+/// A period can't be shorter than this, in seconds.
+const MIN_PERIOD_S: f64 = 0.001;
+
+/// One request as it is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannedRequest {
+    /// When it is due, in microseconds of the run.
     pub at: Micros,
+    /// The index of its request class in the experiment.
     pub category: u16,
+    /// The index of its tenant in the experiment, if it has one.
     pub customer: Option<u16>,
+    /// The index of its key in [`Plan::keys`].
     pub key: u32,
+    /// Bytes of its value.
     pub size: u32,
 }
 
+/// All requests of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
+    /// In the order in which they are due.
     pub requests: Vec<PlannedRequest>,
+    /// The keys by their index.
     pub keys: Vec<String>,
 }
 
-/// The rate at a time, as a multiple of the load's.
-pub fn level(shape: Shape, at: f64, length: f64) -> f64 {
-    match shape {
-        Shape::Steady => 1.0,
-        Shape::Ramp { from, to } => from + (to - from) * (at / length).clamp(0.0, 1.0),
-        Shape::Step { at_s, level } => {
-            if at < at_s {
-                1.0
-            } else {
-                level
-            }
-        }
-        Shape::Surge { at_s, rise_s, hold_s, fall_s, peak } => {
-            let since = at - at_s;
-            let part = |span: f64, all: f64| if all > 0.0 { (span / all).clamp(0.0, 1.0) } else { 1.0 };
-            let height = match since {
-                _ if since < 0.0 => 0.0,
-                _ if since < rise_s + hold_s => part(since, rise_s),
-                _ => 1.0 - part(since - rise_s - hold_s, fall_s),
-            };
-            1.0 + (peak - 1.0) * height
-        }
-        Shape::Daily { period_s, low } => {
-            let turn = (at / period_s.max(0.001)) * std::f64::consts::TAU;
-            low + (1.0 - low) * (1.0 - turn.cos()) / 2.0
-        }
-    }
-    .max(0.0)
-}
-
-fn highest(shape: Shape) -> f64 {
-    match shape {
-        Shape::Steady | Shape::Daily { .. } => 1.0,
-        Shape::Ramp { from, to } => from.max(to),
-        Shape::Step { level, .. } => level.max(1.0),
-        Shape::Surge { peak, .. } => peak.max(1.0),
-    }
-}
-
 impl Plan {
+    /// Draws the requests of an experiment.
     pub fn generate(experiment: &Experiment, seed: u64) -> Plan {
         let load = &experiment.load;
-        let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x6c6f_6164);
-        let shares: Vec<f64> = experiment.categories.iter().map(|category| category.share).collect();
-        let categories = WeightedIndex::new(&shares).ok();
-        let flooded = load.flood.as_ref().map(|flood| {
-            let customer = experiment.customers.iter().position(|customer| customer.name == flood.customer);
-            (customer.unwrap_or(0), flood.from_s..flood.to_s, flood.times.max(1.0))
-        });
-        let customers = |flooding: bool| {
-            let share = |(nth, customer): (usize, &crate::script::Customer)| match &flooded {
-                Some((flooder, _, times)) if flooding && *flooder == nth => customer.share * times,
-                _ => customer.share,
-            };
-            let shares: Vec<f64> = experiment.customers.iter().enumerate().map(share).collect();
-            (shares.iter().sum::<f64>(), WeightedIndex::new(&shares).ok())
-        };
-        let (calm_sum, calm) = customers(false);
-        let (flood_sum, flood) = customers(true);
-        // A flood comes on top of what all others ask for.
-        let swell = if calm_sum > 0.0 { flood_sum / calm_sum } else { 1.0 };
-        let flooding = |at: f64| flooded.as_ref().is_some_and(|(_, span, _)| span.contains(&at));
-        let rate = |at: f64| {
-            let level = level(load.shape, at, experiment.seconds);
-            load.rate * level * if flooding(at) { swell } else { 1.0 }
-        };
-        let most = load.rate * highest(load.shape) * if flooded.is_some() { swell } else { 1.0 };
-        let mut popular = Popular::new(experiment, &mut rng);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed ^ SEED_MASK);
+        let shares: Vec<f64> = experiment.categories.iter().map(|class| class.share).collect();
+        let classes = WeightedIndex::new(&shares).ok();
+        let rate = Rate::new(experiment);
+        let max_rate = rate.max();
+        let key_popularity = KeyPopularity::new(experiment, &mut rng);
         let mut requests = Vec::new();
-        let mut at = 0.0;
+        let mut at_s = 0.0;
         loop {
-            at += match load.arrivals {
-                Arrivals::Poisson => rng.sample::<f64, _>(Exp1) / most,
-                // Where nothing comes, look again a little later.
-                Arrivals::Even => 1.0 / rate(at).max(10.0),
+            at_s += match load.arrivals {
+                Arrivals::Poisson => rng.sample::<f64, _>(Exp1) / max_rate,
+                Arrivals::Even => 1.0 / rate.at(at_s).max(MIN_EVEN_RATE_PER_S),
             };
-            if at >= experiment.seconds {
+            if at_s >= experiment.seconds {
                 break;
             }
-            let keep = match load.arrivals {
-                Arrivals::Poisson => rng.random::<f64>() * most < rate(at),
-                Arrivals::Even => rate(at) > 0.0,
+            let arrives = match load.arrivals {
+                // Arrivals at the highest rate, thinned out to the present one.
+                Arrivals::Poisson => rng.random::<f64>() * max_rate < rate.at(at_s),
+                Arrivals::Even => rate.at(at_s) > 0.0,
             };
-            if !keep {
+            if !arrives {
                 continue;
             }
-            let customers = if flooding(at) { &flood } else { &calm };
-            let category = categories.as_ref().map_or(0, |law| law.sample(&mut rng));
-            let write = experiment.categories[category].write;
+            let category = classes.as_ref().map_or(0, |law| law.sample(&mut rng));
+            let is_write = experiment.categories[category].write;
             requests.push(PlannedRequest {
-                at: seconds(at),
+                at: seconds(at_s),
                 category: category as u16,
-                customer: customers.as_ref().map(|law| law.sample(&mut rng) as u16),
-                key: popular.draw(at, write, &mut rng),
+                customer: rate.tenants_at(at_s).map(|law| law.sample(&mut rng) as u16),
+                key: key_popularity.draw(at_s, is_write, &mut rng),
                 size: load.value_bytes as u32,
             });
         }
-        Plan { requests, keys: popular.names }
+        Plan { requests, keys: key_popularity.names }
     }
 
-    /// Ops due in a span.
-    pub fn due(&self, from: Micros, to: Micros) -> usize {
-        self.requests.iter().filter(|request| (from..to).contains(&request.at)).count()
-    }
-
-    pub fn rate(&self) -> f64 {
+    /// The mean rate, in requests a second.
+    pub fn mean_rate(&self) -> f64 {
         let length = self.requests.last().map_or(SECOND, |request| request.at.max(1));
         self.requests.len() as f64 / (length as f64 / 1e6)
     }
 }
 
-/// Which key is asked for.
-struct Popular {
+/// The rate of arrivals over the run, and from whom they are.
+struct Rate<'a> {
+    experiment: &'a Experiment,
+    calm: TenantShares,
+    /// The times, in seconds, and the shares of a flood by one tenant.
+    flood: Option<(Range<f64>, TenantShares)>,
+}
+
+/// How arrivals divide over the tenants.
+struct TenantShares {
+    sum: f64,
+    law: Option<WeightedIndex<f64>>,
+}
+
+impl TenantShares {
+    fn new(tenants: &[Customer], share: impl Fn(usize, &Customer) -> f64) -> TenantShares {
+        let shares: Vec<f64> = tenants.iter().enumerate().map(|(nth, tenant)| share(nth, tenant)).collect();
+        TenantShares { sum: shares.iter().sum(), law: WeightedIndex::new(&shares).ok() }
+    }
+}
+
+impl Rate<'_> {
+    fn new(experiment: &Experiment) -> Rate<'_> {
+        let tenants = &experiment.customers;
+        let calm = TenantShares::new(tenants, |_, tenant| tenant.share);
+        let flood = experiment.load.flood.as_ref().map(|flood| {
+            let flooder = tenants.iter().position(|tenant| tenant.name == flood.customer).unwrap_or(0);
+            let times = flood.times.max(1.0);
+            let share =
+                |nth, tenant: &Customer| if nth == flooder { tenant.share * times } else { tenant.share };
+            (flood.from_s..flood.to_s, TenantShares::new(tenants, share))
+        });
+        Rate { experiment, calm, flood }
+    }
+
+    /// How much a flood adds to the rate: it comes on top of what all others ask for.
+    fn flood_multiple(&self) -> f64 {
+        match &self.flood {
+            Some((_, shares)) if self.calm.sum > 0.0 => shares.sum / self.calm.sum,
+            _ => 1.0,
+        }
+    }
+
+    fn flood_at(&self, at_s: f64) -> Option<&TenantShares> {
+        let (span, shares) = self.flood.as_ref()?;
+        span.contains(&at_s).then_some(shares)
+    }
+
+    /// Requests a second at a time.
+    fn at(&self, at_s: f64) -> f64 {
+        let load = &self.experiment.load;
+        let multiple = if self.flood_at(at_s).is_some() { self.flood_multiple() } else { 1.0 };
+        load.rate * level(load.shape, at_s, self.experiment.seconds) * multiple
+    }
+
+    /// A rate that is never exceeded.
+    fn max(&self) -> f64 {
+        let load = &self.experiment.load;
+        load.rate * max_level(load.shape) * self.flood_multiple()
+    }
+
+    fn tenants_at(&self, at_s: f64) -> Option<&WeightedIndex<f64>> {
+        self.flood_at(at_s).unwrap_or(&self.calm).law.as_ref()
+    }
+}
+
+/// The rate at a time of a run of this length (both in seconds), as a multiple of the load's.
+pub fn level(shape: Shape, at_s: f64, length_s: f64) -> f64 {
+    let level = match shape {
+        Shape::Steady => 1.0,
+        Shape::Ramp { from, to } => from + (to - from) * (at_s / length_s).clamp(0.0, 1.0),
+        Shape::Step { at_s: step_at_s, level } => {
+            if at_s < step_at_s {
+                1.0
+            } else {
+                level
+            }
+        }
+        Shape::Surge { at_s: surge_at_s, rise_s, hold_s, fall_s, peak } => {
+            let height = surge_height(at_s - surge_at_s, rise_s, hold_s, fall_s);
+            1.0 + (peak - 1.0) * height
+        }
+        Shape::Daily { period_s, low } => {
+            let angle = (at_s / period_s.max(MIN_PERIOD_S)) * TAU;
+            low + (1.0 - low) * (1.0 - angle.cos()) / 2.0
+        }
+    };
+    level.max(0.0)
+}
+
+/// From 0 to 1 and back, by the time since a surge began.
+fn surge_height(since_s: f64, rise_s: f64, hold_s: f64, fall_s: f64) -> f64 {
+    let progress = |span: f64, all: f64| if all > 0.0 { (span / all).clamp(0.0, 1.0) } else { 1.0 };
+    if since_s < 0.0 {
+        0.0
+    } else if since_s < rise_s + hold_s {
+        progress(since_s, rise_s)
+    } else {
+        1.0 - progress(since_s - rise_s - hold_s, fall_s)
+    }
+}
+
+fn max_level(shape: Shape) -> f64 {
+    match shape {
+        Shape::Steady | Shape::Daily { .. } => 1.0,
+        Shape::Ramp { from, to } => from.max(to),
+        Shape::Step { level, .. } => level.max(1.0),
+        Shape::Surge { peak, .. } => peak.max(1.0),
+    }
+}
+
+/// Which key a request asks for.
+struct KeyPopularity {
     names: Vec<String>,
     law: Option<Zipf<f64>>,
-    /// Popularity says nothing of a name: the order is shuffled.
-    order: Vec<u32>,
+    /// Key indices from the most popular one on; shuffled, so that a name tells nothing of its popularity.
+    by_rank: Vec<u32>,
+    /// One key takes a part of all reads for a time.
     hot: Option<Hot>,
-    shift: Option<crate::script::Shift>,
+    /// A changing set of keys takes a part of all reads.
+    shift: Option<Shift>,
 }
 
-impl Popular {
-    fn new(experiment: &Experiment, rng: &mut ChaCha8Rng) -> Popular {
+impl KeyPopularity {
+    fn new(experiment: &Experiment, rng: &mut ChaCha8Rng) -> KeyPopularity {
         let load = &experiment.load;
-        let mut order: Vec<u32> = (0..load.keys as u32).collect();
-        order.shuffle(rng);
-        Popular {
+        let mut by_rank: Vec<u32> = (0..load.keys as u32).collect();
+        by_rank.shuffle(rng);
+        KeyPopularity {
             names: (0..load.keys).map(|_| format!("{:016x}", rng.random::<u64>())).collect(),
             law: Zipf::new(load.keys as f64, load.zipf).ok().filter(|_| load.zipf > 0.0),
-            order,
+            by_rank,
             hot: load.hot,
             shift: load.shift,
         }
     }
 
-    fn draw(&mut self, at: f64, write: bool, rng: &mut ChaCha8Rng) -> u32 {
-        let keys = self.names.len() as u32;
-        if let Some(hot) = self.hot.filter(|hot| !write && (hot.from_s..hot.to_s).contains(&at)) {
-            let on = hot.period_s <= 0.0 || (((at - hot.from_s) / hot.period_s) as u64).is_multiple_of(2);
-            if on && rng.random::<f64>() < hot.part {
-                return self.order[0];
+    fn draw(&self, at_s: f64, is_write: bool, rng: &mut ChaCha8Rng) -> u32 {
+        if !is_write {
+            if let Some(key) = self.draw_hot(at_s, rng) {
+                return key;
             }
-        }
-        if let Some(shift) = self.shift.filter(|_| !write) {
-            if rng.random::<f64>() < shift.part {
-                let round = (at / shift.every_s.max(0.001)) as usize;
-                let nth = (round * shift.set + rng.random_range(0..shift.set.max(1))) % self.order.len();
-                return self.order[nth];
+            if let Some(key) = self.draw_shifted(at_s, rng) {
+                return key;
             }
         }
         match &self.law {
             Some(law) => {
                 let rank = law.sample(rng) as usize;
-                self.order[rank.clamp(1, self.order.len()) - 1]
+                self.by_rank[rank.clamp(1, self.by_rank.len()) - 1]
             }
-            None => rng.random_range(0..keys),
+            None => rng.random_range(0..self.names.len() as u32),
+        }
+    }
+
+    /// The hot key, where this read falls to it. With a period it is hot in every other one.
+    fn draw_hot(&self, at_s: f64, rng: &mut ChaCha8Rng) -> Option<u32> {
+        let hot = self.hot.filter(|hot| (hot.from_s..hot.to_s).contains(&at_s))?;
+        let is_on = hot.period_s <= 0.0 || (((at_s - hot.from_s) / hot.period_s) as u64).is_multiple_of(2);
+        (is_on && rng.random::<f64>() < hot.part).then(|| self.by_rank[0])
+    }
+
+    /// A key of the set that is popular in this round, where this read falls to it.
+    fn draw_shifted(&self, at_s: f64, rng: &mut ChaCha8Rng) -> Option<u32> {
+        let shift = self.shift?;
+        if rng.random::<f64>() >= shift.part {
+            return None;
         }
+        let round = (at_s / shift.every_s.max(MIN_PERIOD_S)) as usize;
+        let rank = round * shift.set + rng.random_range(0..shift.set.max(1));
+        Some(self.by_rank[rank % self.by_rank.len()])
     }
 }
--- a/testbed/src/load/trace.rs
+++ b/testbed/src/load/trace.rs
@@ -1,21 +1,115 @@
-//! Recorded arrivals: JSON lines, one op each, in the order of time.
+//! Recorded arrivals: JSON lines, one request each, in the order of time.
 //!
 //! ```text
 //! {"at_us":0,"category":"read","customer":"acme","key":"7f3a","size":128}
 //! ```
 //!
 //! `at_us` counts from the start of the trace in whole microseconds; `customer` may be left out or null; `size` is the
-//! value's bytes, 128 where it is left out. Empty lines pass; anything else that is no such object is refused by its number.
+//! value's bytes, 128 where it is left out. Empty lines are skipped; any other line that is no such object is refused
+//! by its number.
 
 use std::collections::HashMap;
 use std::io::{BufRead, Write};
 
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
 use super::plan::{Plan, PlannedRequest};
 use crate::script::Experiment;
 use crate::time::Micros;
 
+/// The size of a value where the trace gives none, in bytes.
+const DEFAULT_VALUE_BYTES: u32 = 128;
+/// The largest value that is played, in bytes.
+const MAX_VALUE_BYTES: u32 = 65_536;
+/// A value that is played has at least so many bytes: it begins with ids.
+const MIN_VALUE_BYTES: u32 = 48;
+
+/// Why a trace can't be played. Each text names the line and the way out.
+#[derive(Debug, Error)]
+pub enum TraceError {
+    /// The file can't be read on from here.
+    #[error("line {line}: {cause}")]
+    Unreadable {
+        /// Counted from 1.
+        line: usize,
+        /// What the system says.
+        cause: std::io::Error,
+    },
+    /// A line is not the JSON object that is expected.
+    #[error(
+        "line {line}: {cause}: {}write at_us, category, key and perhaps customer and size",
+        if cause.is_eof() { "it is torn off; cut it or " } else { "" }
+    )]
+    Malformed {
+        /// Counted from 1.
+        line: usize,
+        /// What is wrong with it.
+        cause: serde_json::Error,
+    },
+    /// A line is due before the one ahead of it.
+    #[error("line {line}: at_us {at_us} runs backwards from {before}: sort the lines by at_us")]
+    OutOfOrder {
+        /// Counted from 1.
+        line: usize,
+        /// The time of this line.
+        at_us: Micros,
+        /// The time of the line ahead of it.
+        before: Micros,
+    },
+    /// A line names a request class that the experiment does not have.
+    #[error("line {line}: no category {name:?}: the experiment has {known}")]
+    UnknownClass {
+        /// Counted from 1.
+        line: usize,
+        /// The name.
+        name: String,
+        /// The experiment's classes, separated by commas.
+        known: String,
+    },
+    /// A line names a tenant that the experiment does not have.
+    #[error("line {line}: no customer {name:?}: add it to the experiment's [[customers]]")]
+    UnknownTenant {
+        /// Counted from 1.
+        line: usize,
+        /// The name.
+        name: String,
+    },
+    /// A key has control characters or is empty, or a value is too large.
+    #[error("line {line}: a key without control characters and at most 65536 bytes, please")]
+    InvalidKeyOrSize {
+        /// Counted from 1.
+        line: usize,
+    },
+    /// The trace has no request.
+    #[error("it holds no op")]
+    Empty,
+}
+
+/// Why comma-separated values are no trace.
+#[derive(Debug, Error)]
+pub enum CsvError {
+    /// A row is no such row, or the columns are others.
+    #[error("row {row}: {cause}")]
+    Malformed {
+        /// Counted from 1, without the head.
+        row: usize,
+        /// What is wrong with it.
+        cause: csv::Error,
+    },
+    /// A time is infinite or no number.
+    #[error("row {row}: {time_s} is no time in seconds")]
+    InvalidTime {
+        /// Counted from 1, without the head.
+        row: usize,
+        /// The time as it was read.
+        time_s: f64,
+    },
+    /// A row can't be written as a line.
+    #[error(transparent)]
+    Unwritable(#[from] serde_json::Error),
+}
+
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Line {
@@ -24,90 +118,107 @@
     #[serde(default)]
     customer: Option<String>,
     key: String,
-    #[serde(default = "size")]
+    #[serde(default = "default_value_bytes")]
     size: u32,
 }
 
-fn size() -> u32 {
-    128
+fn default_value_bytes() -> u32 {
+    DEFAULT_VALUE_BYTES
 }
 
-/// Reads a trace for the categories and customers of an experiment, `speed` times as fast.
+/// Reads a trace for the request classes and tenants of an experiment, to be played `speed` times as fast.
 ///
 /// # Errors
-/// One line: the number of the first line that is of no use, why, and the way out.
-pub fn import(from: impl BufRead, experiment: &Experiment, speed: f64) -> Result<Plan, String> {
-    let mut plan = Plan::default();
-    let mut keys: HashMap<String, u32> = HashMap::new();
-    let mut before = 0;
+/// The first line that can't be played.
+pub fn import(from: impl BufRead, experiment: &Experiment, speed: f64) -> Result<Plan, TraceError> {
+    let mut import = Import { experiment, speed, plan: Plan::default(), keys: HashMap::new(), last_at_us: 0 };
     for (nth, text) in from.lines().enumerate() {
-        let nth = nth + 1;
-        let text = text.map_err(|cause| format!("line {nth}: {cause}"))?;
+        let line = nth + 1;
+        let text = text.map_err(|cause| TraceError::Unreadable { line, cause })?;
         if text.trim().is_empty() {
             continue;
         }
-        let line: Line = serde_json::from_str(&text).map_err(|cause| {
-            let torn = if cause.is_eof() { "it is torn off; cut it or " } else { "" };
-            format!("line {nth}: {cause}: {torn}write at_us, category, key and perhaps customer and size")
-        })?;
-        if line.at_us < before {
-            return Err(format!(
-                "line {nth}: at_us {} runs backwards from {before}: sort the lines by at_us",
-                line.at_us
-            ));
+        let parsed = serde_json::from_str(&text).map_err(|cause| TraceError::Malformed { line, cause })?;
+        import.add(line, parsed)?;
+    }
+    if import.plan.requests.is_empty() {
+        return Err(TraceError::Empty);
+    }
+    Ok(import.plan)
+}
+
+/// A trace that is being read.
+struct Import<'a> {
+    experiment: &'a Experiment,
+    speed: f64,
+    plan: Plan,
+    /// The index of each key in the plan.
+    keys: HashMap<String, u32>,
+    last_at_us: Micros,
+}
+
+impl Import<'_> {
+    fn add(&mut self, number: usize, line: Line) -> Result<(), TraceError> {
+        if line.at_us < self.last_at_us {
+            let (at_us, before) = (line.at_us, self.last_at_us);
+            return Err(TraceError::OutOfOrder { line: number, at_us, before });
         }
-        before = line.at_us;
-        let category = experiment.categories.iter().position(|category| category.name == line.category);
-        let category = category.ok_or_else(|| {
-            let known: Vec<&str> =
-                experiment.categories.iter().map(|category| category.name.as_str()).collect();
-            format!("line {nth}: no category {:?}: the experiment has {}", line.category, known.join(", "))
-        })?;
+        self.last_at_us = line.at_us;
+        let category = self.class_index(number, &line.category)?;
         let customer = match &line.customer {
-            Some(name) => {
-                let place = experiment.customers.iter().position(|customer| customer.name == *name);
-                let place = place.ok_or_else(|| {
-                    format!("line {nth}: no customer {name:?}: add it to the experiment's [[customers]]")
-                })?;
-                Some(place as u16)
-            }
+            Some(name) => Some(self.tenant_index(number, name)?),
             None => None,
         };
-        if line.key.is_empty() || line.key.chars().any(char::is_control) || line.size > 65_536 {
-            return Err(format!(
-                "line {nth}: a key without control characters and at most 65536 bytes, please"
-            ));
+        let has_invalid_key = line.key.is_empty() || line.key.chars().any(char::is_control);
+        if has_invalid_key || line.size > MAX_VALUE_BYTES {
+            return Err(TraceError::InvalidKeyOrSize { line: number });
         }
-        let next = keys.len() as u32;
-        let key = *keys.entry(line.key.clone()).or_insert_with(|| {
-            plan.keys.push(line.key);
-            next
-        });
-        let at = (line.at_us as f64 / speed) as Micros;
-        plan.requests.push(PlannedRequest {
-            at,
-            category: category as u16,
-            customer,
-            key,
-            size: line.size.max(48),
-        });
+        let at = (line.at_us as f64 / self.speed) as Micros;
+        let size = line.size.max(MIN_VALUE_BYTES);
+        let key = self.key_index(line.key);
+        self.plan.requests.push(PlannedRequest { at, category, customer, key, size });
+        Ok(())
     }
-    if plan.requests.is_empty() {
-        return Err("it holds no op".to_owned());
+
+    fn class_index(&self, line: usize, name: &str) -> Result<u16, TraceError> {
+        let classes = &self.experiment.categories;
+        match classes.iter().position(|class| class.name == name) {
+            Some(index) => Ok(index as u16),
+            None => {
+                let known: Vec<&str> = classes.iter().map(|class| class.name.as_str()).collect();
+                Err(TraceError::UnknownClass { line, name: name.to_owned(), known: known.join(", ") })
+            }
+        }
+    }
+
+    fn tenant_index(&self, line: usize, name: &str) -> Result<u16, TraceError> {
+        let index = self.experiment.customers.iter().position(|tenant| tenant.name == name);
+        let unknown = || TraceError::UnknownTenant { line, name: name.to_owned() };
+        index.map(|index| index as u16).ok_or_else(unknown)
+    }
+
+    fn key_index(&mut self, key: String) -> u32 {
+        let next = self.keys.len() as u32;
+        *self.keys.entry(key.clone()).or_insert_with(|| {
+            self.plan.keys.push(key);
+            next
+        })
     }
-    Ok(plan)
 }
 
 /// Writes a plan as a trace.
+///
+/// # Errors
+/// What the system says where it can't be written.
 pub fn export(plan: &Plan, experiment: &Experiment, mut to: impl Write) -> std::io::Result<()> {
-    for op in &plan.requests {
-        let customer = op.customer.and_then(|customer| experiment.customers.get(usize::from(customer)));
+    for request in &plan.requests {
+        let tenant = request.customer.and_then(|index| experiment.customers.get(usize::from(index)));
         let line = Line {
-            at_us: op.at,
-            category: experiment.categories[usize::from(op.category)].name.clone(),
-            customer: customer.map(|customer| customer.name.clone()),
-            key: plan.keys[op.key as usize].clone(),
-            size: op.size,
+            at_us: request.at,
+            category: experiment.categories[usize::from(request.category)].name.clone(),
+            customer: tenant.map(|tenant| tenant.name.clone()),
+            key: plan.keys[request.key as usize].clone(),
+            size: request.size,
         };
         serde_json::to_writer(&mut to, &line)?;
         to.write_all(b"\n")?;
@@ -115,44 +226,46 @@
     to.flush()
 }
 
-/// A trace from comma-separated values whose head names the columns `time_s`, `category`, `key` and perhaps `customer` and
-/// `size`. Times count from the first row, and rows may stand in any order.
+#[derive(Deserialize)]
+struct Row {
+    time_s: f64,
+    category: String,
+    key: String,
+    #[serde(default)]
+    customer: Option<String>,
+    #[serde(default)]
+    size: Option<u32>,
+}
+
+/// Makes a trace of comma-separated values whose head names the columns `time_s`, `category`, `key` and perhaps
+/// `customer` and `size`. Times count from the first row, and rows may stand in any order.
 ///
 /// # Errors
-/// One line: the row's number and what is wrong with it.
-pub fn from_csv(from: impl std::io::Read) -> Result<String, String> {
-    #[derive(Deserialize)]
-    struct Row {
-        time_s: f64,
-        category: String,
-        key: String,
-        #[serde(default)]
-        customer: Option<String>,
-        #[serde(default)]
-        size: Option<u32>,
-    }
+/// The first row that is wrong.
+pub fn from_csv(from: impl std::io::Read) -> Result<String, CsvError> {
     let mut reader = csv::ReaderBuilder::new().trim(csv::Trim::All).from_reader(from);
     let mut rows = Vec::new();
     for (nth, row) in reader.deserialize::<Row>().enumerate() {
-        let row = row.map_err(|cause| format!("row {}: {cause}", nth + 1))?;
+        let number = nth + 1;
+        let row = row.map_err(|cause| CsvError::Malformed { row: number, cause })?;
         if !row.time_s.is_finite() {
-            return Err(format!("row {}: {} is no time in seconds", nth + 1, row.time_s));
+            return Err(CsvError::InvalidTime { row: number, time_s: row.time_s });
         }
         rows.push(row);
     }
     rows.sort_by(|one, other| one.time_s.total_cmp(&other.time_s));
-    let first = rows.first().map_or(0.0, |row| row.time_s);
-    let mut out = String::new();
+    let first_time_s = rows.first().map_or(0.0, |row| row.time_s);
+    let mut trace = String::new();
     for row in rows {
         let line = Line {
-            at_us: ((row.time_s - first) * 1e6).round() as Micros,
+            at_us: ((row.time_s - first_time_s) * 1e6).round() as Micros,
             category: row.category,
-            customer: row.customer.filter(|customer| !customer.is_empty()),
+            customer: row.customer.filter(|tenant| !tenant.is_empty()),
             key: row.key,
-            size: row.size.unwrap_or_else(size),
+            size: row.size.unwrap_or(DEFAULT_VALUE_BYTES),
         };
-        out += &serde_json::to_string(&line).map_err(|cause| cause.to_string())?;
-        out.push('\n');
+        trace += &serde_json::to_string(&line)?;
+        trace.push('\n');
     }
-    Ok(out)
+    Ok(trace)
 }
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -525,7 +525,8 @@
     ledger.clock.start_run_in(200 * MS);
     let (progress, late) = (Arc::default(), Arc::default());
     let bare = Bare::start().map_err(failed)?;
-    let played = player::play(&experiment, plan, seed, to, &ledger, Vec::new(), progress, late);
+    let played = player::play(&experiment, plan, seed, to, &ledger, Vec::new(), progress, late)
+        .map_err(|error| error.to_string());
     let played = played.map_err(failed)?;
     let events = ledger.take();
     let mut figures = figures::figures(&experiment, &played.records, &events, played.cpu_s);
@@ -617,7 +618,7 @@
                 "{} ops, {} keys, {:.1} ops a second",
                 plan.requests.len(),
                 plan.keys.len(),
-                plan.rate()
+                plan.mean_rate()
             );
         }
     }
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -186,7 +186,8 @@
         ledger.clock.start_run_in(AHEAD);
         let (progress, beat) = (Arc::default(), Arc::default());
         let bare = Bare::start()?;
-        let played = player::play(&experiment, plan, self.seed, to, &ledger, Vec::new(), progress, beat)?;
+        let played = player::play(&experiment, plan, self.seed, to, &ledger, Vec::new(), progress, beat)
+            .map_err(|error| error.to_string())?;
         let (ops, bare) = (late(&played.records), bare.stop());
         let figures = figures(&experiment, &played.records, &ledger.take(), played.cpu_s);
         let verdict = judge(experiment.bounds(figures.benefit), &ops, &Seen::default(), &bare);
--- a/testbed/src/play.rs
+++ b/testbed/src/play.rs
@@ -140,7 +140,8 @@
             took_before = took;
         }
     }
-    let played = playing.join().map_err(|_| "the generator failed".to_owned())??;
+    let played =
+        playing.join().map_err(|_| "the generator failed".to_owned())?.map_err(|error| error.to_string())?;
     let (bare, world_late) = (bare.stop(), world.lateness.seen());
     let opened = world.connections_accepted.load(Ordering::Relaxed);
     let world_us = world.cpu_us.load(Ordering::Relaxed) - world_us;
--- a/testbed/src/scale/run/mod.rs
+++ b/testbed/src/scale/run/mod.rs
@@ -200,6 +200,7 @@
             ledger.clock.start_run_in(100 * MS);
             let late = Arc::new(Lateness::default());
             player::play(&experiment, plan, seed, &addresses, &ledger, Vec::new(), Arc::default(), late)
+                .map_err(|error| error.to_string())
         };
         thread::Builder::new()
             .name("load".to_owned())
--- a/testbed/tests/input.rs
+++ b/testbed/tests/input.rs
@@ -21,12 +21,14 @@
         r#"{"at_us":6,"category":"read","key":"a","colour":1}"#,
         "at_us 6",
     ];
-    let mut told = vec![trace::import(&b""[..], &experiment, 1.0).expect_err("it is empty")];
+    let mut told = vec![trace::import(&b""[..], &experiment, 1.0).expect_err("it is empty").to_string()];
     for line in lines {
         let text = format!("{good}\n\n{line}");
-        told.push(trace::import(text.as_bytes(), &experiment, 1.0).expect_err(line));
+        told.push(trace::import(text.as_bytes(), &experiment, 1.0).expect_err(line).to_string());
     }
-    told.push(trace::from_csv(&b"time_s,category,key\n1,read,a\nx,read,b\n"[..]).expect_err("no time"));
+    told.push(
+        trace::from_csv(&b"time_s,category,key\n1,read,a\nx,read,b\n"[..]).expect_err("no time").to_string(),
+    );
     expect![[r#"
         it holds no op
         line 3: at_us 4 runs backwards from 5: sort the lines by at_us
