--- a/testbed/src/load/player.rs
+++ b/testbed/src/load/player.rs
@@ -55,7 +55,7 @@
 
 /// What was played.
 #[derive(Debug, Default)]
-pub struct LoadResult {
+pub struct PlayedLoad {
     /// Each request, in the order of their ends.
     pub records: Vec<RequestRecord>,
     /// CPU time of the generator's thread, in seconds.
@@ -90,7 +90,7 @@
     stalls: Vec<Stall>,
     progress: Arc<Progress>,
     late: Arc<Lateness>,
-) -> Result<LoadResult, LoadError> {
+) -> Result<PlayedLoad, LoadError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(LoadError::Runtime)?;
     let target = |(nth, &address)| Rc::new(Target::new(nth, address));
@@ -117,7 +117,7 @@
     });
     let cpu_s = thread_cpu_seconds() - cpu_before_s;
     let records = std::mem::take(&mut *player.records.borrow_mut());
-    Ok(LoadResult { records, cpu_s })
+    Ok(PlayedLoad { records, cpu_s })
 }
 
 /// The clients of a run.
--- a/testbed/src/world/discovery.rs
+++ b/testbed/src/world/discovery.rs
@@ -7,19 +7,18 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use basaltwood_wire::buffer::Buffer;
-use basaltwood_wire::http;
 use bytes::Bytes;
 use serde_json::{json, Value};
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{watch, Notify};
 use tokio::task::spawn_local;
-use tokio::time::{sleep, timeout};
+use tokio::time::sleep;
 
 use super::faults::FaultSchedule;
 use super::host::Host;
 use super::listener::listen;
+use crate::discovery_calls::{encode_list, list, Calls, ChangesQuery};
 use crate::ledger::{HostNo, Ledger, Standing, What};
 use crate::script::{zone_name, Kind};
 use crate::time::{to_duration, Micros};
@@ -27,10 +26,6 @@
 /// By the protocol a balancer counts as informed of a change after this time at the latest, also by an agent that
 /// does not answer.
 const INFORMED_AT_LATEST: Duration = Duration::from_secs(6);
-/// The longest time that a call for changes is held.
-const MAX_HOLD_MS: u64 = 60_000;
-/// The longest request that an agent reads, in bytes.
-const MAX_REQUEST_BYTES: usize = 16 * 1024;
 /// Nothing listens there on loopback.
 const UNUSED_PORT: u16 = 1;
 /// Cells are host numbers below this, so that the origin has one in range.
@@ -58,35 +53,6 @@
     announced: Vec<(HostNo, Standing)>,
 }
 
-/// After which generation a call asks for changes, and for how long it may be held; `None` where it asks for the
-/// whole list.
-pub(crate) fn parse_watch_query(path: &str) -> Option<(u64, Duration)> {
-    let number = |name: &str| {
-        let query = path.split_once('?').map_or("", |(_, query)| query);
-        let value = query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
-        value.and_then(|value| value.parse::<u64>().ok())
-    };
-    let hold_ms = number("hold_ms").unwrap_or(0).min(MAX_HOLD_MS);
-    Some((number("from")?, Duration::from_millis(hold_ms)))
-}
-
-/// Holds a call for changes until there is something newer or its time is over; whether its caller is still there.
-/// A caller that has gone may not be answered: that would count as an announcement to it.
-pub(crate) async fn wait_for_changes(
-    stream: &mut TcpStream,
-    generation: &watch::Sender<u64>,
-    asked: Option<(u64, Duration)>,
-) -> bool {
-    let Some((from, hold)) = asked else { return true };
-    let mut generation = generation.subscribe();
-    let newer = generation.wait_for(|&generation| generation > from);
-    let gone = async { while !matches!(stream.read(&mut [0]).await, Ok(0) | Err(_)) {} };
-    tokio::select! {
-        _ = timeout(hold, newer) => true,
-        () = gone => false,
-    }
-}
-
 /// The discovery agent of one balancer.
 pub struct Agent {
     balancer: usize,
@@ -162,7 +128,7 @@
         let endpoints = self.endpoints.borrow();
         let present = endpoints.values().filter(|listed| listed.endpoint.status != Standing::Left);
         let instances: Vec<&Value> = present.map(|listed| &listed.endpoint.body).collect();
-        json!({"generation": *self.generation.borrow(), "reset": true, "instances": instances})
+        list(*self.generation.borrow(), true, &instances)
     }
 
     /// While it is silent it takes calls and answers none.
@@ -238,18 +204,18 @@
         }
     }
 
-    async fn serve(self: Rc<Agent>, mut stream: TcpStream) {
-        let mut buffer = Buffer::new(MAX_REQUEST_BYTES);
-        while let Some(path) = next_request(&mut stream, &mut buffer).await {
-            let asked = parse_watch_query(&path);
-            if !wait_for_changes(&mut stream, &self.generation, asked).await {
+    async fn serve(self: Rc<Agent>, stream: TcpStream) {
+        let mut calls = Calls::new(stream);
+        while let Some(call) = calls.next().await {
+            let changes = ChangesQuery::parse(&call.path);
+            if !calls.hold(&self.generation, changes).await {
                 return;
             }
             while self.silent.get() {
                 self.silence_changed.notified().await;
             }
-            let response = self.changes_since(asked.map(|(from, _)| from));
-            if stream.write_all(&response.text).await.is_err() {
+            let response = self.changes_since(changes.map(|changes| changes.after));
+            if calls.stream().write_all(&response.text).await.is_err() {
                 return;
             }
             for (host, standing) in response.announced {
@@ -259,37 +225,17 @@
     }
 
     /// What is newer than a generation, or the whole list.
-    fn changes_since(&self, from: Option<u64>) -> WatchResponse {
+    fn changes_since(&self, after: Option<u64>) -> WatchResponse {
         let endpoints = self.endpoints.borrow();
-        let is_asked_for = |listed: &&ListedEndpoint| match from {
-            Some(from) => listed.generation > from,
+        let is_asked_for = |listed: &&ListedEndpoint| match after {
+            Some(after) => listed.generation > after,
             None => listed.endpoint.status != Standing::Left,
         };
         let asked_for: Vec<&Endpoint> =
             endpoints.values().filter(is_asked_for).map(|listed| &listed.endpoint).collect();
         let instances: Vec<&Value> = asked_for.iter().map(|endpoint| &endpoint.body).collect();
-        let body = json!({
-            "generation": *self.generation.borrow(),
-            "reset": from.is_none(),
-            "instances": instances,
-        });
-        let headers = [("Content-Type", "application/json")];
-        let text = http::encode_response(200, &headers, body.to_string().as_bytes());
+        let text = encode_list(*self.generation.borrow(), after.is_none(), &instances);
         let announced = asked_for.iter().map(|endpoint| (endpoint.host, endpoint.status)).collect();
         WatchResponse { text, announced }
     }
 }
-
-/// The path of the next request; `None` where the connection is over.
-async fn next_request(stream: &mut TcpStream, buffer: &mut Buffer) -> Option<String> {
-    loop {
-        if let Some(request) = http::parse_request(buffer.bytes(), 0).ok()? {
-            buffer.consume(request.consumed);
-            return Some(request.path);
-        }
-        let unfilled = buffer.unfilled().ok()?;
-        if stream.read_buf(unfilled).await.ok()? == 0 {
-            return None;
-        }
-    }
-}
