--- a/testbed/src/scale/discovery.rs
+++ b/testbed/src/scale/discovery.rs
@@ -21,8 +21,8 @@
 use super::role::{to_reply, Reply, Role};
 use super::system::unix_micros;
 use crate::discovery_calls::{encode_list, Calls, ChangesQuery};
-use crate::load::player::thread_cpu;
-use crate::world::host::listen;
+use crate::thread_stats::thread_cpu_seconds;
+use crate::world::listener::listen;
 
 /// How often discovery looks whether it is to change the list, and tries again to accept.
 const IDLE_INTERVAL: Duration = Duration::from_millis(5);
@@ -192,7 +192,7 @@
             WorkerCommand::Snapshot => {}
         }
         let mut counters = self.counters.borrow_mut();
-        counters.cpu_s = thread_cpu();
+        counters.cpu_s = thread_cpu_seconds();
         let reply = to_reply(&*counters);
         counters.changes.clear();
         reply
--- a/testbed/src/scale/fleet.rs
+++ b/testbed/src/scale/fleet.rs
@@ -19,9 +19,9 @@
 use super::protocol::{value_counts, FleetReady, FleetSnapshot, FleetSpec, WorkerCommand};
 use super::role::{to_reply, Reply, Role};
 use crate::lateness::Lateness;
-use crate::load::player::thread_cpu;
-use crate::world::beat;
-use crate::world::host::listen;
+use crate::thread_stats::record_lateness;
+use crate::thread_stats::thread_cpu_seconds;
+use crate::world::listener::listen;
 
 /// After a connection could not be accepted: no descriptor is left, and one comes free some time.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
@@ -91,7 +91,7 @@
             spawn_local(accept(host.clone(), service, listener));
         }
         let lateness: Arc<Lateness> = Arc::default();
-        spawn_local(beat(lateness.clone()));
+        spawn_local(record_lateness(lateness.clone()));
         Ok(Rc::new(Fleet { addresses, hosts, lateness }))
     }
 }
@@ -172,7 +172,7 @@
             |read: fn(&HostState) -> &Cell<u64>| self.hosts.iter().map(|host| read(host).get()).collect();
         let seen = self.lateness.seen();
         let snapshot = FleetSnapshot {
-            cpu_s: thread_cpu(),
+            cpu_s: thread_cpu_seconds(),
             requests_by_host: by_host(|host| &host.requests),
             accepted_by_host: by_host(|host| &host.accepted),
             open_by_host: by_host(|host| &host.open),
--- a/testbed/src/scale/run/real_balancer.rs
+++ b/testbed/src/scale/run/real_balancer.rs
@@ -5,17 +5,17 @@
 use std::sync::Arc;
 use std::thread::{self, JoinHandle};
 
-use crate::balancers::{Balancers, Program, Use};
+use crate::balancers::{Balancers, Program, ResourceUsage};
 use crate::lateness::Lateness;
 use crate::ledger::Ledger;
 use crate::load::plan::Plan;
-use crate::load::player::{self, Played};
+use crate::load::player::{self, PlayedLoad};
 use crate::scale::error::RunError;
 use crate::scale::protocol::WorkerSpec;
 use crate::scale::worker_process::WorkerProcess;
 use crate::script::{Arm, Experiment};
+use crate::settings::BalancerBootstrap;
 use crate::time::{Clock, Micros, MS};
-use crate::world::Seat;
 
 /// The load begins so long after its thread, which connects first.
 const LOAD_STARTS_AFTER: Micros = 100 * MS;
@@ -30,15 +30,15 @@
 
 /// A load that is being played.
 pub(super) struct RunningLoad {
-    usage_before: Use,
-    thread: JoinHandle<Result<Played, RunError>>,
+    usage_before: ResourceUsage,
+    thread: JoinHandle<Result<PlayedLoad, RunError>>,
 }
 
 /// A load that was played.
 pub(super) struct LoadResult {
     /// What the balancer had used before it.
-    pub(super) usage_before: Use,
-    pub(super) played: Played,
+    pub(super) usage_before: ResourceUsage,
+    pub(super) played: PlayedLoad,
 }
 
 impl RealBalancer {
@@ -48,12 +48,12 @@
     /// There is none, it does not come up, or the run was interrupted.
     pub(super) fn start(
         experiment: Experiment,
-        seat: Seat,
+        seat: BalancerBootstrap,
         seed: u64,
         folder: &Path,
     ) -> Result<RealBalancer, RunError> {
         let balancers = start_program(&experiment, seat, seed, folder)?;
-        let pid = balancers.ids().first().copied();
+        let pid = balancers.process_ids().first().copied();
         let pid = pid.ok_or_else(|| RunError::RealBalancer("the real balancer has ended".to_owned()))?;
         let (guard, ()) = WorkerProcess::start(&WorkerSpec::Guard { pid })?;
         let addresses = balancers.addresses();
@@ -73,28 +73,28 @@
     }
 
     /// What it has used until now.
-    pub(super) fn usage(&self) -> Use {
-        self.balancers.look().first().copied().unwrap_or_default()
+    pub(super) fn usage(&self) -> ResourceUsage {
+        self.balancers.sample_usage().first().copied().unwrap_or_default()
     }
 }
 
 fn start_program(
     experiment: &Experiment,
-    seat: Seat,
+    seat: BalancerBootstrap,
     seed: u64,
     folder: &Path,
 ) -> Result<Balancers, RunError> {
     let arm = Arm { name: "real".to_owned(), program: None, baseline: None, regions: None };
-    let program = Program::of(&arm).map_err(|cause| RunError::RealBalancer(cause.to_string()))?;
+    let program = Program::for_arm(&arm).map_err(|cause| RunError::RealBalancer(cause.to_string()))?;
     let ledger = Ledger::new(Clock::start());
     Balancers::start(program, experiment, &[seat], seed, &ledger, folder)
         .map_err(|cause| RunError::RealBalancer(cause.to_string()))
 }
 
-fn play_load(experiment: &Experiment, addresses: &[SocketAddr], seed: u64) -> Result<Played, RunError> {
-    let plan = Arc::new(Plan::drawn(experiment, seed));
+fn play_load(experiment: &Experiment, addresses: &[SocketAddr], seed: u64) -> Result<PlayedLoad, RunError> {
+    let plan = Arc::new(Plan::generate(experiment, seed));
     let ledger = Ledger::new(Clock::start());
-    ledger.clock.begin(LOAD_STARTS_AFTER);
+    ledger.clock.start_run_in(LOAD_STARTS_AFTER);
     let lateness = Arc::new(Lateness::default());
     player::play(experiment, plan, seed, addresses, &ledger, Vec::new(), Arc::default(), lateness)
         .map_err(|cause| RunError::Load(cause.to_string()))
--- a/testbed/src/scale/run/workers.rs
+++ b/testbed/src/scale/run/workers.rs
@@ -17,7 +17,7 @@
 use crate::scale::worker_process::WorkerProcess;
 use crate::script::{zone_name, Experiment};
 use crate::settings;
-use crate::world::Seat;
+use crate::settings::BalancerBootstrap;
 
 /// The worker processes of a point.
 pub(super) struct Workers {
@@ -36,16 +36,16 @@
         conditions: &Conditions,
         load_experiment: &Experiment,
         seed: u64,
-    ) -> Result<(Workers, Seat), RunError> {
+    ) -> Result<(Workers, BalancerBootstrap), RunError> {
         let (fleets, addresses) = start_fleets(conditions, experiment.processes.fleet)?;
         let entries = list_entries(conditions, &addresses);
         let known = list(1, true, &entries.iter().collect::<Vec<_>>());
         let spec = DiscoverySpec { entries, changes_per_s: conditions.changes_per_s, seed };
         let (discovery, ready): (_, DiscoveryReady) = WorkerProcess::start(&WorkerSpec::Discovery(spec))?;
-        let seat = Seat { discovery: ready.address, known };
+        let seat = BalancerBootstrap { discovery: ready.address, known };
         // Nobody connects to a simulated balancer.
         let listen = SocketAddr::from(([127, 0, 0, 1], 1));
-        let config = settings::told(load_experiment, "hollow", listen, &seat, seed);
+        let config = settings::balancer_config(load_experiment, "hollow", listen, &seat, seed);
         let processes = experiment.simulated_processes(conditions);
         let simulated = start_simulated(conditions, &config["settings"], &seat, processes, seed)?;
         Ok((Workers { fleets, discovery, simulated }, seat))
@@ -103,7 +103,7 @@
 fn start_simulated(
     conditions: &Conditions,
     settings: &Value,
-    seat: &Seat,
+    seat: &BalancerBootstrap,
     processes: u32,
     seed: u64,
 ) -> Result<Vec<WorkerProcess>, RunError> {
--- a/testbed/src/scale/simulated/checkout.rs
+++ b/testbed/src/scale/simulated/checkout.rs
@@ -10,7 +10,7 @@
 
 use super::balancer::{AttemptKey, SimulatedBalancer};
 use super::connection::Connection;
-use crate::time::span;
+use crate::time::to_duration;
 
 /// A connection that an attempt has. Dropped with the connection still in it, because the attempt
 /// was cancelled or failed, it closes the connection and reports it to the pools as abandoned.
@@ -145,7 +145,7 @@
         let address = self.hosts.borrow().get(&host).map(|entry| entry.address);
         let address = address.ok_or(AttemptOutcome::NotSent)?;
         self.make_room_for_connection()?;
-        let connect_deadline = Instant::now() + span(self.limits.connect_timeout);
+        let connect_deadline = Instant::now() + to_duration(self.limits.connect_timeout);
         let connecting = Connection::connect(address, MAX_BUFFERED_MESSAGE);
         let connected = timeout_at(deadline.min(connect_deadline), connecting).await;
         guard.disarm();
--- a/testbed/src/scale/simulated/clock.rs
+++ b/testbed/src/scale/simulated/clock.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use crate::scale::system::unix_micros;
-use crate::time::span;
+use crate::time::to_duration;
 
 /// Counts microseconds since the process started.
 pub(super) struct ProcessClock {
@@ -31,6 +31,6 @@
 
     /// A time of this clock as the runtime's timers take it.
     pub(super) fn at(&self, time: Micros) -> Instant {
-        (self.start + span(time)).into()
+        (self.start + to_duration(time)).into()
     }
 }
--- a/testbed/src/scale/simulated/process.rs
+++ b/testbed/src/scale/simulated/process.rs
@@ -9,11 +9,11 @@
 use super::clock::ProcessClock;
 use super::counters::Counters;
 use super::load::LoadGenerator;
-use crate::load::player::thread_cpu;
 use crate::scale::error::RoleError;
 use crate::scale::protocol::{SimulatedReady, SimulatedSnapshot, SimulatedSpec, WorkerCommand};
 use crate::scale::role::{to_reply, Reply, Role};
 use crate::scale::system::resident_kb;
+use crate::thread_stats::thread_cpu_seconds;
 
 /// All simulated balancers of a process.
 pub struct SimulatedBalancers {
@@ -64,7 +64,7 @@
             WorkerCommand::Snapshot => {}
         }
         to_reply(&SimulatedSnapshot {
-            cpu_s: thread_cpu(),
+            cpu_s: thread_cpu_seconds(),
             resident_kb: resident_kb(),
             initial_resident_kb: self.initial_resident_kb,
             connections_open: self.open_connections(),
--- a/testbed/src/scale/simulated/watch.rs
+++ b/testbed/src/scale/simulated/watch.rs
@@ -17,7 +17,7 @@
 use super::counters::Counters;
 use super::endpoints::EndpointList;
 use crate::scale::system::unix_micros;
-use crate::time::{span, MS};
+use crate::time::{to_duration, MS};
 
 /// From the start of one call to the start of the next at least.
 const MIN_CALL_INTERVAL: Duration = Duration::from_millis(20);
@@ -44,7 +44,7 @@
                 }
                 Err(error) => {
                     let call_took = elapsed(started_at);
-                    sleep(span(schedule.failed(&error, call_took))).await;
+                    sleep(to_duration(schedule.failed(&error, call_took))).await;
                 }
             }
         }
@@ -72,7 +72,7 @@
     /// One call. A failed one closes the connection.
     async fn call(&mut self, schedule: &WatchSchedule) -> Result<EndpointList, WatchError> {
         let started_at = Instant::now();
-        let deadline = started_at + span(schedule.call_timeout());
+        let deadline = started_at + to_duration(schedule.call_timeout());
         let mut connection = match self.connection.take() {
             Some(connection) => connection,
             None => self.connect(schedule).await?,
@@ -99,7 +99,7 @@
 
     async fn connect(&self, schedule: &WatchSchedule) -> Result<Connection, WatchError> {
         let connecting = Connection::connect(self.address, MAX_BODY_BYTES + MAX_HEAD_BYTES);
-        let connected = timeout(span(schedule.response_timeout()), connecting).await;
+        let connected = timeout(to_duration(schedule.response_timeout()), connecting).await;
         connected.map_err(|_| WatchError::TimedOut("it does not come up".to_owned()))?.map_err(timed_out)
     }
 
