--- a/testbed/src/cli/mod.rs
+++ b/testbed/src/cli/mod.rs
@@ -84,7 +84,7 @@
         Command::Report { folder } => compare::report(&folder),
         Command::Trace { command } => trace::trace(command),
         Command::Measure { program, json } => measure::measure(program, json),
-        Command::ScalePart => to_success(scale_runs::worker_process::serve()),
+        Command::ScalePart => to_success(scale_runs::worker::serve()),
         Command::StandIn => to_success(measurement::stand_in()),
         Command::Router { kind, injected_fault } => to_success(router::serve(kind, injected_fault)),
     }
--- a/testbed/src/cli/scale.rs
+++ b/testbed/src/cli/scale.rs
@@ -3,7 +3,9 @@
 use std::path::{Path, PathBuf};
 
 use basaltwood_testbed::scale;
-use basaltwood_testbed::scale::experiment::{MachineLimits, ScaleExperiment};
+use basaltwood_testbed::scale::experiment::ScaleExperiment;
+use basaltwood_testbed::scale::point::MeasuredPoint;
+use basaltwood_testbed::scale::system::MachineLimits;
 
 use super::error::{bad_file, bad_input, failed, CommandError};
 use super::output::{create_folder, new_result_folder, to_json, write, JsonLines};
@@ -33,7 +35,7 @@
     folder: PathBuf,
     lines: JsonLines,
     json: bool,
-    points: Vec<scale::run::MeasuredPoint>,
+    points: Vec<MeasuredPoint>,
 }
 
 impl<'a> ResultFolder<'a> {
@@ -88,7 +90,7 @@
     /// Writes the lines through the points, their drawings and the table.
     fn write_lines(&self) -> Result<(), CommandError> {
         let axis = self.experiment.axis.name();
-        let fitted = scale::run::fit_figures(self.experiment, &self.points);
+        let fitted = scale::fit::fit_figures(self.experiment, &self.points);
         let text = serde_json::to_string_pretty(&fitted).map_err(failed)?;
         write(&self.folder.join("lines.json"), &text)?;
         for figure in &fitted {
--- a/testbed/src/cli/trace.rs
+++ b/testbed/src/cli/trace.rs
@@ -50,7 +50,7 @@
 fn check(path: &Path, experiment: &Path) -> Result<(), CommandError> {
     let experiment = Experiment::read(experiment).map_err(bad_input)?;
     let plan = trace::import(open(path)?, &experiment, 1.0).map_err(|cause| bad_file(path, cause))?;
-    let (requests, keys, rate) = (plan.requests.len(), plan.keys.len(), plan.rate());
+    let (requests, keys, rate) = (plan.requests.len(), plan.keys.len(), plan.mean_rate());
     println!("{requests} ops, {keys} keys, {rate:.1} ops a second");
     Ok(())
 }
--- a/testbed/src/play.rs
+++ b/testbed/src/play.rs
@@ -88,7 +88,7 @@
     std::fs::create_dir_all(folder).map_err(|cause| format!("{}: {cause}", folder.display()))?;
     let plan = Arc::new(plan(experiment, seed)?);
     let ledger = Ledger::new(Clock::start());
-    let mut world = World::start(experiment, seed, &ledger)?;
+    let mut world = World::start(experiment, seed, &ledger).map_err(|error| error.to_string())?;
     let balancers = Balancers::start(program.clone(), experiment, &world.bootstraps, seed, &ledger, folder)?;
     // What was noted until now, the lists that balancers took in, was before the run.
     ledger.take();
@@ -140,7 +140,8 @@
             took_before = took;
         }
     }
-    let played = playing.join().map_err(|_| "the generator failed".to_owned())??;
+    let played =
+        playing.join().map_err(|_| "the generator failed".to_owned())?.map_err(|error| error.to_string())?;
     let (bare, world_late) = (bare.stop(), world.lateness.snapshot());
     let opened = world.connections_accepted.load(Ordering::Relaxed);
     let world_us = world.cpu_us.load(Ordering::Relaxed) - world_us;
