--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -1,5 +1,9 @@
-//! What a balancer keeps of requests and of its fleet, and the events that change it. Nothing is
-//! decided here: what follows from an event is in `policy/`.
+//! What a balancer keeps of requests and of its fleet, and the events that change it.
+//!
+//! Records are kept here: which hosts a complete list no longer names, what a tenant has used of its
+//! quota, which attempts are in flight. What follows from that for a request is in `policy/`, in
+//! further `impl Dispatcher` blocks by concern: `dispatch.rs`, `selection.rs`, `admission.rs`,
+//! `fleet.rs`.
 
 use std::collections::{BTreeMap, BTreeSet};
 
