--- a/testbed/src/cli/arguments.rs
+++ b/testbed/src/cli/arguments.rs
@@ -7,10 +7,12 @@
 use basaltwood_testbed::router::InjectedFault;
 use clap::{Parser, Subcommand};
 
-/// A world for balancers: emulated hosts, open-loop load, faults, and an audit of what crossed the sockets.
+/// A world for balancers: emulated hosts, open-loop load, faults, and an audit of what crossed the
+/// sockets.
 ///
-/// Start with `basaltwood-testbed demo`. Exit codes: 0 well, 1 could not be done, 2 bad input, 3 rules broken, 4 void
-/// (the lab itself or the machine was too late; the line says which), 130 interrupted.
+/// Start with `basaltwood-testbed demo`. Exit codes: 0 well, 1 could not be done, 2 bad input, 3
+/// rules broken, 4 void (the lab itself or the machine was too late; the line says which), 130
+/// interrupted.
 #[derive(Parser)]
 #[command(
     version,
@@ -23,7 +25,8 @@
 
 #[derive(Subcommand)]
 pub(crate) enum Command {
-    /// A small fleet, two balancers and load; one host hangs in the middle. Needs nothing but the built programs.
+    /// A small fleet, two balancers and load; one host hangs in the middle. Needs nothing but the
+    /// built programs.
     Demo {
         /// Where results go.
         #[arg(long, default_value = "lab-results")]
@@ -33,7 +36,8 @@
     #[command(after_help = "Example: basaltwood-testbed run testbed/experiments/surge.toml --seeds 1,2,3")]
     Run {
         file: PathBuf,
-        /// Only these arms of the file; `random`, `least-in-flight` and `plain-ring` are always there.
+        /// Only these arms of the file; `random`, `least-in-flight` and `plain-ring` are always
+        /// there.
         #[arg(long)]
         arm: Vec<String>,
         /// A further arm: NAME=PROGRAM, such as an older build.
@@ -84,11 +88,11 @@
         #[arg(long)]
         json: bool,
     },
-    /// How figures grow with one axis of the fleet: hollow balancers beside a real one, a value at each point,
-    /// the slope with its interval, and what that gives at the plan's size.
+    /// How figures grow with one axis of the fleet: hollow balancers beside a real one, a value at
+    /// each point, the slope with its interval, and what that gives at the plan's size.
     ///
-    /// Exit codes as for `run`; 2 also where descriptors, memory (half of the machine's at most) or processes
-    /// would not do, before anything starts.
+    /// Exit codes as for `run`; 2 also where descriptors, memory (half of the machine's at most) or
+    /// processes would not do, before anything starts.
     #[command(after_help = "Example: basaltwood-testbed scale testbed/scale/hosts.toml --quick")]
     Scale {
         file: PathBuf,
@@ -106,7 +110,8 @@
     ScalePart,
     /// Writes a result's page anew.
     Report { folder: PathBuf },
-    /// Measures the generator's own ceiling, what a balancer carries on one core and what time it adds, and its memory.
+    /// Measures the generator's own ceiling, what a balancer carries on one core and what time it
+    /// adds, and its memory.
     Measure {
         /// A balancer; the one beside this program otherwise.
         #[arg(long)]
@@ -141,7 +146,8 @@
         #[arg(long)]
         out: PathBuf,
     },
-    /// Makes a trace from a CSV file with the columns time_s, category, key and perhaps customer and size.
+    /// Makes a trace from a CSV file with the columns time_s, category, key and perhaps customer
+    /// and size.
     Import {
         csv: PathBuf,
         #[arg(long)]
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -1,10 +1,11 @@
-//! A world of our own, in which a balancer can be started, loaded, hurt and judged: an emulated fleet with its origin and
-//! discovery ([`world`]), an open-loop load generator ([`load`]), a script of faults ([`experiment`]), a ledger of all that
-//! crossed the sockets ([`ledger`]) and the audit of the four rules over it ([`audit`]).
+//! An emulated world in which a balancer can be started, loaded, hurt and judged: a fleet with its
+//! origin and discovery ([`world`]), an open-loop load generator ([`load`]), experiments with their
+//! faults ([`experiment`]), a ledger of all that crossed the sockets ([`ledger`]) and the audit of
+//! the four rules over it ([`audit`]).
 //!
-//! [`play::play`] plays one arm of an experiment with one seed. The lab starts balancers as programs and speaks to them
-//! over sockets; it never uses their insides, and it decides nothing for them. Everything stays on loopback addresses
-//! (127.0.0.0/8), and a run ends by itself.
+//! [`play::play`] plays one arm of an experiment with one seed. The testbed starts balancers as
+//! programs and speaks to them over sockets; it never uses their insides, and it decides nothing
+//! for them. Everything stays on loopback addresses (127.0.0.0/8), and a run ends by itself.
 
 pub mod audit;
 pub mod balancers;
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -348,8 +348,16 @@
 
     fn start_balancer(&self, program: &Program, folder: &Path) -> Result<Balancers, MeasureError> {
         let instance = |(nth, host): (usize, &StandIn)| {
-            json!({"instanceId": format!("h{nth}"), "hostPort": host.address.to_string(), "zone": zone_name(0),
-                   "machineType": "host", "cell": nth, "lifecycle": "active", "weight": 1.0, "startedAtMs": 0})
+            json!({
+                "instanceId": format!("h{nth}"),
+                "hostPort": host.address.to_string(),
+                "zone": zone_name(0),
+                "machineType": "host",
+                "cell": nth,
+                "lifecycle": "active",
+                "weight": 1.0,
+                "startedAtMs": 0,
+            })
         };
         let instances: Vec<serde_json::Value> = self.hosts.iter().enumerate().map(instance).collect();
         // Nothing listens at discovery: what is known serves.
--- a/testbed/src/report.rs
+++ b/testbed/src/report.rs
@@ -111,8 +111,9 @@
     format!(
         "<!doctype html><html lang=en><meta charset=utf-8><title>{}</title>\
          <style>body{{font:15px/1.45 sans-serif;max-width:940px;margin:2em auto;padding:0 1em}}\
-         pre{{overflow:auto;background:#f4f4f4;padding:.6em;font-size:12px}}table{{border-collapse:collapse;font-size:13px}}td,th{{padding:.15em .7em;text-align:right;border-bottom:1px \
-         solid #ddd}}.bad{{color:#b00}}</style>{body}</html>",
+         pre{{overflow:auto;background:#f4f4f4;padding:.6em;font-size:12px}}\
+         table{{border-collapse:collapse;font-size:13px}}\
+         td,th{{padding:.15em .7em;text-align:right;border-bottom:1px solid #ddd}}.bad{{color:#b00}}</style>{body}</html>",
         escaped(name)
     )
 }
@@ -158,7 +159,8 @@
         };
         let _ = write!(
             out,
-            "<tr><td>{}<td>{:.1}<td>{:.0}<td>{:.0}<td>{:.3}<td>{:.0}<td>{:.2}<td>{:.1}<td>{:.2}<td>{:.1}</tr>",
+            "<tr><td>{}<td>{:.1}<td>{:.0}<td>{:.0}<td>{:.3}<td>{:.0}<td>{:.2}<td>{:.1}<td>{:.2}\
+             <td>{:.1}</tr>",
             escaped(name),
             mean(&|run| run.figures.cpu_us_per_request),
             max(&|used| used.peak_kb as f64),
@@ -252,7 +254,12 @@
     let figures: serde_json::Map<String, serde_json::Value> =
         COMPARED.iter().map(|figure| (figure.name.to_owned(), (figure.read)(run).into())).collect();
     serde_json::json!({
-        "experiment": run.experiment, "arm": run.arm, "seed": run.seed, "void": run.void, "warning": run.warning,
-        "breaches": run.breaches.len(), "figures": figures,
+        "experiment": run.experiment,
+        "arm": run.arm,
+        "seed": run.seed,
+        "void": run.void,
+        "warning": run.warning,
+        "breaches": run.breaches.len(),
+        "figures": figures,
     })
 }
--- a/testbed/tests/cli.rs
+++ b/testbed/tests/cli.rs
@@ -1,4 +1,5 @@
-//! The program as a user has it: exit codes, what it writes, and that Ctrl-C ends all that it started.
+//! The program as a user has it: exit codes, what it writes, and that Ctrl-C ends all that it
+//! started.
 
 use std::io::{BufRead, BufReader};
 use std::path::Path;
@@ -26,7 +27,7 @@
 baseline = "random"
 "#;
 
-fn lab(folder: &Path, arguments: &[&str]) -> (i32, String, String) {
+fn run_testbed(folder: &Path, arguments: &[&str]) -> (i32, String, String) {
     let Output { status, stdout, stderr } =
         Command::new(LAB).args(arguments).current_dir(folder).output().expect("it starts");
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
@@ -40,10 +41,10 @@
 }
 
 #[test]
-fn exit_codes_tell_bad_input_broken_rules_and_void_runs_apart() {
+fn exit_codes_of_bad_input_broken_rules_and_void_runs_differ() {
     let run = |text: &str| {
         let folder = folder_with("x.toml", text);
-        let (code, out, err) = lab(folder.path(), &["run", "x.toml"]);
+        let (code, out, err) = run_testbed(folder.path(), &["run", "x.toml"]);
         (code, out, err)
     };
     let (code, out, err) = run(&SHORT.replace("rate = 100", "rite = 100"));
@@ -66,12 +67,12 @@
     assert!(out.contains("VOID: random seed 1: the generator was late"), "{out}");
 }
 
-/// What is said of a run that was not void for the machine's lateness: a busy machine says nothing of the program. Each try
-/// has a folder of its own.
+/// What is said of a run that was not void for the machine's lateness: a busy machine says nothing
+/// of the program. Each try has a folder of its own.
 fn sound(arguments: &[&str]) -> (tempfile::TempDir, i32, String) {
     for _ in 0..8 {
         let folder = folder_with("x.toml", SHORT);
-        let (code, out, _) = lab(folder.path(), arguments);
+        let (code, out, _) = run_testbed(folder.path(), arguments);
         if code != 4 {
             return (folder, code, out);
         }
@@ -80,7 +81,7 @@
 }
 
 #[test]
-fn a_result_is_a_folder_that_is_never_written_over_and_can_be_compared() {
+fn result_folder_is_never_written_over_and_can_be_compared() {
     let arguments = [
         "run",
         "x.toml",
@@ -101,32 +102,35 @@
         page.matches("<svg").count() >= 4 && !page.contains("http-equiv") && !page.contains("<script"),
         "{page}"
     );
-    let (code, out, _) =
-        lab(folder.path(), &["trace", "check", "lab-results/short/trace-2.jsonl", "--experiment", "x.toml"]);
+    let (code, out, _) = run_testbed(
+        folder.path(),
+        &["trace", "check", "lab-results/short/trace-2.jsonl", "--experiment", "x.toml"],
+    );
     assert!(code == 0 && out.contains("ops, "), "{out}");
     let (code, out, _) =
-        lab(folder.path(), &["compare", "lab-results/short:random", "lab-results/short:plain-ring"]);
+        run_testbed(folder.path(), &["compare", "lab-results/short:random", "lab-results/short:plain-ring"]);
     assert!(code == 0 && out.starts_with("2 pairs of seeds") && out.contains("benefit"), "{out}");
-    let (code, _, err) = lab(folder.path(), &["compare", "lab-results/short", "lab-results/short:random"]);
+    let (code, _, err) =
+        run_testbed(folder.path(), &["compare", "lab-results/short", "lab-results/short:random"]);
     assert!(code == 2 && err.contains("name one as lab-results/short:ARM"), "{err}");
-    lab(folder.path(), &["run", "x.toml"]);
+    run_testbed(folder.path(), &["run", "x.toml"]);
     assert!(folder.path().join("lab-results/short-2/runs.jsonl").is_file());
 }
 
 #[test]
-fn a_demo_ends_well_also_on_a_busy_machine() {
+fn demo_on_a_busy_machine_ends_well() {
     let folder = tempfile::tempdir().expect("a folder");
-    let (code, out, err) = lab(folder.path(), &["demo"]);
+    let (code, out, err) = run_testbed(folder.path(), &["demo"]);
     assert_eq!(code, 0, "{out}{err}");
     assert!(out.contains("report: lab-results/demo/report.html"), "{out}");
     assert!(out.contains("VOID") == out.contains("WARNING: these figures count for nothing"), "{out}");
 }
 
 #[test]
-fn a_map_of_regions_reaches_the_balancer_and_a_missing_one_is_refused() {
+fn region_map_reaches_the_balancer_and_a_missing_one_is_refused() {
     let arm = "name = \"random\"\nbaseline = \"random\"";
     let folder = folder_with("x.toml", &SHORT.replace(arm, &format!("{arm}\nregions = \"r.toml\"")));
-    let (code, _, err) = lab(folder.path(), &["run", "x.toml"]);
+    let (code, _, err) = run_testbed(folder.path(), &["run", "x.toml"]);
     assert!(code == 2 && err.contains("regions: there is no file r.toml"), "{code} {err}");
     // A program that writes down what it was told, and ends.
     let said = |regions: bool| {
@@ -140,7 +144,7 @@
         let line = if regions { format!("{line}\nregions = \"r.toml\"") } else { line };
         let text = SHORT.replace(arm, &format!("name = \"random\"\n{line}"));
         std::fs::write(folder.path().join("x.toml"), text).expect("a file");
-        lab(folder.path(), &["run", "x.toml"]).2
+        run_testbed(folder.path(), &["run", "x.toml"]).2
     };
     let err = said(true);
     assert!(err.contains("regions ") && err.contains("r.toml"), "{err}");
@@ -149,7 +153,7 @@
 }
 
 #[test]
-fn ctrl_c_ends_all_that_it_started() {
+fn ctrl_c_during_a_run_ends_all_that_it_started() {
     let folder = folder_with("x.toml", &SHORT.replace("seconds = 1.0", "seconds = 60.0"));
     let mut command = Command::new(LAB);
     command.args(["run", "x.toml"]).current_dir(folder.path()).stdout(Stdio::piped()).stderr(Stdio::null());
--- a/testbed/tests/common/mod.rs
+++ b/testbed/tests/common/mod.rs
@@ -8,7 +8,8 @@
 use basaltwood_testbed::figures::Run;
 use basaltwood_testbed::play::play;
 
-/// A quick fleet: two hosts and an origin that answer within milliseconds, one category of each kind.
+/// A quick fleet: two hosts and an origin that answer within milliseconds, one category of each
+/// kind.
 const BASE: &str = r#"
 name = "test"
 balancers = 1
--- a/testbed/tests/input.rs
+++ b/testbed/tests/input.rs
@@ -9,7 +9,7 @@
 use expect_test::expect;
 
 #[test]
-fn a_trace_of_no_use_is_refused_by_its_line() {
+fn invalid_trace_is_refused_by_its_line() {
     let experiment = experiment("seconds = 1.0", "[load]\nrate = 1");
     let good = r#"{"at_us":5,"category":"read","key":"a"}"#;
     let lines = [
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn what_was_exported_is_played_alike_and_as_much_faster_as_asked() {
+fn exported_trace_is_played_alike_and_as_much_faster_as_requested() {
     let experiment =
         experiment("seconds = 2.0", "[load]\nrate = 100\nhot = { from_s = 0, to_s = 1, part = 0.5 }");
     let plan = Plan::generate(&experiment, 3);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn an_experiment_that_cannot_be_played_is_refused_with_the_way_out() {
+fn invalid_experiment_is_refused_with_the_way_out() {
     let good =
         "name = \"x\"\nseconds = 2.0\n[[categories]]\nname = \"read\"\ntarget_ms = 100\nttl_ms = 400\n\
                 repeats = \"redeliverable\"\n[fleet]\nhosts = 4\n[load]\nrate = 10.0\n";
--- a/testbed/tests/runs.rs
+++ b/testbed/tests/runs.rs
@@ -1,5 +1,5 @@
-//! Runs on real sockets: the generator's honesty, the balancer's death, and short experiments with the balancer itself.
-//! Judged by rules and counts, never by the machine's speed.
+//! Runs on real sockets: the generator's honesty, the balancer's death, and short experiments with
+//! the balancer itself. Judged by rules and counts, never by the machine's speed.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use common::*;
 
 #[test]
-fn a_pause_shows_in_the_tail_and_a_closed_loop_would_hide_it() {
+fn pause_shows_in_the_open_loop_tail_and_a_closed_loop_hides_it() {
     let pause = "[[faults]]\nkind = \"hang\"\nhosts = \"all\"\nfrom_s = 1.0\nto_s = 3.0\n\
                  [[faults]]\nkind = \"hang\"\nhosts = \"all\"\nfrom_s = 3.99\nto_s = 4.0";
     let load =
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_generator_that_stood_still_voids_its_run() {
+fn generator_that_stalled_voids_its_run() {
     let stop = "[load]\nrate = 200\n[[faults]]\nkind = \"generator-stop\"\nfrom_s = 1.0\nto_s = 1.3";
     let run = played(&experiment("seconds = 2.0", stop), &router("random", None));
     let void = run.void.clone().expect("it is void");
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_generator_that_is_slow_with_each_op_voids_its_run_by_its_own_fault() {
+fn generator_slow_with_each_request_voids_its_run_by_its_own_fault() {
     let slow = "[load]\nrate = 200\n[[faults]]\nkind = \"generator-slow\"\nfactor = 4.0\nfrom_s = 0.0";
     let run = played(&experiment("seconds = 2.0", slow), &router("random", None));
     let void = run.void.clone().expect("it is void");
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_balancer_that_dies_loses_its_open_ops_to_their_clients_and_the_run_ends() {
+fn balancer_killed_loses_its_open_requests_and_the_run_ends() {
     // All is slow, so that ops are open when it dies.
     let slow = "[load]\nrate = 200\nretry = { kind = \"RETRY\" }\n\
                 [[faults]]\nkind = \"slow\"\nhosts = \"all\"\nfactor = 100\nfrom_s = 0.0\n\
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn the_balancer_keeps_the_rules_through_short_troubles() {
+fn balancer_keeps_the_rules_through_short_faults() {
     let fault = |kind: &str, more: &str| format!("[[faults]]\nkind = \"{kind}\"\nfrom_s = 0.7\n{more}\n");
     let some = "hosts = [1, 4]\nto_s = 1.7";
     let cases = [
@@ -129,7 +129,8 @@
                     assert!(breaches(&run).is_empty(), "{name}: {:#?}", breaches(&run));
                     let figures = &run.figures;
                     assert!(figures.requests > 200, "{name}: {} ops", figures.requests);
-                    // Half is far below what any of them leaves; a balancer that serves nothing is caught.
+                    // Half is far below what any of them leaves; a balancer that serves nothing is
+                    // caught.
                     assert!(figures.served * 2 > figures.requests, "{name}: {} of {} served", figures.served, figures.requests);
                 });
             }
