--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -290,7 +290,9 @@
             measure::measure(&program, folder.path(), 1, &mut tell).map_err(failed)?;
             Ok(0)
         }
-        Verb::Router { kind, misdeed } => router::serve(kind, misdeed).map(|()| 0).map_err(failed),
+        Verb::Router { kind, misdeed } => {
+            router::serve(kind, misdeed).map(|()| 0).map_err(|error| failed(error.to_string()))
+        }
     }
 }
 
--- a/wire/src/http/error.rs
+++ b/wire/src/http/error.rs
@@ -36,12 +36,6 @@
     InvalidChunkEnd,
 }
 
-impl From<ResponseError> for String {
-    fn from(error: ResponseError) -> String {
-        error.to_string()
-    }
-}
-
 /// Why a server can't use a request.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
@@ -61,9 +55,3 @@
     #[error("no length")]
     LengthRequired,
 }
-
-impl From<RequestError> for String {
-    fn from(error: RequestError) -> String {
-        error.to_string()
-    }
-}
--- a/wire/src/resp/error.rs
+++ b/wire/src/resp/error.rs
@@ -47,9 +47,3 @@
     #[error("no answer to a command of ours")]
     UnexpectedBalancerReply,
 }
-
-impl From<RespError> for String {
-    fn from(error: RespError) -> String {
-        error.to_string()
-    }
-}
