--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -278,7 +278,7 @@
         Verb::StandIn => measure::stand_in().map(|()| 0).map_err(failed),
         Verb::Measure { program, json } => {
             let arm = Arm { name: "balancer".to_owned(), program, baseline: None, regions: None };
-            let program = Program::for_arm(&arm).map_err(bad)?;
+            let program = Program::for_arm(&arm).map_err(|error| bad(error.to_string()))?;
             let folder = tempfile::tempdir().map_err(|cause| failed(cause.to_string()))?;
             let mut tell = |line: &str, value: serde_json::Value| {
                 if json {
@@ -444,7 +444,7 @@
             let title = format!("[{}/{all}] {} seed {seed}", runs.len() + 1, arm.name);
             let logs = folder.join("logs").join(format!("{}-{seed}", arm.name));
             let mut tell = |tick: Tick| progress(&title, tick, json);
-            let program = Program::for_arm(arm).map_err(bad)?;
+            let program = Program::for_arm(arm).map_err(|error| bad(error.to_string()))?;
             let played = play(experiment, &arm.name, &program, seed, &logs, &mut tell).map_err(failed)?;
             let line = serde_json::to_string(&played).map_err(|cause| failed(cause.to_string()))?;
             writeln!(lines, "{line}").map_err(|cause| failed(cause.to_string()))?;
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -234,6 +234,7 @@
         let seat = BalancerBootstrap { discovery: SocketAddr::from(([127, 0, 0, 1], 1)), known };
         let ledger = Ledger::new(Clock::start());
         Balancers::start(program.clone(), &self.experiment, &[seat], self.seed, &ledger, folder)
+            .map_err(|error| error.to_string())
     }
 }
 
--- a/testbed/src/play.rs
+++ b/testbed/src/play.rs
@@ -89,7 +89,8 @@
     let plan = Arc::new(plan(experiment, seed)?);
     let ledger = Ledger::new(Clock::start());
     let mut world = World::start(experiment, seed, &ledger).map_err(|error| error.to_string())?;
-    let balancers = Balancers::start(program.clone(), experiment, &world.bootstraps, seed, &ledger, folder)?;
+    let balancers = Balancers::start(program.clone(), experiment, &world.bootstraps, seed, &ledger, folder)
+        .map_err(|error| error.to_string())?;
     // What was noted until now, the lists that balancers took in, was before the run.
     ledger.take();
     ledger.clock.start_run_in(AHEAD);
--- a/testbed/src/settings.rs
+++ b/testbed/src/settings.rs
@@ -1,10 +1,10 @@
-//! What a balancer is told, in the form in which PROXY_CONFIG names it.
+//! The configuration of a balancer of a run, in the form of PROXY_CONFIG.
 
 use std::net::SocketAddr;
 
 use serde_json::{json, Value};
 
-use crate::script::{zone_name, Experiment, Group, Mode, Repeats};
+use crate::script::{zone_name, Category, Customer, Experiment, Group, Mode, Repeats};
 
 /// What a balancer of a run has to know of the world before it starts.
 #[derive(Clone, Debug)]
@@ -15,64 +15,37 @@
     pub known: Value,
 }
 
-/// The whole file for one balancer.
+/// The whole configuration of one balancer, which listens on `listen` and draws from `seed`.
 pub fn balancer_config(
     experiment: &Experiment,
     name: &str,
     listen: SocketAddr,
-    seat: &BalancerBootstrap,
+    bootstrap: &BalancerBootstrap,
     seed: u64,
 ) -> Value {
     json!({
         "name": name,
         "listen": listen.to_string(),
-        "discovery": seat.discovery.to_string(),
+        "discovery": bootstrap.discovery.to_string(),
         "seed": format!("{seed:016x}"),
         "limits": {
             "cores": 1.0,
             "memory_mb": experiment.limits.memory_mb,
             "sockets": experiment.limits.sockets,
         },
-        "known": seat.known,
+        "known": bootstrap.known,
         "settings": settings(experiment),
     })
 }
 
+/// The operators' settings object.
 fn settings(experiment: &Experiment) -> Value {
-    let Experiment { limits, cold, .. } = experiment;
-    let categories: Vec<Value> = experiment
-        .categories
-        .iter()
-        .map(|category| {
-            json!({
-                "name": category.name,
-                "targetLatencyMs": category.target_ms,
-                "ttlMs": category.ttl_ms,
-                "benefit": category.benefit,
-                "tardyBenefit": category.late_benefit,
-                "semantics": match category.repeats {
-                    Repeats::Redeliverable => "retryable",
-                    Repeats::Deduplicated => "dedup",
-                    Repeats::AtMostOnce => "fragile",
-                },
-                "group": match category.group {
-                    Group::All => "all",
-                    Group::Zone => "zone",
-                    Group::Cell => "cell",
-                },
-                "windowMs": category.window_ms,
-            })
-        })
-        .collect();
-    let customers: Vec<Value> = experiment
-        .customers
-        .iter()
-        .map(|customer| json!({"name": customer.name, "quotaPerS": customer.quota_per_s}))
-        .collect();
+    let Experiment { cold, .. } = experiment;
+    let classes: Vec<Value> = experiment.categories.iter().map(class_settings).collect();
     let zones: Vec<String> = (0..experiment.fleet.zones).map(|zone| zone_name(zone as u32)).collect();
     json!({
-        "categories": categories,
-        "tenants": customers,
+        "categories": classes,
+        "tenants": experiment.customers.iter().map(tenant_settings).collect::<Vec<Value>>(),
         "dcs": zones,
         "discovery": "push",
         "domain": {
@@ -92,16 +65,46 @@
             "stopSendingWithinMs": experiment.discovery.grace_ms,
             "graceToAnswerMs": 20.0,
         },
-        "limits": {
-            "maxPushes": limits.max_pushes,
-            "mayDuplicate": limits.second_copies,
-            "cancel": true,
-            "probes": false,
-            "retryAfter": limits.come_back_ms > 0.0,
-            "maxRetryAfterMs": limits.come_back_ms,
-            "connectTimeoutMs": 250.0,
-            "keepaliveMs": experiment.fleet.idle_ms,
-            "mostHeld": 20_000,
+        "limits": limit_settings(experiment),
+    })
+}
+
+fn class_settings(class: &Category) -> Value {
+    json!({
+        "name": class.name,
+        "targetLatencyMs": class.target_ms,
+        "ttlMs": class.ttl_ms,
+        "benefit": class.benefit,
+        "tardyBenefit": class.late_benefit,
+        "semantics": match class.repeats {
+            Repeats::Redeliverable => "retryable",
+            Repeats::Deduplicated => "dedup",
+            Repeats::AtMostOnce => "fragile",
+        },
+        "group": match class.group {
+            Group::All => "all",
+            Group::Zone => "zone",
+            Group::Cell => "cell",
         },
+        "windowMs": class.window_ms,
+    })
+}
+
+fn tenant_settings(tenant: &Customer) -> Value {
+    json!({"name": tenant.name, "quotaPerS": tenant.quota_per_s})
+}
+
+fn limit_settings(experiment: &Experiment) -> Value {
+    let limits = &experiment.limits;
+    json!({
+        "maxPushes": limits.max_pushes,
+        "mayDuplicate": limits.second_copies,
+        "cancel": true,
+        "probes": false,
+        "retryAfter": limits.come_back_ms > 0.0,
+        "maxRetryAfterMs": limits.come_back_ms,
+        "connectTimeoutMs": 250.0,
+        "keepaliveMs": experiment.fleet.idle_ms,
+        "mostHeld": 20_000,
     })
 }
