--- a/testbed/src/balancers/mod.rs
+++ b/testbed/src/balancers/mod.rs
@@ -16,8 +16,8 @@
 use serde_json::Value;
 use thiserror::Error;
 
-use crate::ledger::{Ledger, What};
-use crate::script::Experiment;
+use crate::experiment::Experiment;
+use crate::ledger::{Ledger, Observation};
 use crate::settings::{self, BalancerBootstrap};
 use crate::time::Micros;
 pub use program::{Program, ProgramError};
@@ -43,7 +43,7 @@
     Address {
         /// The balancer's number.
         balancer: usize,
-        /// What the system says.
+        /// Observation the system says.
         cause: std::io::Error,
     },
     /// Its files could not be written, or its process not be started.
@@ -51,7 +51,7 @@
     Start {
         /// The balancer's number.
         balancer: usize,
-        /// What the system says.
+        /// Observation the system says.
         cause: std::io::Error,
     },
     /// Its process ended before it served.
@@ -127,7 +127,7 @@
     balancers: Vec<Balancer>,
 }
 
-/// All balancers of a run; clones are the same. What still runs when the last is dropped is ended.
+/// All balancers of a run; clones are the same. Observation still runs when the last is dropped is ended.
 #[derive(Clone)]
 pub struct Balancers(Arc<Mutex<Inner>>);
 
@@ -213,7 +213,7 @@
     pub fn kill(&self, nth: usize) {
         let mut inner = self.inner();
         inner.sample_usage();
-        inner.ledger.note(What::Balancer { balancer: nth, up: false });
+        inner.ledger.note(Observation::BalancerProcess { balancer: nth, up: false });
         inner.balancers[nth].kill();
     }
 
@@ -221,12 +221,12 @@
     pub fn restart(&self, nth: usize, known: &Value) {
         let mut inner = self.inner();
         match inner.spawn(nth, known) {
-            Ok(()) => inner.ledger.note(What::Balancer { balancer: nth, up: true }),
+            Ok(()) => inner.ledger.note(Observation::BalancerProcess { balancer: nth, up: true }),
             Err(cause) => log::warn!("{cause}"),
         }
     }
 
-    /// What each has used so far; also finds those that have ended by themselves.
+    /// Observation each has used so far; also finds those that have ended by themselves.
     pub fn sample_usage(&self) -> Vec<ResourceUsage> {
         self.inner().sample_usage()
     }
@@ -305,7 +305,7 @@
                 let last_line = self.last_log_line(nth);
                 self.balancers[nth].unexpected_exit =
                     Some(format!("ended by itself with {status}: {last_line}"));
-                self.ledger.note(What::Balancer { balancer: nth, up: false });
+                self.ledger.note(Observation::BalancerProcess { balancer: nth, up: false });
             }
         }
         self.balancers.iter().map(|balancer| balancer.usage).collect()
--- a/testbed/src/balancers/program.rs
+++ b/testbed/src/balancers/program.rs
@@ -4,7 +4,7 @@
 
 use thiserror::Error;
 
-use crate::script::Arm;
+use crate::experiment::Arm;
 
 /// Why an arm has no program.
 #[derive(Debug, Error)]
--- a/testbed/src/load/client.rs
+++ b/testbed/src/load/client.rs
@@ -16,8 +16,8 @@
 use super::player::Player;
 use super::record::{RequestOutcome, RequestRecord};
 use super::target::{ConnectionBounds, Target};
-use crate::ledger::{Answered, Id, What};
-use crate::script::{Category, Group, Repeats, Retry};
+use crate::experiment::{Category, ClientRetry, DeduplicationScope, RetrySafety};
+use crate::ledger::{Observation, Reply, RequestId};
 use crate::time::{millis, seconds, to_duration, Micros, MS};
 
 /// How long after its deadline a reply is still awaited, so that one that is late is seen as late.
@@ -58,7 +58,7 @@
 
 /// An attempt that was sent.
 struct SentAttempt {
-    id: Id,
+    id: RequestId,
     connection: Rc<Connection>,
     reply: oneshot::Receiver<ClientReply>,
     /// When it left.
@@ -148,13 +148,14 @@
             | RequestOutcome::Abandoned => false,
             // It never ran.
             RequestOutcome::Rejected | RequestOutcome::Unreachable => true,
-            RequestOutcome::Failed | RequestOutcome::ConnectionLost => match class.repeats {
-                Repeats::Redeliverable => true,
-                Repeats::Deduplicated => {
+            RequestOutcome::Failed | RequestOutcome::ConnectionLost => match class.retry_safety {
+                RetrySafety::Idempotent => true,
+                RetrySafety::Deduplicated => {
                     let age = self.ledger.clock.now() - request.planned.at;
-                    class.group == Group::All && age < millis(class.window_ms) - DEDUPLICATION_MARGIN
+                    class.deduplication_scope == DeduplicationScope::All
+                        && age < millis(class.window_ms) - DEDUPLICATION_MARGIN
                 }
-                Repeats::AtMostOnce => false,
+                RetrySafety::AtMostOnce => false,
             },
         }
     }
@@ -164,15 +165,15 @@
         let retry_after_ms = result.retry_after_ms.map_or(0, |ms| ms.min(MAX_RETRY_AFTER_MS));
         let retry_after = retry_after_ms as Micros * MS;
         match self.experiment.load.retry {
-            Retry::None if result.outcome == RequestOutcome::Unreachable => {
+            ClientRetry::None if result.outcome == RequestOutcome::Unreachable => {
                 (attempts < MAX_CONNECT_ATTEMPTS).then_some(CONNECT_RETRY_PAUSE)
             }
-            Retry::None => None,
-            Retry::AtOnce { times } => (attempts <= times).then_some(0),
-            Retry::After { times, pause_ms } => {
+            ClientRetry::None => None,
+            ClientRetry::AtOnce { times } => (attempts <= times).then_some(0),
+            ClientRetry::After { times, pause_ms } => {
                 (attempts <= times).then(|| millis(pause_ms).max(retry_after))
             }
-            Retry::BackOff { times, pause_ms } => {
+            ClientRetry::BackOff { times, pause_ms } => {
                 (attempts <= times).then(|| self.backoff(attempts, millis(pause_ms), retry_after))
             }
         }
@@ -232,12 +233,12 @@
         now: Micros,
         is_retry: bool,
     ) -> SentAttempt {
-        let id = Id(self.rng.borrow_mut().random());
+        let id = RequestId(self.rng.borrow_mut().random());
         // Whole milliseconds, rounded down: the balancer may not think that it has longer than the client waits.
         let timeout_ms = (request.deadline - now) / MS;
         let reply_due = now + timeout_ms * MS;
         let command = self.command(request, id, timeout_ms, is_retry);
-        let observation = What::Asked {
+        let observation = Observation::RequestSent {
             id,
             balancer: target.balancer,
             category: usize::from(request.planned.category),
@@ -252,9 +253,9 @@
         let id = sent.id;
         let reply_was_still_due = patience_ended_at < sent.reply_due;
         let (observation, outcome) = if reply_was_still_due {
-            (What::Left { id }, RequestOutcome::Abandoned)
+            (Observation::ClientLeft { id }, RequestOutcome::Abandoned)
         } else {
-            (What::Unanswered { id }, RequestOutcome::TimedOut)
+            (Observation::Unanswered { id }, RequestOutcome::TimedOut)
         };
         self.ledger.note(observation);
         sent.connection.close();
@@ -265,23 +266,21 @@
     fn handle_reply(&self, sent: &SentAttempt, target: &Target, reply: Option<ClientReply>) -> AttemptResult {
         let id = sent.id;
         let Some(reply) = reply else {
-            self.ledger.note(What::Cut { id });
+            self.ledger.note(Observation::ConnectionClosed { id });
             target.freed.notify_one();
             return AttemptResult::new(RequestOutcome::ConnectionLost);
         };
         let (answer, outcome, retry_after_ms) = match reply {
-            ClientReply::Value { own: true } => {
-                (Answered::Served { own: true }, RequestOutcome::Served, None)
-            }
+            ClientReply::Value { own: true } => (Reply::Served { own: true }, RequestOutcome::Served, None),
             ClientReply::Value { own: false } => {
-                (Answered::Served { own: false }, RequestOutcome::WrongValue, None)
+                (Reply::Served { own: false }, RequestOutcome::WrongValue, None)
             }
             ClientReply::Rejected { retry_after_ms } => {
-                (Answered::Busy, RequestOutcome::Rejected, retry_after_ms)
+                (Reply::Busy, RequestOutcome::Rejected, retry_after_ms)
             }
-            ClientReply::Failed => (Answered::Failed, RequestOutcome::Failed, None),
+            ClientReply::Failed => (Reply::Failed, RequestOutcome::Failed, None),
         };
-        self.ledger.note(What::Answered { id, answer });
+        self.ledger.note(Observation::ReplyReceived { id, answer });
         if self.rng.borrow_mut().random::<f64>() < self.experiment.load.close {
             sent.connection.close();
         }
@@ -289,7 +288,7 @@
         AttemptResult { outcome, retry_after_ms }
     }
 
-    fn command(&self, request: &ClientRequest, id: Id, timeout_ms: Micros, is_retry: bool) -> Bytes {
+    fn command(&self, request: &ClientRequest, id: RequestId, timeout_ms: Micros, is_retry: bool) -> Bytes {
         let planned = &request.planned;
         let class = self.class(planned);
         let mut facts = format!("c={}", class.name);
@@ -298,7 +297,7 @@
             facts += &format!(",t={}", tenant.name);
         }
         facts += &format!(",d={timeout_ms}");
-        if class.repeats == Repeats::Deduplicated {
+        if class.retry_safety == RetrySafety::Deduplicated {
             facts += &format!(",k={:016x}", request.idempotency_key);
         }
         if is_retry {
--- a/testbed/src/load/connection.rs
+++ b/testbed/src/load/connection.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::{oneshot, Notify};
 
-use crate::ledger::{Id, Ledger, What};
+use crate::ledger::{Ledger, Observation, RequestId};
 use crate::time::Micros;
 
 /// Bytes beside the value that one read may bring.
@@ -38,13 +38,13 @@
 /// A command that stands in the output.
 struct Unsent {
     /// To be recorded once it is written.
-    observation: What,
+    observation: Observation,
     sent_at: SentAt,
 }
 
 /// A command whose reply is awaited.
 struct Awaited {
-    id: Id,
+    id: RequestId,
     reply: oneshot::Sender<ClientReply>,
 }
 
@@ -71,9 +71,9 @@
     /// Sends a command. The receiver fails where the connection ends before its reply.
     pub(super) fn send(
         &self,
-        id: Id,
+        id: RequestId,
         command: &[u8],
-        observation: What,
+        observation: Observation,
         sent_at: SentAt,
     ) -> oneshot::Receiver<ClientReply> {
         let (reply, receiver) = oneshot::channel();
@@ -124,7 +124,7 @@
             buffer.consume(consumed);
             let awaited = self.awaited.borrow_mut().pop_front();
             let Some(awaited) = awaited else {
-                ledger.note(What::Stray { balancer });
+                ledger.note(Observation::UnsolicitedReply { balancer });
                 continue;
             };
             let reply = match reply {
@@ -147,10 +147,10 @@
 }
 
 /// The request for which a value was made.
-fn made_for(reply: &resp::BalancerReply, bytes: &[u8]) -> Option<Id> {
+fn made_for(reply: &resp::BalancerReply, bytes: &[u8]) -> Option<RequestId> {
     let resp::BalancerReply::Value(range) = reply else { return None };
     let value = bytes.get(range.clone())?;
-    Id::read(value.get(..REQUEST_ID_DIGITS)?)
+    RequestId::read(value.get(..REQUEST_ID_DIGITS)?)
 }
 
 /// Serves a connection to a balancer until either side ends it, which `freed` then tells.
--- a/testbed/src/load/plan.rs
+++ b/testbed/src/load/plan.rs
@@ -9,7 +9,7 @@
 use rand_distr::weighted::WeightedIndex;
 use rand_distr::{Distribution, Exp1, Zipf};
 
-use crate::script::{Arrivals, Customer, Experiment, Hot, Shape, Shift};
+use crate::experiment::{Arrivals, Experiment, HotKey, RateShape, Tenant, WorkingSetShift};
 use crate::time::{seconds, Micros, SECOND};
 
 /// Tells the plan's draws apart from those of other parts with the same seed ("load").
@@ -106,7 +106,7 @@
 }
 
 impl TenantShares {
-    fn new(tenants: &[Customer], share: impl Fn(usize, &Customer) -> f64) -> TenantShares {
+    fn new(tenants: &[Tenant], share: impl Fn(usize, &Tenant) -> f64) -> TenantShares {
         let shares: Vec<f64> = tenants.iter().enumerate().map(|(nth, tenant)| share(nth, tenant)).collect();
         TenantShares { sum: shares.iter().sum(), law: WeightedIndex::new(&shares).ok() }
     }
@@ -120,7 +120,7 @@
             let flooder = tenants.iter().position(|tenant| tenant.name == flood.customer).unwrap_or(0);
             let times = flood.times.max(1.0);
             let share =
-                |nth, tenant: &Customer| if nth == flooder { tenant.share * times } else { tenant.share };
+                |nth, tenant: &Tenant| if nth == flooder { tenant.share * times } else { tenant.share };
             (flood.from_s..flood.to_s, TenantShares::new(tenants, share))
         });
         Rate { experiment, calm, flood }
@@ -158,22 +158,22 @@
 }
 
 /// The rate at a time of a run of this length (both in seconds), as a multiple of the load's.
-pub fn level(shape: Shape, at_s: f64, length_s: f64) -> f64 {
+pub fn level(shape: RateShape, at_s: f64, length_s: f64) -> f64 {
     let level = match shape {
-        Shape::Steady => 1.0,
-        Shape::Ramp { from, to } => from + (to - from) * (at_s / length_s).clamp(0.0, 1.0),
-        Shape::Step { at_s: step_at_s, level } => {
+        RateShape::Steady => 1.0,
+        RateShape::Ramp { from, to } => from + (to - from) * (at_s / length_s).clamp(0.0, 1.0),
+        RateShape::Step { at_s: step_at_s, level } => {
             if at_s < step_at_s {
                 1.0
             } else {
                 level
             }
         }
-        Shape::Surge { at_s: surge_at_s, rise_s, hold_s, fall_s, peak } => {
+        RateShape::Surge { at_s: surge_at_s, rise_s, hold_s, fall_s, peak } => {
             let height = surge_height(at_s - surge_at_s, rise_s, hold_s, fall_s);
             1.0 + (peak - 1.0) * height
         }
-        Shape::Daily { period_s, low } => {
+        RateShape::Daily { period_s, low } => {
             let angle = (at_s / period_s.max(MIN_PERIOD_S)) * TAU;
             low + (1.0 - low) * (1.0 - angle.cos()) / 2.0
         }
@@ -193,12 +193,12 @@
     }
 }
 
-fn max_level(shape: Shape) -> f64 {
+fn max_level(shape: RateShape) -> f64 {
     match shape {
-        Shape::Steady | Shape::Daily { .. } => 1.0,
-        Shape::Ramp { from, to } => from.max(to),
-        Shape::Step { level, .. } => level.max(1.0),
-        Shape::Surge { peak, .. } => peak.max(1.0),
+        RateShape::Steady | RateShape::Daily { .. } => 1.0,
+        RateShape::Ramp { from, to } => from.max(to),
+        RateShape::Step { level, .. } => level.max(1.0),
+        RateShape::Surge { peak, .. } => peak.max(1.0),
     }
 }
 
@@ -209,9 +209,9 @@
     /// Key indices from the most popular one on; shuffled, so that a name tells nothing of its popularity.
     by_rank: Vec<u32>,
     /// One key takes a part of all reads for a time.
-    hot: Option<Hot>,
+    hot: Option<HotKey>,
     /// A changing set of keys takes a part of all reads.
-    shift: Option<Shift>,
+    shift: Option<WorkingSetShift>,
 }
 
 impl KeyPopularity {
--- a/testbed/src/load/player.rs
+++ b/testbed/src/load/player.rs
@@ -19,9 +19,9 @@
 use super::plan::{Plan, PlannedRequest};
 pub use super::record::{RequestOutcome, RequestRecord};
 use super::target::Target;
+use crate::experiment::Experiment;
 use crate::lateness::Lateness;
 use crate::ledger::Ledger;
-use crate::script::Experiment;
 use crate::thread_stats::{record_lateness, thread_cpu_seconds};
 use crate::time::{to_duration, Clock, Micros};
 
--- a/testbed/src/load/trace.rs
+++ b/testbed/src/load/trace.rs
@@ -15,7 +15,7 @@
 use thiserror::Error;
 
 use super::plan::{Plan, PlannedRequest};
-use crate::script::Experiment;
+use crate::experiment::Experiment;
 use crate::time::Micros;
 
 /// The size of a value where the trace gives none, in bytes.
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -19,13 +19,13 @@
 use tokio::net::{TcpListener, TcpStream as Stream};
 
 use crate::balancers::{Balancers, Program, ResourceUsage};
+use crate::experiment::{zone_name, Experiment};
 use crate::figures::{figures, late, Figures};
-use crate::lateness::{judge, Bare, Seen, Verdict};
+use crate::lateness::{judge, LatenessHistograms, ReferenceThread, Verdict};
 use crate::ledger::Ledger;
 use crate::load::plan::Plan;
 use crate::load::player;
 use crate::play::{INTERRUPTED, STOP};
-use crate::script::{zone_name, Experiment};
 use crate::settings::BalancerBootstrap;
 use crate::time::{Clock, MS};
 
@@ -185,12 +185,12 @@
         let ledger = Ledger::new(Clock::start());
         ledger.clock.start_run_in(AHEAD);
         let (progress, beat) = (Arc::default(), Arc::default());
-        let bare = Bare::start()?;
+        let bare = ReferenceThread::start().map_err(|cause| cause.to_string())?;
         let played = player::play(&experiment, plan, self.seed, to, &ledger, Vec::new(), progress, beat)
             .map_err(|error| error.to_string())?;
         let (ops, bare) = (late(&played.records), bare.stop());
         let figures = figures(&experiment, &played.records, &ledger.take(), played.cpu_s);
-        let verdict = judge(experiment.bounds(figures.benefit), &ops, &Seen::default(), &bare);
+        let verdict = judge(experiment.bounds(figures.benefit), &ops, &LatenessHistograms::default(), &bare);
         Ok((figures, matches!(verdict, Verdict::Void(..))))
     }
 
@@ -210,14 +210,14 @@
         Ok(Point {
             path,
             rate,
-            served: figures.served as f64 / figures.ops.max(1) as f64,
+            served: figures.served as f64 / figures.requests.max(1) as f64,
             p50_ms: figures.latency.p50,
             p99_ms: figures.latency.p99,
             p999_ms: figures.latency.p999,
-            most_ms: figures.latency.most,
+            most_ms: figures.latency.max,
             late_p99_ms: figures.late_p99_ms,
-            generator_us: figures.generator_us_per_op,
-            balancer_us: used * 1e6 / figures.ops.max(1) as f64,
+            generator_us: figures.generator_us_per_request,
+            balancer_us: used * 1e6 / figures.requests.max(1) as f64,
             balancer_core: used / self.experiment.seconds,
             void,
         })
@@ -249,7 +249,8 @@
     tell: &mut dyn FnMut(&str, serde_json::Value),
 ) -> Result<(), String> {
     let hosts = (0..HOSTS).map(|_| StandIn::start()).collect::<Result<Vec<_>, _>>()?;
-    let bench = Bench { experiment: Experiment::parse(PLAYED)?, hosts, seed };
+    let bench =
+        Bench { experiment: Experiment::parse(PLAYED).map_err(|cause| cause.to_string())?, hosts, seed };
     let direct: Vec<SocketAddr> = bench.hosts.iter().map(|host| host.address).collect();
     let mut say = |what: &str, point: &Point| {
         let line = format!(
--- a/testbed/src/play.rs
+++ b/testbed/src/play.rs
@@ -11,13 +11,13 @@
 
 use crate::audit::{self, audit, Breach, Rule};
 use crate::balancers::{Balancers, Program};
+use crate::experiment::{Experiment, FaultKind};
 use crate::figures::{self, Run};
-use crate::lateness::{judge, Bare, Lateness};
-use crate::ledger::{Ledger, What};
+use crate::lateness::{judge, Lateness, ReferenceThread};
+use crate::ledger::{Ledger, Observation};
 use crate::load::plan::Plan;
 use crate::load::player::{self, Progress, Stall};
 use crate::load::trace;
-use crate::script::{Experiment, Kind};
 use crate::time::{millis, Clock, Micros, MS, SECOND};
 use crate::world::faults::FaultWindow;
 use crate::world::World;
@@ -66,8 +66,8 @@
 /// What a fault plants in the generator, if it does.
 fn stall(span: &FaultWindow) -> Option<Stall> {
     let each = match span.kind {
-        Kind::GeneratorStop => None,
-        Kind::GeneratorSlow => Some(millis(span.factor)),
+        FaultKind::GeneratorStop => None,
+        FaultKind::GeneratorSlow => Some(millis(span.factor)),
         _ => return None,
     };
     Some(Stall { from: span.from, to: span.to, each })
@@ -98,7 +98,7 @@
     world.connections_accepted.store(0, Ordering::Relaxed);
     let world_us = world.cpu_us.load(Ordering::Relaxed);
     world.run_script(Some(balancers.clone()));
-    let bare = Bare::start()?;
+    let bare = ReferenceThread::start().map_err(|cause| cause.to_string())?;
     let progress = Arc::new(Progress::default());
     let late = Arc::new(Lateness::default());
     let playing = {
@@ -143,7 +143,7 @@
     }
     let played =
         playing.join().map_err(|_| "the generator failed".to_owned())?.map_err(|error| error.to_string())?;
-    let (bare, world_late) = (bare.stop(), world.lateness.seen());
+    let (bare, world_late) = (bare.stop(), world.lateness.snapshot());
     let opened = world.connections_accepted.load(Ordering::Relaxed);
     let world_us = world.cpu_us.load(Ordering::Relaxed) - world_us;
     thread::sleep(SETTLE);
@@ -156,25 +156,29 @@
     let events = ledger.take();
     let mut figures = figures::figures(experiment, &played.records, &events, played.cpu_s);
     figures.note_late(&bare, &world_late, experiment.load.late());
-    figures.world_us_per_op = world_us as f64 / played.records.len().max(1) as f64;
+    figures.world_us_per_request = world_us as f64 / played.records.len().max(1) as f64;
     figures.opened_per_s = opened as f64 / experiment.seconds;
-    figures.cpu_us_per_op =
+    figures.cpu_us_per_request =
         used.iter().map(|used| used.cpu_s).sum::<f64>() * 1e6 / played.records.len().max(1) as f64;
     figures.balancers = used;
-    let terms = audit::Terms {
+    let audit_settings = audit::AuditSettings {
         categories: &experiment.categories,
         zones: experiment.fleet.zones as u32,
         grace: millis(experiment.discovery.grace_ms),
-        slack: GRANTED + world_late.late.max() as Micros + late.most(),
+        slack: GRANTED + world_late.late.max() as Micros + late.max(),
     };
-    let mut breaches = audit(&events, &terms);
+    let mut breaches = audit(&events, &audit_settings);
     for died in died {
-        let at = events.iter().rev().find(|event| matches!(event.what, What::Balancer { up: false, .. }));
+        let at = events
+            .iter()
+            .rev()
+            .find(|event| matches!(event.observation, Observation::BalancerProcess { up: false, .. }));
         let at_us = at.map_or(0, |event| event.at);
         breaches.push(Breach { rule: Rule::Answered, at_us, what: died, around: Vec::new() });
     }
     let ops = figures::late(&played.records);
-    let (void, warning) = judge(experiment.bounds(figures.benefit), &ops, &world_late, &bare).told();
+    let (void, warning) =
+        judge(experiment.bounds(figures.benefit), &ops, &world_late, &bare).into_void_and_warning();
     drop(balancers);
     Ok(Run {
         experiment: experiment.name.clone(),
--- a/testbed/src/router/endpoints.rs
+++ b/testbed/src/router/endpoints.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::script::Baseline;
+use crate::experiment::Baseline;
 
 /// Points of each host on the ring.
 const POINTS_PER_HOST: u64 = 64;
--- a/testbed/src/router/mod.rs
+++ b/testbed/src/router/mod.rs
@@ -29,7 +29,7 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, sleep_until, Instant};
 
-use crate::script::Baseline;
+use crate::experiment::Baseline;
 use endpoints::{Endpoint, EndpointList, Endpoints};
 use exchange::{send_to_host, send_to_origin, AttemptOutcome};
 pub use fault::InjectedFault;
--- a/testbed/src/scale/experiment.rs
+++ b/testbed/src/scale/experiment.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::error::{ExperimentError, RunError};
-use crate::script::Experiment;
+use crate::experiment::Experiment;
 
 /// How long a run looks on after a fault, in seconds.
 pub(super) const RECOVERY_S: f64 = 4.0;
--- a/testbed/src/scale/fleet.rs
+++ b/testbed/src/scale/fleet.rs
@@ -170,7 +170,7 @@
         }
         let by_host =
             |read: fn(&HostState) -> &Cell<u64>| self.hosts.iter().map(|host| read(host).get()).collect();
-        let seen = self.lateness.seen();
+        let seen = self.lateness.snapshot();
         let snapshot = FleetSnapshot {
             cpu_s: thread_cpu_seconds(),
             requests_by_host: by_host(|host| &host.requests),
--- a/testbed/src/scale/run/figures.rs
+++ b/testbed/src/scale/run/figures.rs
@@ -183,7 +183,7 @@
     figures.insert("real: benefit", of_load.benefit);
     figures.insert("real: p50, ms", of_load.latency.p50);
     figures.insert("real: p99, ms", of_load.latency.p99);
-    figures.insert("real: CPU us an op", cpu_us / of_load.ops.max(1) as f64);
+    figures.insert("real: CPU us an op", cpu_us / of_load.requests.max(1) as f64);
     figures.insert("real: memory, MB", usage.resident_kb as f64 / 1e3);
     figures.insert("real: descriptors", usage.descriptors as f64);
 }
--- a/testbed/src/scale/run/lateness.rs
+++ b/testbed/src/scale/run/lateness.rs
@@ -3,7 +3,7 @@
 use hdrhistogram::Histogram;
 
 use super::snapshots::LoadSnapshots;
-use crate::lateness::{judge, Bounds, Seen};
+use crate::lateness::{judge, LatenessBounds, LatenessHistograms};
 use crate::scale::experiment::Conditions;
 use crate::scale::point::Figures;
 use crate::scale::protocol::merge_histograms;
@@ -16,8 +16,8 @@
 pub(super) struct RunLateness {
     /// Of the requests of simulated balancers and, once added, of a real one's load.
     pub(super) requests: Histogram<u64>,
-    fleet: Seen,
-    bare_thread: Seen,
+    fleet: LatenessHistograms,
+    bare_thread: LatenessHistograms,
 }
 
 impl RunLateness {
@@ -26,7 +26,7 @@
         let end = &load.load_end;
         RunLateness {
             requests: merge_histograms(end.simulated.iter().map(|snapshot| &snapshot.lateness)),
-            fleet: Seen {
+            fleet: LatenessHistograms {
                 late: merge_histograms(end.fleets.iter().map(|snapshot| &snapshot.lateness)),
                 own: merge_histograms(end.fleets.iter().map(|snapshot| &snapshot.own_lateness)),
             },
@@ -51,11 +51,11 @@
         let simulated = figures.get("in target, part").copied().unwrap_or(1.0);
         let real = figures.get("real: benefit");
         let earned = real.map_or(simulated, |benefit| benefit.min(simulated));
-        let bounds = Bounds {
+        let bounds = LatenessBounds {
             late: millis(LATE_REQUEST_MS),
             target: millis(conditions.target_ms),
             missed: 1.0 - earned,
         };
-        judge(bounds, &self.requests, &self.fleet, &self.bare_thread).told()
+        judge(bounds, &self.requests, &self.fleet, &self.bare_thread).into_void_and_warning()
     }
 }
--- a/testbed/src/scale/run/mod.rs
+++ b/testbed/src/scale/run/mod.rs
@@ -24,7 +24,7 @@
 use super::point::{Figures, MeasuredPoint};
 use super::protocol::WorkerCommand;
 use crate::figures::late as request_lateness;
-use crate::lateness::Bare;
+use crate::lateness::ReferenceThread;
 
 /// Plays one point with one seed; files and logs of a real balancer go to `folder`. All processes
 /// are ended when it is over, however it ends.
@@ -105,7 +105,8 @@
         Stage::WarmingUp.report(self.progress);
         wait(self.experiment.settle_s, self.progress)?;
         Stage::Loaded.report(self.progress);
-        let bare_thread = Bare::start().map_err(|cause| RunError::BareThread(cause.to_string()))?;
+        let bare_thread =
+            ReferenceThread::start().map_err(|cause| RunError::BareThread(cause.to_string()))?;
         let load = self.real_balancer.as_ref().map(|real| real.start_load(self.seed)).transpose()?;
         let load_start = self.workers.snapshots(WorkerCommand::Snapshot, WorkerCommand::Snapshot)?;
         wait(self.experiment.load_s, self.progress)?;
--- a/testbed/src/scale/run/real_balancer.rs
+++ b/testbed/src/scale/run/real_balancer.rs
@@ -6,6 +6,7 @@
 use std::thread::{self, JoinHandle};
 
 use crate::balancers::{Balancers, Program, ResourceUsage};
+use crate::experiment::{Arm, Experiment};
 use crate::lateness::Lateness;
 use crate::ledger::Ledger;
 use crate::load::plan::Plan;
@@ -13,7 +14,6 @@
 use crate::scale::error::RunError;
 use crate::scale::protocol::WorkerSpec;
 use crate::scale::worker_process::WorkerProcess;
-use crate::script::{Arm, Experiment};
 use crate::settings::BalancerBootstrap;
 use crate::time::{Clock, Micros, MS};
 
--- a/testbed/src/scale/run/snapshots.rs
+++ b/testbed/src/scale/run/snapshots.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use super::real_balancer::LoadResult;
-use crate::lateness::Seen;
+use crate::lateness::LatenessHistograms;
 use crate::scale::protocol::{DiscoverySnapshot, FleetSnapshot, SimulatedSnapshot};
 
 /// What all workers reported of one moment.
@@ -34,7 +34,7 @@
     /// Of the load of a real balancer, where there is one.
     pub(super) real: Option<LoadResult>,
     /// Of a thread that does nothing but wake up.
-    pub(super) bare_thread: Seen,
+    pub(super) bare_thread: LatenessHistograms,
 }
 
 /// The snapshots around the time in which the last changes may come into force.
--- a/testbed/src/scale/run/workers.rs
+++ b/testbed/src/scale/run/workers.rs
@@ -8,6 +8,7 @@
 
 use super::snapshots::Snapshots;
 use crate::discovery_calls::list;
+use crate::experiment::{zone_name, Experiment};
 use crate::scale::error::RunError;
 use crate::scale::experiment::{Conditions, ScaleExperiment};
 use crate::scale::protocol::{
@@ -15,7 +16,6 @@
     WorkerSpec,
 };
 use crate::scale::worker_process::WorkerProcess;
-use crate::script::{zone_name, Experiment};
 use crate::settings;
 use crate::settings::BalancerBootstrap;
 
--- a/testbed/src/scale/simulated/counters.rs
+++ b/testbed/src/scale/simulated/counters.rs
@@ -26,8 +26,8 @@
         let applied = std::mem::take(&mut counters.applied);
         let snapshot = SimulatedSnapshot {
             applied,
-            lateness: value_counts(&self.lateness.seen().late),
-            latency: value_counts(&self.latency.seen().late),
+            lateness: value_counts(&self.lateness.snapshot().late),
+            latency: value_counts(&self.latency.snapshot().late),
             ..counters.clone()
         };
         self.lateness.clear();
--- a/testbed/src/scale/system.rs
+++ b/testbed/src/scale/system.rs
@@ -2,7 +2,7 @@
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use crate::script::allowed_descriptors;
+use crate::experiment::allowed_descriptors;
 
 /// What the machine allows a run.
 #[derive(Clone, Copy, Debug)]
--- a/testbed/src/settings.rs
+++ b/testbed/src/settings.rs
@@ -4,7 +4,9 @@
 
 use serde_json::{json, Value};
 
-use crate::script::{zone_name, Category, Customer, Experiment, Group, Mode, Repeats};
+use crate::experiment::{
+    zone_name, CacheMode, Category, DeduplicationScope, Experiment, RetrySafety, Tenant,
+};
 
 /// What a balancer of a run has to know of the world before it starts.
 #[derive(Clone, Debug)]
@@ -40,7 +42,7 @@
 
 /// The operators' settings object.
 fn settings(experiment: &Experiment) -> Value {
-    let Experiment { cold, .. } = experiment;
+    let Experiment { slow_start, .. } = experiment;
     let classes: Vec<Value> = experiment.categories.iter().map(class_settings).collect();
     let zones: Vec<String> = (0..experiment.fleet.zones).map(|zone| zone_name(zone as u32)).collect();
     json!({
@@ -49,8 +51,8 @@
         "dcs": zones,
         "discovery": "push",
         "domain": {
-            "mode": if experiment.mode == Mode::Aside { "aside" } else { "through" },
-            "originKind": if experiment.mode == Mode::Aside { 1 } else { -1 },
+            "mode": if experiment.mode == CacheMode::Aside { "aside" } else { "through" },
+            "originKind": if experiment.mode == CacheMode::Aside { 1 } else { -1 },
         },
         "machineTypes": ["host", "origin"],
         "groupSize": experiment.balancers,
@@ -58,10 +60,10 @@
         "tickMs": 1.0,
         "weights": "nominal",
         "invariants": {
-            "coldFrom": cold.from,
-            "warmWithinMs": cold.warm_ms,
-            "tipMultiple": cold.multiple,
-            "tipAfterMs": cold.window_ms,
+            "coldFrom": slow_start.from,
+            "warmWithinMs": slow_start.warm_ms,
+            "tipMultiple": slow_start.multiple,
+            "tipAfterMs": slow_start.window_ms,
             "stopSendingWithinMs": experiment.discovery.grace_ms,
             "graceToAnswerMs": 20.0,
         },
@@ -76,33 +78,33 @@
         "ttlMs": class.ttl_ms,
         "benefit": class.benefit,
         "tardyBenefit": class.late_benefit,
-        "semantics": match class.repeats {
-            Repeats::Redeliverable => "retryable",
-            Repeats::Deduplicated => "dedup",
-            Repeats::AtMostOnce => "fragile",
+        "semantics": match class.retry_safety {
+            RetrySafety::Idempotent => "retryable",
+            RetrySafety::Deduplicated => "dedup",
+            RetrySafety::AtMostOnce => "fragile",
         },
-        "group": match class.group {
-            Group::All => "all",
-            Group::Zone => "zone",
-            Group::Cell => "cell",
+        "group": match class.deduplication_scope {
+            DeduplicationScope::All => "all",
+            DeduplicationScope::Zone => "zone",
+            DeduplicationScope::Cell => "cell",
         },
         "windowMs": class.window_ms,
     })
 }
 
-fn tenant_settings(tenant: &Customer) -> Value {
+fn tenant_settings(tenant: &Tenant) -> Value {
     json!({"name": tenant.name, "quotaPerS": tenant.quota_per_s})
 }
 
 fn limit_settings(experiment: &Experiment) -> Value {
     let limits = &experiment.limits;
     json!({
-        "maxPushes": limits.max_pushes,
-        "mayDuplicate": limits.second_copies,
+        "maxPushes": limits.max_attempts,
+        "mayDuplicate": limits.may_hedge,
         "cancel": true,
         "probes": false,
-        "retryAfter": limits.come_back_ms > 0.0,
-        "maxRetryAfterMs": limits.come_back_ms,
+        "retryAfter": limits.max_retry_after_ms > 0.0,
+        "maxRetryAfterMs": limits.max_retry_after_ms,
         "connectTimeoutMs": 250.0,
         "keepaliveMs": experiment.fleet.idle_ms,
         "mostHeld": 20_000,
--- a/testbed/src/thread_stats.rs
+++ b/testbed/src/thread_stats.rs
@@ -5,7 +5,7 @@
 
 use tokio::time::sleep_until;
 
-use crate::lateness::{Lateness, Waits};
+use crate::lateness::{CpuWaits, Lateness};
 use crate::time::{Micros, MS};
 
 /// The CPU time of the calling thread so far, in seconds; 0 where the kernel does not tell.
@@ -17,7 +17,7 @@
 /// Records for ever how late the timers of this thread are, by a schedule that a late tick does not move.
 pub async fn record_lateness(lateness: Arc<Lateness>) {
     const TICK: Duration = Duration::from_millis(5);
-    let mut waits = Waits::default();
+    let mut waits = CpuWaits::default();
     let mut due = tokio::time::Instant::now() + TICK;
     loop {
         sleep_until(due).await;
--- a/testbed/src/world/director.rs
+++ b/testbed/src/world/director.rs
@@ -17,8 +17,8 @@
 use super::machine::MachineSettings;
 use super::service_time::ServiceTimes;
 use crate::balancers::Balancers;
-use crate::ledger::{HostNo, Ledger, Standing, What};
-use crate::script::{Experiment, Kind, Mode};
+use crate::experiment::{CacheMode, Experiment, FaultKind};
+use crate::ledger::{EndpointStatus, HostNo, Ledger, Observation};
 use crate::settings::BalancerBootstrap;
 use crate::time::{millis, Micros};
 
@@ -88,7 +88,7 @@
         let origin = self.start_origin()?;
         self.shared.origin.replace(Some(origin.clone()));
         // Balancers that never ask the origin themselves don't learn of it.
-        if self.experiment.mode == Mode::Aside {
+        if self.experiment.mode == CacheMode::Aside {
             self.agents.iter().for_each(|agent| agent.add_initial(&origin));
         }
         Ok(())
@@ -123,7 +123,7 @@
     }
 
     fn host_settings(&self, no: HostNo, started_at: Option<Micros>) -> HostSettings {
-        let Experiment { fleet, cold, .. } = &self.experiment;
+        let Experiment { fleet, slow_start: cold, .. } = &self.experiment;
         HostSettings {
             no,
             name: format!("h-{:08x}", self.shared.rng.borrow_mut().random::<u32>()),
@@ -191,7 +191,7 @@
             sleep_until(self.shared.ledger.clock.tokio_instant(at)).await;
             let window = &windows[nth];
             let begins = boundary == Boundary::Begin;
-            self.shared.ledger.note(What::Edge { text: window.title(), begins });
+            self.shared.ledger.note(Observation::FaultBoundary { text: window.title(), begins });
             self.apply(window, boundary, balancers.as_ref()).await;
         }
         std::future::pending::<()>().await;
@@ -206,16 +206,16 @@
             }
         }
         match window.kind {
-            Kind::DiscoveryDown => {
+            FaultKind::DiscoveryDown => {
                 let silent = boundary == Boundary::Begin;
                 self.concerned_agents(window).for_each(|agent| agent.set_silent(silent));
             }
-            Kind::DiscoveryStale => {
+            FaultKind::DiscoveryStale => {
                 let stale = boundary == Boundary::Begin;
                 self.concerned_agents(window).for_each(|agent| agent.set_stale(stale));
             }
-            Kind::Grow if boundary == Boundary::Begin => self.grow(window.count, now),
-            Kind::BalancerKill => self.kill_or_restart(window, boundary, balancers),
+            FaultKind::Grow if boundary == Boundary::Begin => self.grow(window.count, now),
+            FaultKind::BalancerKill => self.kill_or_restart(window, boundary, balancers),
             _ => {}
         }
     }
@@ -223,16 +223,16 @@
     fn begin_at_host(&self, host: &Host, window: &FaultWindow) {
         let balancer = window.balancer;
         match window.kind {
-            Kind::Slow | Kind::OriginSlow => host.set_slowdown(window.factor),
-            Kind::Hang => host.freeze(),
-            Kind::Silent => host.become_unresponsive(balancer),
-            Kind::Stale => host.mute_connections(balancer),
-            Kind::StaleReset => host.forget_connections(balancer),
-            Kind::Reset => host.reset_connections(balancer),
-            Kind::Refuse | Kind::OriginDown => host.refuse(balancer),
-            Kind::Die | Kind::Replace => host.die(),
-            Kind::Drain | Kind::RollOut => self.publish(host, Standing::Leaving),
-            Kind::DiscoveryWrong => self.publish(host, Standing::Up),
+            FaultKind::Slow | FaultKind::OriginSlow => host.set_slowdown(window.factor),
+            FaultKind::Hang => host.freeze(),
+            FaultKind::Silent => host.become_unresponsive(balancer),
+            FaultKind::Stale => host.mute_connections(balancer),
+            FaultKind::StaleReset => host.forget_connections(balancer),
+            FaultKind::Reset => host.reset_connections(balancer),
+            FaultKind::Refuse | FaultKind::OriginDown => host.refuse(balancer),
+            FaultKind::Die | FaultKind::Replace => host.die(),
+            FaultKind::Drain | FaultKind::RollOut => self.publish(host, EndpointStatus::Leaving),
+            FaultKind::DiscoveryWrong => self.publish(host, EndpointStatus::Active),
             _ => {}
         }
     }
@@ -240,25 +240,25 @@
     async fn end_at_host(&self, host: &Rc<Host>, window: &FaultWindow, now: Micros) {
         let balancer = window.balancer;
         match window.kind {
-            Kind::Slow | Kind::OriginSlow => host.set_slowdown(1.0),
-            Kind::Hang => host.thaw(),
-            Kind::Silent => {
+            FaultKind::Slow | FaultKind::OriginSlow => host.set_slowdown(1.0),
+            FaultKind::Hang => host.thaw(),
+            FaultKind::Silent => {
                 host.reset_connections(balancer);
                 host.open(balancer);
             }
-            Kind::Refuse | Kind::OriginDown => host.open(balancer),
-            Kind::Die => {
+            FaultKind::Refuse | FaultKind::OriginDown => host.open(balancer),
+            FaultKind::Die => {
                 host.restart();
-                self.publish(host, Standing::Up);
+                self.publish(host, EndpointStatus::Active);
             }
-            Kind::Replace => {
+            FaultKind::Replace => {
                 self.remove(host).await;
                 if let Ok(replacement) = self.start_host(Some(now), Some(&host.addresses())) {
-                    self.publish(&replacement, Standing::Up);
+                    self.publish(&replacement, EndpointStatus::Active);
                 }
             }
-            Kind::Drain => self.remove(host).await,
-            Kind::DiscoveryWrong => self.publish(host, Standing::Up),
+            FaultKind::Drain => self.remove(host).await,
+            FaultKind::DiscoveryWrong => self.publish(host, EndpointStatus::Active),
             _ => {}
         }
     }
@@ -281,14 +281,14 @@
     }
 
     /// All agents learn of a host's status, each after its lag.
-    fn publish(&self, host: &Host, status: Standing) {
+    fn publish(&self, host: &Host, status: EndpointStatus) {
         self.agents.iter().for_each(|agent| agent.publish(host, status));
     }
 
     fn grow(&self, count: usize, now: Micros) {
         for _ in 0..count {
             match self.start_host(Some(now), None) {
-                Ok(host) => self.publish(&host, Standing::Up),
+                Ok(host) => self.publish(&host, EndpointStatus::Active),
                 Err(cause) => log::warn!("a new host: {cause}"),
             }
         }
@@ -311,7 +311,7 @@
     /// Removes a host for good.
     async fn remove(&self, host: &Rc<Host>) {
         host.remove().await;
-        self.publish(host, Standing::Left);
+        self.publish(host, EndpointStatus::Left);
         self.shared.hosts.borrow_mut().retain(|other| !Rc::ptr_eq(other, host));
         self.removed.borrow_mut().push(host.clone());
         // Its addresses may be taken over at once.
--- a/testbed/src/world/discovery.rs
+++ b/testbed/src/world/discovery.rs
@@ -19,8 +19,8 @@
 use super::host::Host;
 use super::listener::listen;
 use crate::discovery_calls::{encode_list, list, Calls, ChangesQuery};
-use crate::ledger::{HostNo, Ledger, Standing, What};
-use crate::script::{zone_name, Kind};
+use crate::experiment::{zone_name, FaultKind};
+use crate::ledger::{EndpointStatus, HostNo, Ledger, Observation};
 use crate::time::{to_duration, Micros};
 
 /// By the protocol a balancer counts as informed of a change after this time at the latest, also by an agent that
@@ -36,7 +36,7 @@
 struct Endpoint {
     name: String,
     host: HostNo,
-    status: Standing,
+    status: EndpointStatus,
     /// As responses give it.
     body: Value,
 }
@@ -50,7 +50,7 @@
 /// A response and what it announces, to be recorded once it is written.
 struct WatchResponse {
     text: Bytes,
-    announced: Vec<(HostNo, Standing)>,
+    announced: Vec<(HostNo, EndpointStatus)>,
 }
 
 /// The discovery agent of one balancer.
@@ -103,7 +103,7 @@
     }
 
     /// A host's status has changed; the agent learns of it after its lag.
-    pub fn publish(self: &Rc<Agent>, host: &Host, status: Standing) {
+    pub fn publish(self: &Rc<Agent>, host: &Host, status: EndpointStatus) {
         let endpoint = self.endpoint(host, status);
         let agent = self.clone();
         spawn_local(async move {
@@ -118,7 +118,7 @@
 
     /// A host that is there from the start.
     pub fn add_initial(&self, host: &Host) {
-        let endpoint = self.endpoint(host, Standing::Up);
+        let endpoint = self.endpoint(host, EndpointStatus::Active);
         let name = endpoint.name.clone();
         self.endpoints.borrow_mut().insert(name, ListedEndpoint { generation: 1, endpoint });
     }
@@ -126,7 +126,7 @@
     /// The whole list, as a balancer is given it at its start.
     pub fn endpoint_list(&self) -> Value {
         let endpoints = self.endpoints.borrow();
-        let present = endpoints.values().filter(|listed| listed.endpoint.status != Standing::Left);
+        let present = endpoints.values().filter(|listed| listed.endpoint.status != EndpointStatus::Left);
         let instances: Vec<&Value> = present.map(|listed| &listed.endpoint.body).collect();
         list(*self.generation.borrow(), true, &instances)
     }
@@ -145,20 +145,20 @@
         }
     }
 
-    fn endpoint(&self, host: &Host, status: Standing) -> Endpoint {
+    fn endpoint(&self, host: &Host, status: EndpointStatus) -> Endpoint {
         let settings = &host.settings;
         let clock = &self.ledger.clock;
         let wrong_address =
-            self.faults.probability(clock.now(), Kind::DiscoveryWrong, settings.no, self.balancer) > 0.0;
+            self.faults.probability(clock.now(), FaultKind::DiscoveryWrong, settings.no, self.balancer) > 0.0;
         let address = if wrong_address {
             SocketAddr::from((Ipv4Addr::LOCALHOST, UNUSED_PORT))
         } else {
             host.address(self.balancer)
         };
         let lifecycle = match status {
-            Standing::Up => "active",
-            Standing::Leaving => "leaving",
-            Standing::Left => "left",
+            EndpointStatus::Active => "active",
+            EndpointStatus::Leaving => "leaving",
+            EndpointStatus::Left => "left",
         };
         let body = json!({
             "instanceId": settings.name,
@@ -177,7 +177,11 @@
     /// agent that answers would inform it at once. With a silent one it counts so after [`INFORMED_AT_LATEST`].
     fn add(self: &Rc<Agent>, endpoint: Endpoint) {
         let generation = *self.generation.borrow() + 1;
-        let due = What::Due { balancer: self.balancer, host: endpoint.host, standing: endpoint.status };
+        let due = Observation::AnnouncementDue {
+            balancer: self.balancer,
+            host: endpoint.host,
+            standing: endpoint.status,
+        };
         if self.silent.get() {
             spawn_local(self.clone().note_unless_outdated(due, endpoint.name.clone(), generation));
         } else {
@@ -187,7 +191,7 @@
         self.generation.send_replace(generation);
     }
 
-    async fn note_unless_outdated(self: Rc<Agent>, due: What, name: String, generation: u64) {
+    async fn note_unless_outdated(self: Rc<Agent>, due: Observation, name: String, generation: u64) {
         sleep(INFORMED_AT_LATEST).await;
         let is_newest =
             self.endpoints.borrow().get(&name).is_some_and(|listed| listed.generation == generation);
@@ -219,7 +223,7 @@
                 return;
             }
             for (host, standing) in response.announced {
-                self.ledger.note(What::Told { balancer: self.balancer, host, standing });
+                self.ledger.note(Observation::StatusAnnounced { balancer: self.balancer, host, standing });
             }
         }
     }
@@ -229,7 +233,7 @@
         let endpoints = self.endpoints.borrow();
         let is_asked_for = |listed: &&ListedEndpoint| match after {
             Some(after) => listed.generation > after,
-            None => listed.endpoint.status != Standing::Left,
+            None => listed.endpoint.status != EndpointStatus::Left,
         };
         let asked_for: Vec<&Endpoint> =
             endpoints.values().filter(is_asked_for).map(|listed| &listed.endpoint).collect();
--- a/testbed/src/world/faults.rs
+++ b/testbed/src/world/faults.rs
@@ -5,15 +5,15 @@
 use rand::seq::IteratorRandom;
 use rand_chacha::ChaCha8Rng;
 
+use crate::experiment::{Experiment, Fault, FaultKind, HostSelection};
 use crate::ledger::HostNo;
-use crate::script::{Experiment, Fault, Kind, Which};
 use crate::time::{seconds, Micros};
 
 /// One time that a fault is on.
 #[derive(Clone, Debug)]
 pub struct FaultWindow {
     /// What it does.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// The machines that it concerns.
     pub hosts: BTreeSet<HostNo>,
     /// The one balancer that it concerns or that sees it; all where it is `None`.
@@ -31,7 +31,7 @@
 }
 
 impl FaultWindow {
-    fn covers(&self, now: Micros, kind: Kind, host: HostNo, balancer: usize) -> bool {
+    fn covers(&self, now: Micros, kind: FaultKind, host: HostNo, balancer: usize) -> bool {
         self.kind == kind
             && (self.from..self.to).contains(&now)
             && self.balancer.is_none_or(|only| only == balancer)
@@ -43,8 +43,8 @@
         let name = serde_json::to_string(&self.kind).unwrap_or_default();
         let name = name.trim_matches('"');
         let target = match (self.kind, self.balancer) {
-            (Kind::Grow, _) => format!(" by {}", self.count),
-            (Kind::BalancerKill, Some(balancer)) => format!(" {balancer}"),
+            (FaultKind::Grow, _) => format!(" by {}", self.count),
+            (FaultKind::BalancerKill, Some(balancer)) => format!(" {balancer}"),
             _ if self.hosts.is_empty() => String::new(),
             _ => {
                 let hosts: Vec<String> = self.hosts.iter().map(|host| host.0.to_string()).collect();
@@ -75,7 +75,7 @@
     }
 
     /// How likely an attempt is struck by a fault of this kind now.
-    pub fn probability(&self, now: Micros, kind: Kind, host: HostNo, balancer: usize) -> f64 {
+    pub fn probability(&self, now: Micros, kind: FaultKind, host: HostNo, balancer: usize) -> f64 {
         let on = self.windows.iter().filter(|window| window.covers(now, kind, host, balancer));
         on.map(|window| window.probability).fold(0.0, f64::max)
     }
@@ -84,12 +84,12 @@
 fn draw_hosts(fault: &Fault, fleet_size: usize, rng: &mut ChaCha8Rng) -> BTreeSet<HostNo> {
     let all = (0..fleet_size as u32).map(HostNo);
     match (&fault.kind, &fault.hosts) {
-        (Kind::OriginSlow | Kind::OriginDown, _) => [HostNo::ORIGIN].into(),
-        (Kind::Grow | Kind::DiscoveryDown | Kind::DiscoveryStale, _) => BTreeSet::new(),
-        (Kind::BalancerKill | Kind::GeneratorStop | Kind::GeneratorSlow, _) => BTreeSet::new(),
-        (_, Which::Named(_)) => all.collect(),
-        (_, Which::These(hosts)) => hosts.iter().map(|&host| HostNo(host as u32)).collect(),
-        (_, Which::Count(count)) => all.choose_multiple(rng, *count).into_iter().collect(),
+        (FaultKind::OriginSlow | FaultKind::OriginDown, _) => [HostNo::ORIGIN].into(),
+        (FaultKind::Grow | FaultKind::DiscoveryDown | FaultKind::DiscoveryStale, _) => BTreeSet::new(),
+        (FaultKind::BalancerKill | FaultKind::GeneratorStop | FaultKind::GeneratorSlow, _) => BTreeSet::new(),
+        (_, HostSelection::Named(_)) => all.collect(),
+        (_, HostSelection::These(hosts)) => hosts.iter().map(|&host| HostNo(host as u32)).collect(),
+        (_, HostSelection::Count(count)) => all.choose_multiple(rng, *count).into_iter().collect(),
     }
 }
 
@@ -111,9 +111,9 @@
             to: from + duration,
             probability: fault.part,
             factor: fault.factor,
-            count: if let Which::Count(count) = fault.hosts { count } else { 0 },
+            count: if let HostSelection::Count(count) = fault.hosts { count } else { 0 },
         };
-        if window.kind == Kind::RollOut {
+        if window.kind == FaultKind::RollOut {
             add_roll_out(&window, windows);
         } else {
             windows.push(window);
@@ -134,7 +134,7 @@
         let drained = from + per_host / 3;
         let restarted = drained + per_host / 20;
         let window = |kind, from, to| FaultWindow { kind, hosts: [*host].into(), from, to, ..whole.clone() };
-        windows.push(window(Kind::RollOut, from, drained));
-        windows.push(window(Kind::Die, drained, restarted));
+        windows.push(window(FaultKind::RollOut, from, drained));
+        windows.push(window(FaultKind::Die, drained, restarted));
     }
 }
--- a/testbed/src/world/host/attempt.rs
+++ b/testbed/src/world/host/attempt.rs
@@ -12,8 +12,8 @@
 use super::cores::JobOutcome;
 use super::protocol::{Command, Reply};
 use super::{Host, RecentMiss};
-use crate::ledger::What;
-use crate::script::{Group, Kind, Mode, Repeats};
+use crate::experiment::{CacheMode, DeduplicationScope, FaultKind, RetrySafety};
+use crate::ledger::Observation;
 use crate::time::{millis, Micros, SECOND};
 
 /// The longest time that a command may wait for a core, in milliseconds.
@@ -54,12 +54,12 @@
         let received_at = self.now();
         let began = first_byte_at.unwrap_or(received_at);
         let (id, host) = (command.id, self.settings.no);
-        self.shared.ledger.note(What::Pushed { id, host, balancer, began });
-        if self.is_struck_by(Kind::Busy, received_at, balancer) {
+        self.shared.ledger.note(Observation::AttemptReceived { id, host, balancer, began });
+        if self.is_struck_by(FaultKind::Busy, received_at, balancer) {
             return self.reject(&command);
         }
         let attempt = self.prepare(balancer, command, received_at);
-        let does_full_work = attempt.is_hit || self.shared.mode == Mode::Through;
+        let does_full_work = attempt.is_hit || self.shared.mode == CacheMode::Through;
         let work =
             if does_full_work { attempt.service_time } else { attempt.service_time / MISS_WORK_DIVISOR };
         match self.run_job(work + connection_cost, attempt.start_by).await {
@@ -92,14 +92,14 @@
     }
 
     /// Whether a fault of this kind, which was on when the attempt came, strikes it.
-    fn is_struck_by(&self, kind: Kind, received_at: Micros, balancer: usize) -> bool {
+    fn is_struck_by(&self, kind: FaultKind, received_at: Micros, balancer: usize) -> bool {
         let probability = self.shared.faults.probability(received_at, kind, self.settings.no, balancer);
         self.shared.draw(probability)
     }
 
     /// What is left to do elsewhere once this machine has done its part; a response where that ends the attempt.
     async fn complete_elsewhere(self: &Rc<Host>, attempt: &Attempt) -> Option<Response> {
-        let passes_on = self.shared.mode == Mode::Through;
+        let passes_on = self.shared.mode == CacheMode::Through;
         if !attempt.is_hit && !passes_on {
             return Some(self.report_miss(&attempt.command));
         }
@@ -120,7 +120,7 @@
 
     fn report_miss(self: &Rc<Host>, command: &Command) -> Response {
         let id = command.id;
-        self.shared.ledger.note(What::Missed { id, host: self.settings.no });
+        self.shared.ledger.note(Observation::KeyMissing { id, host: self.settings.no });
         self.shared.record_miss(id, self.clone(), command.key.clone());
         self.report_miss_to_origin();
         self.reply(&Reply::Miss)
@@ -163,7 +163,7 @@
             self.shared.fill_missed(command.id);
         }
         let (id, host) = (command.id, self.settings.no);
-        self.shared.ledger.note(What::Ran { id, host, effect });
+        self.shared.ledger.note(Observation::Executed { id, host, effect });
     }
 
     /// Whether a write is no repeat that its deduplication scope drops.
@@ -171,13 +171,13 @@
         let Some(idempotency_key) = fact(&attempt.command.facts, "k") else { return true };
         let Some(class) = attempt.class else { return true };
         let class = self.shared.service_times.class(class);
-        if class.repeats != Repeats::Deduplicated {
+        if class.retry_safety != RetrySafety::Deduplicated {
             return true;
         }
-        let scope = match class.group {
-            Group::All => 0,
-            Group::Zone => 1 + self.settings.zone,
-            Group::Cell => FIRST_CELL_SCOPE + self.settings.no.0,
+        let scope = match class.deduplication_scope {
+            DeduplicationScope::All => 0,
+            DeduplicationScope::Zone => 1 + self.settings.zone,
+            DeduplicationScope::Cell => FIRST_CELL_SCOPE + self.settings.no.0,
         };
         let now = self.now();
         let first_run = self.shared.first_run(idempotency_key, scope, now);
@@ -187,16 +187,16 @@
     /// The response to what ran, or what faults make of it.
     fn respond(&self, attempt: &Attempt) -> Response {
         let is_struck_by = |kind| self.is_struck_by(kind, attempt.received_at, attempt.balancer);
-        if is_struck_by(Kind::Error) {
+        if is_struck_by(FaultKind::Error) {
             return self.reply(&Reply::Failed);
         }
-        if is_struck_by(Kind::Lost) {
+        if is_struck_by(FaultKind::Lost) {
             return Response::Mute;
         }
-        if is_struck_by(Kind::Reset) {
+        if is_struck_by(FaultKind::Reset) {
             return Response::Reset;
         }
-        if is_struck_by(Kind::Spoil) {
+        if is_struck_by(FaultKind::Spoil) {
             let garbled: [u8; GARBLED_REPLY_BYTES] = self.shared.rng.borrow_mut().random();
             return Response::LastReply(Bytes::copy_from_slice(&garbled));
         }
@@ -214,7 +214,7 @@
 
     fn reject(&self, command: &Command) -> Response {
         let (id, host) = (command.id, self.settings.no);
-        self.shared.ledger.note(What::Turned { id, host });
+        self.shared.ledger.note(Observation::AttemptRejected { id, host });
         self.reply(&Reply::Rejected)
     }
 
--- a/testbed/src/world/host/cores.rs
+++ b/testbed/src/world/host/cores.rs
@@ -7,7 +7,7 @@
 use tokio::time::{sleep, sleep_until, Instant};
 
 use super::Host;
-use crate::ledger::{HostNo, What};
+use crate::ledger::{HostNo, Observation};
 use crate::time::{to_duration, Micros};
 use crate::world::machine::{Admission, Job};
 
@@ -46,7 +46,7 @@
     }
 
     fn go_down_overloaded(&self, now: Micros) {
-        self.shared.ledger.note(What::Fell {
+        self.shared.ledger.note(Observation::Overloaded {
             host: self.settings.no,
             cold: self.machine.borrow().is_warming_up(now),
             by_cold_misses: self.settings.no == HostNo::ORIGIN && self.mostly_misses_of_warming_hosts(now),
--- a/testbed/src/world/host/protocol.rs
+++ b/testbed/src/world/host/protocol.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use thiserror::Error;
 
-use crate::ledger::Id;
+use crate::ledger::RequestId;
 
 /// The longest body of a request to the origin, in bytes.
 pub(super) const MAX_BODY_BYTES: usize = 64 * 1024;
@@ -18,7 +18,7 @@
 
 /// A read or write.
 pub(super) struct Command {
-    pub(super) id: Id,
+    pub(super) id: RequestId,
     pub(super) key: Bytes,
     pub(super) write: bool,
     /// What the balancer adds about the request (`name=value`, separated by commas).
@@ -89,7 +89,7 @@
 
 fn parse_http(bytes: &[u8]) -> Result<Option<ParsedMessage>, MessageError> {
     let Some(request) = http::parse_request(bytes, MAX_BODY_BYTES)? else { return Ok(None) };
-    let id = request.header("x-correlation-id").and_then(|id| Id::read(id.as_bytes()));
+    let id = request.header("x-correlation-id").and_then(|id| RequestId::read(id.as_bytes()));
     let command = Command {
         id: id.ok_or(MessageError::MissingRequestId)?,
         write: request.method == "PUT",
@@ -107,7 +107,7 @@
     let message = match &name[..] {
         b"CACHE.GET" | b"CACHE.SET" if words.len() >= 4 => Message::Command(Command {
             key: words[1].clone(),
-            id: Id::read(&words[2]).ok_or(MessageError::MissingRequestId)?,
+            id: RequestId::read(&words[2]).ok_or(MessageError::MissingRequestId)?,
             write: name == b"CACHE.SET",
             facts: String::from_utf8_lossy(&words[3]).into_owned(),
         }),
--- a/testbed/src/world/host/shared.rs
+++ b/testbed/src/world/host/shared.rs
@@ -11,8 +11,8 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::Host;
-use crate::ledger::{Id, Ledger};
-use crate::script::Mode;
+use crate::experiment::CacheMode;
+use crate::ledger::{Ledger, RequestId};
 use crate::time::Micros;
 use crate::world::faults::FaultSchedule;
 use crate::world::service_time::ServiceTimes;
@@ -32,13 +32,13 @@
     /// How long commands are worked on.
     pub service_times: ServiceTimes,
     /// Who asks the origin for what a host lacks.
-    pub mode: Mode,
+    pub mode: CacheMode,
     /// The one source of chance of the world, so that a seed gives one order of draws.
     pub rng: RefCell<ChaCha8Rng>,
     /// Connections accepted so far, by all machines.
     pub(super) connections_accepted: Arc<AtomicU64>,
     /// Misses by their request: the origin's answer to it is stored at these hosts.
-    misses: RefCell<HashMap<Id, Vec<KeyMiss>>>,
+    misses: RefCell<HashMap<RequestId, Vec<KeyMiss>>>,
     /// The number of the last write to each key: what a host stored before it is stale.
     last_write_by_key: RefCell<HashMap<Bytes, u64>>,
     last_write: Cell<u64>,
@@ -56,7 +56,7 @@
         ledger: Ledger,
         faults: FaultSchedule,
         service_times: ServiceTimes,
-        mode: Mode,
+        mode: CacheMode,
         rng: ChaCha8Rng,
         connections_accepted: Arc<AtomicU64>,
     ) -> Rc<Shared> {
@@ -93,12 +93,12 @@
     }
 
     /// A host lacked the key of a request: the origin's answer to it will be stored there.
-    pub(super) fn record_miss(&self, id: Id, host: Rc<Host>, key: Bytes) {
+    pub(super) fn record_miss(&self, id: RequestId, host: Rc<Host>, key: Bytes) {
         self.misses.borrow_mut().entry(id).or_default().push(KeyMiss { host, key });
     }
 
     /// The origin has answered a request: hosts that missed its key hold it from now on.
-    pub(super) fn fill_missed(&self, id: Id) {
+    pub(super) fn fill_missed(&self, id: RequestId) {
         let misses = self.misses.borrow_mut().remove(&id).unwrap_or_default();
         for miss in misses {
             miss.host.keep(miss.key);
--- a/testbed/src/world/mod.rs
+++ b/testbed/src/world/mod.rs
@@ -21,9 +21,9 @@
 use tokio::time::sleep;
 
 use crate::balancers::Balancers;
+use crate::experiment::Experiment;
 use crate::lateness::Lateness;
 use crate::ledger::Ledger;
-use crate::script::Experiment;
 use crate::settings::BalancerBootstrap;
 use crate::thread_stats::{record_lateness, thread_cpu_seconds};
 use director::Director;
--- a/testbed/src/world/service_time.rs
+++ b/testbed/src/world/service_time.rs
@@ -3,19 +3,19 @@
 use rand::Rng;
 use rand_distr::{Distribution, Exp, LogNormal};
 
-use crate::script::{Category, Service, Spread};
+use crate::experiment::{Category, ServiceTime, TimeDistribution};
 use crate::time::{millis, Micros};
 
 /// The service times of an experiment.
 pub struct ServiceTimes {
     classes: Vec<Category>,
-    host: Service,
-    origin: Service,
+    host: ServiceTime,
+    origin: ServiceTime,
 }
 
 impl ServiceTimes {
     /// Hosts and the origin each have a distribution; a request class may have its own at hosts.
-    pub fn new(classes: &[Category], host: Service, origin: Service) -> ServiceTimes {
+    pub fn new(classes: &[Category], host: ServiceTime, origin: ServiceTime) -> ServiceTimes {
         ServiceTimes { classes: classes.to_vec(), host, origin }
     }
 
@@ -38,13 +38,13 @@
 }
 
 /// Draws a service time of at least a microsecond.
-pub fn draw_service_time(rng: &mut impl Rng, service: Service) -> Micros {
+pub fn draw_service_time(rng: &mut impl Rng, service: ServiceTime) -> Micros {
     let mean = service.mean_ms.max(1e-3);
     let ms = match service.kind {
-        Spread::Constant => mean,
-        Spread::Exponential => Exp::new(1.0 / mean).map_or(mean, |law| law.sample(rng)),
+        TimeDistribution::Constant => mean,
+        TimeDistribution::Exponential => Exp::new(1.0 / mean).map_or(mean, |law| law.sample(rng)),
         // The mean of exp(N(m, s)) is exp(m + s^2 / 2).
-        Spread::LogNormal => {
+        TimeDistribution::LogNormal => {
             let sigma = service.sigma.clamp(0.0, 4.0);
             let law = LogNormal::new(mean.ln() - sigma * sigma / 2.0, sigma);
             law.map_or(mean, |law| law.sample(rng))
