--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -20,7 +20,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream as Stream};
 
-use crate::balancers::{Balancers, Program, ResourceUsage};
+use crate::balancers::{BalancerError, Balancers, Program, ResourceUsage};
 use crate::experiment::{zone_name, Experiment, ExperimentError};
 use crate::figures::{figures, late, Figures};
 use crate::lateness::{judge, LatenessHistograms, ReferenceThread, ThreadError, Verdict};
@@ -107,8 +107,8 @@
     #[error(transparent)]
     Load(#[from] LoadError),
     /// The balancer did not come up.
-    #[error("{0}")]
-    Balancer(String),
+    #[error(transparent)]
+    Balancer(#[from] BalancerError),
     /// A client of the balancer has no connection or no answer.
     #[error("client {nth} of {count}: {cause}")]
     Client {
@@ -365,8 +365,9 @@
         let discovery = SocketAddr::from(([127, 0, 0, 1], 1));
         let bootstrap = BalancerBootstrap { discovery, known };
         let ledger = Ledger::new(Clock::start());
-        Balancers::start(program.clone(), &self.experiment, &[bootstrap], self.seed, &ledger, folder)
-            .map_err(|cause| MeasureError::Balancer(cause.to_string()))
+        let started =
+            Balancers::start(program.clone(), &self.experiment, &[bootstrap], self.seed, &ledger, folder)?;
+        Ok(started)
     }
 
     /// The generator alone, as fast as it goes.
--- a/testbed/src/play.rs
+++ b/testbed/src/play.rs
@@ -13,7 +13,7 @@
 use thiserror::Error;
 
 use crate::audit::{audit, AuditSettings, Breach, Rule};
-use crate::balancers::{Balancers, Program};
+use crate::balancers::{BalancerError, Balancers, Program};
 use crate::experiment::{Category, Experiment, FaultKind};
 use crate::figures::{self, Run};
 use crate::lateness::{judge, Lateness, LatenessHistograms, ReferenceThread, ThreadError};
@@ -68,8 +68,8 @@
     #[error(transparent)]
     World(#[from] WorldError),
     /// A balancer did not come up.
-    #[error("{0}")]
-    Balancers(String),
+    #[error(transparent)]
+    Balancers(#[from] BalancerError),
     /// There is no further thread.
     #[error(transparent)]
     Thread(#[from] ThreadError),
@@ -178,8 +178,7 @@
         let ledger = Ledger::new(Clock::start());
         let mut world = World::start(experiment, seed, &ledger)?;
         let balancers =
-            Balancers::start(program.clone(), experiment, &world.bootstraps, seed, &ledger, folder)
-                .map_err(|cause| PlayError::Balancers(cause.to_string()))?;
+            Balancers::start(program.clone(), experiment, &world.bootstraps, seed, &ledger, folder)?;
         // What was recorded until now, the lists that balancers took in, was before the run.
         ledger.take();
         ledger.clock.start_run_in(START_DELAY);
