--- a/testbed/tests/pools.rs
+++ b/testbed/tests/pools.rs
@@ -1,4 +1,5 @@
-//! The balancer's connections on real sockets, against hosts that lose them in every way: judged by rules and counts.
+//! The balancer's connection pools on real sockets, against hosts that lose connections in every way: judged by the
+//! audit's rules and by the balancer's counters.
 
 mod common;
 
@@ -7,7 +8,7 @@
 use basaltwood_testbed::figures::Run;
 use common::*;
 
-/// Reads only, on six warm hosts; most ops go out on kept connections.
+/// Reads only, on six warm hosts; most requests go out on pooled connections.
 fn reads(faults: &str) -> basaltwood_testbed::experiment::Experiment {
     let load = "[load]\nrate = 240\nkeys = 300\n";
     let mut experiment = larger("seconds = 3.0", &format!("{load}{faults}"));
@@ -19,51 +20,61 @@
     format!("[[faults]]\nkind = \"{kind}\"\n{more}\n")
 }
 
-fn sound(run: &Run) -> &BTreeMap<String, u64> {
+fn checked_counters(run: &Run) -> &BTreeMap<String, u64> {
     assert!(breaches(run).is_empty(), "{:#?}", breaches(run));
-    assert!(!run.counters.is_empty(), "the balancer tells its counters");
+    assert!(!run.counters.is_empty(), "the balancer writes its counters");
     &run.counters
 }
 
-fn told(run: &Run) -> String {
+fn describe(run: &Run) -> String {
     format!("{:?}\n{:?}", run.counters, run.figures)
 }
 
 #[test]
-fn kept_connections_of_all_hosts_dead_at_once_leave_no_host_for_silent() {
+fn pooled_connections_all_dead_at_once_leave_every_host_in_use() {
     let run = played(&reads(&fault("stale", "hosts = \"all\"\nfrom_s = 1.0")), &balancer());
-    let counters = sound(&run);
-    // One push for each connection that was kept, at the most, and a second copy brings its value.
-    assert!(counters["attempts_timed_out"] <= counters["connections_opened"], "{}", told(&run));
-    assert!(run.figures.served * 100 >= run.figures.requests * 97, "{}", told(&run));
+
+    let counters = checked_counters(&run);
+    // At most one attempt for each connection that was pooled, and a hedge brings its value.
+    assert!(counters["attempts_timed_out"] <= counters["connections_opened"], "{}", describe(&run));
+    assert!(run.figures.served * 100 >= run.figures.requests * 97, "{}", describe(&run));
 }
 
 #[test]
-fn kept_connections_that_are_reset_under_a_push_are_their_own_fault() {
-    // Each command on a connection from before is met by a reset; new connections work. Twice, so that it may learn.
+fn pooled_connections_reset_under_an_attempt_count_as_connection_faults() {
+    // Each command on a connection from before is met by a reset; new connections work. Twice, so that the balancer
+    // may learn from the first time.
     let resets = fault("stale-reset", "hosts = \"all\"\nfrom_s = 1.0\nto_s = 1.1\nevery_s = 1.0");
+
     let run = played(&reads(&resets), &balancer());
-    let counters = sound(&run);
-    assert!(counters["attempts_connection_fault"] > 0 && counters["connection_faults"] > 0, "{}", told(&run));
-    assert_eq!(counters["attempts_connection_lost"], 0, "none of it is a host's: {}", told(&run));
-    assert!(run.figures.served * 100 >= run.figures.requests * 99, "{}", told(&run));
-    assert_eq!(run.figures.rejected, 0, "{}", told(&run));
+
+    let counters = checked_counters(&run);
+    assert!(
+        counters["attempts_connection_fault"] > 0 && counters["connection_faults"] > 0,
+        "{}",
+        describe(&run)
+    );
+    assert_eq!(counters["attempts_connection_lost"], 0, "none of it is a host's: {}", describe(&run));
+    assert!(run.figures.served * 100 >= run.figures.requests * 99, "{}", describe(&run));
+    assert_eq!(run.figures.rejected, 0, "{}", describe(&run));
 }
 
 #[test]
-fn a_host_that_hangs_and_dead_connections_of_another_are_told_apart() {
+fn hung_host_and_dead_connections_of_another_are_told_apart() {
     let hang = fault("hang", "hosts = [0]\nfrom_s = 1.0\nto_s = 2.0");
     let both = hang + &fault("stale-reset", "hosts = [3]\nfrom_s = 1.0");
+
     let run = played(&reads(&both), &balancer());
-    sound(&run);
+
+    checked_counters(&run);
     let host = |no: usize| &run.figures.hosts[&format!("host {no}")];
-    // The one with dead connections goes on as ever; the hung one is left and comes back.
-    assert!(host(3).executed * 10 >= host(4).executed.min(host(5).executed) * 3, "{}", told(&run));
-    assert!(run.figures.served * 100 >= run.figures.requests * 95, "{}", told(&run));
+    // The one with dead connections is used as ever; the hung one is left out and used again later.
+    assert!(host(3).executed * 10 >= host(4).executed.min(host(5).executed) * 3, "{}", describe(&run));
+    assert!(run.figures.served * 100 >= run.figures.requests * 95, "{}", describe(&run));
 }
 
 #[test]
-fn hosts_that_hang_are_reset_and_hang_again_do_not_crowd_out_the_others() {
+fn hosts_that_hang_again_and_again_do_not_crowd_out_the_others() {
     let some = "hosts = [0, 1]\n";
     let hangs = fault("hang", &format!("{some}from_s = 0.5\nto_s = 1.0\nevery_s = 0.9"));
     let resets = fault("reset", &format!("{some}from_s = 0.99\nto_s = 1.0\nevery_s = 0.9\npart = 0.0"));
@@ -71,15 +82,18 @@
     // Few descriptors: what hangs must not eat those of the others.
     experiment.limits.sockets = 64;
     experiment.load.connections = 20;
+
     let run = played(&experiment, &balancer());
-    sound(&run);
-    assert!(run.figures.served * 100 >= run.figures.requests * 85, "{}", told(&run));
+
+    checked_counters(&run);
+    assert!(run.figures.served * 100 >= run.figures.requests * 85, "{}", describe(&run));
 }
 
 #[test]
-fn a_host_that_is_silent_costs_no_connect_time_out_after_the_first() {
+fn silent_host_costs_no_connect_time_out_after_the_first() {
     let run = played(&reads(&fault("silent", "hosts = [2]\nfrom_s = 0.8")), &balancer());
-    let counters = sound(&run);
-    assert!(run.figures.served * 100 >= run.figures.requests * 95, "{}", told(&run));
-    assert!(counters["attempts_unreachable"] < run.figures.requests / 10, "{}", told(&run));
+
+    let counters = checked_counters(&run);
+    assert!(run.figures.served * 100 >= run.figures.requests * 95, "{}", describe(&run));
+    assert!(counters["attempts_unreachable"] < run.figures.requests / 10, "{}", describe(&run));
 }
--- a/testbed/tests/world.rs
+++ b/testbed/tests/world.rs
@@ -1,4 +1,4 @@
-//! The emulated fleet on its sockets, spoken to as a balancer would: each fault does what its name says.
+//! The emulated fleet on its sockets, used as by a balancer: each fault does what its name says.
 
 mod common;
 
@@ -16,12 +16,12 @@
 struct Stage {
     clock: Clock,
     address: SocketAddr,
-    next: u64,
+    last_request: u64,
     _world: World,
 }
 
-const BEGINS: Micros = 300 * MS;
-const ENDS: Micros = 1_600 * MS;
+const FAULT_BEGINS: Micros = 300 * MS;
+const FAULT_ENDS: Micros = 1_600 * MS;
 
 impl Stage {
     fn new(kind: &str) -> Stage {
@@ -36,12 +36,12 @@
         let known = world.bootstraps[0].known["instances"].as_array().expect("a list").clone();
         let cell = |instance: &&serde_json::Value| instance["cell"] == 0 && instance["machineType"] == "host";
         let address = known.iter().find(cell).expect("host 0")["hostPort"].as_str().expect("an address");
-        Stage { clock, address: address.parse().expect("an address"), next: 0, _world: world }
+        Stage { clock, address: address.parse().expect("an address"), last_request: 0, _world: world }
     }
 
-    /// So long after an edge that it has surely come about.
-    fn after(&self, edge: Micros) {
-        std::thread::sleep(to_duration(edge + 150 * MS - self.clock.now()));
+    /// Waits until a boundary of the fault has surely taken effect.
+    fn wait_until_after(&self, boundary: Micros) {
+        std::thread::sleep(to_duration(boundary + 150 * MS - self.clock.now()));
     }
 
     fn connect(&self) -> Result<TcpStream, &'static str> {
@@ -55,10 +55,10 @@
         Ok(stream)
     }
 
-    /// Asks for a key on a connection; what came of it in a word.
-    fn asks(&mut self, stream: &mut TcpStream) -> &'static str {
-        self.next += 1;
-        let id = format!("{:016x}", self.next);
+    /// Reads a key on a connection; the result in a word.
+    fn request(&mut self, stream: &mut TcpStream) -> &'static str {
+        self.last_request += 1;
+        let id = format!("{:016x}", self.last_request);
         let command = format!("*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk\r\n$16\r\n{id}\r\n$14\r\nc=read,d=30000\r\n");
         if stream.write_all(command.as_bytes()).is_err() {
             return "broken";
@@ -76,16 +76,17 @@
         }
     }
 
-    fn fresh(&mut self) -> &'static str {
+    /// Reads a key on a new connection; the result in a word.
+    fn request_on_new(&mut self) -> &'static str {
         match self.connect() {
-            Ok(mut stream) => self.asks(&mut stream),
+            Ok(mut stream) => self.request(&mut stream),
             Err(cause) => cause,
         }
     }
 }
 
 #[test]
-fn each_fault_does_what_its_name_says() {
+fn fault_of_each_kind_does_what_its_name_says() {
     let kinds = [
         "hang",
         "silent",
@@ -107,13 +108,13 @@
             std::thread::spawn(move || {
                 let mut stage = Stage::new(kind);
                 let mut old = stage.connect().expect("it is there");
-                let before = stage.asks(&mut old);
-                stage.after(BEGINS);
-                let (kept, fresh) = (stage.asks(&mut old), stage.fresh());
-                stage.after(ENDS);
+                let before = stage.request(&mut old);
+                stage.wait_until_after(FAULT_BEGINS);
+                let (kept, fresh) = (stage.request(&mut old), stage.request_on_new());
+                stage.wait_until_after(FAULT_ENDS);
                 let mut again = stage.connect();
-                let late = stage.asks(&mut old);
-                let end = again.as_mut().map_or_else(|cause| *cause, |stream| stage.asks(stream));
+                let late = stage.request(&mut old);
+                let end = again.as_mut().map_or_else(|cause| *cause, |stream| stage.request(stream));
                 format!("{kind}: {before} | kept {kept}, new {fresh} | kept {late}, new {end}")
             })
         })
