--- a/testbed/src/balancers/mod.rs
+++ b/testbed/src/balancers/mod.rs
@@ -1,5 +1,6 @@
-//! The balancers of a run: started as programs with a file of their own, watched through /proc, killed and started
-//! again by the script. Only what was started here is ever ended, by its process id.
+//! The balancers of a run: started as programs with a file of their own, watched through /proc,
+//! killed and started again by the script. Only what was started here is ever ended, by its process
+//! id.
 
 mod program;
 mod usage;
@@ -32,7 +33,8 @@
 const COUNTERS_TIMEOUT: Duration = Duration::from_millis(500);
 const COUNTERS_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The time by which a balancer that was killed has surely let go of its connections, as its clients see it.
+/// The time by which a balancer that was killed has surely let go of its connections, as its
+/// clients see it.
 pub const RELEASED_AFTER_KILL: Micros = 500_000;
 
 /// Why balancers do not serve.
@@ -127,7 +129,8 @@
     balancers: Vec<Balancer>,
 }
 
-/// All balancers of a run; clones are the same. Observation still runs when the last is dropped is ended.
+/// All balancers of a run; clones are the same. Observation still runs when the last is dropped is
+/// ended.
 #[derive(Clone)]
 pub struct Balancers(Arc<Mutex<Inner>>);
 
@@ -138,7 +141,8 @@
 }
 
 impl Balancers {
-    /// Starts one for each bootstrap, and waits until all serve. Their files and logs go to `folder`.
+    /// Starts one for each bootstrap, and waits until all serve. Their files and logs go to
+    /// `folder`.
     ///
     /// # Errors
     /// Which did not come up, with the last line of its log.
@@ -231,8 +235,8 @@
         self.inner().sample_usage()
     }
 
-    /// The counters of each, by name: SIGUSR1 makes a balancer write a line of `name=number` in its log. For the end of
-    /// a run: a program that does not know the signal ends by it.
+    /// The counters of each, by name: SIGUSR1 makes a balancer write a line of `name=number` in its
+    /// log. For the end of a run: a program that does not know the signal ends by it.
     pub fn counters(&self) -> Vec<BTreeMap<String, u64>> {
         let before: Vec<usize> = {
             let inner = self.inner();
--- a/testbed/src/balancers/program.rs
+++ b/testbed/src/balancers/program.rs
@@ -40,7 +40,8 @@
 }
 
 impl Program {
-    /// The program that an arm names, a baseline of this program, or else the balancer beside this program.
+    /// The program that an arm names, a baseline of this program, or else the balancer beside this
+    /// program.
     ///
     /// # Errors
     /// Where there is no such program; the text says what to build.
--- a/testbed/src/balancers/usage.rs
+++ b/testbed/src/balancers/usage.rs
@@ -30,8 +30,8 @@
         })
     }
 
-    /// The usage of a process together with that of earlier ones in its place. `peak_descriptors` is the most that
-    /// was seen of it so far.
+    /// The usage of a process together with that of earlier ones in its place. `peak_descriptors`
+    /// is the most that was seen of it so far.
     pub(super) fn added_to(self, earlier: ResourceUsage, peak_descriptors: usize) -> ResourceUsage {
         ResourceUsage {
             cpu_s: earlier.cpu_s + self.cpu_s,
--- a/testbed/src/load/client.rs
+++ b/testbed/src/load/client.rs
@@ -1,5 +1,5 @@
-//! One request as its client makes it: from when it is due to its outcome, with the attempts that the client makes
-//! by itself.
+//! One request as its client makes it: from when it is due to its outcome, with the attempts that
+//! the client makes by itself.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -26,7 +26,8 @@
 const DEDUPLICATION_MARGIN: Micros = 100 * MS;
 /// The most that a balancer can make a client wait before it tries again, in milliseconds.
 const MAX_RETRY_AFTER_MS: u64 = 600_000;
-/// A connection that did not come up is tried again elsewhere, as any client would: so often in all, after a pause.
+/// A connection that did not come up is tried again elsewhere, as any client would: so often in
+/// all, after a pause.
 const MAX_CONNECT_ATTEMPTS: u32 = 3;
 const CONNECT_RETRY_PAUSE: Micros = 10 * MS;
 /// Pauses double no more after so many attempts.
@@ -125,7 +126,8 @@
         &self.experiment.categories[usize::from(planned.category)]
     }
 
-    /// After which pause the client tries again by itself; `None` where it does not, or not in time.
+    /// After which pause the client tries again by itself; `None` where it does not, or not in
+    /// time.
     fn pause_before_retry(
         &self,
         request: &ClientRequest,
@@ -234,7 +236,8 @@
         is_retry: bool,
     ) -> SentAttempt {
         let id = RequestId(self.rng.borrow_mut().random());
-        // Whole milliseconds, rounded down: the balancer may not think that it has longer than the client waits.
+        // Whole milliseconds, rounded down: the balancer may not think that it has longer than the
+        // client waits.
         let timeout_ms = (request.deadline - now) / MS;
         let reply_due = now + timeout_ms * MS;
         let command = self.command(request, id, timeout_ms, is_retry);
--- a/testbed/src/load/connection.rs
+++ b/testbed/src/load/connection.rs
@@ -1,4 +1,5 @@
-//! One connection of the load generator to a balancer: commands go out in a pipeline, replies come in their order.
+//! One connection of the load generator to a balancer: commands go out in a pipeline, replies come
+//! in their order.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -153,7 +154,7 @@
     RequestId::read(value.get(..REQUEST_ID_DIGITS)?)
 }
 
-/// Serves a connection to a balancer until either side ends it, which `freed` then tells.
+/// Serves a connection to a balancer until either side ends it, and notifies `freed` then.
 pub(super) async fn run(
     connection: Rc<Connection>,
     mut stream: TcpStream,
--- a/testbed/src/load/plan.rs
+++ b/testbed/src/load/plan.rs
@@ -1,4 +1,5 @@
-//! Arrivals laid out ahead: when each request is due, of which class, for whom, on which key. Pure; all from one seed.
+//! Arrivals laid out ahead: when each request is due, of which class, for whom, on which key. Pure;
+//! all from one seed.
 
 use std::f64::consts::TAU;
 use std::ops::Range;
@@ -14,7 +15,8 @@
 
 /// Tells the plan's draws apart from those of other parts with the same seed ("load").
 const SEED_MASK: u64 = 0x6c6f_6164;
-/// Where no request comes for a while, evenly spaced arrivals look again as if so many came a second.
+/// Where no request comes for a while, evenly spaced arrivals look again as if so many came a
+/// second.
 const MIN_EVEN_RATE_PER_S: f64 = 10.0;
 /// A period can't be shorter than this, in seconds.
 const MIN_PERIOD_S: f64 = 0.001;
@@ -206,7 +208,8 @@
 struct KeyPopularity {
     names: Vec<String>,
     law: Option<Zipf<f64>>,
-    /// Key indices from the most popular one on; shuffled, so that a name tells nothing of its popularity.
+    /// Key indices from the most popular one on; shuffled, so that a name tells nothing of its
+    /// popularity.
     by_rank: Vec<u32>,
     /// One key takes a part of all reads for a time.
     hot: Option<HotKey>,
--- a/testbed/src/load/player.rs
+++ b/testbed/src/load/player.rs
@@ -1,5 +1,5 @@
-//! Plays a plan against balancers: on one thread, with a second that only looks at the clock. How long a reply takes
-//! has no bearing on when the next request leaves.
+//! Plays a plan against balancers: on one thread, with a second that only looks at the clock. How
+//! long a reply takes has no bearing on when the next request leaves.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -43,7 +43,8 @@
     pub from: Micros,
     /// When it ends.
     pub to: Micros,
-    /// What each request costs the generator's thread; with `None` the thread stands still all the while.
+    /// What each request costs the generator's thread; with `None` the thread stands still all the
+    /// while.
     pub each: Option<Micros>,
 }
 
@@ -75,8 +76,8 @@
     pub latency_sum_us: AtomicI64,
 }
 
-/// Plays a plan and returns when its last request has ended. Blocks: it is a thread's whole work. `stalls` are
-/// planted in it; `late` records how late this thread was.
+/// Plays a plan and returns when its last request has ended. Blocks: it is a thread's whole work.
+/// `stalls` are planted in it; `late` records how late this thread was.
 ///
 /// # Errors
 /// Where the thread can't have a runtime.
@@ -170,8 +171,8 @@
         thread::sleep(to_duration(cost));
     }
 
-    /// How not to do it, for comparison: so many clients, each of which makes its next request once it has the reply
-    /// to the last one, and latency counts from then.
+    /// How not to do it, for comparison: so many clients, each of which makes its next request once
+    /// it has the reply to the last one, and latency counts from then.
     async fn run_closed_loop(self: Rc<Player>) {
         let next = Rc::new(Cell::new(0));
         let mut clients = JoinSet::new();
@@ -194,7 +195,8 @@
     }
 }
 
-/// Sends the indices of requests as they are due; the work of a thread of its own, so that no other work delays it.
+/// Sends the indices of requests as they are due; the work of a thread of its own, so that no other
+/// work delays it.
 fn send_when_due(plan: &Plan, clock: &Clock, due: &mpsc::UnboundedSender<Range<usize>>) {
     let mut next = 0;
     while let Some(request) = plan.requests.get(next) {
--- a/testbed/src/load/record.rs
+++ b/testbed/src/load/record.rs
@@ -28,7 +28,8 @@
 pub struct RequestRecord {
     /// When it was due; its latency counts from here.
     pub due_at: Micros,
-    /// When its first attempt was written, or when it would have been but for a connection that was not there.
+    /// When its first attempt was written, or when it would have been but for a connection that was
+    /// not there.
     pub sent_at: Micros,
     /// When its outcome was known.
     pub ended_at: Micros,
--- a/testbed/src/load/target.rs
+++ b/testbed/src/load/target.rs
@@ -1,4 +1,5 @@
-//! A balancer as its clients see it: its address, the connections to it, and since when it can't be reached.
+//! A balancer as its clients see it: its address, the connections to it, and since when it can't be
+//! reached.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -78,9 +79,10 @@
         }
     }
 
-    /// A connection for one more command: one that is open or a new one; where there may be no more, the first that
-    /// is free. `None` where it can't be had by the deadline. A request that has to wait for a connection counts as
-    /// sent all the same: the wait is not the generator's lateness.
+    /// A connection for one more command: one that is open or a new one; where there may be no
+    /// more, the first that is free. `None` where it can't be had by the deadline. A request that
+    /// has to wait for a connection counts as sent all the same: the wait is not the generator's
+    /// lateness.
     pub(super) async fn check_out(
         self: &Rc<Target>,
         bounds: ConnectionBounds,
--- a/testbed/src/load/trace.rs
+++ b/testbed/src/load/trace.rs
@@ -4,9 +4,9 @@
 //! {"at_us":0,"category":"read","customer":"acme","key":"7f3a","size":128}
 //! ```
 //!
-//! `at_us` counts from the start of the trace in whole microseconds; `customer` may be left out or null; `size` is the
-//! value's bytes, 128 where it is left out. Empty lines are skipped; any other line that is no such object is refused
-//! by its number.
+//! `at_us` counts from the start of the trace in whole microseconds; `customer` may be left out or
+//! null; `size` is the value's bytes, 128 where it is left out. Empty lines are skipped; any other
+//! line that is no such object is refused by its number.
 
 use std::collections::HashMap;
 use std::io::{BufRead, Write};
@@ -126,7 +126,8 @@
     DEFAULT_VALUE_BYTES
 }
 
-/// Reads a trace for the request classes and tenants of an experiment, to be played `speed` times as fast.
+/// Reads a trace for the request classes and tenants of an experiment, to be played `speed` times
+/// as fast.
 ///
 /// # Errors
 /// The first line that can't be played.
@@ -237,8 +238,9 @@
     size: Option<u32>,
 }
 
-/// Makes a trace of comma-separated values whose head names the columns `time_s`, `category`, `key` and perhaps
-/// `customer` and `size`. Times count from the first row, and rows may stand in any order.
+/// Makes a trace of comma-separated values whose head names the columns `time_s`, `category`, `key`
+/// and perhaps `customer` and `size`. Times count from the first row, and rows may stand in any
+/// order.
 ///
 /// # Errors
 /// The first row that is wrong.
--- a/testbed/src/router/exchange.rs
+++ b/testbed/src/router/exchange.rs
@@ -1,4 +1,5 @@
-//! One attempt of a baseline router: a command to a cache host or a request to the origin, and its response.
+//! One attempt of a baseline router: a command to a cache host or a request to the origin, and its
+//! response.
 
 use std::time::Duration;
 
--- a/testbed/src/router/fault.rs
+++ b/testbed/src/router/fault.rs
@@ -1,6 +1,7 @@
 //! Faults that a router can be told to commit, so that a test can show that the audit finds each.
 
-/// What a faulty router does. The words of the command line are older than the names of the variants.
+/// What a faulty router does. The words of the command line are older than the names of the
+/// variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum InjectedFault {
     /// Never answers one request in ten.
--- a/testbed/src/router/mod.rs
+++ b/testbed/src/router/mod.rs
@@ -1,12 +1,14 @@
-//! Baselines: small routers that keep the protocol and decide next to nothing, to be measured beside a balancer.
-//! They are programs of their own (`basaltwood-testbed router KIND`) and are configured by PROXY_CONFIG like a
-//! balancer.
+//! Baselines: small routers that keep the protocol and decide next to nothing, to be measured
+//! beside a balancer. They are programs of their own (`basaltwood-testbed router KIND`) and are
+//! configured by PROXY_CONFIG like a balancer.
 //!
-//! Each picks a host (at random; with fewest of its own in flight; the next on a ring of 64 points a host), goes on to
-//! one other where no connection came up, asks the origin for what the host lacks, and rejects what surely never ran.
-//! There are no limits, no care for hosts that are warming up and no memory of slow ones.
+//! Each picks a host (at random; with fewest of its own in flight; the next on a ring of 64 points
+//! a host), goes on to one other where no connection came up, asks the origin for what the host
+//! lacks, and rejects what surely never ran. There are no limits, no care for hosts that are
+//! warming up and no memory of slow ones.
 //!
-//! A router can also be told to commit a fault ([`InjectedFault`]), so that a test can show that the audit finds it.
+//! A router can also be told to commit a fault ([`InjectedFault`]), so that a test can show that
+//! the audit finds it.
 
 mod endpoints;
 mod exchange;
--- a/testbed/src/thread_stats.rs
+++ b/testbed/src/thread_stats.rs
@@ -1,4 +1,5 @@
-//! What a thread of the testbed can say of itself: its CPU time, and by how much its timers were late.
+//! What a thread of the testbed can say of itself: its CPU time, and by how much its timers were
+//! late.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +15,8 @@
     text.split(' ').next().and_then(|time| time.parse::<f64>().ok()).unwrap_or(0.0) / 1e9
 }
 
-/// Records for ever how late the timers of this thread are, by a schedule that a late tick does not move.
+/// Records for ever how late the timers of this thread are, by a schedule that a late tick does not
+/// move.
 pub async fn record_lateness(lateness: Arc<Lateness>) {
     const TICK: Duration = Duration::from_millis(5);
     let mut waits = CpuWaits::default();
--- a/testbed/src/world/director.rs
+++ b/testbed/src/world/director.rs
@@ -22,7 +22,8 @@
 use crate::settings::BalancerBootstrap;
 use crate::time::{millis, Micros};
 
-/// How long the addresses of a host that was removed are left alone before another one listens there.
+/// How long the addresses of a host that was removed are left alone before another one listens
+/// there.
 const ADDRESSES_FREED_AFTER: Duration = Duration::from_millis(1);
 
 /// Which end of a fault's window has come.
@@ -106,8 +107,8 @@
         self.shared.faults.windows.clone()
     }
 
-    /// Starts a host, one that was always there or one that is empty and warming up, at new addresses or at those
-    /// of another one.
+    /// Starts a host, one that was always there or one that is empty and warming up, at new
+    /// addresses or at those of another one.
     fn start_host(
         &self,
         started_at: Option<Micros>,
@@ -177,7 +178,8 @@
         Host::start(&self.shared, settings, &Host::new_addresses(HostNo::ORIGIN, *balancers))
     }
 
-    /// Carries out the script. Never returns: what was started may not be dropped before the run is over.
+    /// Carries out the script. Never returns: what was started may not be dropped before the run is
+    /// over.
     pub(super) async fn run_script(self: Rc<Director>, balancers: Option<Balancers>) {
         let windows = &self.shared.faults.windows;
         let mut boundaries = Vec::new();
--- a/testbed/src/world/discovery.rs
+++ b/testbed/src/world/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery: each balancer has an agent of its own, which learns of changes after a lag of its own and answers the
-//! balancer's watch.
+//! Discovery: each balancer has an agent of its own, which learns of changes after a lag of its own
+//! and answers the balancer's watch.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -23,8 +23,8 @@
 use crate::ledger::{EndpointStatus, HostNo, Ledger, Observation};
 use crate::time::{to_duration, Micros};
 
-/// By the protocol a balancer counts as informed of a change after this time at the latest, also by an agent that
-/// does not answer.
+/// By the protocol a balancer counts as informed of a change after this time at the latest, also by
+/// an agent that does not answer.
 const INFORMED_AT_LATEST: Duration = Duration::from_secs(6);
 /// Nothing listens there on loopback.
 const UNUSED_PORT: u16 = 1;
@@ -173,8 +173,9 @@
         Endpoint { name: settings.name.clone(), host: settings.no, status, body }
     }
 
-    /// Adds a change to the list. From then on the balancer counts as informed, also one that has no call open: an
-    /// agent that answers would inform it at once. With a silent one it counts so after [`INFORMED_AT_LATEST`].
+    /// Adds a change to the list. From then on the balancer counts as informed, also one that has
+    /// no call open: an agent that answers would inform it at once. With a silent one it counts so
+    /// after [`INFORMED_AT_LATEST`].
     fn add(self: &Rc<Agent>, endpoint: Endpoint) {
         let generation = *self.generation.borrow() + 1;
         let due = Observation::AnnouncementDue {
--- a/testbed/src/world/faults.rs
+++ b/testbed/src/world/faults.rs
@@ -1,4 +1,5 @@
-//! The script of faults laid out in time: which faults are on when, and how likely one strikes an attempt. Pure.
+//! The script of faults laid out in time: which faults are on when, and how likely one strikes an
+//! attempt. Pure.
 
 use std::collections::BTreeSet;
 
@@ -63,7 +64,8 @@
 }
 
 impl FaultSchedule {
-    /// Lays out the faults of an experiment. Which hosts are meant by a number is drawn once for each fault.
+    /// Lays out the faults of an experiment. Which hosts are meant by a number is drawn once for
+    /// each fault.
     pub fn new(experiment: &Experiment, rng: &mut ChaCha8Rng) -> FaultSchedule {
         let mut windows = Vec::new();
         for fault in &experiment.faults {
@@ -126,7 +128,8 @@
     }
 }
 
-/// A roll-out takes one host after the other: each drains for a third of its time and is down for a twentieth.
+/// A roll-out takes one host after the other: each drains for a third of its time and is down for a
+/// twentieth.
 fn add_roll_out(whole: &FaultWindow, windows: &mut Vec<FaultWindow>) {
     let per_host = (whole.to - whole.from) / whole.hosts.len().max(1) as Micros;
     for (nth, host) in whole.hosts.iter().enumerate() {
--- a/testbed/src/world/host/accept.rs
+++ b/testbed/src/world/host/accept.rs
@@ -1,4 +1,5 @@
-//! How a host takes new connections from one balancer: it accepts them, refuses them, or lets none come up.
+//! How a host takes new connections from one balancer: it accepts them, refuses them, or lets none
+//! come up.
 
 use std::rc::Rc;
 use std::time::Duration;
--- a/testbed/src/world/host/attempt.rs
+++ b/testbed/src/world/host/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt of a balancer at a machine: from its last byte to the response, with its effects on stores and the
-//! faults that strike it.
+//! One attempt of a balancer at a machine: from its last byte to the response, with its effects on
+//! stores and the faults that strike it.
 
 use std::rc::Rc;
 
@@ -42,8 +42,8 @@
 }
 
 impl Host {
-    /// Takes an attempt whose first byte came at `first_byte_at` (its last one otherwise), and works on it.
-    /// `connection_cost` is work that comes on top.
+    /// Takes an attempt whose first byte came at `first_byte_at` (its last one otherwise), and
+    /// works on it. `connection_cost` is work that comes on top.
     pub(super) async fn handle_attempt(
         self: &Rc<Host>,
         balancer: usize,
@@ -97,7 +97,8 @@
         self.shared.draw(probability)
     }
 
-    /// What is left to do elsewhere once this machine has done its part; a response where that ends the attempt.
+    /// What is left to do elsewhere once this machine has done its part; a response where that ends
+    /// the attempt.
     async fn complete_elsewhere(self: &Rc<Host>, attempt: &Attempt) -> Option<Response> {
         let passes_on = self.shared.mode == CacheMode::Through;
         if !attempt.is_hit && !passes_on {
@@ -203,7 +204,8 @@
         self.reply(&Reply::Value(&self.value_for(&attempt.command)))
     }
 
-    /// The value made for this request: it begins with the request's id, by which a client knows it as its own.
+    /// The value made for this request: it begins with the request's id, by which a client knows it
+    /// as its own.
     fn value_for(&self, command: &Command) -> Vec<u8> {
         let mut value = format!("{}:{}:", command.id, self.settings.name).into_bytes();
         let size = fact(&command.facts, "size").and_then(|size| size.parse::<usize>().ok()).unwrap_or(0);
--- a/testbed/src/world/host/connection.rs
+++ b/testbed/src/world/host/connection.rs
@@ -18,7 +18,8 @@
 use crate::time::{to_duration, Micros};
 use crate::world::listener::reset_on_drop;
 
-/// Longer than any run: a connection that does no more is kept open until then, or until it is reset.
+/// Longer than any run: a connection that does no more is kept open until then, or until it is
+/// reset.
 const KEPT_OPEN: Duration = Duration::from_secs(600);
 
 /// What a host does on a connection after a command.
--- a/testbed/src/world/host/cores.rs
+++ b/testbed/src/world/host/cores.rs
@@ -1,5 +1,5 @@
-//! How a host works: its commands are jobs of its [`Machine`](crate::world::machine::Machine), and one task ends
-//! each when its time has come.
+//! How a host works: its commands are jobs of its [`Machine`](crate::world::machine::Machine), and
+//! one task ends each when its time has come.
 
 use std::rc::Rc;
 
@@ -21,7 +21,8 @@
 }
 
 impl Host {
-    /// Has the cores work for so long, beginning at `start_by` at the latest, and waits until that is over.
+    /// Has the cores work for so long, beginning at `start_by` at the latest, and waits until that
+    /// is over.
     pub(super) async fn run_job(&self, work: Micros, start_by: Micros) -> JobOutcome {
         let id = self.next_job.get();
         self.next_job.set(id + 1);
@@ -58,7 +59,8 @@
         self.machine_changed.notify_one();
     }
 
-    /// Whether more than half of the misses within the overload window came from hosts that were warming up.
+    /// Whether more than half of the misses within the overload window came from hosts that were
+    /// warming up.
     fn mostly_misses_of_warming_hosts(&self, now: Micros) -> bool {
         let window_start = now - self.settings.machine.overload_window;
         let misses = self.misses.borrow();
@@ -86,7 +88,8 @@
         }
     }
 
-    /// Until a job is done, or the machine has changed so that its next one may be done at another time.
+    /// Until a job is done, or the machine has changed so that its next one may be done at another
+    /// time.
     async fn next_change(&self) {
         let next_completion = self.machine.borrow().next_completion_at();
         match next_completion {
--- a/testbed/src/world/host/mod.rs
+++ b/testbed/src/world/host/mod.rs
@@ -1,8 +1,9 @@
-//! A machine of the emulated world on its sockets: a cache host that stores, or the origin. It has a listener for
-//! each balancer, so that a fault can be seen by one of them alone.
+//! A machine of the emulated world on its sockets: a cache host that stores, or the origin. It has
+//! a listener for each balancer, so that a fault can be seen by one of them alone.
 //!
-//! This file holds what a machine is, its start and its faults; [`accept`] takes connections, [`connection`] serves
-//! one, [`attempt`] works on a command, [`cores`] runs its jobs, [`protocol`] reads and writes its bytes.
+//! This file holds what a machine is, its start and its faults; `accept` takes connections,
+//! `connection` serves one, `attempt` works on a command, `cores` runs its jobs, `protocol`
+//! reads and writes its bytes.
 
 mod accept;
 mod attempt;
@@ -144,7 +145,8 @@
 }
 
 impl Host {
-    /// Brings a machine up with a listener for each balancer, at new addresses or at those of another machine.
+    /// Brings a machine up with a listener for each balancer, at new addresses or at those of
+    /// another machine.
     ///
     /// # Errors
     /// What the kernel says where an address can't be had.
@@ -268,8 +270,8 @@
     }
 }
 
-/// Faults, as the script of an experiment brings them about. Those that name a balancer are seen by it alone, and
-/// by all where it is `None`.
+/// Faults, as the script of an experiment brings them about. Those that name a balancer are seen by
+/// it alone, and by all where it is `None`.
 impl Host {
     /// Works on nothing until [`Host::thaw`]; connections and commands are still taken.
     pub fn freeze(&self) {
--- a/testbed/src/world/host/shared.rs
+++ b/testbed/src/world/host/shared.rs
@@ -42,7 +42,8 @@
     /// The number of the last write to each key: what a host stored before it is stale.
     last_write_by_key: RefCell<HashMap<Bytes, u64>>,
     last_write: Cell<u64>,
-    /// When a write with an idempotency key ran first, by that key and the scope that drops its repeats.
+    /// When a write with an idempotency key ran first, by that key and the scope that drops its
+    /// repeats.
     first_runs: RefCell<HashMap<(Bytes, u32), Micros>>,
     /// The cache hosts.
     pub hosts: RefCell<Vec<Rc<Host>>>,
--- a/testbed/src/world/host/store.rs
+++ b/testbed/src/world/host/store.rs
@@ -1,5 +1,5 @@
-//! The keys that a host holds: the newest ones, and from the start a share of all keys. Values are made anew for
-//! each request, so that only keys are kept.
+//! The keys that a host holds: the newest ones, and from the start a share of all keys. Values are
+//! made anew for each request, so that only keys are kept.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -41,7 +41,8 @@
         draw < self.initial_fill
     }
 
-    /// Stores a key after the write of this number; the oldest key goes where there is no capacity for it.
+    /// Stores a key after the write of this number; the oldest key goes where there is no capacity
+    /// for it.
     pub(super) fn put(&mut self, key: Bytes, last_write: u64) {
         if self.stored.insert(key.clone(), last_write).is_none() {
             self.order.push_back(key);
--- a/testbed/src/world/machine.rs
+++ b/testbed/src/world/machine.rs
@@ -1,5 +1,6 @@
-//! The cores, the queue and the warm-up of an emulated machine: what it accepts, when work is done and when it
-//! is overloaded. Pure: time comes in with every call, and the caller draws how much work a command is.
+//! The cores, the queue and the warm-up of an emulated machine: what it accepts, when work is done
+//! and when it is overloaded. Pure: time comes in with every call, and the caller draws how much
+//! work a command is.
 
 use std::collections::VecDeque;
 
@@ -18,7 +19,8 @@
     pub initial_capacity: f64,
     /// How long after its start a machine has its whole capacity.
     pub warm_up: Micros,
-    /// More work than this many times its present capacity over the window overloads it; 0 for never.
+    /// More work than this many times its present capacity over the window overloads it; 0 for
+    /// never.
     pub overload_multiple: f64,
     /// The time over which arriving work is added up.
     pub overload_window: Micros,
@@ -113,7 +115,8 @@
         self.queue.len() + self.cores.iter().flatten().count()
     }
 
-    /// Work that arrived within the last window, as a multiple of what the machine can do in that time.
+    /// Work that arrived within the last window, as a multiple of what the machine can do in that
+    /// time.
     pub fn load(&self, now: Micros) -> f64 {
         let capacity = self.settings.cores as f64 * self.settings.speed * self.capacity_share(now);
         self.work_in_window as f64 / (capacity * self.settings.overload_window.max(1) as f64)
--- a/testbed/src/world/mod.rs
+++ b/testbed/src/world/mod.rs
@@ -1,5 +1,6 @@
-//! The emulated world around the balancers: hosts, origin and discovery on loopback sockets, and the script of
-//! faults. It lives on a thread of its own, and records in the ledger all that crosses its sockets.
+//! The emulated world around the balancers: hosts, origin and discovery on loopback sockets, and
+//! the script of faults. It lives on a thread of its own, and records in the ledger all that
+//! crosses its sockets.
 
 mod director;
 pub mod discovery;
@@ -104,8 +105,8 @@
         })
     }
 
-    /// Begins the script of faults; the clock has been set to the start of the run. `balancers` are those that the
-    /// script may kill.
+    /// Begins the script of faults; the clock has been set to the start of the run. `balancers` are
+    /// those that the script may kill.
     pub fn run_script(&mut self, balancers: Option<Balancers>) {
         if let Some(begin) = self.begin.take() {
             let _ = begin.send(balancers);
@@ -122,7 +123,7 @@
     }
 }
 
-/// What a world tells once it is up.
+/// What is known of a world once it is up.
 struct WorldUp {
     bootstraps: Vec<BalancerBootstrap>,
     fault_windows: Vec<FaultWindow>,
--- a/testbed/tests/pools.rs
+++ b/testbed/tests/pools.rs
@@ -1,5 +1,5 @@
-//! The balancer's connection pools on real sockets, against hosts that lose connections in every way: judged by the
-//! audit's rules and by the balancer's counters.
+//! The balancer's connection pools on real sockets, against hosts that lose connections in every
+//! way: judged by the audit's rules and by the balancer's counters.
 
 mod common;
 
@@ -42,8 +42,8 @@
 
 #[test]
 fn pooled_connections_reset_under_an_attempt_count_as_connection_faults() {
-    // Each command on a connection from before is met by a reset; new connections work. Twice, so that the balancer
-    // may learn from the first time.
+    // Each command on a connection from before is met by a reset; new connections work. Twice, so
+    // that the balancer may learn from the first time.
     let resets = fault("stale-reset", "hosts = \"all\"\nfrom_s = 1.0\nto_s = 1.1\nevery_s = 1.0");
 
     let run = played(&reads(&resets), &balancer());
--- a/testbed/tests/world.rs
+++ b/testbed/tests/world.rs
@@ -85,6 +85,25 @@
     }
 }
 
+/// Before, during and after a fault: results on a connection from before it, and on a new one.
+fn play(kind: &str) -> String {
+    let mut stage = Stage::new(kind);
+    let mut old = stage.connect().expect("it is there");
+    let before = stage.request(&mut old);
+
+    stage.wait_until_after(FAULT_BEGINS);
+    let during_on_old = stage.request(&mut old);
+    let during_on_new = stage.request_on_new();
+
+    stage.wait_until_after(FAULT_ENDS);
+    let mut new = stage.connect();
+    let after_on_old = stage.request(&mut old);
+    let after_on_new = new.as_mut().map_or_else(|cause| *cause, |stream| stage.request(stream));
+    let during = format!("kept {during_on_old}, new {during_on_new}");
+    let after = format!("kept {after_on_old}, new {after_on_new}");
+    format!("{kind}: {before} | {during} | {after}")
+}
+
 #[test]
 fn fault_of_each_kind_does_what_its_name_says() {
     let kinds = [
@@ -102,24 +121,10 @@
         "replace",
         "drain",
     ];
-    let stages: Vec<_> = kinds
-        .iter()
-        .map(|&kind| {
-            std::thread::spawn(move || {
-                let mut stage = Stage::new(kind);
-                let mut old = stage.connect().expect("it is there");
-                let before = stage.request(&mut old);
-                stage.wait_until_after(FAULT_BEGINS);
-                let (kept, fresh) = (stage.request(&mut old), stage.request_on_new());
-                stage.wait_until_after(FAULT_ENDS);
-                let mut again = stage.connect();
-                let late = stage.request(&mut old);
-                let end = again.as_mut().map_or_else(|cause| *cause, |stream| stage.request(stream));
-                format!("{kind}: {before} | kept {kept}, new {fresh} | kept {late}, new {end}")
-            })
-        })
-        .collect();
-    let trace: Vec<String> = stages.into_iter().map(|stage| stage.join().expect("it is played")).collect();
+
+    let playing: Vec<_> = kinds.iter().map(|&kind| std::thread::spawn(move || play(kind))).collect();
+    let trace: Vec<String> = playing.into_iter().map(|stage| stage.join().expect("it is played")).collect();
+
     // Before | during | after.
     expect![[r#"
         hang: own value | kept silence, new silence | kept noise, new own value
