--- a/testbed/src/report.rs
+++ b/testbed/src/report.rs
@@ -113,7 +113,8 @@
          <style>body{{font:15px/1.45 sans-serif;max-width:940px;margin:2em auto;padding:0 1em}}\
          pre{{overflow:auto;background:#f4f4f4;padding:.6em;font-size:12px}}\
          table{{border-collapse:collapse;font-size:13px}}\
-         td,th{{padding:.15em .7em;text-align:right;border-bottom:1px solid #ddd}}.bad{{color:#b00}}</style>{body}</html>",
+         td,th{{padding:.15em .7em;text-align:right;border-bottom:1px solid #ddd}}\
+         .bad{{color:#b00}}</style>{body}</html>",
         escaped(name)
     )
 }
