--- a/balancer/tests/regions/maps.rs
+++ b/balancer/tests/regions/maps.rs
@@ -13,8 +13,7 @@
     let mut lines = Vec::new();
     let mut refused = |mut program: Program| {
         let code = program.ended().code();
-        let log: Vec<String> =
-            program.remaining_log().iter().map(|line| text_after(line, "basaltwood-balancer: ")).collect();
+        let log: Vec<String> = program.remaining_log().iter().map(|line| refusal(line)).collect();
         lines.push(format!("{code:?} {}", log.join(" / ")));
     };
     for map in
@@ -124,8 +123,7 @@
     .assert_eq(&[MAP, &south, &other].map(versions).join("\n"));
 }
 
-/// What follows the file's name or the program's name in a line.
-fn text_after(line: &str, part: &str) -> String {
-    let line = line.split_once(part).map_or(line, |found| found.1);
-    line.split_once(".toml").map_or(line, |found| found.1).to_owned()
+/// A refusal without the program's name and the file's.
+fn refusal(line: &str) -> String {
+    text_after(&text_after(line, "basaltwood-balancer: "), ".toml")
 }
--- a/balancer/tests/sockets/config.rs
+++ b/balancer/tests/sockets/config.rs
@@ -3,7 +3,7 @@
 use expect_test::expect;
 
 use crate::common::*;
-use crate::{text_after, BINARY};
+use crate::BINARY;
 
 /// A valid configuration with one more setting.
 fn config_with(setting: &str) -> String {
--- a/balancer/tests/sockets/discovery.rs
+++ b/balancer/tests/sockets/discovery.rs
@@ -6,7 +6,7 @@
 use expect_test::expect;
 
 use crate::common::*;
-use crate::{selected_counters, text_after, BINARY};
+use crate::{selected_counters, BINARY};
 
 #[test]
 fn watch_starts_at_the_known_version_and_leaves_out_invalid_entries() {
--- a/balancer/tests/sockets/main.rs
+++ b/balancer/tests/sockets/main.rs
@@ -26,8 +26,3 @@
     let of = |name: &&str| line.split(' ').find(|word| word.starts_with(&format!("{name}=")));
     names.iter().filter_map(of).collect::<Vec<_>>().join(" ")
 }
-
-/// The rest of the line behind the mark, or the whole line where the mark is missing.
-pub(crate) fn text_after(line: &str, mark: &str) -> String {
-    line.split_once(mark).map_or(line, |found| found.1).to_owned()
-}
--- a/testbed/tests/cli.rs
+++ b/testbed/tests/cli.rs
@@ -6,7 +6,7 @@
 use std::process::{Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-const LAB: &str = env!("CARGO_BIN_EXE_basaltwood-testbed");
+const TESTBED: &str = env!("CARGO_BIN_EXE_basaltwood-testbed");
 
 /// Of files, codes and words, not of times: a machine whose timers wake late must not void it.
 const SHORT: &str = r#"
@@ -29,7 +29,7 @@
 
 fn run_testbed(folder: &Path, arguments: &[&str]) -> (i32, String, String) {
     let Output { status, stdout, stderr } =
-        Command::new(LAB).args(arguments).current_dir(folder).output().expect("it starts");
+        Command::new(TESTBED).args(arguments).current_dir(folder).output().expect("it starts");
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
     (status.code().expect("a code"), text(stdout), text(stderr))
 }
@@ -155,7 +155,7 @@
 #[test]
 fn ctrl_c_during_a_run_ends_all_that_it_started() {
     let folder = folder_with("x.toml", &SHORT.replace("seconds = 1.0", "seconds = 60.0"));
-    let mut command = Command::new(LAB);
+    let mut command = Command::new(TESTBED);
     command.args(["run", "x.toml"]).current_dir(folder.path()).stdout(Stdio::piped()).stderr(Stdio::null());
     let mut run = command.spawn().expect("it starts");
     let mut lines = BufReader::new(run.stdout.take().expect("its words")).lines();
--- a/testbed/tests/common/mod.rs
+++ b/testbed/tests/common/mod.rs
@@ -66,7 +66,7 @@
     Program { path: env!("CARGO_BIN_EXE_basaltwood-testbed").into(), arguments, regions: None }
 }
 
-/// The balancer that the workspace has built beside the lab.
+/// The balancer that the workspace has built beside the testbed.
 pub fn balancer() -> Program {
     let path = Path::new(env!("CARGO_BIN_EXE_basaltwood-testbed")).with_file_name("basaltwood-balancer");
     assert!(path.is_file(), "{} is missing: run `cargo test --workspace`", path.display());
--- a/tests/common/program.rs
+++ b/tests/common/program.rs
@@ -36,6 +36,11 @@
     line.rsplit(' ').next().expect("an address").to_owned()
 }
 
+/// The rest of the line behind the mark, or the whole line where the mark is missing.
+pub fn text_after(line: &str, mark: &str) -> String {
+    line.split_once(mark).map_or(line, |found| found.1).to_owned()
+}
+
 /// The configuration of a program with an admin address.
 pub fn managed(known: &[String], [memory, sockets]: [u32; 2]) -> String {
     format!(
