--- a/balancer/tests/admin.rs
+++ b/balancer/tests/admin.rs
@@ -157,7 +157,7 @@
     // SIGTERM in lame-duck mode ends the program as ever.
     program.call(LAME_DUCK_ON);
     program.signal("TERM");
-    trace.push(format!("{:?}", program.ended().code()));
+    trace.push(format!("{:?}", program.wait_for_exit().code()));
     expect![[r#"
         closed
         -ERR draining
@@ -241,10 +241,10 @@
     let taken = Peer::host(|_| hit("v"));
     let mut lines = Vec::new();
     for address in ["nowhere", &taken.address.to_string()] {
-        let config = managed(&[], [192, 1024]);
+        let config = managed_config(&[], [192, 1024]);
         let config = config.replace(r#""mgmt":"127.0.0.1:0""#, &format!(r#""mgmt":"{address}""#));
         let mut program = Program::with_config(BINARY, &config);
-        let code = program.ended().code();
+        let code = program.wait_for_exit().code();
         let log = program.remaining_log();
         let line = log.last().expect("a line").replace(address, "ADDRESS");
         let cause = line.split_once(": ").expect("a cause").1;
--- a/balancer/tests/config.rs
+++ b/balancer/tests/config.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use basaltwood_balancer::Config;
-use common::managed;
+use common::managed_config;
 
 /// Limits and rates are sums over the balancers that send to the same hosts; all of the fleet call
 /// discovery.
@@ -16,7 +16,7 @@
         std::fs::write(folder.path().join(name), text).expect("a file");
         folder.path().join(name)
     };
-    std::env::set_var("PROXY_CONFIG", write("config.json", &managed(&[], [192, 1024])));
+    std::env::set_var("PROXY_CONFIG", write("config.json", &managed_config(&[], [192, 1024])));
     let mut seen = Vec::new();
 
     for map in ["", "zones = [\"n1\"]\nbalancers = 519", "zones = [\"n1\"]"] {
--- a/balancer/tests/departed_clients.rs
+++ b/balancer/tests/departed_clients.rs
@@ -20,7 +20,7 @@
 
 fn leaves_before_a_descriptor_is_free(departure: Departure) {
     let (hosts, known) = four_gated_hosts();
-    let program = Program::start_by(BINARY, nowhere(), &known, [192, 32], SETTINGS);
+    let program = Program::start_with(BINARY, unreachable_address(), &known, [192, 32], SETTINGS);
     let mut inside: Vec<Client> = (0..8).map(|_| program.client()).collect();
     for (nth, client) in inside.iter_mut().enumerate() {
         client.get(&format!("slow{nth}"), &format!("in{nth}"), "c=once,d=1900");
@@ -49,7 +49,7 @@
     let line = program.wait_for_counter("succeeded", 9);
     assert!(line.contains(" attempts=9 "), "{departure:?}: {line}");
     for (_, host) in &hosts {
-        while let Some(line) = host.seen() {
+        while let Some(line) = host.try_next() {
             assert!(!line.contains("gone"), "{departure:?}: {line}");
         }
     }
--- a/balancer/tests/drains.rs
+++ b/balancer/tests/drains.rs
@@ -25,7 +25,8 @@
     let b = Peer::host(|_| hit("from b"));
     let discovery = Discovery::start();
     let known = [entry("a", a.address, "active")];
-    let program = Program::start_by(BINARY, discovery.peer.address, &known, [192, 1024], &patient_settings());
+    let program =
+        Program::start_with(BINARY, discovery.peer.address, &known, [192, 1024], &patient_settings());
     let (mut slow, mut trace) = one_attempt_in_flight(&program, &a);
     let (mut read, mut once) = (program.client(), program.client());
     read.get("k", "id2", "c=read,d=9000");
@@ -39,7 +40,7 @@
     release.send(()).expect("it waits");
     // What is in flight goes on; its connection is closed after it.
     trace.extend([slow.answer(), a.next()]);
-    assert!(a.quiet(), "nothing came after the drain was announced");
+    assert!(a.received_nothing(), "nothing came after the drain was announced");
 
     let line = program.wait_for_counter("attempts_not_sent", 2);
     assert!(line.contains(" attempts_not_sent=2 "), "each of those that waited is counted once: {line}");
@@ -70,7 +71,8 @@
     let b = Peer::host(|_| hit("from b"));
     let discovery = Discovery::start();
     let known = [entry("a", a.address, "active")];
-    let program = Program::start_by(BINARY, discovery.peer.address, &known, [192, 1024], &patient_settings());
+    let program =
+        Program::start_with(BINARY, discovery.peer.address, &known, [192, 1024], &patient_settings());
     let mut client = program.client();
     client.get("k", "id", "c=once,d=9000");
     program.wait_for_counter("attempts", 1);
@@ -95,7 +97,7 @@
 fn handshake_under_way_when_its_host_moves_carries_nothing() {
     let elsewhere = Peer::host(|_| hit("from the new address"));
     assert_eq!(in_a_handshake_while(|_| entry("a", elsewhere.address, "active")), "from b");
-    assert!(elsewhere.quiet(), "one attempt each host");
+    assert!(elsewhere.received_nothing(), "one attempt each host");
 }
 
 /// Keys of both hosts' are read at `b`, and nothing comes to `a`.
@@ -104,7 +106,7 @@
         let (key, id) = (format!("k{nth}"), format!("id{nth}"));
         assert_eq!(program.client().command(&["CACHE.GET", &key, &id, "c=read,d=600"]), "from b");
     }
-    assert!(a.quiet(), "{what}");
+    assert!(a.received_nothing(), "{what}");
 }
 
 #[test]
@@ -178,7 +180,7 @@
     let discovery = Discovery::start();
     let known = [entry("a", a.address, "active"), entry("b", b.address, "active")];
     let mut program =
-        Program::start_by(BINARY, discovery.peer.address, &known, [192, 1024], &patient_settings());
+        Program::start_with(BINARY, discovery.peer.address, &known, [192, 1024], &patient_settings());
     let mut client = program.client();
     client.get(HOME_A, "slow", "c=once,d=9000");
     let mut trace = vec![a.next(), discovery.peer.next()];
@@ -192,8 +194,8 @@
     release.send(()).expect("it waits");
     trace.push(client.answer());
 
-    assert!(program.ended().success());
-    assert!(b.quiet(), "nothing goes to the host that leaves");
+    assert!(program.wait_for_exit().success());
+    assert!(b.received_nothing(), "nothing goes to the host that leaves");
     expect![[r#"
         CACHE.GET k2 slow c=once,d=..
         GET /v1/servers?from=1&hold_ms=3000
@@ -212,7 +214,7 @@
 /// A response that drips does not put the timeout off.
 #[test]
 fn drain_in_a_list_that_only_drips_is_honoured_in_time() {
-    assert_honoured_in_time(0, |news| Reply::Drips(news, Duration::from_secs(1)), calls_without_failures());
+    assert_honoured_in_time(0, |news| Reply::Trickle(news, Duration::from_secs(1)), calls_without_failures());
 }
 
 /// Whatever failed before: a change counts as announced 6 s after discovery had it and could be
@@ -246,7 +248,7 @@
     let calls = AtomicU32::new(0);
     // The first that is not closed is never answered whole, and the one after the news not at all.
     let discovery = Peer::http(move |_| match calls.fetch_add(1, Ordering::Relaxed) {
-        call if call < failed => Reply::Last(String::new()),
+        call if call < failed => Reply::ThenClose(String::new()),
         call if call == failed => {
             first(format!("HTTP/1.1 200 so\r\nContent-Length: {}\r\n\r\n{news}", news.len()))
         }
@@ -290,7 +292,7 @@
             _ => format!("{head}Content-Length: {}\r\n\r\n{list}", list.len()),
         };
         let discovery = Peer::http(move |request| match request.contains("from=1&") {
-            true if way == "dripping" => Reply::Drips(whole.clone(), Duration::from_millis(1)),
+            true if way == "dripping" => Reply::Trickle(whole.clone(), Duration::from_millis(1)),
             true => Reply::Text(whole.clone()),
             false => Reply::Nothing,
         });
@@ -330,7 +332,7 @@
 
     clients.iter_mut().for_each(|client| assert_eq!(client.answer(), "from b"));
     // One whose request was read first may have dialled it; the list comes before the first byte.
-    let sent: Vec<String> = std::iter::from_fn(|| a.seen()).filter(|seen| seen != "closed").collect();
+    let sent: Vec<String> = std::iter::from_fn(|| a.try_next()).filter(|seen| seen != "closed").collect();
     assert!(sent.is_empty(), "nothing goes to the host that leaves: {sent:?}");
 }
 
@@ -340,7 +342,7 @@
 fn drain_of_a_host_that_had_returned_is_honoured() {
     let (_release, a) = breaking_host();
     let b = Peer::host(|_| hit("from b"));
-    let (at, gone) = (a.address, nowhere());
+    let (at, gone) = (a.address, unreachable_address());
     let changes = [
         [entry("a", at, "left"), entry("c", gone, "left")].join(","),
         entry("a", at, "active"),
--- a/balancer/tests/endings.rs
+++ b/balancer/tests/endings.rs
@@ -28,7 +28,13 @@
 }
 
 fn program(host: &Peer, limits: [u32; 2], settings: &str) -> Program {
-    Program::start_by(BINARY, nowhere(), &[entry("a", host.address, "active")], limits, settings)
+    Program::start_with(
+        BINARY,
+        unreachable_address(),
+        &[entry("a", host.address, "active")],
+        limits,
+        settings,
+    )
 }
 
 /// Operators kill a balancer 0.7 s after the longest time limit, and after 3.7 s where that is longer.
@@ -52,7 +58,7 @@
     // The final answers come, and then each connection closes.
     let mut trace = sent.to_vec();
     trace.extend([read.answer(), once.answer(), read.answer(), once.answer()]);
-    trace.push(format!("{:?}", program.ended().code()));
+    trace.push(format!("{:?}", program.wait_for_exit().code()));
 
     // The phase begins 3.5 s after the signal; the bound has to be below the 9 s that the requests may
     // take.
@@ -73,8 +79,13 @@
 #[test]
 fn shutdown_answers_clients_not_yet_accepted() {
     let (hosts, known) = four_gated_hosts();
-    let mut program =
-        Program::start_by(BINARY, nowhere(), &known, [192, 32], &settings_with_long_time_limits());
+    let mut program = Program::start_with(
+        BINARY,
+        unreachable_address(),
+        &known,
+        [192, 32],
+        &settings_with_long_time_limits(),
+    );
 
     // As many clients as the limit allows, each owed an answer.
     let mut accepted: Vec<Client> = (0..8).map(|_| program.client()).collect();
@@ -97,7 +108,7 @@
     // Each gets a final answer; short of descriptors it may be a rejection, but never a bare close.
     answers.retain(|answer| answer != "v" && !answer.starts_with("-BUSY"));
     assert!(answers.is_empty(), "{answers:?}");
-    assert!(program.ended().success());
+    assert!(program.wait_for_exit().success());
 }
 
 /// A client sends more commands than are begun at a time and leaves: those in flight are abandoned,
@@ -192,7 +203,7 @@
     client.get("slow", "id", "c=once,d=1900");
     host.next();
 
-    let (old, new) = (nowhere(), Discovery::start());
+    let (old, new) = (unreachable_address(), Discovery::start());
     program
         .reload_with(&format!(r#""discovery":"{old}""#), &format!(r#""discovery":"{}""#, new.peer.address));
     program.signal("TERM");
@@ -204,7 +215,7 @@
 
     release.send(()).expect("it waits");
     assert_eq!([client.answer(), client.answer()], ["v", "closed"]);
-    assert!(program.ended().success());
+    assert!(program.wait_for_exit().success());
 }
 
 /// Requests that are in the socket when the signal is handled are read before their connection closes.
@@ -227,7 +238,7 @@
     program.signal("CONT");
 
     assert_eq!([kept.answer(), fresh.answer(), unaccepted.answer()], ["v", "v", "v"]);
-    assert!(program.ended().success());
+    assert!(program.wait_for_exit().success());
 }
 
 /// While a value waits for memory that another client holds, nothing is read of its connection.
@@ -283,7 +294,7 @@
 
     client.raw(&bytes);
     host.next();
-    client.depart();
+    client.disconnect();
 
     // The host's first concurrency limit admits six, and they are abandoned while in flight.
     let line = program.wait_for_counter("abandoned", 6);
--- a/balancer/tests/faults/copies.rs
+++ b/balancer/tests/faults/copies.rs
@@ -30,7 +30,7 @@
         entry("b", others[0].address, "active"),
         entry("c", others[1].address, "active"),
     ];
-    let program = Program::start(BINARY, nowhere(), &known, 1024);
+    let program = Program::start(BINARY, unreachable_address(), &known, 1024);
     let mut client = program.client();
     for nth in 0.. {
         assert_eq!(
--- a/balancer/tests/faults/keyed_windows.rs
+++ b/balancer/tests/faults/keyed_windows.rs
@@ -21,10 +21,16 @@
 /// One host reads the request and resets; the handshake with the other comes up after the window.
 #[test]
 fn keyed_retry_whose_connection_comes_after_its_window_is_not_sent() {
-    let a = Peer::host(|_| Reply::Last(String::new()));
+    let a = Peer::host(|_| Reply::ThenClose(String::new()));
     let b = StalledListener::start();
     let known = [entry("a", a.address, "active"), entry("b", b.address, "active")];
-    let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &settings_with_short_window());
+    let program = Program::start_with(
+        BINARY,
+        unreachable_address(),
+        &known,
+        [192, 1024],
+        &settings_with_short_window(),
+    );
     let mut client = program.client();
 
     client.get(HOME_A, "id", "c=put,d=9000,k=5c0f6e1a");
--- a/balancer/tests/faults/last_reply.rs
+++ b/balancer/tests/faults/last_reply.rs
@@ -33,7 +33,7 @@
 fn reply_to_reader_that_sends(meanwhile: &[u8], send_after: u64, read_after: u64) -> usize {
     let host = Peer::host(|_| hit(&"x".repeat(VALUE_BYTES)));
     let known = [entry("a", host.address, "active")];
-    let mut program = Program::start(BINARY, nowhere(), &known, 1024);
+    let mut program = Program::start(BINARY, unreachable_address(), &known, 1024);
     let mut reader = slow_reader(&program.address);
     let command = "*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk\r\n$2\r\nid\r\n$13\r\nc=read,d=1900\r\n";
     reader.write_all(command.as_bytes()).expect("it is taken");
@@ -48,7 +48,7 @@
     // A reset ends it early, and what came until then is what counts.
     let _ = reader.read_to_end(&mut reply);
     drop(reader);
-    assert!(program.ended().success());
+    assert!(program.wait_for_exit().success());
     reply.len()
 }
 
@@ -77,7 +77,7 @@
     const READ_FOR: Duration = Duration::from_secs(13);
     let host = Peer::host(|_| hit(&"x".repeat(LONG_VALUE_BYTES)));
     let known = [entry("a", host.address, "active")];
-    let program = Program::start(BINARY, nowhere(), &known, 1024);
+    let program = Program::start(BINARY, unreachable_address(), &known, 1024);
     let mut reader = slow_reader(&program.address);
     let command = "*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk\r\n$2\r\nid\r\n$13\r\nc=read,d=1900\r\n";
     reader.write_all(command.as_bytes()).expect("it is taken");
--- a/balancer/tests/faults/main.rs
+++ b/balancer/tests/faults/main.rs
@@ -47,7 +47,7 @@
         let faults = FaultControl::create(&folder.path().join("faults"), &library).expect("a file");
         inject(&faults);
         let environment = faults.environment();
-        let program = Program::starting_with(BINARY, discovery, known, [192, 1024], settings, &environment);
+        let program = Program::spawn_with_env(BINARY, discovery, known, [192, 1024], settings, &environment);
         FaultyProgram { program, faults, _folder: folder }
     }
 }
--- a/balancer/tests/faults/shortages.rs
+++ b/balancer/tests/faults/shortages.rs
@@ -46,7 +46,7 @@
         let hosts: Vec<Peer> = (0..3).map(|_| Peer::host(|_| hit("v"))).collect();
         let named = ["a", "b", "c"].iter().zip(&hosts);
         let known: Vec<String> = named.map(|(name, host)| entry(name, host.address, "active")).collect();
-        let faulty = FaultyProgram::start(nowhere(), &known, SETTINGS);
+        let faulty = FaultyProgram::start(unreachable_address(), &known, SETTINGS);
         let mut clients: Vec<Client> = (0..REQUESTS).map(|_| faulty.program.client()).collect();
         clients.iter_mut().for_each(|client| assert_eq!(client.command(&["PING"]), "+PONG"));
 
--- a/balancer/tests/faults/socket_calls.rs
+++ b/balancer/tests/faults/socket_calls.rs
@@ -13,7 +13,7 @@
 const OFTEN: u32 = 400;
 
 fn faulty_program(host: &Peer) -> FaultyProgram {
-    FaultyProgram::start(nowhere(), &[entry("a", host.address, "active")], SETTINGS)
+    FaultyProgram::start(unreachable_address(), &[entry("a", host.address, "active")], SETTINGS)
 }
 
 fn all_are_served(faulty: &FaultyProgram, what: &str) {
@@ -64,7 +64,7 @@
             assert_eq!(served.count(), 5, "errno {errno}, {}", if ends { "ending" } else { "serving" });
             if ends {
                 drop(clients);
-                assert!(faulty.program.ended().success());
+                assert!(faulty.program.wait_for_exit().success());
             }
         }
     }
@@ -87,5 +87,5 @@
     faulty.program.signal("TERM");
     thread::sleep(Duration::from_millis(300));
     faulty.faults.restore(Call::Receive).expect("a file");
-    assert!(faulty.program.ended().success());
+    assert!(faulty.program.wait_for_exit().success());
 }
--- a/balancer/tests/faults/starts.rs
+++ b/balancer/tests/faults/starts.rs
@@ -45,7 +45,7 @@
     for (call, errno) in
         [(Call::Open, libc::EMFILE), (Call::Socket, libc::ENFILE), (Call::Open, libc::ENFILE)]
     {
-        let faulty = FaultyProgram::starting(nowhere(), &known, SETTINGS, |faults| {
+        let faulty = FaultyProgram::starting(unreachable_address(), &known, SETTINGS, |faults| {
             faults.fail(call, errno, ALWAYS).expect("a file");
         });
         thread::sleep(Duration::from_millis(400));
--- a/balancer/tests/large_fleet/held_up.rs
+++ b/balancer/tests/large_fleet/held_up.rs
@@ -23,7 +23,7 @@
     let named = hosts.iter().enumerate();
     let known: Vec<String> =
         named.map(|(nth, host)| entry(&format!("h{nth}"), host.address, "active")).collect();
-    let program = Program::start(BINARY, nowhere(), &known, 256);
+    let program = Program::start(BINARY, unreachable_address(), &known, 256);
     let mut in_flight = program.client();
     in_flight.get("k", "in-flight", "c=once,d=400");
     program.wait_for_counter("attempts", 1);
--- a/balancer/tests/large_fleet/main.rs
+++ b/balancer/tests/large_fleet/main.rs
@@ -28,7 +28,7 @@
 }
 
 fn start(fleet: &Fleet, discovery: &Discovery) -> Program {
-    Program::start_by(BINARY, discovery.peer.address, &fleet.entries(), [192, 1024], &settings())
+    Program::start_with(BINARY, discovery.peer.address, &fleet.entries(), [192, 1024], &settings())
 }
 
 /// Each request comes to another host, so each needs a connection of its own. They are all served,
--- a/balancer/tests/long_values.rs
+++ b/balancer/tests/long_values.rs
@@ -117,7 +117,7 @@
         assert!(page.contains("tries 1") && page.contains("active 0"), "{page}");
         program.wait_for_counter("values_truncated", 1);
     }
-    assert!(other.quiet());
+    assert!(other.received_nothing());
 }
 
 #[test]
@@ -268,7 +268,7 @@
         client.raw(b"\r\n");
         let mut host = begun.recv().expect("it comes");
         if client_leaves {
-            client.depart();
+            client.disconnect();
         } else {
             assert_eq!(client.answer(), "-ERR dead-lettered");
         }
--- a/balancer/tests/mixed_fleet.rs
+++ b/balancer/tests/mixed_fleet.rs
@@ -34,7 +34,7 @@
         counted[0].fetch_add(1, Ordering::SeqCst);
         counted[1].fetch_add(u32::from(breaks), Ordering::SeqCst);
         if breaks {
-            Reply::Last(String::new())
+            Reply::ThenClose(String::new())
         } else {
             hit(name)
         }
@@ -46,8 +46,8 @@
 fn programs_with_old_and_new_settings_before_the_same_hosts_keep_the_rules() {
     let ((a, at_a), (b, at_b), discovery) = (host("from a"), host("from b"), Discovery::start());
     let known = [entry("a", a.address, "active"), entry("b", b.address, "active")];
-    let old = Program::start_by(BINARY, discovery.peer.address, &known, [192, 1024], SETTINGS);
-    let new = Program::starting(BINARY, discovery.peer.address, &known, [192, 1024], &new_shape());
+    let old = Program::start_with(BINARY, discovery.peer.address, &known, [192, 1024], SETTINGS);
+    let new = Program::spawn(BINARY, discovery.peer.address, &known, [192, 1024], &new_shape());
     let mut trace = vec![];
     for _ in 0..2 {
         let line = new.wait_for_log("allowed and not used");
--- a/balancer/tests/races.rs
+++ b/balancer/tests/races.rs
@@ -31,7 +31,8 @@
 fn leaves_during_a_handshake(departure: Departure) {
     let a = StalledListener::start();
     let known = [entry("a", a.address, "active")];
-    let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &patient_settings());
+    let program =
+        Program::start_with(BINARY, unreachable_address(), &known, [192, 1024], &patient_settings());
     let mut client = program.client();
     client.get("k", "id", "c=once,d=9000");
     program.wait_for_counter("attempts", 1);
@@ -43,8 +44,8 @@
     other.get("l", "id2", "c=once,d=9000");
 
     // The one that comes is the other's: its port is not that of the first.
-    let ports = [wrote.recv().expect("the other's"), wrote.try_recv().unwrap_or(nowhere())];
-    assert_eq!(ports[1], nowhere(), "nobody else wrote");
+    let ports = [wrote.recv().expect("the other's"), wrote.try_recv().unwrap_or(unreachable_address())];
+    assert_eq!(ports[1], unreachable_address(), "nobody else wrote");
     let line = program.wait_for_counter("attempts", 2);
     assert!(line.contains(" abandoned=1 ") && line.contains(" attempts_cancelled=1 "), "{line}");
 }
@@ -59,7 +60,8 @@
 fn leaves_during_the_wait_for_a_connection(departure: Departure) {
     let (release, a) = breaking_host();
     let known = [entry("a", a.address, "active")];
-    let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &patient_settings());
+    let program =
+        Program::start_with(BINARY, unreachable_address(), &known, [192, 1024], &patient_settings());
     let (mut slow, mut trace) = one_attempt_in_flight(&program, &a);
     let mut client = program.client();
     client.get("k", "id2", "c=read,d=9000");
@@ -90,7 +92,8 @@
 fn attempt_that_waited_for_its_connection_states_the_time_left() {
     let (release, a) = breaking_host();
     let known = [entry("a", a.address, "active")];
-    let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &patient_settings());
+    let program =
+        Program::start_with(BINARY, unreachable_address(), &known, [192, 1024], &patient_settings());
     let (_slow, _) = one_attempt_in_flight(&program, &a);
     let mut waits = program.client();
     // The time stands first: stand-ins hide it anywhere else.
@@ -126,7 +129,7 @@
         let (other, origin) = (Peer::host(|_| hit("v")), Peer::http(|_| http_answer(200, "fetched")));
         let at = [("a", &host), ("b", &other), ("origin", &origin)];
         let known: Vec<String> = at.iter().map(|(name, peer)| entry(name, peer.address, "active")).collect();
-        let program = Program::start(BINARY, nowhere(), &known, 1024);
+        let program = Program::start(BINARY, unreachable_address(), &known, 1024);
         let mut client = program.client();
         client.get(SLOW_AT_A, "id", "c=read,d=1900");
         host.next();
@@ -136,7 +139,10 @@
         release.send(()).expect("it waits");
 
         let line = program.wait_for_counter(ended, 1);
-        assert!(line.contains(" attempts=1 ") && other.quiet() && origin.quiet(), "{ended}: {line}");
+        assert!(
+            line.contains(" attempts=1 ") && other.received_nothing() && origin.received_nothing(),
+            "{ended}: {line}"
+        );
     }
 }
 
@@ -146,7 +152,8 @@
 fn request_whose_deadline_passed_during_a_process_stall_is_not_begun() {
     let a = StalledListener::start();
     let known = [entry("a", a.address, "active")];
-    let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &patient_settings());
+    let program =
+        Program::start_with(BINARY, unreachable_address(), &known, [192, 1024], &patient_settings());
     let mut client = program.client();
     let began = Instant::now();
     client.get("k", "id", "c=once,d=1500");
@@ -169,7 +176,8 @@
 fn connection_that_comes_free_after_the_deadline_carries_nothing() {
     let (release, a) = breaking_host();
     let known = [entry("a", a.address, "active")];
-    let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &patient_settings());
+    let program =
+        Program::start_with(BINARY, unreachable_address(), &known, [192, 1024], &patient_settings());
     let (mut slow, trace) = one_attempt_in_flight(&program, &a);
     assert_eq!(trace[2], "-BUSY 2000");
     let mut late = program.client();
@@ -187,7 +195,7 @@
     let line = program.wait_for_counter("failed", 1);
     assert!(line.contains(" attempts_timed_out=0 "), "nothing was written: {line}");
     // What else is seen there is the end of a connection, if one was opened.
-    assert_ne!(a.seen(), Some("CACHE.GET k id2 c=once,d=..".to_owned()));
+    assert_ne!(a.try_next(), Some("CACHE.GET k id2 c=once,d=..".to_owned()));
 }
 
 /// Clients and hosts hold every descriptor there is for connections when discovery is reachable
@@ -200,9 +208,9 @@
     let discovery = Peer::http(move |request| match there.load(Ordering::Relaxed) {
         true if request.contains("from=2") => Reply::Nothing,
         true => http_answer(200, r#"{"generation":2,"reset":false,"instances":[]}"#),
-        false => Reply::Last(String::new()),
+        false => Reply::ThenClose(String::new()),
     });
-    let program = Program::start_by(BINARY, discovery.address, &known, [192, 32], &patient_settings());
+    let program = Program::start_with(BINARY, discovery.address, &known, [192, 32], &patient_settings());
     let mut clients: Vec<Client> = (0..8).map(|_| program.client()).collect();
     let mut sent = 0;
     for client in &mut clients {
@@ -250,7 +258,7 @@
             }
         });
         let known = [entry("a", a.address, "active")];
-        let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], SETTINGS);
+        let program = Program::start_with(BINARY, unreachable_address(), &known, [192, 1024], SETTINGS);
         let (mut client, mut other) = (program.client(), program.client());
         let facts = format!("c={category},d=1900");
         let request = |client: &mut Client, key: &str| {
@@ -283,7 +291,7 @@
             thread::spawn(move || answer_twice(stream));
         })
     });
-    let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], SETTINGS);
+    let program = Program::start_with(BINARY, unreachable_address(), &known, [192, 1024], SETTINGS);
     let mut client = program.client();
 
     for category in ["read", "once"] {
--- a/balancer/tests/regions/fleet.rs
+++ b/balancer/tests/regions/fleet.rs
@@ -29,7 +29,7 @@
 
 /// The configuration of a program with an admin interface.
 pub fn config(discovery: SocketAddr, known: &[String], settings: &str) -> String {
-    let text = managed(known, [192, 1024]).replace("127.0.0.1:1\"", &format!("{discovery}\""));
+    let text = managed_config(known, [192, 1024]).replace("127.0.0.1:1\"", &format!("{discovery}\""));
     text.replace(SETTINGS, settings)
 }
 
@@ -38,7 +38,7 @@
 }
 
 pub fn start_with_map(map: &str, discovery: SocketAddr, known: &[String], settings: &str) -> Program {
-    let mut program = Program::in_regions(BINARY, &config(discovery, known, settings), map);
+    let mut program = Program::with_regions(BINARY, &config(discovery, known, settings), map);
     program.wait_for_admin();
     program.serving()
 }
--- a/balancer/tests/regions/hosts.rs
+++ b/balancer/tests/regions/hosts.rs
@@ -107,7 +107,7 @@
     let line = program.wait_for_counter("attempts_not_sent", 2);
     assert!(line.contains(" attempts_not_sent=2 ") && line.contains(" regions_hosts_out=1 "), "{line}");
     trace.push(answering_hosts(&program, &["from b"]));
-    assert!(a.quiet(), "nothing was sent after it was moved out");
+    assert!(a.received_nothing(), "nothing was sent after it was moved out");
     expect![[r#"
         CACHE.GET break id0 c=read,d=..
         closed
@@ -230,7 +230,7 @@
         zoned_entry("s", "s1", south.address, "active"),
     ];
     let (address, accepted) = (south.address, south.opened("s"));
-    let program = start(nowhere(), &known, SETTINGS);
+    let program = start(unreachable_address(), &known, SETTINGS);
     let mut trace = vec![answering_hosts(&program, &["a"])];
     *hangs.0.lock().expect("a lock") = true;
     let began = Instant::now();
--- a/balancer/tests/regions/maps.rs
+++ b/balancer/tests/regions/maps.rs
@@ -9,17 +9,17 @@
 
 #[test]
 fn invalid_region_map_ends_the_start_with_one_line() {
-    let text = managed(&[], [192, 1024]);
+    let text = managed_config(&[], [192, 1024]);
     let mut lines = Vec::new();
     let mut refused = |mut program: Program| {
-        let code = program.ended().code();
+        let code = program.wait_for_exit().code();
         let log: Vec<String> = program.remaining_log().iter().map(|line| refusal(line)).collect();
         lines.push(format!("{code:?} {}", log.join(" / ")));
     };
     for map in
         [MAP.replace("\"s1\"", "\"n2\""), MAP.replace("own = \"north\"", "own = \"west\""), "{".to_owned()]
     {
-        refused(Program::in_regions(BINARY, &text, &map));
+        refused(Program::with_regions(BINARY, &text, &map));
     }
     let folder = tempfile::tempdir().expect("a folder");
     std::fs::create_dir(folder.path().join("deploy")).expect("a folder");
@@ -39,7 +39,7 @@
 fn region_map_at_the_default_path_is_read_from_the_working_directory() {
     let (a, b) = (host_named("a"), host_named("b"));
     let known = [zoned_entry("a", "n1", a.address, "active"), zoned_entry("b", "s1", b.address, "active")];
-    let text = config(nowhere(), &known, SETTINGS);
+    let text = config(unreachable_address(), &known, SETTINGS);
     let folder = tempfile::tempdir().expect("a folder");
     let serve = |folder: &Path, awaited: &[&str]| {
         let program = Program::with_config_in(BINARY, &text, folder).serving();
@@ -75,16 +75,16 @@
         trace.push(answering_hosts(program, awaited));
     }
     // The metric of a host that nobody uses shows when this list has been applied.
-    let drained = [list("leaving"), vec![zoned_entry("x", "x1", nowhere(), "active")]].concat();
+    let drained = [list("leaving"), vec![zoned_entry("x", "x1", unreachable_address(), "active")]].concat();
     discovery.publish(&drained);
     for program in &programs {
         program.metrics("edge_proxy_regions_hosts_unnamed 1");
     }
-    while b.seen().is_some() {}
+    while b.try_next().is_some() {}
     trace.extend(
         programs.iter().zip(["a", "a", "c"]).map(|(program, awaited)| answering_hosts(program, &[awaited])),
     );
-    let later: Vec<String> = std::iter::from_fn(|| b.seen()).filter(|seen| seen != "closed").collect();
+    let later: Vec<String> = std::iter::from_fn(|| b.try_next()).filter(|seen| seen != "closed").collect();
     assert!(later.is_empty(), "{later:?} came after its drain");
     expect![[r#"
         regions_map{version="6289afb4"} 1
@@ -104,9 +104,9 @@
 fn copies_of_one_map_for_different_regions_show_the_same_version() {
     let a = host_named("a");
     let known = [zoned_entry("a", "n1", a.address, "active"), zoned_entry("b", "s1", a.address, "active")];
-    let text = config(nowhere(), &known, SETTINGS);
+    let text = config(unreachable_address(), &known, SETTINGS);
     let versions = |map: &str| {
-        let mut program = Program::in_regions(BINARY, &text, map);
+        let mut program = Program::with_regions(BINARY, &text, map);
         let line = program.wait_for_log("regions: map");
         program.wait_for_admin();
         let program = program.serving();
--- a/balancer/tests/sockets/config.rs
+++ b/balancer/tests/sockets/config.rs
@@ -34,7 +34,7 @@
         &config_with(r#""groupSize":-3"#),
     ] {
         let mut program = Program::with_config(BINARY, text);
-        let code = program.ended().code();
+        let code = program.wait_for_exit().code();
         let log: Vec<String> =
             program.remaining_log().iter().map(|line| text_after(line, ".json: ")).collect();
         lines.push(format!("{code:?} {}", log.join(" / ")));
--- a/balancer/tests/sockets/discovery.rs
+++ b/balancer/tests/sockets/discovery.rs
@@ -60,7 +60,7 @@
     discovery.publish(&[entry("a", a.address, "leaving"), entry("b", b.address, "active")]);
     let known = [entry("a", a.address, "active"), entry("b", b.address, "active")];
     let settings = SETTINGS.replace(r#""groupSize":2"#, r#""groupSize":300"#);
-    let program = Program::start_by(BINARY, discovery.peer.address, &known, [192, 1024], &settings);
+    let program = Program::start_with(BINARY, discovery.peer.address, &known, [192, 1024], &settings);
 
     let began = Instant::now();
     program.wait_for_counter("endpoint_lists", 2);
@@ -69,7 +69,7 @@
 
     let mut client = program.client();
     assert_eq!(client.command(&["CACHE.GET", HOME_A, "id1", "c=read,d=600"]), "from b");
-    assert!(a.quiet(), "nothing goes to the host that leaves");
+    assert!(a.received_nothing(), "nothing goes to the host that leaves");
 }
 
 #[test]
@@ -109,10 +109,10 @@
             let mut calls = calls.lock().expect("a lock");
             *calls += 1;
             match *calls {
-                1 => Reply::Last(String::new()),
+                1 => Reply::ThenClose(String::new()),
                 2 => http_answer(503, ""),
                 // The body is truncated: the connection closes before its stated length.
-                3 => Reply::Last("HTTP/1.1 200 so\r\nContent-Length: 900\r\n\r\n{".to_owned()),
+                3 => Reply::ThenClose("HTTP/1.1 200 so\r\nContent-Length: 900\r\n\r\n{".to_owned()),
                 4 => http_answer(429, ""),
                 _ => http_answer(200, "{\"generation\":"),
             }
@@ -158,7 +158,7 @@
 
     program.reload_with(&old_address, "nonsense");
     trace.push(text_after(&program.wait_for_log("all stays as it is"), ".json: "));
-    assert!(old.peer.quiet(), "an invalid file ends no watch");
+    assert!(old.peer.received_nothing(), "an invalid file ends no watch");
 
     program.reload_with("nonsense", &new_address);
     // The whole list is requested, and then its changes.
--- a/balancer/tests/sockets/hosts.rs
+++ b/balancer/tests/sockets/hosts.rs
@@ -15,7 +15,7 @@
     client.get("slow", "id1", "c=read,d=1500");
     host.next();
 
-    client.depart();
+    client.disconnect();
     program.wait_for_counter("abandoned", 1);
 
     release.send(()).expect("it waits");
@@ -41,8 +41,8 @@
     let mut lines = Vec::new();
     type ReplyRule = fn(&str) -> Reply;
     let rules: [(&str, ReplyRule); 6] = [
-        ("closes", |_| Reply::Last(String::new())),
-        ("half an answer", |_| Reply::Last("*3\r\n$9\r\nhalf".to_owned())),
+        ("closes", |_| Reply::ThenClose(String::new())),
+        ("half an answer", |_| Reply::ThenClose("*3\r\n$9\r\nhalf".to_owned())),
         ("error", |_| Reply::Text("-ERR failed\r\n".to_owned())),
         ("busy", |_| Reply::Text("-BUSY\r\n".to_owned())),
         ("no answer", |_| Reply::Text("+OK\r\n".to_owned())),
@@ -57,13 +57,13 @@
             let mut client = program.client();
             client.get(HOME_A, "id", &format!("c={category},d=600"));
             assert!(a.next().contains("CACHE.GET"));
-            lines.push(format!("{name}, {category}: {}, retried {}", client.answer(), !b.quiet()));
+            lines.push(format!("{name}, {category}: {}, retried {}", client.answer(), !b.received_nothing()));
         }
     }
 
     let b = Peer::host(|_| hit("from b"));
-    let known = [entry("a", nowhere(), "active"), entry("b", b.address, "active")];
-    let refused = Program::start(BINARY, nowhere(), &known, 1024);
+    let known = [entry("a", unreachable_address(), "active"), entry("b", b.address, "active")];
+    let refused = Program::start(BINARY, unreachable_address(), &known, 1024);
     lines.push(format!(
         "refused, once: {}",
         refused.client().command(&["CACHE.GET", HOME_A, "id", "c=once,d=600"])
@@ -136,7 +136,7 @@
 #[test]
 fn idle_connection_closed_by_its_host_costs_no_request() {
     // It answers once on each connection and then closes it without notice.
-    let host = Peer::host(|_| Reply::Last("*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n".to_owned()));
+    let host = Peer::host(|_| Reply::ThenClose("*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n".to_owned()));
     let program = program(&[("a", &host)]);
     let mut client = program.client();
 
@@ -168,7 +168,7 @@
     let host = Peer::host(|_| hit("v"));
     let known = [entry("a", host.address, "active")];
     let settings = SETTINGS.replace(r#""keepaliveMs":15000.0"#, r#""keepaliveMs":900.0"#);
-    let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &settings);
+    let program = Program::start_with(BINARY, unreachable_address(), &known, [192, 1024], &settings);
 
     assert_eq!(program.client().command(&["CACHE.GET", "k", "id", "c=read,d=600"]), "v");
     assert_eq!([host.next(), host.next()], ["CACHE.GET k id c=read,d=..", "closed"]);
@@ -219,7 +219,7 @@
     std::thread::spawn(move || bad.incoming().flatten().for_each(drop));
     let good = Peer::host(|_| hit("v"));
     let known = [entry("a", address, "active"), entry("b", good.address, "active")];
-    let program = Program::start(BINARY, nowhere(), &known, 1024);
+    let program = Program::start(BINARY, unreachable_address(), &known, 1024);
 
     let mut client = program.client();
     for nth in 0..40 {
--- a/balancer/tests/sockets/limits.rs
+++ b/balancer/tests/sockets/limits.rs
@@ -13,7 +13,7 @@
 fn crowd_of_half_commands_is_shed_after_idle_clients() {
     let host = Peer::host(|_| hit("v"));
     let known = [entry("a", host.address, "active")];
-    let program = Program::start(BINARY, nowhere(), &known, 40);
+    let program = Program::start(BINARY, unreachable_address(), &known, 40);
 
     let mut idle = program.client();
     assert_eq!(idle.command(&["PING"]), "+PONG");
@@ -43,7 +43,7 @@
 fn descriptor_shortage_closes_the_longest_idle_client() {
     let host = Peer::host(|_| hit("v"));
     let known = [entry("a", host.address, "active")];
-    let program = Program::start(BINARY, nowhere(), &known, 40);
+    let program = Program::start(BINARY, unreachable_address(), &known, 40);
 
     // More than the limit; each is served all the same, and an idle one is closed for it.
     let mut clients: Vec<Client> = Vec::new();
@@ -78,7 +78,7 @@
 fn crowd_of_silent_clients_delays_no_other() {
     let host = Peer::host(|_| hit("v"));
     let known = [entry("a", host.address, "active")];
-    let program = Program::start(BINARY, nowhere(), &known, 40);
+    let program = Program::start(BINARY, unreachable_address(), &known, 40);
 
     let silent: Vec<Client> = (0..60).map(|_| program.client()).collect();
 
@@ -93,7 +93,7 @@
 fn clients_holding_all_memory_block_no_other() {
     let host = Peer::host(|_| hit("v"));
     let known = [entry("a", host.address, "active")];
-    let program = Program::start_by(BINARY, nowhere(), &known, [8, 256], SETTINGS);
+    let program = Program::start_with(BINARY, unreachable_address(), &known, [8, 256], SETTINGS);
 
     let value = "x".repeat(60_000);
     let holders: Vec<Client> = (0..50).map(|_| program.client()).collect();
@@ -124,7 +124,7 @@
     };
     let hosts: Vec<Peer> = (0..6).map(host).collect();
     let known = hosts.iter().enumerate().map(|(nth, host)| entry(&format!("h{nth}"), host.address, "active"));
-    let program = Program::start(BINARY, nowhere(), &known.collect::<Vec<_>>(), 48);
+    let program = Program::start(BINARY, unreachable_address(), &known.collect::<Vec<_>>(), 48);
 
     let mut clients: Vec<Client> = (0..REQUESTS).map(|_| program.client()).collect();
     for (nth, client) in clients.iter_mut().enumerate() {
--- a/balancer/tests/sockets/main.rs
+++ b/balancer/tests/sockets/main.rs
@@ -18,7 +18,7 @@
 /// The program with an initial endpoint list and a discovery that is never reachable.
 pub(crate) fn program(known: &[(&str, &Peer)]) -> Program {
     let known: Vec<String> = known.iter().map(|(name, peer)| entry(name, peer.address, "active")).collect();
-    Program::start(BINARY, nowhere(), &known, 1024)
+    Program::start(BINARY, unreachable_address(), &known, 1024)
 }
 
 /// The counters with these names from a line of all counters.
--- a/balancer/tests/sockets/origin.rs
+++ b/balancer/tests/sockets/origin.rs
@@ -30,7 +30,7 @@
     for answer in answers {
         let host = Peer::host(|_| miss());
         let text = answer.clone();
-        let origin = Peer::http(move |_| Reply::Last(text.clone()));
+        let origin = Peer::http(move |_| Reply::ThenClose(text.clone()));
         let program = program(&[("a", &host), ("origin", &origin)]);
         let got = program.client().command(&["CACHE.SET", "k", "id", "c=once,d=600", "v"]);
         lines.push(format!("{} | {got}", answer.replace("\r\n", " ")));
--- a/balancer/tests/sockets/shutdown.rs
+++ b/balancer/tests/sockets/shutdown.rs
@@ -27,7 +27,7 @@
     release.send(()).expect("it waits");
     trace.push(format!("slow: {}", slow.answer()));
     trace.push(format!("slow: {}", slow.answer()));
-    trace.push(format!("{:?}", program.ended().code()));
+    trace.push(format!("{:?}", program.wait_for_exit().code()));
 
     let log = program.remaining_log();
     let phases = log.iter().filter_map(|line| line.split_once("process] ")).map(|found| found.1);
@@ -55,7 +55,7 @@
 
 #[test]
 fn shutdown_does_not_wait_for_a_stalled_half_command() {
-    let mut program = Program::start_by(BINARY, nowhere(), &[], [192, 1024], SETTINGS);
+    let mut program = Program::start_with(BINARY, unreachable_address(), &[], [192, 1024], SETTINGS);
     let (mut half, mut slow) = (program.client(), program.client());
     assert_eq!(half.command(&["PING"]), "+PONG");
     half.raw(b"*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk");
@@ -69,7 +69,7 @@
     slow.raw(b"NG\r\n");
 
     assert_eq!([slow.answer(), half.answer()], ["+PONG", "closed"]);
-    assert_eq!(program.ended().code(), Some(0));
+    assert_eq!(program.wait_for_exit().code(), Some(0));
     // 0.6 s in which clients still come; the longest request would take 2 s more.
     assert!(began.elapsed() < Duration::from_millis(2_300), "after {:?}", began.elapsed());
 }
--- a/balancer/tests/stand_ins/mod.rs
+++ b/balancer/tests/stand_ins/mod.rs
@@ -51,7 +51,7 @@
     let (release, wait) = gate();
     let peer = Peer::host(move |request| {
         if request.contains("break") {
-            return Reply::Last(String::new());
+            return Reply::ThenClose(String::new());
         }
         wait(request);
         hit("from a")
--- a/balancer/tests/starts.rs
+++ b/balancer/tests/starts.rs
@@ -23,7 +23,7 @@
 
 /// The configuration of a program with an admin interface, with discovery at this address.
 fn config_with_discovery(known: &[String], discovery: SocketAddr) -> String {
-    let config = managed(known, [192, 64]);
+    let config = managed_config(known, [192, 64]);
     config.replace(r#""discovery":"127.0.0.1:1""#, &format!(r#""discovery":"{discovery}""#))
 }
 
@@ -64,7 +64,7 @@
     let discovery = Peer::http(move |request| match is_up.load(Ordering::Relaxed) {
         true if request.contains("from=2&") => Reply::Nothing,
         true => http_answer(200, &format!(r#"{{"generation":2,"reset":false,"instances":[{entries}]}}"#)),
-        false => Reply::Last(String::new()),
+        false => Reply::ThenClose(String::new()),
     });
     let known = [entry("a", a.address, "active"), entry("b", b.address, "active")];
     let program = serving(Program::with_config(BINARY, &config_with_discovery(&known, discovery.address)));
@@ -84,7 +84,7 @@
         let (key, id) = (format!("k{nth}"), format!("id{nth}"));
         assert_eq!(program.client().command(&["CACHE.GET", &key, &id, "c=read,d=1900"]), "from b");
     }
-    assert!(a.quiet(), "nothing goes to the host that leaves");
+    assert!(a.received_nothing(), "nothing goes to the host that leaves");
     stop.store(true, Ordering::Relaxed);
     crowds.into_iter().for_each(|crowd| crowd.join().expect("it stops"));
 }
--- a/balancer/tests/takeover.rs
+++ b/balancer/tests/takeover.rs
@@ -32,7 +32,7 @@
         let address = listener.local_addr().expect("an address").to_string();
         let known: Vec<String> =
             hosts.iter().map(|(name, peer)| entry(name, peer.address, "active")).collect();
-        let config = managed(&known, [192, 192])
+        let config = managed_config(&known, [192, 192])
             .replace(r#""listen":"127.0.0.1:0""#, &format!(r#""listen":"{address}""#));
         let folder = std::env::temp_dir().join(format!("basaltwood-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
@@ -92,7 +92,7 @@
                 "-BUSY 400" => {}
                 _ => unexpected.push(format!("{id}: {answer}")),
             }
-            if !keeps_connection || client.over() {
+            if !keeps_connection || client.is_closed() {
                 client = Client::at(&address);
             }
         }
@@ -114,7 +114,7 @@
         let both = old.descriptors() + new.descriptors();
         assert!(both <= 192, "{both} descriptors");
         old.signal("TERM");
-        assert_eq!(old.ended().code(), Some(0));
+        assert_eq!(old.wait_for_exit().code(), Some(0));
         new.wait_for_log("Alone");
         old = new;
     }
@@ -161,7 +161,7 @@
     let mut late = new.client();
     let mut trace = vec![late.command(&["PING"]), late.command(&["CACHE.GET", "k", "id2", "c=once,d=900"])];
     release.send(()).expect("it waits");
-    trace.extend([slow.answer(), slow.answer(), format!("{:?}", old.ended().code())]);
+    trace.extend([slow.answer(), slow.answer(), format!("{:?}", old.wait_for_exit().code())]);
     trace.push(late.command(&["CACHE.GET", "k", "id3", "c=once,d=900"]));
     assert_eq!(trace, ["+PONG", "v", "v", "closed", "Some(0)", "v"]);
 }
@@ -185,7 +185,7 @@
     for descriptor in ["5", "9", "five"] {
         let mut program =
             Program::inheriting_as(BINARY, &platform.config, &other, &platform.folder, descriptor);
-        let code = program.ended().code();
+        let code = program.wait_for_exit().code();
         let line = program.remaining_log().pop().expect("a line");
         let line = line.replace(&actual, "ACTUAL").replace(&configured, "CONFIGURED");
         let cause = line.split_once("PROXY_INHERITED_FD").expect("it names the variable").1;
--- a/tests/common/peers.rs
+++ b/tests/common/peers.rs
@@ -15,10 +15,10 @@
 pub enum Reply {
     Text(String),
     /// The last on this connection.
-    Last(String),
+    ThenClose(String),
     Nothing,
     /// Byte by byte, with so long between them.
-    Drips(String, Duration),
+    Trickle(String, Duration),
 }
 
 /// Something the balancer speaks with: it reports each request to the test and replies by a rule.
@@ -58,12 +58,12 @@
         self.seen.recv_timeout(TEST_TIMEOUT).expect("nothing came")
     }
 
-    pub fn quiet(&self) -> bool {
-        self.seen().is_none()
+    pub fn received_nothing(&self) -> bool {
+        self.try_next().is_none()
     }
 
     /// What has come by now, if anything has.
-    pub fn seen(&self) -> Option<String> {
+    pub fn try_next(&self) -> Option<String> {
         self.seen.try_recv().ok()
     }
 }
@@ -79,9 +79,9 @@
         before.clone_from(&request);
         let (text, last) = match rule(&request) {
             Reply::Text(text) => (text, false),
-            Reply::Last(text) => (text, true),
+            Reply::ThenClose(text) => (text, true),
             Reply::Nothing => continue,
-            Reply::Drips(text, pause) => {
+            Reply::Trickle(text, pause) => {
                 for byte in text.bytes() {
                     thread::sleep(pause);
                     if writing.write_all(&[byte]).is_err() {
@@ -172,7 +172,7 @@
 }
 
 /// Nothing listens there.
-pub fn nowhere() -> SocketAddr {
+pub fn unreachable_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
 
--- a/tests/common/program.rs
+++ b/tests/common/program.rs
@@ -42,7 +42,7 @@
 }
 
 /// The configuration of a program with an admin address.
-pub fn managed(known: &[String], [memory, sockets]: [u32; 2]) -> String {
+pub fn managed_config(known: &[String], [memory, sockets]: [u32; 2]) -> String {
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","mgmt":"127.0.0.1:0","seed":"1",
         "limits":{{"cores":1.0,"memory_mb":{memory},"sockets":{sockets}}},
@@ -74,33 +74,33 @@
 
     /// Starts it and waits until it serves.
     pub fn start(binary: &str, discovery: SocketAddr, known: &[String], sockets: u32) -> Program {
-        Program::start_by(binary, discovery, known, [192, sockets], SETTINGS)
+        Program::start_with(binary, discovery, known, [192, sockets], SETTINGS)
     }
 
     /// The same by other settings, with so many MB and descriptors.
-    pub fn start_by(
+    pub fn start_with(
         binary: &str,
         discovery: SocketAddr,
         known: &[String],
         limits: [u32; 2],
         settings: &str,
     ) -> Program {
-        Program::starting(binary, discovery, known, limits, settings).serving()
+        Program::spawn(binary, discovery, known, limits, settings).serving()
     }
 
     /// The same, with all of its log still to be read.
-    pub fn starting(
+    pub fn spawn(
         binary: &str,
         discovery: SocketAddr,
         known: &[String],
         limits: [u32; 2],
         settings: &str,
     ) -> Program {
-        Program::starting_with(binary, discovery, known, limits, settings, &[])
+        Program::spawn_with_env(binary, discovery, known, limits, settings, &[])
     }
 
     /// The same with more variables in its environment.
-    pub fn starting_with(
+    pub fn spawn_with_env(
         binary: &str,
         discovery: SocketAddr,
         known: &[String],
@@ -115,7 +115,7 @@
 
     /// With an address for operators beside the clients' one.
     pub fn managed(binary: &str, known: &[String], limits: [u32; 2]) -> Program {
-        let mut program = Program::with_config(binary, &managed(known, limits));
+        let mut program = Program::with_config(binary, &managed_config(known, limits));
         program.wait_for_admin();
         program.serving()
     }
@@ -160,7 +160,7 @@
     }
 
     /// The same with an operators' map of regions.
-    pub fn in_regions(binary: &str, text: &str, map: &str) -> Program {
+    pub fn with_regions(binary: &str, text: &str, map: &str) -> Program {
         let config_file = Program::write_config(text);
         let file = config_file.with_extension("toml");
         std::fs::write(&file, map).expect("a file");
@@ -283,7 +283,7 @@
         line.trim().trim_end_matches(" kB").parse::<u32>().expect("a number")
     }
 
-    pub fn ended(&mut self) -> ExitStatus {
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         self.child.wait().expect("it ends")
     }
 
@@ -320,12 +320,12 @@
 
     /// Leaves, at once: a plain drop would not end the connection while a program that another test
     /// is just starting holds a copy of the handle.
-    pub fn depart(self) {
+    pub fn disconnect(self) {
         self.writing.shutdown(Shutdown::Both).expect("a socket");
     }
 
     /// Whether the other side has ended the connection by now.
-    pub fn over(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         self.writing.set_nonblocking(true).expect("a socket");
         let over = matches!(self.writing.peek(&mut [0]), Ok(0));
         self.writing.set_nonblocking(false).expect("a socket");
