--- a/settings/src/policy_config.rs
+++ b/settings/src/policy_config.rs
@@ -117,7 +117,7 @@
     /// None where the tail has no objective of its own.
     fn tail_objective(&self) -> Option<TailObjective> {
         let weight = self.tail_objective_weight.filter(|&weight| weight > 0.0)?;
-        Some(TailObjective { weight, miss: self.tail_miss.unwrap_or(0.0) })
+        Some(TailObjective { weight, miss_share: self.tail_miss.unwrap_or(0.0) })
     }
 }
 
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -2,7 +2,7 @@
 //! decided before.
 
 use super::constants::*;
-use super::repeating::{judge_repeat, rejection_is_harmless, Repeat};
+use super::retry_safety::{judge_repeat, rejection_is_harmless, Repeat};
 use crate::dispatcher::Dispatcher;
 use crate::host_tracker::{HostStatus, Mailboxes};
 use crate::open_request::OpenRequest;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -5,7 +5,7 @@
 //!
 //! Each host has a tracker (`HostTracker`), and a dispatcher (`Dispatcher`) holds the requests: they share
 //! nothing but messages. `admission.rs` gates each attempt and final answer as it is decided,
-//! `sending.rs` each attempt once more before its first byte; `repeating.rs` is rule 2.
+//! `send_permit.rs` each attempt once more before its first byte; `retry_safety.rs` is rule 2.
 
 use crate::dispatcher::Dispatcher;
 use crate::host_tracker::{HostStatus, HostTracker, Mailboxes};
@@ -19,13 +19,13 @@
 mod fleet;
 mod host;
 pub(crate) mod hot_keys;
-mod repeating;
+mod retry_safety;
 mod selection;
-mod sending;
+mod send_permit;
 pub(crate) mod zones;
 
-pub use repeating::{judge_repeat, rejection_is_harmless, PossibleRun, Repeat};
-pub use sending::{SendPermit, SendRefusal};
+pub use retry_safety::{judge_repeat, rejection_is_harmless, PossibleRun, Repeat};
+pub use send_permit::{SendPermit, SendRefusal};
 
 /// One balancer's policy.
 pub struct Policy {
--- a/src/policy/sending.rs
+++ b/src/policy/send_permit.rs
@@ -1,7 +1,7 @@
 //! The door before the first byte of an attempt: what was decided earlier is asked once more, for
 //! the attempt may have waited for its connection since.
 
-use super::repeating::{judge_repeat, PossibleRun, Repeat};
+use super::retry_safety::{judge_repeat, PossibleRun, Repeat};
 use super::Policy;
 use crate::dispatcher::Dispatcher;
 use crate::open_request::{OpenRequest, SentAttempt};
--- a/src/types/config.rs
+++ b/src/types/config.rs
@@ -71,7 +71,7 @@
     /// Its weight in the result.
     pub weight: f64,
     /// The part of the requests that may miss without loss; nothing is left at five times as much.
-    pub miss: f64,
+    pub miss_share: f64,
 }
 
 /// How a host warms up after its start, and what overloads it meanwhile.
