--- a/balancer/src/upstream/checkout.rs
+++ b/balancer/src/upstream/checkout.rs
@@ -79,25 +79,26 @@
     }
 }
 
-/// An attempt's turn to open a connection, where many wait for one. Dropped unused it is given back.
-struct ConnectTurn<'a> {
+/// An attempt's reservation to open a connection, where many wait for one. Dropped unused it is
+/// given back.
+struct ConnectReservation<'a> {
     upstreams: &'a Upstreams,
     due_at: Micros,
     is_used: bool,
 }
 
-impl<'a> ConnectTurn<'a> {
-    /// The next turn, if it is due in time.
-    fn take(upstreams: &'a Upstreams, latest_start: Micros) -> Option<ConnectTurn<'a>> {
-        let due_at = upstreams.pools.borrow_mut().take_turn(upstreams.clock.now(), latest_start)?;
-        Some(ConnectTurn { upstreams, due_at, is_used: false })
+impl<'a> ConnectReservation<'a> {
+    /// The next reservation, if it is due in time.
+    fn take(upstreams: &'a Upstreams, latest_start: Micros) -> Option<ConnectReservation<'a>> {
+        let due_at = upstreams.pools.borrow_mut().reserve_connect(upstreams.clock.now(), latest_start)?;
+        Some(ConnectReservation { upstreams, due_at, is_used: false })
     }
 }
 
-impl Drop for ConnectTurn<'_> {
+impl Drop for ConnectReservation<'_> {
     fn drop(&mut self) {
         if !self.is_used {
-            self.upstreams.pools.borrow_mut().give_turn_back();
+            self.upstreams.pools.borrow_mut().cancel_reservation();
         }
     }
 }
@@ -117,26 +118,26 @@
         deadline: Instant,
     ) -> Result<CheckedOut<'_>, AttemptOutcome> {
         let mut waited = false;
-        let mut turn: Option<ConnectTurn> = None;
+        let mut reservation: Option<ConnectReservation> = None;
         let latest_start = self.clock.now() + self.time_until(deadline) / 2;
         loop {
             let now = self.clock.now();
-            let has_turn = turn.as_ref().is_some_and(|turn| turn.due_at <= now);
-            let checkout = self.pools.borrow_mut().checkout_in_turn(now, host, has_turn);
+            let has_reservation = reservation.as_ref().is_some_and(|reservation| reservation.due_at <= now);
+            let checkout = self.pools.borrow_mut().checkout_with_reservation(now, host, has_reservation);
             self.perform_pool_actions();
             match checkout {
                 Checkout::Reuse(id) => {
                     if let Some(mut checked_out) = self.reuse(host, id) {
                         checked_out.waited = waited;
-                        if turn.is_some() {
+                        if reservation.is_some() {
                             self.record_event(UpstreamEvent::AttemptProceeds(attempt));
                         }
                         return Ok(checked_out);
                     }
                 }
                 Checkout::Open(id) => {
-                    if let Some(turn) = &mut turn {
-                        turn.is_used = has_turn;
+                    if let Some(reservation) = &mut reservation {
+                        reservation.is_used = has_reservation;
                         self.record_event(UpstreamEvent::AttemptProceeds(attempt));
                     }
                     self.record_event(UpstreamEvent::NewConnection(attempt));
@@ -147,11 +148,11 @@
                     self.wait_for_connection(host, at, deadline).await?;
                 }
                 Checkout::Throttled(_) => {
-                    if turn.is_none() {
-                        turn = ConnectTurn::take(self, latest_start);
+                    if reservation.is_none() {
+                        reservation = ConnectReservation::take(self, latest_start);
                         self.record_event(UpstreamEvent::AttemptWaits(attempt));
                     }
-                    let due_at = turn.as_ref().map(|turn| turn.due_at);
+                    let due_at = reservation.as_ref().map(|reservation| reservation.due_at);
                     let due_at = due_at.ok_or(AttemptOutcome::ConnectsAtLimit)?;
                     waited = true;
                     self.wait_for_connection(host, due_at, deadline).await?;
--- a/balancer/src/upstream/exchange.rs
+++ b/balancer/src/upstream/exchange.rs
@@ -239,9 +239,9 @@
         if more_follows {
             upstreams.suspect_duplicates(self.target.host);
         }
-        // Of a host that answers twice, a copy may come after the look before the write, and be taken
-        // for the response to the next request. While it is suspected its connections carry one
-        // request each; on one that had carried another before, the same value is not served.
+        // Of a host that answers twice, a copy may come after the look before the write, and be
+        // taken for the response to the next request. While it is suspected its connections carry
+        // one request each; on one that had carried another before, the same value is not served.
         let duplicates_suspected = upstreams.suspects_duplicates(self.target.host);
         let last = connection.last_response.take();
         let last = last.filter(|_| duplicates_suspected && result.value.is_some());
--- a/balancer/src/upstream/mod.rs
+++ b/balancer/src/upstream/mod.rs
@@ -203,8 +203,8 @@
         self.perform_pool_actions();
     }
 
-    /// One attempt of a request at a host, by the protocol that the host speaks. The router is asked
-    /// for the permission before its first byte.
+    /// One attempt of a request at a host, by the protocol that the host speaks. The router is
+    /// asked for the permission before its first byte.
     pub async fn attempt(
         self: &Rc<Upstreams>,
         router: &RefCell<Router>,
@@ -265,7 +265,7 @@
     /// A host sent more than it was asked for: its idle connections may bring another copy.
     fn suspect_duplicates(&self, host: HostId) {
         log::debug!(host = host.0; "host sent more than it was asked for");
-        self.doubt_responses(host, DuplicateDetector::unexpected_bytes);
+        self.record_duplicate_sign(host, DuplicateDetector::unexpected_bytes);
     }
 
     /// Whether connections to this host are to carry one request each.
@@ -275,15 +275,15 @@
 
     /// A response of this host was like the one before it on its connection.
     fn note_repeated_response(&self, host: HostId) {
-        self.doubt_responses(host, DuplicateDetector::repeated_response);
+        self.record_duplicate_sign(host, DuplicateDetector::repeated_response);
     }
 
     /// There is a sign that a host answers twice: none of its idle connections is used again.
-    fn doubt_responses(&self, host: HostId, note_sign: impl FnOnce(&DuplicateDetector)) {
+    fn record_duplicate_sign(&self, host: HostId, note_sign: impl FnOnce(&DuplicateDetector)) {
         if let Some(entry) = self.hosts.borrow().get(&host) {
             note_sign(&entry.duplicates);
         }
-        self.pools.borrow_mut().responses_doubtful(host);
+        self.pools.borrow_mut().duplicates_suspected(host);
         self.perform_pool_actions();
     }
 
--- a/balancer/src/upstream/send_audit.rs
+++ b/balancer/src/upstream/send_audit.rs
@@ -1,5 +1,5 @@
-//! Looks at each attempt again once it is written, by another account than the one that admitted it:
-//! what was written of the request before, when its client left, since when its host drains. A
+//! Looks at each attempt again once it is written, by another account than the one that admitted
+//! it: what was written of the request before, when its client left, since when its host drains. A
 //! promise that is seen broken here is counted; nothing is ended by it.
 
 use std::time::Duration;
--- a/balancer/tests/faults/last_reply.rs
+++ b/balancer/tests/faults/last_reply.rs
@@ -14,8 +14,8 @@
 const VALUE_BYTES: usize = 60_000;
 /// So little the reader's system holds for it.
 const WINDOW_BYTES: usize = 4_096;
-/// When the reader sends something, and when it begins to read, after SIGTERM: while clients are still
-/// accepted, and after that, when nothing but this connection is left.
+/// When the reader sends something, and when it begins to read, after SIGTERM: while clients are
+/// still accepted, and after that, when nothing but this connection is left.
 const SEND_AND_READ_AFTER: [(u64, u64); 2] = [(325, 650), (850, 1_200)];
 
 fn slow_reader(address: &str) -> TcpStream {
@@ -67,8 +67,8 @@
     }
 }
 
-/// A reader takes a long value slowly and all the time. The system's own buffer is so large that nothing
-/// can be written for longer than a client may take nothing; it is not cut off.
+/// A reader takes a long value slowly and all the time. The system's own buffer is so large that
+/// nothing can be written for longer than a client may take nothing; it is not cut off.
 #[test]
 fn slow_reader_that_goes_on_taking_bytes_is_not_cut_off() {
     const LONG_VALUE_BYTES: usize = 4_000_000;
--- a/balancer/tests/faults/starts.rs
+++ b/balancer/tests/faults/starts.rs
@@ -11,7 +11,8 @@
 use crate::common::*;
 use crate::{FaultyProgram, BINARY};
 
-/// SIGHUP while the configuration is being read: it counts once the process serves, and ends nothing.
+/// SIGHUP while the configuration is being read: it counts once the process serves, and ends
+/// nothing.
 #[test]
 fn reload_signal_during_the_start_is_taken_up_after_it() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -37,7 +38,8 @@
     assert_eq!(program.client().command(&["CACHE.GET", "k", "id", "c=read,d=1900"]), "v");
 }
 
-/// No file and no socket can be had for a moment as the process starts: it waits for them, and serves.
+/// No file and no socket can be had for a moment as the process starts: it waits for them, and
+/// serves.
 #[test]
 fn start_without_descriptors_for_a_moment_is_no_refusal() {
     let host = Peer::host(|_| hit("v"));
--- a/balancer/tests/faults/wall_clock.rs
+++ b/balancer/tests/faults/wall_clock.rs
@@ -1,5 +1,5 @@
-//! Rule 4 by the process's own time: the wall clock may be stepped, and a host that has just started
-//! is warming up all the same.
+//! Rule 4 by the process's own time: the wall clock may be stepped, and a host that has just
+//! started is warming up all the same.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -16,8 +16,8 @@
 /// What one of four hosts gets of so many reads while it is warm, less its deviation.
 const WARM_PART: usize = READS / 8;
 
-/// How many reads go to a host in the moments after its start is listed, with the wall clock stepped
-/// by so much while the balancer runs.
+/// How many reads go to a host in the moments after its start is listed, with the wall clock
+/// stepped by so much while the balancer runs.
 fn reads_at_restarted_host(step_ms: i64) -> usize {
     let discovery = Discovery::start();
     let reads: Vec<Arc<AtomicUsize>> = (0..4).map(|_| Arc::default()).collect();
--- a/balancer/tests/races.rs
+++ b/balancer/tests/races.rs
@@ -272,8 +272,8 @@
     }
 }
 
-/// A host that goes on answering each request of a connection once more when the next one comes: after
-/// the first sign every request has a connection of its own, and gets what was made for it.
+/// A host that goes on answering each request of a connection once more when the next one comes:
+/// after the first sign every request has a connection of its own, and gets what was made for it.
 #[test]
 fn requests_to_a_host_that_answers_twice_are_served_by_their_own_responses() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -296,8 +296,8 @@
     }
 }
 
-/// Responds with the key; on a connection that carries another request the response before comes once
-/// more ahead of its own. The first response of all comes twice at once.
+/// Responds with the key; on a connection that carries another request the response before comes
+/// once more ahead of its own. The first response of all comes twice at once.
 fn answer_twice(stream: TcpStream) {
     static IS_FIRST: AtomicBool = AtomicBool::new(true);
     let mut writing = stream.try_clone().expect("a second handle");
--- a/connection_pool/src/circuit_breaker.rs
+++ b/connection_pool/src/circuit_breaker.rs
@@ -1,29 +1,29 @@
-//! When a host that lets no connection come up is tried again.
+//! Circuit breaker: when to try a host again whose connects keep failing.
 
 use basaltwood::types::Micros;
 
-/// Failures with no sign of life between them that open the circuit: one alone may be chance.
+/// Consecutive failed connects that open the circuit; a single failure may be chance.
 const FAILURES_TO_OPEN: u32 = 2;
-/// The first pause; each further failure doubles it.
-const FIRST_PAUSE: Micros = 50_000;
-/// No pause is longer, so that a host that returns is found soon.
-const LONGEST_PAUSE: Micros = 2_000_000;
-/// Doublings past which the pause is at its longest in any case; keeps the shift in range.
+/// The first backoff; each further failure doubles it.
+const FIRST_BACKOFF: Micros = 50_000;
+/// Upper bound of the backoff, so that a host that returns is found soon.
+const MAX_BACKOFF: Micros = 2_000_000;
+/// Bounds the shift; the backoff reaches [`MAX_BACKOFF`] with fewer doublings.
 const MAX_DOUBLINGS: u32 = 16;
 
 /// Whether a connection may be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CircuitState {
-    /// It may.
+    /// Connections may be opened.
     Closed,
-    /// It may not before the pause is over.
+    /// No connection may be opened before the backoff is over.
     Open,
-    /// The pause is over, and one connection is being opened to see how the host is.
+    /// The backoff is over, and one connection is being opened as a probe.
     Probing,
 }
 
-/// Keeps a host that let no connection come up from being tried before a pause is over. Pauses
-/// double, and each is drawn from its upper half.
+/// Blocks connects to a host whose connects failed until a backoff is over. Backoffs double, and
+/// each is drawn at random from its upper half.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CircuitBreaker {
     failures: u32,
@@ -50,20 +50,20 @@
         self.probing = self.failures >= FAILURES_TO_OPEN;
     }
 
-    /// The host gave a sign of life: a connection came up, or a response came.
+    /// The host is reachable: a connection was established, or a response came.
     pub fn reset(&mut self) {
         *self = CircuitBreaker::default();
     }
 
-    /// An attempt to connect ended without telling anything of the host.
+    /// A connect ended without evidence about the host.
     pub fn connect_abandoned(&mut self) {
         self.probing = false;
     }
 
-    /// A connection did not come up; `draw` is a random number that jitters the pause.
+    /// A connect failed; `draw` is a random number that jitters the backoff.
     pub fn connect_failed(&mut self, now: Micros, draw: u64) {
         self.probing = false;
-        // Attempts that were under way together are evidence of one failure.
+        // Connects that were under way together count as one failure.
         if now < self.open_until {
             return;
         }
@@ -72,8 +72,8 @@
             return;
         }
         let doublings = (self.failures - FAILURES_TO_OPEN).min(MAX_DOUBLINGS);
-        let pause = (FIRST_PAUSE << doublings).min(LONGEST_PAUSE);
-        let half = pause / 2;
+        let backoff = (FIRST_BACKOFF << doublings).min(MAX_BACKOFF);
+        let half = backoff / 2;
         self.open_until = now + half + (draw % half as u64) as Micros;
     }
 }
--- a/connection_pool/src/connection.rs
+++ b/connection_pool/src/connection.rs
@@ -1,21 +1,21 @@
-//! One connection, as the pool sees it.
+//! The pool's state of one connection.
 
 use basaltwood::types::Micros;
 
-/// Where a connection stands.
+/// The state of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// It is not up yet.
+    /// Being opened.
     Connecting,
-    /// Up, and its first request is under way: that one takes longer.
+    /// Established, with the first request under way, which takes longer than later ones.
     Warming,
-    /// Up, and carries nothing.
+    /// Established, without a request.
     Idle,
     /// Carries a request.
     Active,
-    /// Its attempt has timed out; the connection is read on for a late response.
+    /// The attempt has timed out, and the connection is still read for a late response.
     AwaitingLateResponse,
-    /// The pool does not know it, or no more.
+    /// Not or no longer in a pool.
     Closed,
 }
 
@@ -23,18 +23,18 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Connection {
     pub state: ConnectionState,
-    /// Since when it is idle, or awaits a late response.
+    /// Start of the present idle time or of the wait for a late response.
     pub idle_since: Micros,
     /// When the request under way was sent.
     pub sent_at: Option<Micros>,
-    /// How long it was idle before that request; none where it is new.
+    /// How long the connection was idle before that request; `None` if it is new.
     pub idle_before_use: Option<Micros>,
-    /// The request under way was already reported as in doubt.
+    /// Whether the request under way was already reported as in doubt.
     pub in_doubt: bool,
 }
 
 impl Connection {
-    /// A connection that is being opened.
+    /// Creates a connection that is being opened.
     pub fn connecting(now: Micros) -> Connection {
         Connection {
             state: ConnectionState::Connecting,
@@ -45,31 +45,31 @@
         }
     }
 
-    /// An attempt has it.
+    /// Whether an attempt uses the connection.
     pub fn in_use(&self) -> bool {
         use ConnectionState::{Active, Connecting, Warming};
         matches!(self.state, Connecting | Warming | Active)
     }
 
-    /// How long it has been idle, or has awaited a late response.
+    /// How long the connection has been idle or has awaited a late response.
     pub fn idle_for(&self, now: Micros) -> Micros {
         now - self.idle_since
     }
 
-    /// The last byte of a request was written.
+    /// Records that the last byte of a request was written.
     pub fn request_sent(&mut self, now: Micros) {
         self.sent_at = Some(now);
         self.in_doubt = false;
     }
 
-    /// It is free for another request.
+    /// Records that the connection is free for another request.
     pub fn became_idle(&mut self, now: Micros) {
         self.state = ConnectionState::Idle;
         self.idle_since = now;
         self.clear_request();
     }
 
-    /// Nothing that happens from now on tells how its request fared.
+    /// Forgets the request: later events on the connection are no evidence about it.
     pub fn clear_request(&mut self) {
         self.sent_at = None;
         self.idle_before_use = None;
--- a/connection_pool/src/fault_outbreak.rs
+++ b/connection_pool/src/correlated_faults.rs
@@ -1,11 +1,11 @@
-//! Connections of several hosts that fail at about one time: a device between (a NAT, a firewall)
-//! lost its state.
+//! Detects connections of several hosts that fail at about the same time, as when a device on the
+//! path (a NAT, a firewall) loses its state.
 
 use basaltwood::types::{HostId, Micros};
 
-/// Connections of so many hosts that turn out dead,
-const HOSTS: usize = 3;
-/// within this time, and with none between that is good, are an outbreak.
+/// Number of hosts whose connections must fail within [`WINDOW`] for the faults to be correlated.
+const HOSTS_TO_CORRELATE: usize = 3;
+/// Faults are correlated if they are this close together, with no successful reuse between them.
 const WINDOW: Micros = 500_000;
 
 #[derive(Clone, Copy, Debug)]
@@ -14,27 +14,27 @@
     host: HostId,
 }
 
-/// Finds outbreaks from the faults of single connections.
+/// Finds correlated faults among the faults of single connections.
 #[derive(Debug, Default)]
-pub struct FaultOutbreak {
+pub struct CorrelatedFaults {
     /// The last fault of each host within the window, in the order of their times.
     recent: Vec<HostFault>,
 }
 
-impl FaultOutbreak {
-    /// A connection of this host failed, the host not at fault. In an outbreak: its start; no
-    /// connection that was idle then is good.
+impl CorrelatedFaults {
+    /// Records that a connection failed through no fault of its host. If faults are correlated,
+    /// returns the time of the first: connections that were idle then are presumed dead.
     pub fn record(&mut self, now: Micros, host: HostId) -> Option<Micros> {
         self.recent.retain(|fault| now - fault.at < WINDOW && fault.host != host);
         self.recent.push(HostFault { at: now, host });
-        if self.recent.len() < HOSTS {
+        if self.recent.len() < HOSTS_TO_CORRELATE {
             return None;
         }
         self.recent.iter().map(|fault| fault.at).min()
     }
 
-    /// A connection that had been idle was used, and is good. One that was idle before the first
-    /// fault and used after it shows that there is no outbreak.
+    /// Records that an idle connection was reused successfully. If it was idle at the first fault
+    /// and used after it, the faults were not correlated.
     pub fn reuse_succeeded(&mut self, sent_at: Micros, idle_for: Micros) {
         let idle_since = sent_at - idle_for;
         if self.recent.first().is_some_and(|first| idle_since < first.at && first.at < sent_at) {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The host is gone.
+    /// Forgets the faults of a host that is no longer listed.
     pub fn forget_host(&mut self, host: HostId) {
         self.recent.retain(|fault| fault.host != host);
     }
--- a/connection_pool/src/lib.rs
+++ b/connection_pool/src/lib.rs
@@ -1,27 +1,28 @@
-//! Which connection to a host carries an attempt, when another is opened, how many are kept, and
-//! when one is dead or its attempt in doubt. Pure: time comes in with every call, randomness from a
-//! seed; the sockets are the caller's, who reports how each step ended.
+//! Decides which connection to a host carries an attempt, when another is opened, how many are
+//! kept, and when a connection is dead or its attempt in doubt. Does no I/O: the time is passed in
+//! with every call, randomness comes from a seed, and the caller owns the sockets and reports how
+//! each step ended.
 //!
-//! For an attempt: [`ConnectionPools::checkout`]; then [`ConnectionPools::connected`] or
-//! [`ConnectionPools::connect_failed`] where that was [`Checkout::Open`];
-//! [`ConnectionPools::request_sent`] once its last byte is written; and at its end one of
+//! The calls for an attempt: [`ConnectionPools::checkout`]; after [`Checkout::Open`] either
+//! [`ConnectionPools::connected`] or [`ConnectionPools::connect_failed`];
+//! [`ConnectionPools::request_sent`] once the request's last byte is written; and at the end one of
 //! [`ConnectionPools::answered`], [`ConnectionPools::attempt_timed_out`],
 //! [`ConnectionPools::connection_lost`] or [`ConnectionPools::abandoned`].
-//! [`ConnectionPools::tick`] several times a second; [`ConnectionPools::take_actions`] after any of
-//! these.
+//! [`ConnectionPools::tick`] is called several times a second, and
+//! [`ConnectionPools::take_actions`] after each of these calls.
 //!
-//! It never decides which host a request goes to or whether it is tried again: it says whose fault
-//! a failure was ([`Fault`]), and reports attempts in doubt and hosts that are surely alive; the
-//! policy decides. It opens, closes and reads nothing itself.
+//! The policy, not this crate, decides which host a request goes to and whether it is retried. This
+//! crate says whose fault a failure was ([`Fault`]), and reports attempts in doubt and hosts that
+//! are known to be alive.
 //!
-//! Measured against RFC 9110 9.3 (what a closed connection says of a request on it): a connection
-//! that ends under a request may have carried it, whoever is at fault.
+//! In line with RFC 9110 section 9.3, a connection that ends during a request may have delivered
+//! the request, whoever is at fault.
 
 #![warn(missing_docs)]
 
 mod circuit_breaker;
 mod connection;
-mod fault_outbreak;
+mod correlated_faults;
 mod host_pool;
 mod idle_limit;
 mod pools;
@@ -35,47 +36,48 @@
 pub use pools::ConnectionPools;
 pub use stats::PoolStats;
 
-/// A connection; no two ever have the same.
+/// Identifies a connection; ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnectionId(pub u64);
 
-/// What the pools go by.
+/// Configuration of the connection pools.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolConfig {
-    /// Of the random numbers that jitter pauses.
+    /// Seed of the random numbers that jitter backoffs.
     pub seed: u64,
-    /// Balancers that do as this one does: what is bounded is bounded for all of them together.
+    /// Number of balancers in the fleet; limits on connects hold for all of them together.
     pub balancers: u32,
-    /// Hosts close a connection that was idle for so long, by the settings.
+    /// The configured idle time after which hosts close a connection.
     pub idle_timeout: Micros,
-    /// Descriptors that connections to hosts may take.
+    /// Number of file descriptors that connections to hosts may use.
     pub max_connections: usize,
 }
 
-/// What an attempt gets.
+/// The result of asking for a connection for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Checkout {
-    /// This connection, which is up.
+    /// Use this established connection.
     Reuse(ConnectionId),
-    /// A new one, which the caller opens.
+    /// Open a new connection with this id.
     Open(ConnectionId),
-    /// None before then, or before a connection comes free.
+    /// No connection yet: ask again at this time, or when a connection comes free.
     RetryAt(Micros),
-    /// The same where too many connections are being opened to all hosts together: who waits for it
-    /// takes a turn, [`ConnectionPools::take_turn`].
+    /// Like [`Checkout::RetryAt`], because of the rate limit on connects to all hosts together. To
+    /// wait for it, reserve a connect with [`ConnectionPools::reserve_connect`].
     Throttled(Micros),
-    /// None: the host lets no connection come up, and is not tried before a pause is over.
+    /// No connection: connects to the host keep failing, and its backoff is not over.
     CircuitOpen,
-    /// None: the host holds its share of the descriptors with requests that it does not answer.
+    /// No connection: descriptors are short, and the host holds its share of them with requests
+    /// that it does not answer.
     Exhausted,
 }
 
 /// Whose fault a failure was.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The connection's: the host is well, as far as is known.
+    /// The connection's; the host is healthy as far as is known.
     Connection,
-    /// Perhaps the host's.
+    /// Possibly the host's.
     Host,
 }
 
@@ -84,28 +86,28 @@
 pub struct TimeoutVerdict {
     /// Whose fault the timeout was.
     pub fault: Fault,
-    /// The connection is to be read on for a late response; otherwise it is to be closed.
+    /// Whether to keep reading the connection for a late response; otherwise it is to be closed.
     pub await_late_response: bool,
 }
 
-/// Why a connection did not come up.
+/// Why a connection could not be established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectFailure {
-    /// Refused, or not up in time.
+    /// The host refused it or did not accept it in time.
     Host,
-    /// The attempt was over meanwhile, or there was no descriptor: nothing was learned of the host.
+    /// The attempt ended first, or there was no descriptor; no evidence about the host.
     Local,
 }
 
-/// What the caller has to do.
+/// An action that the pools request from the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PoolAction {
-    /// Close this connection, if it was not closed meanwhile.
+    /// Close this connection if it is still open.
     Close(ConnectionId),
-    /// Report the attempt on this connection as in doubt: others of its host are answered, and it
-    /// is not.
+    /// Report the attempt on this connection as in doubt: requests that were sent later to the same
+    /// host have been answered.
     AttemptInDoubt(ConnectionId),
-    /// Report that this host answered on a connection from before its silence: it is alive, and was
-    /// not restarted.
+    /// Report that this host answered after a silence, on a connection from before it: the host is
+    /// alive and was not restarted.
     HostAlive(HostId),
 }
--- a/connection_pool/src/pools.rs
+++ b/connection_pool/src/pools.rs
@@ -1,4 +1,4 @@
-//! The pools of all hosts together.
+//! The connection pools of all hosts.
 
 use std::collections::BTreeMap;
 
@@ -6,48 +6,48 @@
 
 use crate::circuit_breaker::CircuitState;
 use crate::connection::ConnectionState;
-use crate::fault_outbreak::FaultOutbreak;
+use crate::correlated_faults::CorrelatedFaults;
 use crate::host_pool::{HostPool, Loss};
 use crate::idle_limit::configured_idle_limit;
 use crate::stats::PoolStats;
 use crate::token_bucket::TokenBucket;
 use crate::{Checkout, ConnectFailure, ConnectionId, Fault, PoolAction, PoolConfig, TimeoutVerdict};
 
-/// A stretch without a tick that is taken for a stall of this process.
+/// A longer interval between two ticks counts as a stall of this process.
 const STALL_THRESHOLD: Micros = 400_000;
-/// Hosts that must have learned an idle limit before it holds for the others.
-const HOSTS_IN_AGREEMENT: usize = 2;
-/// Descriptors are short from this part of them on.
-const SHORT_NUMERATOR: usize = 7;
-const SHORT_DENOMINATOR: usize = 8;
-/// Where descriptors are short a host may hold so many times its even share of them,
-const FAIR_SHARES: usize = 2;
-/// and so many connections at least.
-const MIN_FAIR_SHARE: usize = 4;
-/// When to ask again while a probe is under way: it ends by itself soon.
-const PROBE_RECHECK: Micros = 10_000;
-
-/// The connections to all hosts: which carries an attempt, when one is opened, how many are kept.
+/// Number of hosts that must have learned an idle limit before it applies to all hosts.
+const HOSTS_TO_AGREE: usize = 2;
+/// Descriptors count as short once connections hold 7/8 of them.
+const SHORTAGE_NUMERATOR: usize = 7;
+const SHORTAGE_DENOMINATOR: usize = 8;
+/// While descriptors are short, a host may hold at most this multiple of its even share of them.
+const MAX_EVEN_SHARES: usize = 2;
+/// Lower bound of what a host may hold while descriptors are short, in connections.
+const MIN_HOST_SHARE: usize = 4;
+/// Delay before a checkout is retried while a probe is under way; the probe ends soon by itself.
+const PROBE_RECHECK_DELAY: Micros = 10_000;
+
+/// The connections to all hosts. Decides which one carries an attempt, when another is opened and
+/// how many are kept.
 pub struct ConnectionPools {
     config: PoolConfig,
     rng: SeededRng,
     hosts: BTreeMap<HostId, HostPool>,
-    /// The host of each connection; a connection stands here as long as it stands in its host's
-    /// pool.
+    /// The host of each connection, for as long as the connection is in that host's pool.
     connections: BTreeMap<ConnectionId, HostId>,
     next_id: u64,
-    /// The rate of opening to all hosts together.
+    /// Limits the rate of connects to all hosts together.
     connect_bucket: TokenBucket,
     actions: Vec<PoolAction>,
     stats: PoolStats,
     last_tick: Option<Micros>,
     /// The idle limit that several hosts have learned, as of the last tick.
     fleet_idle_limit: Micros,
-    fault_outbreak: FaultOutbreak,
+    correlated_faults: CorrelatedFaults,
 }
 
 impl ConnectionPools {
-    /// No hosts and no connections yet.
+    /// Creates pools without hosts and connections.
     pub fn new(config: PoolConfig) -> ConnectionPools {
         ConnectionPools {
             rng: SeededRng::new(config.seed),
@@ -60,75 +60,75 @@
             stats: PoolStats::default(),
             last_tick: None,
             fleet_idle_limit: configured_idle_limit(config.idle_timeout),
-            fault_outbreak: FaultOutbreak::default(),
+            correlated_faults: CorrelatedFaults::default(),
         }
     }
 
-    /// Sets how many descriptors connections to hosts may take from now on.
+    /// Sets how many descriptors connections to hosts may use from now on.
     pub fn set_max_connections(&mut self, max_connections: usize) {
         self.config.max_connections = max_connections;
     }
 
-    /// Counts since the start.
+    /// Counts since process start.
     pub fn stats(&self) -> PoolStats {
         self.stats
     }
 
-    /// What the caller has to do by now, in this order.
+    /// Takes the pending actions; the caller performs them in this order.
     pub fn take_actions(&mut self) -> Vec<PoolAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Where a connection stands, for traces.
+    /// The state of a connection, for traces.
     pub fn state(&self, id: ConnectionId) -> ConnectionState {
         let pool = self.connections.get(&id).and_then(|host| self.hosts.get(host));
         let connection = pool.and_then(|pool| pool.connections.get(&id));
         connection.map_or(ConnectionState::Closed, |connection| connection.state)
     }
 
-    /// How many connections are open or being opened.
+    /// Number of connections that are open or being opened.
     pub fn open_connections(&self) -> usize {
         self.connections.len()
     }
 
-    /// Another machine stands at the host's address now, or the host has another address: nothing
-    /// open goes to it.
+    /// The host has another address, or its address belongs to another machine now: closes unused
+    /// connections and forgets the others.
     pub fn host_moved(&mut self, host: HostId) {
         let Some(pool) = self.hosts.remove(&host) else { return };
-        self.actions.extend(pool.not_in_use().into_iter().map(PoolAction::Close));
-        // A connection that carries a request goes on, and is closed at its end because nobody
-        // knows it here any more.
+        self.actions.extend(pool.unused().into_iter().map(PoolAction::Close));
+        // A connection in use completes its request and is then closed, because the pools do not
+        // know it any more.
         for id in pool.connections.keys() {
             self.connections.remove(id);
         }
     }
 
-    /// The host takes nothing new: it needs no idle connections.
+    /// The host accepts no new attempts: closes its unused connections.
     pub fn host_draining(&mut self, host: HostId) {
-        self.close_not_in_use(host);
+        self.close_unused(host);
     }
 
-    /// What comes on this host's connections may not be what was asked for: those that are idle are
-    /// not used again.
-    pub fn responses_doubtful(&mut self, host: HostId) {
-        self.close_not_in_use(host);
+    /// The host may send responses twice, so that bytes on its connections may not belong to the
+    /// next request: closes its unused connections.
+    pub fn duplicates_suspected(&mut self, host: HostId) {
+        self.close_unused(host);
     }
 
-    fn close_not_in_use(&mut self, host: HostId) {
+    fn close_unused(&mut self, host: HostId) {
         let Some(pool) = self.hosts.get(&host) else { return };
-        let not_in_use = pool.not_in_use();
-        self.close_all(not_in_use);
+        let unused = pool.unused();
+        self.close_all(unused);
     }
 
-    /// The fleet has so many hosts now.
+    /// Sets the number of hosts in the fleet, which the limit for all hosts depends on.
     pub fn set_hosts(&mut self, now: Micros, hosts: usize) {
         self.connect_bucket.set_hosts(now, self.config.balancers, hosts);
     }
 
-    /// Takes the next turn to open a connection, and says when it is due; none where that is later
-    /// than `latest`. It is used up by [`ConnectionPools::checkout_in_turn`] where that is
-    /// [`Checkout::Open`]; else it is to be given back.
-    pub fn take_turn(&mut self, now: Micros, latest: Micros) -> Option<Micros> {
+    /// Reserves the next connect under the limit for all hosts and returns when it is due; `None`
+    /// if that is later than `latest`. [`ConnectionPools::checkout_with_reservation`] uses the
+    /// reservation up if it returns [`Checkout::Open`]; otherwise the caller has to cancel it.
+    pub fn reserve_connect(&mut self, now: Micros, latest: Micros) -> Option<Micros> {
         let due_at = self.connect_bucket.next_token_at(now);
         if due_at > latest {
             return None;
@@ -137,53 +137,58 @@
         Some(due_at)
     }
 
-    /// A turn was not used.
-    pub fn give_turn_back(&mut self) {
-        self.connect_bucket.give_back();
+    /// Cancels a reservation that was not used.
+    pub fn cancel_reservation(&mut self) {
+        self.connect_bucket.return_token();
     }
 
-    /// What an attempt at this host gets now.
+    /// Gets a connection for an attempt at this host.
     pub fn checkout(&mut self, now: Micros, host: HostId) -> Checkout {
-        self.checkout_in_turn(now, host, false)
+        self.checkout_with_reservation(now, host, false)
     }
 
-    /// The same for an attempt that may have a turn, which is due.
-    pub fn checkout_in_turn(&mut self, now: Micros, host: HostId, has_turn: bool) -> Checkout {
-        // All three are taken before this call changes anything.
+    /// Like [`ConnectionPools::checkout`], for an attempt that may hold a reservation that is due.
+    pub fn checkout_with_reservation(
+        &mut self,
+        now: Micros,
+        host: HostId,
+        has_reservation: bool,
+    ) -> Checkout {
+        // Computed before this call adds a host or removes connections.
         let idle_limit = self.idle_limit(host);
         let descriptors_short = self.descriptors_short();
-        let fair_share = self.fair_share();
+        let max_host_share = self.max_host_share();
         let idle_timeout = self.config.idle_timeout;
         self.hosts.entry(host).or_insert_with(|| HostPool::new(idle_timeout));
         if let Some(id) = self.reuse_idle(now, host, idle_limit) {
             return Checkout::Reuse(id);
         }
         let held = self.hosts.get(&host).map_or(0, |pool| pool.connections.len());
-        if descriptors_short && held >= fair_share {
+        if descriptors_short && held >= max_host_share {
             self.stats.connects_exhausted += 1;
             return Checkout::Exhausted;
         }
-        self.open(now, host, has_turn)
+        self.open(now, host, has_reservation)
     }
 
     fn descriptors_short(&self) -> bool {
-        self.connections.len() * SHORT_DENOMINATOR >= self.config.max_connections * SHORT_NUMERATOR
+        self.connections.len() * SHORTAGE_DENOMINATOR >= self.config.max_connections * SHORTAGE_NUMERATOR
     }
 
-    fn fair_share(&self) -> usize {
+    fn max_host_share(&self) -> usize {
         let hosts = self.hosts.len().max(1);
-        (FAIR_SHARES * self.config.max_connections / hosts).max(MIN_FAIR_SHARE)
+        (MAX_EVEN_SHARES * self.config.max_connections / hosts).max(MIN_HOST_SHARE)
     }
 
-    /// The idle connection that was used last is used first, so that those not needed grow old.
+    /// Reuses the most recently used idle connection, so that those not needed age and are closed.
     fn reuse_idle(&mut self, now: Micros, host: HostId, idle_limit: Micros) -> Option<ConnectionId> {
         let pool = self.hosts.get_mut(&host)?;
         while let Some(id) = pool.most_recently_used() {
             if pool.reuse(now, id, idle_limit) {
                 return Some(id);
             }
-            // Older than is known to be good: a new one is opened rather than that it is trusted
-            // with an attempt.
+            // Idle for longer than is known to be safe: rather than risk an attempt on it, a new
+            // connection is opened.
             self.stats.presumed_stale += 1;
             pool.connections.remove(&id);
             self.connections.remove(&id);
@@ -192,8 +197,8 @@
         None
     }
 
-    /// A new connection, where the circuit breaker and both buckets allow it.
-    fn open(&mut self, now: Micros, host: HostId, has_turn: bool) -> Checkout {
+    /// Opens a new connection if the circuit breaker and both rate limits allow it.
+    fn open(&mut self, now: Micros, host: HostId, has_reservation: bool) -> Checkout {
         let Some(pool) = self.hosts.get_mut(&host) else { return Checkout::CircuitOpen };
         match pool.circuit_breaker.state(now) {
             CircuitState::Closed => {}
@@ -203,7 +208,7 @@
             }
             CircuitState::Probing => {
                 self.stats.connects_circuit_open += 1;
-                return Checkout::RetryAt(now + PROBE_RECHECK);
+                return Checkout::RetryAt(now + PROBE_RECHECK_DELAY);
             }
         }
         let host_token_at = pool.connect_bucket.next_token_at(now);
@@ -211,11 +216,11 @@
             self.stats.connects_throttled += 1;
             return Checkout::RetryAt(host_token_at);
         }
-        if !has_turn {
-            let turn_at = self.connect_bucket.next_token_at(now);
-            if turn_at > now {
+        if !has_reservation {
+            let token_at = self.connect_bucket.next_token_at(now);
+            if token_at > now {
                 self.stats.connects_throttled += 1;
-                return Checkout::Throttled(turn_at);
+                return Checkout::Throttled(token_at);
             }
             self.connect_bucket.take(now);
         }
@@ -228,29 +233,29 @@
         Checkout::Open(id)
     }
 
-    /// How long a connection to this host may be idle: what was learned there, or by several
-    /// others.
+    /// How long a connection to this host may be idle: the shorter of the host's own limit and the
+    /// one that several hosts have learned.
     fn idle_limit(&self, host: HostId) -> Micros {
         let own = self.hosts.get(&host).map_or(Micros::MAX, |pool| pool.idle_limit.limit());
         own.min(self.fleet_idle_limit)
     }
 
-    /// The idle limit on which several hosts agree.
+    /// The idle limit that [`HOSTS_TO_AGREE`] hosts have learned, at most the configured one.
     fn agreed_idle_limit(&self) -> Micros {
         let learned = self.hosts.values().filter_map(|pool| pool.idle_limit.learned());
         let mut learned: Vec<Micros> = learned.collect();
         learned.sort_unstable();
-        let agreed = learned.get(HOSTS_IN_AGREEMENT - 1).copied().unwrap_or(Micros::MAX);
+        let agreed = learned.get(HOSTS_TO_AGREE - 1).copied().unwrap_or(Micros::MAX);
         agreed.min(configured_idle_limit(self.config.idle_timeout))
     }
 
-    /// The pool in which this connection stands.
+    /// The pool that holds this connection.
     fn pool_of(&mut self, id: ConnectionId) -> Option<&mut HostPool> {
         let host = self.connections.get(&id)?;
         self.hosts.get_mut(host).filter(|pool| pool.connections.contains_key(&id))
     }
 
-    /// Forgets a connection that the caller closes; whether it was known.
+    /// Forgets a connection that the caller closes; returns whether it was known.
     fn forget(&mut self, id: ConnectionId) -> bool {
         let Some(host) = self.connections.remove(&id) else { return false };
         if let Some(pool) = self.hosts.get_mut(&host) {
@@ -259,7 +264,7 @@
         true
     }
 
-    /// Forgets connections, and has the caller close them.
+    /// Forgets connections and requests that the caller close them.
     fn close_all(&mut self, ids: Vec<ConnectionId>) {
         for id in ids {
             if self.forget(id) {
@@ -268,19 +273,19 @@
         }
     }
 
-    /// A connection is up.
+    /// Reports that a connection is established.
     pub fn connected(&mut self, id: ConnectionId) {
         if let Some(pool) = self.pool_of(id) {
             pool.connected(id);
         }
     }
 
-    /// A connection did not come up.
-    pub fn connect_failed(&mut self, now: Micros, id: ConnectionId, why: ConnectFailure) {
-        // Drawn in each case, so that all later draws stay where they are.
+    /// Reports that a connection could not be established.
+    pub fn connect_failed(&mut self, now: Micros, id: ConnectionId, failure: ConnectFailure) {
+        // Drawn on every path, so that later draws do not depend on the kind of failure.
         let (balancers, draw) = (self.config.balancers, self.rng.draw());
         if let Some(pool) = self.pool_of(id) {
-            match why {
+            match failure {
                 ConnectFailure::Host => {
                     pool.circuit_breaker.connect_failed(now, draw);
                     pool.connect_bucket.throttle_recovery(now, balancers);
@@ -291,7 +296,7 @@
         self.forget(id);
     }
 
-    /// The last byte of a request is written on it.
+    /// Reports that the last byte of a request was written to the connection.
     pub fn request_sent(&mut self, now: Micros, id: ConnectionId) {
         let connection = self.pool_of(id).and_then(|pool| pool.connections.get_mut(&id));
         if let Some(connection) = connection {
@@ -299,23 +304,23 @@
         }
     }
 
-    /// An idle connection was found closed before its use. Its host closed it in time: nothing is
-    /// lost, and nothing learned.
+    /// Reports that an idle connection was found closed before its use. No request was lost, and
+    /// nothing is learned from it.
     pub fn found_closed(&mut self, id: ConnectionId) {
         self.forget(id);
     }
 
-    /// A response came, whatever it says; `keep` where the connection can carry another request.
-    /// Whether it is kept.
+    /// Reports a whole response, whatever its content. `keep` tells whether the connection can
+    /// carry another request; returns whether it is kept.
     pub fn answered(&mut self, now: Micros, id: ConnectionId, keep: bool) -> bool {
         let Some(pool) = self.pool_of(id) else { return false };
-        let reused_for = pool.reused_for(id);
+        let reused = pool.reuse_under_way(id);
         pool.answered(now, id);
         if keep {
             pool.became_idle(now, id);
         }
-        if let Some(reused_for) = reused_for {
-            self.fault_outbreak.reuse_succeeded(reused_for.sent_at, reused_for.idle_for);
+        if let Some(reused) = reused {
+            self.correlated_faults.reuse_succeeded(reused.sent_at, reused.idle_for);
         }
         if !keep {
             self.forget(id);
@@ -323,9 +328,9 @@
         keep
     }
 
-    /// The head of a long response came: its host is well and has responded in this time. Its end
-    /// is reported with [`ConnectionPools::answered`] or [`ConnectionPools::abandoned`], and
-    /// however long that takes it tells nothing of the host.
+    /// Reports the head of a long response, which counts as the host's response time. The end of
+    /// the response is reported with [`ConnectionPools::answered`] or
+    /// [`ConnectionPools::abandoned`]; how long it takes is no evidence about the host.
     pub fn response_begun(&mut self, now: Micros, id: ConnectionId) {
         let Some(pool) = self.pool_of(id) else { return };
         pool.answered(now, id);
@@ -334,8 +339,8 @@
         }
     }
 
-    /// The attempt on it was cancelled, or what came on it made no sense: it is closed, and nothing
-    /// was learned of its host.
+    /// Reports that the connection is closed because its attempt was cancelled or its response
+    /// could not be parsed. Nothing is learned about the host.
     pub fn abandoned(&mut self, id: ConnectionId) {
         if self.state(id) == ConnectionState::Connecting {
             if let Some(pool) = self.pool_of(id) {
@@ -345,9 +350,9 @@
         self.forget(id);
     }
 
-    /// The attempt on it waits no longer. Where a late response is awaited the caller keeps the
-    /// connection, and reports what comes with [`ConnectionPools::late_response`]; an action closes
-    /// it.
+    /// Reports that the attempt on the connection timed out. If a late response is awaited, the
+    /// caller keeps reading and reports the result with [`ConnectionPools::late_response`]; a
+    /// [`PoolAction::Close`] ends the wait. Otherwise the caller closes the connection.
     pub fn attempt_timed_out(&mut self, now: Micros, id: ConnectionId) -> TimeoutVerdict {
         let verdict = match self.pool_of(id) {
             Some(pool) => pool.timed_out(now, id),
@@ -359,9 +364,9 @@
         verdict
     }
 
-    /// Something came on a connection that awaits a late response: a `whole` response after which
-    /// it can carry requests again, or else its end, or bytes that make no sense. Whether it is
-    /// kept.
+    /// Reports the end of the wait for a late response. `whole` means a whole response after which
+    /// the connection can carry requests again; otherwise it ended or sent bytes that could not be
+    /// parsed. Returns whether the connection is kept.
     pub fn late_response(&mut self, now: Micros, id: ConnectionId, whole: bool) -> bool {
         let Some(&host) = self.connections.get(&id) else { return false };
         if !whole {
@@ -373,14 +378,14 @@
         let was_silent = pool.silent_since_sent(id);
         pool.answered(now, id);
         pool.became_idle(now, id);
-        // A host that answered others all along is not reported as back.
+        // A host that answered other requests meanwhile was never silent.
         if was_silent {
             self.actions.push(PoolAction::HostAlive(host));
         }
         true
     }
 
-    /// It ended under a request: whose fault that was.
+    /// Reports that the connection ended during a request; returns whose fault that was.
     pub fn connection_lost(&mut self, now: Micros, id: ConnectionId) -> Fault {
         let Some(&host) = self.connections.get(&id) else { return Fault::Host };
         let balancers = self.config.balancers;
@@ -403,28 +408,29 @@
         self.close_all(ids);
     }
 
-    /// In an outbreak of faults no connection is trusted that was idle at its start.
+    /// Counts a connection fault. If faults of several hosts coincide, closes all connections that
+    /// were idle when they began.
     fn note_connection_fault(&mut self, now: Micros, host: HostId) {
-        let Some(since) = self.fault_outbreak.record(now, host) else { return };
+        let Some(since) = self.correlated_faults.record(now, host) else { return };
         let stale = self.hosts.values().flat_map(|pool| pool.idle_since_before(since)).collect();
         self.close_presumed_stale(stale);
     }
 
-    /// Descriptors are short: forgets the connection that was idle longest, or only awaited a late
-    /// response, for the caller to close.
+    /// Frees a descriptor: forgets a connection for the caller to close, first one that awaits a
+    /// late response, then the one that was idle longest.
     pub fn evict_idle(&mut self) -> Option<ConnectionId> {
         let all = self.hosts.values().flat_map(|pool| pool.connections.iter());
-        let not_in_use = all.filter(|(_, connection)| !connection.in_use());
-        let oldest = not_in_use
+        let unused = all.filter(|(_, connection)| !connection.in_use());
+        let oldest = unused
             .min_by_key(|(_, connection)| (connection.state == ConnectionState::Idle, connection.idle_since));
         let id = oldest.map(|(id, _)| *id)?;
         self.forget(id);
         Some(id)
     }
 
-    /// Looks after all connections. To be called several times a second; a gap shows that this
-    /// process itself stood still, and then no host's silence counts. Returns for how long it did,
-    /// 0 if it did not.
+    /// Expires connections and finds attempts in doubt. To be called several times a second: a
+    /// longer gap means that this process itself stalled, and then no host's silence counts.
+    /// Returns the length of the stall, 0 if there was none.
     pub fn tick(&mut self, now: Micros) -> Micros {
         let stalled_for = self.note_stall(now);
         self.fleet_idle_limit = self.agreed_idle_limit();
@@ -446,7 +452,8 @@
         stalled_for
     }
 
-    /// For how long this process stood still since the last tick, 0 if it did not.
+    /// The length of a stall of this process since the last tick, 0 if there was none. Requests
+    /// under way count as sent that much later.
     fn note_stall(&mut self, now: Micros) -> Micros {
         let since_last_tick = self.last_tick.replace(now).map_or(0, |last_tick| now - last_tick);
         if since_last_tick <= STALL_THRESHOLD {
@@ -459,9 +466,9 @@
         since_last_tick
     }
 
-    /// A host that is not known any more, with nothing open there that is of use.
+    /// Forgets a host that is no longer listed, and closes its unused connections.
     pub fn forget_host(&mut self, host: HostId) {
         self.host_moved(host);
-        self.fault_outbreak.forget_host(host);
+        self.correlated_faults.forget_host(host);
     }
 }
--- a/connection_pool/src/stats.rs
+++ b/connection_pool/src/stats.rs
@@ -1,28 +1,28 @@
-//! What the pools count, for an operator.
+//! Counters of the connection pools, as printed for operators.
 
 use std::fmt;
 
-/// Counts since the start, printed as `name=count` with a space between.
+/// Counts since process start; displayed as `name=count` pairs separated by spaces.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PoolStats {
-    /// Connections closed because they were idle, or awaited a late response, for too long, or
-    /// because others that were idle as long turned out stale.
+    /// Connections closed because they were idle or awaited a late response for too long, or
+    /// because others that had been idle as long turned out stale.
     pub presumed_stale: u64,
-    /// Idle connections closed because fewer were needed of late.
+    /// Idle connections closed because the recent peak of use did not need them.
     pub surplus_closed: u64,
-    /// Connections that ended under a request, their host not at fault.
+    /// Connections that ended during a request through no fault of their host.
     pub connection_faults: u64,
-    /// Attempts in doubt: later ones of their host were answered.
+    /// Attempts in doubt because requests sent later to the same host were answered.
     pub attempts_in_doubt: u64,
-    /// Responses that came after their attempt had timed out.
+    /// Responses that arrived after their attempt had timed out.
     pub late_responses: u64,
-    /// Checkouts put off because too many connections were being opened.
+    /// Checkouts delayed by a rate limit on opening connections.
     pub connects_throttled: u64,
-    /// Checkouts put off or refused because the host lets no connection come up.
+    /// Checkouts delayed or refused because connects to the host keep failing.
     pub connects_circuit_open: u64,
-    /// Checkouts refused because the host holds its share of the descriptors.
+    /// Checkouts refused because the host holds its share of the file descriptors.
     pub connects_exhausted: u64,
-    /// Times that this process itself stood still.
+    /// Stalls of this process itself.
     pub process_stalls: u64,
 }
 
--- a/connection_pool/tests/traces.rs
+++ b/connection_pool/tests/traces.rs
@@ -1,5 +1,5 @@
-//! Scenarios played with the pools and traced step by step: what an attempt gets, whose fault a
-//! failure was, which actions the pools ask for.
+//! Scenarios run against the pools and traced step by step: the result of each checkout, whose
+//! fault a failure was, which actions the pools request.
 
 use basaltwood::types::{HostId, Micros};
 use basaltwood_connection_pool::{
@@ -10,7 +10,7 @@
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 
-/// Pools, a clock that only the test moves, and the trace of what has happened.
+/// Pools, a clock that the test advances, and a trace of the steps.
 struct Scenario {
     pools: ConnectionPools,
     now: Micros,
@@ -25,15 +25,15 @@
         scenario
     }
 
-    /// Traces a step, with the actions that it led to.
-    fn record(&mut self, what: &str) {
+    /// Traces a step and the actions that it led to.
+    fn record(&mut self, step: &str) {
         let actions = self.pools.take_actions();
         let actions: Vec<String> = actions.iter().map(|action| format!("{action:?}")).collect();
         let arrow = if actions.is_empty() { "" } else { " -> " };
-        self.trace += &format!("{:<6}{what}{arrow}{}\n", self.now / MS, actions.join(", "));
+        self.trace += &format!("{:<6}{step}{arrow}{}\n", self.now / MS, actions.join(", "));
     }
 
-    /// Time passes, with a tick every 50 ms; actions are traced as they come.
+    /// Advances the clock with a tick every 50 ms, and traces the actions of each tick.
     fn advance(&mut self, span: Micros) {
         let until = self.now + span;
         while self.now < until {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Sends a request at once, on whatever connection it gets; that connection.
+    /// Sends a request on the connection that a checkout gives, and returns that connection.
     fn send(&mut self, host: u32) -> ConnectionId {
         let checkout = self.pools.checkout(self.now, HostId(host));
         let connection = match checkout {
@@ -55,14 +55,14 @@
                 self.pools.connected(connection);
                 connection
             }
-            other => panic!("{other:?}"),
+            other => panic!("expected a connection, got {other:?}"),
         };
         self.pools.request_sent(self.now, connection);
         self.record(&format!("h{host} {checkout:?}"));
         connection
     }
 
-    /// The same, with a response after 5 ms.
+    /// Sends a request that is answered after 5 ms.
     fn exchange(&mut self, host: u32) -> ConnectionId {
         let connection = self.send(host);
         self.now += 5 * MS;
@@ -70,7 +70,7 @@
         connection
     }
 
-    /// The connection ends under its request.
+    /// The connection ends during its request.
     fn lose(&mut self, connection: ConnectionId) {
         let fault = self.pools.connection_lost(self.now, connection);
         self.record_failure("lost", connection, fault);
@@ -82,29 +82,29 @@
         self.record_failure("timed out", connection, verdict.fault);
     }
 
-    fn record_failure(&mut self, what: &str, connection: ConnectionId, fault: Fault) {
+    fn record_failure(&mut self, failure: &str, connection: ConnectionId, fault: Fault) {
         let state = self.pools.state(connection);
-        self.record(&format!("{what} {connection:?}: {fault:?} at fault, {state:?}"));
+        self.record(&format!("{failure} {connection:?}: {fault:?} at fault, {state:?}"));
     }
 
-    /// All of these are answered now, and idle from now on.
+    /// Answers the requests on all of these connections, which become idle.
     fn answer_all(&mut self, connections: &[ConnectionId]) {
         for &connection in connections {
             self.pools.answered(self.now, connection, true);
         }
     }
 
-    /// One exchange with each of the hosts numbered so.
+    /// Makes one exchange with each of these hosts.
     fn exchange_with(&mut self, hosts: std::ops::Range<u32>) {
         for host in hosts {
             self.exchange(host);
         }
     }
 
-    /// The trace, and what the pools counted.
+    /// Compares the trace and the pools' counters with what is expected.
     fn assert_trace(mut self, expected: Expect) {
         let mut stats = self.pools.stats().to_string();
-        // Connections, attempts and connects each on a line of their own.
+        // The counters of connections, attempts and connects each get a line.
         for group in [" attempts_in_doubt", " connects_throttled"] {
             stats = stats.replace(group, &group.replace(' ', "\n"));
         }
@@ -117,13 +117,13 @@
 fn two_stale_connections_in_a_row_close_idle_ones_as_old_and_spare_the_host() {
     let mut scenario = Scenario::new(2, 300);
 
-    // Three in use together, all idle from now on.
+    // Three connections are used at the same time, then become idle.
     let three: Vec<ConnectionId> = (0..3).map(|_| scenario.send(0)).collect();
     scenario.now += 5 * MS;
     scenario.answer_all(&three);
     scenario.advance(600 * MS);
 
-    // One loss may be chance; with the second the third goes too, and the next is new.
+    // One loss may be chance; the second also closes the third connection, so the next is new.
     for _ in 0..2 {
         let used = scenario.send(0);
         scenario.now += MS;
@@ -131,8 +131,8 @@
     }
     scenario.exchange(0);
 
-    // An age at which connections were stale is not trusted any more, and is again in half a
-    // minute.
+    // Connections are not reused at the age at which they were stale, until that is forgotten after
+    // 30 s.
     scenario.advance(700 * MS);
     scenario.exchange(0);
     scenario.advance(30 * SECOND);
@@ -170,7 +170,7 @@
         scenario.lose(connection);
     }
 
-    // Hosts 3 and 4 lose nothing: new connections are opened there.
+    // Hosts 3 and 4 lost no connection, but get new ones too.
     scenario.exchange(3);
     scenario.exchange(4);
 
@@ -226,17 +226,17 @@
 }
 
 #[test]
-fn timeout_is_weighed_against_other_responses_of_the_host() {
+fn timeout_is_judged_by_other_responses_of_the_host() {
     let mut scenario = Scenario::new(2, 300);
-    let mute = scenario.send(0);
+    let unanswered = scenario.send(0);
     for _ in 0..4 {
         scenario.now += 2 * MS;
         scenario.exchange(0);
     }
     scenario.advance(50 * MS);
-    scenario.time_out(mute);
+    scenario.time_out(unanswered);
 
-    // All silent at once: the host is at fault, and after the third timeout a late response is
+    // No request is answered: the host is at fault, and after the third timeout a late response is
     // awaited.
     let all: Vec<ConnectionId> = (0..3).map(|_| scenario.send(0)).collect();
     scenario.advance(300 * MS);
@@ -245,7 +245,8 @@
     }
     scenario.advance(100 * MS);
 
-    // It responds late, on a connection from before: it is alive, and was not restarted.
+    // A late response on a connection from before the silence: the host is alive and was not
+    // restarted.
     let kept = scenario.pools.late_response(scenario.now, all[2], true);
     scenario.record(&format!("late whole response, kept {kept}"));
     scenario.exchange(0);
@@ -292,13 +293,13 @@
     scenario.time_out(first);
     scenario.advance(50 * MS);
 
-    // Its host answered others all along: it is not reported as alive again.
+    // The host answered other requests meanwhile, so it is not reported as alive again.
     let kept = scenario.pools.late_response(scenario.now, first, true);
     scenario.record(&format!("late whole response, kept {kept}"));
     scenario.send(0);
 
-    // A warm connection that times out is slow by its host, which is not to work on what nobody
-    // waits for.
+    // The timeout of a warm connection is due to its slow host; awaiting a late response would have
+    // the host do work that nobody needs.
     scenario.now += MS;
     scenario.exchange(0);
     scenario.advance(50 * MS);
@@ -326,7 +327,7 @@
                 scenario.record("connects");
                 scenario.pools.connect_failed(scenario.now, connection, ConnectFailure::Host);
             }
-            other => assert!(matches!(other, Checkout::CircuitOpen), "{other:?}"),
+            other => assert!(matches!(other, Checkout::CircuitOpen), "expected CircuitOpen, got {other:?}"),
         }
         scenario.advance(100 * MS);
     }
@@ -352,7 +353,7 @@
 }
 
 #[test]
-fn hung_host_when_descriptors_are_short_holds_no_more_than_its_share() {
+fn hung_host_holds_no_more_than_its_share_of_scarce_descriptors() {
     let mut scenario = Scenario::new(2, 120);
     scenario.exchange_with(1..10);
     let mut open = 0;
@@ -370,11 +371,11 @@
     scenario.trace.clear();
     scenario.record(&format!("{refused:?} at {open} open"));
 
-    // Other hosts are served all the same.
+    // Other hosts still get connections.
     scenario.exchange(5);
     match scenario.pools.checkout(scenario.now, HostId(5)) {
         Checkout::Reuse(_) => {}
-        other => panic!("{other:?}"),
+        other => panic!("expected an idle connection, got {other:?}"),
     }
     let checkout = scenario.pools.checkout(scenario.now, HostId(5));
     scenario.record(&format!("h5 {checkout:?}"));
@@ -389,25 +390,25 @@
 }
 
 #[test]
-fn process_stall_is_evidence_against_no_connection() {
+fn process_stall_is_no_evidence_against_any_connection() {
     let mut scenario = Scenario::new(2, 300);
-    let out = scenario.send(0);
+    let pending = scenario.send(0);
     for _ in 0..3 {
         scenario.now += MS;
         scenario.exchange(0);
     }
 
-    // The process stands still: no tick for two seconds.
+    // The process stalls: no tick for 2 s.
     scenario.now += 2 * SECOND;
     let stalled = scenario.pools.tick(scenario.now);
     scenario.record(&format!(
         "stalled for {} ms, {:?} is {:?}",
         stalled / MS,
-        out,
-        scenario.pools.state(out)
+        pending,
+        scenario.pools.state(pending)
     ));
     scenario.now += 5 * MS;
-    scenario.pools.answered(scenario.now, out, true);
+    scenario.pools.answered(scenario.now, pending, true);
 
     scenario.assert_trace(expect![[r#"
         0     h0 Open(ConnectionId(0))
@@ -424,13 +425,13 @@
 fn attempt_overtaken_by_later_responses_is_in_doubt_once() {
     let mut scenario = Scenario::new(2, 300);
     scenario.exchange(0);
-    let mute = scenario.send(0);
+    let unanswered = scenario.send(0);
     scenario.advance(60 * MS);
     for _ in 0..3 {
         scenario.exchange(0);
     }
     scenario.advance(200 * MS);
-    scenario.record(&format!("{mute:?} is {:?}", scenario.pools.state(mute)));
+    scenario.record(&format!("{unanswered:?} is {:?}", scenario.pools.state(unanswered)));
 
     scenario.assert_trace(expect![[r#"
         0     h0 Open(ConnectionId(0))
