--- a/balancer/src/upstream/cache.rs
+++ b/balancer/src/upstream/cache.rs
@@ -1,4 +1,4 @@
-//! Cache hosts: an attempt as a RESP2 command, and its reply.
+//! The protocol of cache hosts: encodes an attempt as a RESP2 command and parses the reply.
 
 use basaltwood::types::{AttemptOutcome, Micros};
 use basaltwood_wire::resp::{self, LongReply, ParsedReply, Reply};
@@ -9,7 +9,7 @@
 };
 use crate::request::{AttemptResult, ClientRequest, Value};
 
-/// The command for this request, of which so much time is left.
+/// Encodes the command for a request; `time_left` is the time that the host is told.
 pub fn encode(request: &ClientRequest, time_left: Micros) -> RequestBytes {
     let facts = request.facts_within(time_left);
     let mut words: Vec<&[u8]> = vec![&request.command, &request.key, &request.id, &facts];
@@ -27,7 +27,7 @@
     }
 }
 
-/// A reply at the front of a buffer.
+/// Parses a reply at the front of a buffer.
 pub fn parse_response(bytes: &[u8]) -> Result<Option<ParsedResponse>, ResponseError> {
     if let Some(LongReply { start, length, trailing_elements }) = resp::parse_long_reply_head(bytes) {
         let parse_trailer: ParseTrailer = Box::new(move |bytes| {
--- a/balancer/src/upstream/checkout.rs
+++ b/balancer/src/upstream/checkout.rs
@@ -1,4 +1,4 @@
-//! Getting a connection for an attempt: an idle one, or a new one, or a wait for either.
+//! Gets a connection for an attempt: reuses an idle one, opens a new one, or waits for either.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -11,13 +11,14 @@
 use super::{UpstreamConnection, UpstreamEvent, Upstreams};
 use crate::budget::DescriptorPermit;
 
-/// A connection that an attempt has. Dropped with the connection still in it, because the attempt
-/// was cancelled or failed, it closes the connection and reports it to the pools as abandoned.
+/// A connection that an attempt uses. If it is dropped with the connection still in it, because the
+/// attempt was cancelled or failed, the connection is closed and reported to the pools as
+/// abandoned.
 pub struct CheckedOut<'a> {
     upstreams: &'a Upstreams,
     id: ConnectionId,
     connection: Option<UpstreamConnection>,
-    /// The attempt had to wait until it was there.
+    /// Whether the attempt had to wait for the connection.
     waited: bool,
 }
 
@@ -26,7 +27,7 @@
         CheckedOut { upstreams, id, connection: Some(connection), waited: false }
     }
 
-    /// Whether the attempt had to wait until it was there: much may have happened meanwhile.
+    /// Whether the attempt had to wait for the connection, so that its state may be outdated.
     pub fn waited(&self) -> bool {
         self.waited
     }
@@ -35,12 +36,12 @@
         self.id
     }
 
-    /// The connection, unless it was taken out.
+    /// The connection, unless [`CheckedOut::take`] removed it.
     pub fn connection(&mut self) -> Option<&mut UpstreamConnection> {
         self.connection.as_mut()
     }
 
-    /// Takes the connection out: the caller reports its end to the pools.
+    /// Removes the connection; the caller then reports its end to the pools.
     pub fn take(&mut self) -> Option<UpstreamConnection> {
         self.connection.take()
     }
@@ -56,15 +57,15 @@
     }
 }
 
-/// A connection that is being opened. Dropped before [`ConnectGuard::disarm`] it reports it to the
-/// pools as abandoned.
+/// Reports a connection that is being opened to the pools as abandoned, if dropped before
+/// [`ConnectGuard::disarm`].
 struct ConnectGuard<'a> {
     upstreams: &'a Upstreams,
     id: Option<ConnectionId>,
 }
 
 impl ConnectGuard<'_> {
-    /// The attempt to connect has ended, and the caller reports how.
+    /// Ends the guard: the connect has ended, and the caller reports its result.
     fn disarm(mut self) {
         self.id = None;
     }
@@ -79,8 +80,8 @@
     }
 }
 
-/// An attempt's reservation to open a connection, where many wait for one. Dropped unused it is
-/// given back.
+/// An attempt's reservation of a connect under the rate limit for all hosts. Cancelled if it is
+/// dropped unused.
 struct ConnectReservation<'a> {
     upstreams: &'a Upstreams,
     due_at: Micros,
@@ -88,7 +89,7 @@
 }
 
 impl<'a> ConnectReservation<'a> {
-    /// The next reservation, if it is due in time.
+    /// Reserves the next connect, if it is due by `latest_start`.
     fn take(upstreams: &'a Upstreams, latest_start: Micros) -> Option<ConnectReservation<'a>> {
         let due_at = upstreams.pools.borrow_mut().reserve_connect(upstreams.clock.now(), latest_start)?;
         Some(ConnectReservation { upstreams, due_at, is_used: false })
@@ -104,13 +105,13 @@
 }
 
 impl Upstreams {
-    /// A connection for an attempt: one that is idle, or a new one. For leave to open one it waits
-    /// for half of its time at most: its host needs the rest, and its request is better rejected
-    /// early than late.
+    /// Gets a connection for an attempt, an idle or a new one. A wait for the rate limit on
+    /// connects takes at most half of the attempt's time: the host needs the rest, and it is better
+    /// to reject a request early than late.
     ///
     /// # Errors
-    /// How the attempt ended, which never ran. What is this balancer's own shortage (`NotSent`)
-    /// must not be held against the host.
+    /// The outcome of an attempt that never ran. `NotSent` is a shortage of this balancer itself
+    /// and must not count against the host.
     pub(super) async fn checkout(
         &self,
         host: HostId,
@@ -167,13 +168,13 @@
         deadline.saturating_duration_since(Instant::now()).as_micros() as Micros
     }
 
-    /// An idle connection, if it is still good.
+    /// Takes an idle connection, if it is still usable.
     fn reuse(&self, host: HostId, id: ConnectionId) -> Option<CheckedOut<'_>> {
         let Some(connection) = self.idle.borrow_mut().remove(&id) else {
             self.pools.borrow_mut().abandoned(id);
             return None;
         };
-        // Whatever can be read now, its end above all, means that it can't carry a request.
+        // If anything can be read now, usually the end of the stream, the connection can't be used.
         let read = connection.stream.try_read(&mut [0]);
         if matches!(&read, Err(cause) if cause.kind() == ErrorKind::WouldBlock) {
             self.counters.connections_reused.add();
@@ -182,7 +183,7 @@
         self.counters.connections_stale.add();
         self.pools.borrow_mut().found_closed(id);
         if matches!(read, Ok(1..)) {
-            self.suspect_duplicates(host);
+            self.record_unexpected_bytes(host);
         }
         None
     }
@@ -190,7 +191,7 @@
     /// Waits until a connection to this host comes free, or `retry_at`, or the deadline.
     ///
     /// # Errors
-    /// The attempt is over where the host is gone or the deadline has passed.
+    /// `NotSent` if the host is no longer listed or the deadline has passed.
     async fn wait_for_connection(
         &self,
         host: HostId,
@@ -215,12 +216,12 @@
         let guard = ConnectGuard { upstreams: self, id: Some(id) };
         let address = self.address(host).ok_or(AttemptOutcome::NotSent)?;
         let permit = self.host_descriptor().ok_or(AttemptOutcome::NotSent)?;
-        let connected = self.connect_patiently(address, deadline).await;
+        let connected = self.connect_with_retries(address, deadline).await;
         guard.disarm();
         let mut pools = self.pools.borrow_mut();
         match connected {
-            // The host has moved meanwhile: what stands at the old address may be another, or one
-            // that drains.
+            // The host has moved meanwhile: the machine at the old address may be another host, or
+            // may be draining.
             Ok(_) if self.address(host) != Some(address) => {
                 pools.abandoned(id);
                 Err(AttemptOutcome::NotSent)
@@ -245,7 +246,7 @@
         self.hosts.borrow().get(&host).map(|entry| entry.address)
     }
 
-    /// A descriptor for a connection, at the cost of an idle connection where there is no other.
+    /// Gets a descriptor for a connection, if necessary by closing an idle connection.
     fn host_descriptor(&self) -> Option<DescriptorPermit> {
         if let Some(permit) = self.budget.host_descriptor() {
             return Some(permit);
@@ -257,13 +258,13 @@
         }
     }
 
-    /// A connection whose response is whole is idle again, or closed where its host takes nothing
-    /// new.
+    /// Returns a connection after a whole response: it becomes idle, or is closed if its host
+    /// accepts no new attempts.
     pub(super) fn return_connection(&self, host: HostId, id: ConnectionId, connection: UpstreamConnection) {
         self.idle.borrow_mut().insert(id, connection);
         match self.hosts.borrow().get(&host) {
             Some(entry) if entry.accepts_attempts => entry.connection_freed.notify_one(),
-            // The host began to drain during this last request: it has few connections to spare.
+            // The host began to drain during this request, and has few connections to spare.
             _ => {
                 self.pools.borrow_mut().host_draining(host);
                 self.perform_pool_actions();
--- a/balancer/src/upstream/connecting.rs
+++ b/balancer/src/upstream/connecting.rs
@@ -1,4 +1,4 @@
-//! Opening a connection to a host, and whose fault it is where none comes up.
+//! Opens a connection to a host, and tells whose fault a failure is.
 
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -14,46 +14,47 @@
 use crate::clock::duration;
 use crate::io_errors::{lacks_descriptors, FaultOrigin};
 
-/// Between two tries to open a connection while this machine lacks something for it.
+/// Interval between connects while this machine lacks a resource for a connection.
 const SHORTAGE_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Why no connection came up.
+/// Why a connection could not be established.
 #[derive(Debug, Error)]
 pub enum ConnectError {
-    /// This machine lacks what a connection takes.
-    #[error("this machine can't open one: {0}")]
+    /// This machine lacks a resource for a connection.
+    #[error("this machine lacks a resource for a connection: {0}")]
     LocalShortage(io::Error),
-    /// The attempt's own time was over before the host's.
-    #[error("the attempt's time is over")]
-    CutOff,
-    /// The host refused it, or did not answer in time.
+    /// The attempt's deadline passed before the connect timeout.
+    #[error("the attempt's deadline passed during the connect")]
+    DeadlinePassed,
+    /// The host refused the connection or did not answer within the connect timeout.
     #[error("{0}")]
     Host(io::Error),
 }
 
 impl ConnectError {
-    /// What the pools learn from it of the host.
+    /// The failure as it is reported to the pools.
     pub fn pool_failure(&self) -> ConnectFailure {
         match self {
-            ConnectError::LocalShortage(_) | ConnectError::CutOff => ConnectFailure::Local,
+            ConnectError::LocalShortage(_) | ConnectError::DeadlinePassed => ConnectFailure::Local,
             ConnectError::Host(_) => ConnectFailure::Host,
         }
     }
 
-    /// How the attempt ended. One that its own time cut off speaks against the host in the policy:
-    /// where deadlines are shorter than a connect's time-out, nothing else would.
+    /// The outcome of the attempt. For the policy a connect that was ended by the attempt's
+    /// deadline counts against the host: if deadlines are shorter than the connect timeout, nothing
+    /// else would.
     pub fn outcome(&self) -> AttemptOutcome {
         match self {
             ConnectError::LocalShortage(_) => AttemptOutcome::NotSent,
-            ConnectError::CutOff | ConnectError::Host(_) => AttemptOutcome::Unreachable,
+            ConnectError::DeadlinePassed | ConnectError::Host(_) => AttemptOutcome::Unreachable,
         }
     }
 }
 
 impl Upstreams {
-    /// Connects. What this machine lacks for the moment is waited for, for half of the time that
-    /// the attempt has: its request may be better off elsewhere then, or rejected early.
-    pub(super) async fn connect_patiently(
+    /// Connects. While this machine lacks a resource, the connect is retried for half of the
+    /// attempt's time; after that the request is better sent elsewhere or rejected early.
+    pub(super) async fn connect_with_retries(
         &self,
         address: SocketAddr,
         deadline: Instant,
@@ -67,8 +68,12 @@
                 Err(error) => error,
             };
             if FaultOrigin::of(&error) == FaultOrigin::Peer {
-                let is_cut_off = error.kind() == ErrorKind::TimedOut && deadline < host_deadline;
-                return Err(if is_cut_off { ConnectError::CutOff } else { ConnectError::Host(error) });
+                let deadline_passed = error.kind() == ErrorKind::TimedOut && deadline < host_deadline;
+                return Err(if deadline_passed {
+                    ConnectError::DeadlinePassed
+                } else {
+                    ConnectError::Host(error)
+                });
             }
             if Instant::now() >= wait_until {
                 return Err(ConnectError::LocalShortage(error));
--- a/balancer/src/upstream/connection.rs
+++ b/balancer/src/upstream/connection.rs
@@ -14,14 +14,14 @@
 pub struct UpstreamConnection {
     pub stream: TcpStream,
     pub buffer: Buffer,
-    /// The last response that came on it.
+    /// The last response on the connection.
     pub(super) last_response: Option<ResponseFingerprint>,
-    /// None where its descriptor is set aside.
+    /// `None` if the connection uses a descriptor that is reserved for it.
     _permit: Option<DescriptorPermit>,
 }
 
 impl UpstreamConnection {
-    /// A connection that is up, and buffers `max_buffered` bytes at most.
+    /// Wraps an established connection; at most `max_buffered` bytes are buffered.
     pub fn new(
         stream: TcpStream,
         permit: Option<DescriptorPermit>,
@@ -32,10 +32,10 @@
     }
 }
 
-/// Opens a connection that is up by `deadline`.
+/// Opens a connection.
 ///
 /// # Errors
-/// `TimedOut` where it is not up by then; else what the system says.
+/// `TimedOut` if it is not established by `deadline`; otherwise the error of the system call.
 pub async fn connect(address: SocketAddr, deadline: Instant) -> io::Result<TcpStream> {
     let stream = timeout_at(deadline, TcpStream::connect(address)).await??;
     stream.set_nodelay(true)?;
--- a/balancer/src/upstream/exchange.rs
+++ b/balancer/src/upstream/exchange.rs
@@ -1,7 +1,7 @@
-//! One exchange: a request written on a connection to a host, and its response read.
+//! One exchange: writes a request to a connection to a host and reads the response.
 //!
-//! The order of the steps, and of the arms of each `select!`, is what keeps the rules on drains,
-//! deadlines and clients that have gone; the comments say which.
+//! The rules on drains, deadlines and clients that have left depend on the order of the steps and
+//! of the arms of each `select!`; comments name the rule.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -23,10 +23,10 @@
 use crate::read;
 use crate::request::{AttemptResult, ClientRequest, StreamedValue, Value};
 
-/// One attempt at a host, whatever the host's protocol.
+/// One attempt at a host, for either protocol.
 pub struct Exchange<'a> {
     pub upstreams: &'a Rc<Upstreams>,
-    /// Gives the permission for the first byte.
+    /// Permits the first byte.
     pub router: &'a RefCell<Router>,
     pub attempt: AttemptKey,
     pub request: &'a ClientRequest,
@@ -35,15 +35,15 @@
 }
 
 impl<'a> Exchange<'a> {
-    /// Sends the request and reads its response. The request is encoded once it has its connection,
-    /// by how much time is left then: the wait for one may be as long as the request's own time,
-    /// and a host must not work on what nobody waits for.
+    /// Sends the request and reads its response. The request is encoded once it has a connection,
+    /// so that it states the time left then: the wait for a connection may take as long as the
+    /// request has, and a host must not work on a request that nobody waits for.
     pub async fn run(self, encode: impl FnOnce(Micros) -> RequestBytes) -> AttemptResult {
         let mut checked_out = match self.wait_for_connection().await {
             Ok(checked_out) => checked_out,
             Err(outcome) => return AttemptResult::without_value(outcome),
         };
-        // From the permission to the first byte nothing is awaited.
+        // Nothing is awaited between the permission and the first byte.
         let now = self.upstreams.clock.now();
         let permit = match self.permit(now) {
             Ok(permit) => permit,
@@ -62,7 +62,7 @@
             first_byte_at,
             last_byte_at: Instant::now(),
             deadline: self.deadline_at(),
-            stated: time_left,
+            stated_time: time_left,
             draining_since: self.upstreams.draining_since(self.target.host),
         });
         self.read(checked_out).await
@@ -72,13 +72,13 @@
         self.upstreams.clock.at(self.target.deadline)
     }
 
-    /// Waits for a connection. An attempt that waits in vain ends unsent: at the end of its time,
-    /// with its request, or as soon as its host takes nothing new.
+    /// Waits for a connection. The wait ends without one, and the attempt unsent, when its time is
+    /// over, when its request ends, or as soon as its host accepts no new attempts.
     async fn wait_for_connection(&self) -> Result<CheckedOut<'a>, AttemptOutcome> {
         let host = self.target.host;
         let send_by = self.upstreams.clock.at(self.target.send_by);
-        // The end of a deduplication window comes before the attempt's own deadline, at which the
-        // checkout itself ends.
+        // At the attempt's own deadline the checkout ends by itself; the deduplication window can
+        // end before it.
         let window_ends = self.target.send_by < self.target.deadline;
         let checked_out = tokio::select! {
             biased;
@@ -88,7 +88,7 @@
             () = sleep_until(send_by), if window_ends => Err(AttemptOutcome::NotSent),
         };
         let checked_out = checked_out?;
-        // Whatever else came in the meantime is seen to first: the client's end above all.
+        // Events that came in the meantime are handled first, above all the client's departure.
         let is_retry = self.attempt.number.0 > 0;
         if checked_out.waited() || is_retry {
             yield_now().await;
@@ -96,7 +96,7 @@
         Ok(checked_out)
     }
 
-    /// Asks for the permission to write; every rule on what may be sent is judged there.
+    /// Asks the router for the permission to write, which applies every rule on what may be sent.
     fn permit(&self, now: Micros) -> Result<SendPermit, AttemptOutcome> {
         let client_present = self.request.client.is_present() && !self.request.is_finished();
         let permit = self.router.borrow_mut().permit_send(now, self.attempt, client_present);
@@ -110,9 +110,9 @@
         })
     }
 
-    /// Writes the request. The host begins with the last byte: until that is written the attempt
-    /// never ran. A request that is over meanwhile must not get that far, which says nothing of the
-    /// host; once it has, its response is awaited.
+    /// Writes the request. The host starts work at the last byte: until that is written, the
+    /// attempt never ran. If the request ends before, the rest is not written, which is no evidence
+    /// about the host; after the last byte the response is awaited.
     async fn write(
         &self,
         checked_out: &mut CheckedOut<'_>,
@@ -134,7 +134,7 @@
         }
     }
 
-    /// The last byte of the request is written.
+    /// Records that the last byte of the request was written.
     fn sent(&self, checked_out: &CheckedOut<'_>, bytes: usize) {
         let id = checked_out.id();
         let AttemptKey { request, number } = self.attempt;
@@ -148,7 +148,7 @@
         upstreams.in_flight.borrow_mut().insert(id, self.attempt);
     }
 
-    /// Reads until the response is whole or the attempt has ended without one.
+    /// Reads until the response is complete or the attempt ends without one.
     async fn read(&self, mut checked_out: CheckedOut<'_>) -> AttemptResult {
         let deadline = self.deadline_at();
         loop {
@@ -171,14 +171,14 @@
                     return self.answered(now, checked_out, response)
                 }
                 Err(cause) => {
-                    log::debug!("host {}: {cause}", self.target.host.0);
+                    log::debug!("host {}: invalid response: {cause}", self.target.host.0);
                     return AttemptResult::without_value(AttemptOutcome::Error);
                 }
             }
         }
     }
 
-    /// The attempt waits no longer; its connection may still tell of the host.
+    /// Ends the attempt with a timeout; its connection may still be read for a late response.
     fn timed_out(&self, now: Micros, mut checked_out: CheckedOut<'_>) -> AttemptOutcome {
         let connection = checked_out.take();
         let id = checked_out.id();
@@ -189,7 +189,7 @@
         AttemptOutcome::TimedOut
     }
 
-    /// The connection ended before the response.
+    /// Ends the attempt because its connection ended before the response did.
     fn connection_lost(&self, now: Micros, mut checked_out: CheckedOut<'_>) -> AttemptOutcome {
         drop(checked_out.take());
         let fault = self.upstreams.pools.borrow_mut().connection_lost(now, checked_out.id());
@@ -206,7 +206,7 @@
         }
     }
 
-    /// The head of a long value came: a task of its own passes the value on.
+    /// Starts a task that passes on a long value whose head was read.
     fn stream(&self, now: Micros, mut checked_out: CheckedOut<'_>, head: LongValueHead) -> AttemptResult {
         let Some(mut connection) = checked_out.take() else {
             return AttemptResult::without_value(AttemptOutcome::NotSent);
@@ -221,7 +221,7 @@
         AttemptResult::succeeded(Value::Streamed(StreamedValue { length, pieces }))
     }
 
-    /// A whole response came.
+    /// Handles a whole response.
     fn answered(
         &self,
         now: Micros,
@@ -237,22 +237,22 @@
         connection.buffer.consume(length);
         let more_follows = !connection.buffer.is_empty();
         if more_follows {
-            upstreams.suspect_duplicates(self.target.host);
+            upstreams.record_unexpected_bytes(self.target.host);
         }
-        // Of a host that answers twice, a copy may come after the look before the write, and be
-        // taken for the response to the next request. While it is suspected its connections carry
-        // one request each; on one that had carried another before, the same value is not served.
+        // If a host answers twice, a copy may come after the check before the write and be taken
+        // for the response to the next request. While duplicates are suspected, new connections
+        // carry one request each, and on reused ones a repeated value is not served.
         let duplicates_suspected = upstreams.suspects_duplicates(self.target.host);
         let last = connection.last_response.take();
         let last = last.filter(|_| duplicates_suspected && result.value.is_some());
         if last.is_some_and(|last| last.repeated_by(fingerprint, self.request.value.is_some())) {
-            log::debug!(request = self.attempt.request.0, host = self.target.host.0; "copied response suspected");
-            upstreams.note_repeated_response(self.target.host);
+            log::debug!(request = self.attempt.request.0, host = self.target.host.0; "response suspected to be a copy");
+            upstreams.record_repeated_response(self.target.host);
             return AttemptResult::without_value(AttemptOutcome::ConnectionFault);
         }
         connection.last_response = Some(fingerprint);
-        // A copy of a rejection would say of the next attempt that it never ran: a rejection is the
-        // last response on its connection while copies are suspected.
+        // A copy of a rejection would claim that the next attempt never ran. So a connection is
+        // closed after a rejection while duplicates are suspected.
         let last_of_connection = duplicates_suspected && result.outcome == AttemptOutcome::Rejected;
         let fresh = upstreams.wants_fresh_connections(self.target.host);
         let keep = reusable && !more_follows && !last_of_connection && !fresh;
--- a/balancer/src/upstream/late.rs
+++ b/balancer/src/upstream/late.rs
@@ -1,5 +1,5 @@
-//! Connections that are read on after their attempt timed out: a late response tells that the host
-//! is back, and the connection can carry requests again.
+//! Keeps reading connections after their attempt timed out: a late response shows that the host is
+//! back, and the connection can carry requests again.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,11 +13,11 @@
 use super::{UpstreamConnection, Upstreams};
 use crate::read;
 
-/// A bound of last resort on the wait for a late response; the pools close the connection earlier.
+/// Upper bound of the wait for a late response; normally the pools close the connection earlier.
 const LATE_RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
 
 impl Upstreams {
-    /// Reads on, in a task of its own, until a late response or the end of the connection.
+    /// Starts a task that reads until a late response or the end of the connection.
     pub(super) fn await_late_response(
         self: &Rc<Upstreams>,
         host: HostId,
@@ -42,7 +42,7 @@
     }
 }
 
-/// Whether a whole response came after which the connection can carry another request.
+/// Reads a late response; true if it was whole and the connection can carry another request.
 async fn read_late_response(connection: &mut UpstreamConnection, parse_response: ParseResponse) -> bool {
     loop {
         if !matches!(read(&mut connection.stream, &mut connection.buffer).await, Ok(1..)) {
@@ -54,7 +54,7 @@
                 connection.buffer.consume(response.length);
                 return response.reusable && connection.buffer.is_empty();
             }
-            // Nobody waits for a long value any more.
+            // A long value is not read, because nobody waits for it any more.
             Ok(Some(ParsedResponse::LongValue(_))) | Err(_) => return false,
         }
     }
--- a/balancer/src/upstream/mod.rs
+++ b/balancer/src/upstream/mod.rs
@@ -1,9 +1,9 @@
-//! Cache hosts and the origin: their addresses, the connections to them, and an attempt over one of
-//! those. The pools decide which connection carries it and when another is opened; this carries
-//! that out on sockets.
+//! Cache hosts and the origin: their addresses, the connections to them, and attempts on these
+//! connections. The connection pools decide which connection carries an attempt and when another is
+//! opened; this module does so on sockets.
 //!
-//! One request at a time on each connection, so that cancelling one closes nothing else. No borrow
-//! of a `RefCell` is held over an await.
+//! Each connection carries one request at a time, so that cancelling a request affects no other. No
+//! borrow of a `RefCell` is held over an await.
 
 mod cache;
 mod checkout;
@@ -41,35 +41,35 @@
 
 pub use connection::{connect, UpstreamConnection};
 
-/// What connections tell of attempts and hosts.
+/// An event on a connection that the router has to know of.
 pub enum UpstreamEvent {
-    /// Later attempts of its host are answered, and this one is not.
+    /// Requests that were sent later to the same host were answered, and this attempt was not.
     AttemptInDoubt(AttemptKey),
-    /// It waits until this balancer may open a connection.
+    /// The attempt waits until this balancer may open a connection.
     AttemptWaits(AttemptKey),
-    /// It waits no more.
+    /// The attempt got a connection after waiting.
     AttemptProceeds(AttemptKey),
-    /// It goes on a new connection.
+    /// The attempt uses a new connection.
     NewConnection(AttemptKey),
     /// The host answered again after a silence, and was not restarted.
     HostAlive(HostId),
-    /// This process stood still for so long.
+    /// This process stalled for this long.
     ProcessStalled(Micros),
 }
 
-/// Where a host is, and whether it takes anything.
+/// The address of a host, and whether it accepts attempts.
 struct HostEntry {
     address: SocketAddr,
     is_origin: bool,
-    /// Whether it takes anything new, by the policy's rule on drains as the list was last read.
+    /// Whether the host accepts new attempts, by the policy's rule on drains and the current list.
     accepts_attempts: bool,
-    /// Since when it does not.
+    /// When the host stopped accepting attempts.
     draining_since: Option<Instant>,
-    /// Whether it answers requests twice.
+    /// Detects that the host answers requests twice.
     duplicates: DuplicateDetector,
-    /// Notified when a connection came free there.
+    /// Notified when a connection to the host comes free.
     connection_freed: Rc<Notify>,
-    /// Notified when it takes nothing new any more.
+    /// Notified when the host stops accepting attempts.
     stopped_accepting: Rc<Notify>,
 }
 
@@ -88,7 +88,7 @@
 }
 
 impl HostEntry {
-    /// The list says whether it takes anything new.
+    /// Applies what the list says on whether the host accepts attempts.
     fn set_accepting(&mut self, accepts_attempts: bool) {
         self.accepts_attempts = accepts_attempts;
         self.draining_since = match accepts_attempts {
@@ -98,14 +98,14 @@
     }
 }
 
-/// Where an attempt goes, and by when.
+/// The host of an attempt and its time limits.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptTarget {
     /// The host.
     pub host: HostId,
-    /// The attempt is over then.
+    /// When the attempt times out.
     pub deadline: Micros,
-    /// Its last byte is written by then, or it was not sent.
+    /// When the request's last byte has to be written; otherwise the attempt was not sent.
     pub send_by: Micros,
 }
 
@@ -113,9 +113,9 @@
 pub struct Upstreams {
     hosts: RefCell<BTreeMap<HostId, HostEntry>>,
     pools: RefCell<ConnectionPools>,
-    /// Connections that carry nothing.
+    /// Connections without a request.
     idle: RefCell<BTreeMap<ConnectionId, UpstreamConnection>>,
-    /// Tasks that read on after their attempt timed out.
+    /// Tasks that keep reading after their attempt timed out.
     late_readers: RefCell<BTreeMap<ConnectionId, AbortHandle>>,
     /// Attempts whose request was sent, by the connection that carries them.
     in_flight: RefCell<BTreeMap<ConnectionId, AttemptKey>>,
@@ -131,7 +131,7 @@
 }
 
 impl Upstreams {
-    /// No hosts yet.
+    /// Creates the upstreams without hosts.
     pub fn new(
         limits: RuntimeLimits,
         pools: ConnectionPools,
@@ -157,7 +157,7 @@
         })
     }
 
-    /// Where a host is now; connections to another address are closed.
+    /// Sets the address of a host; connections to its previous address are closed.
     pub fn update_host(&self, host: HostId, address: SocketAddr, is_origin: bool) {
         let mut hosts = self.hosts.borrow_mut();
         let entry = hosts.entry(host).or_insert_with(|| HostEntry::new(address, is_origin));
@@ -170,8 +170,8 @@
         self.perform_pool_actions();
     }
 
-    /// Which hosts take anything new; to be called whenever the list was read. One that does not
-    /// needs no idle connections, and attempts that wait for one of its connections are let go.
+    /// Updates which hosts accept attempts; to be called whenever the list was read. If a host does
+    /// not, its idle connections are closed, and attempts that wait for a connection to it end.
     pub fn update_accepting_hosts(&self, accepts_attempts: impl Fn(HostId) -> bool) {
         for (&host, entry) in self.hosts.borrow_mut().iter_mut() {
             entry.set_accepting(accepts_attempts(host));
@@ -185,7 +185,7 @@
         self.perform_pool_actions();
     }
 
-    /// Ends once the host takes nothing new.
+    /// Waits until the host accepts no new attempts.
     async fn stopped_accepting(&self, host: HostId) {
         loop {
             let stopped = match self.hosts.borrow().get(&host) {
@@ -196,15 +196,15 @@
         }
     }
 
-    /// A host that is gone, with nothing open there.
+    /// Forgets a host that is no longer listed, and closes its unused connections.
     pub fn forget_host(&self, host: HostId) {
         self.hosts.borrow_mut().remove(&host);
         self.pools.borrow_mut().forget_host(host);
         self.perform_pool_actions();
     }
 
-    /// One attempt of a request at a host, by the protocol that the host speaks. The router is
-    /// asked for the permission before its first byte.
+    /// Makes one attempt of a request at a host, in the host's protocol. The router has to permit
+    /// it before the first byte is written.
     pub async fn attempt(
         self: &Rc<Upstreams>,
         router: &RefCell<Router>,
@@ -229,27 +229,27 @@
         self.hosts.borrow().get(&host).filter(|entry| entry.is_origin).map(|entry| entry.address)
     }
 
-    /// Sets how many descriptors connections to hosts may take from now on.
+    /// Sets how many descriptors connections to hosts may use from now on.
     pub fn set_max_connections(&self, max_connections: usize) {
         self.pools.borrow_mut().set_max_connections(max_connections);
     }
 
-    /// Connections to hosts that stand or are being opened.
+    /// Number of connections to hosts that are open or being opened.
     pub fn open_connections(&self) -> usize {
         self.pools.borrow().open_connections()
     }
 
-    /// What the pools counted since the start.
+    /// Counters of the connection pools since process start.
     pub fn pool_stats(&self) -> PoolStats {
         self.pools.borrow().stats()
     }
 
-    /// What was recorded since this was last called.
+    /// Takes the events recorded since the last call.
     pub fn take_events(&self) -> Vec<UpstreamEvent> {
         self.events.take()
     }
 
-    /// Has the pools look after all connections; to be called several times a second.
+    /// Runs the periodic work of the connection pools; to be called several times a second.
     pub fn tick(&self) {
         let stalled_for = self.pools.borrow_mut().tick(self.clock.now());
         if stalled_for > 0 {
@@ -262,10 +262,11 @@
         self.perform_pool_actions();
     }
 
-    /// A host sent more than it was asked for: its idle connections may bring another copy.
-    fn suspect_duplicates(&self, host: HostId) {
+    /// Records that a host sent more than it was asked for: its idle connections may bring another
+    /// copy of a response.
+    fn record_unexpected_bytes(&self, host: HostId) {
         log::debug!(host = host.0; "host sent more than it was asked for");
-        self.record_duplicate_sign(host, DuplicateDetector::unexpected_bytes);
+        self.record_duplicate_sign(host, DuplicateDetector::record_unexpected_bytes);
     }
 
     /// Whether connections to this host are to carry one request each.
@@ -273,12 +274,12 @@
         self.hosts.borrow().get(&host).is_some_and(|entry| entry.duplicates.wants_fresh_connections())
     }
 
-    /// A response of this host was like the one before it on its connection.
-    fn note_repeated_response(&self, host: HostId) {
-        self.record_duplicate_sign(host, DuplicateDetector::repeated_response);
+    /// Records that a response of this host equals the previous one on its connection.
+    fn record_repeated_response(&self, host: HostId) {
+        self.record_duplicate_sign(host, DuplicateDetector::record_repeated_response);
     }
 
-    /// There is a sign that a host answers twice: none of its idle connections is used again.
+    /// Records a sign that a host answers twice, and closes its idle connections.
     fn record_duplicate_sign(&self, host: HostId, note_sign: impl FnOnce(&DuplicateDetector)) {
         if let Some(entry) = self.hosts.borrow().get(&host) {
             note_sign(&entry.duplicates);
@@ -287,12 +288,12 @@
         self.perform_pool_actions();
     }
 
-    /// Whether a response of this host may be a copy of the one before it on its connection.
+    /// Whether a response of this host may be a copy of the previous one on its connection.
     fn suspects_duplicates(&self, host: HostId) -> bool {
         self.hosts.borrow().get(&host).is_some_and(|entry| entry.duplicates.suspected())
     }
 
-    /// Since when a host takes nothing new.
+    /// When a host stopped accepting attempts, if it did.
     fn draining_since(&self, host: HostId) -> Option<Instant> {
         self.hosts.borrow().get(&host).and_then(|entry| entry.draining_since)
     }
@@ -302,7 +303,7 @@
         self.events_ready.notify_one();
     }
 
-    /// Does what the pools ask for; after each call that may have them ask for something.
+    /// Performs the actions that the pools request; to be called after each call that may add some.
     fn perform_pool_actions(&self) {
         let actions = self.pools.borrow_mut().take_actions();
         for action in actions {
@@ -321,14 +322,14 @@
         let in_flight = self.in_flight.borrow().get(&id).copied();
         let Some(key) = in_flight else { return };
         log::debug!(
-            "attempt {} of request {} is in doubt: later ones are answered",
+            "attempt {} of request {} is in doubt: requests sent later to its host were answered",
             key.number.0,
             key.request.0
         );
         self.record_event(UpstreamEvent::AttemptInDoubt(key));
     }
 
-    /// Closes a connection that no attempt has.
+    /// Closes a connection that no attempt uses.
     fn close(&self, id: ConnectionId) {
         self.idle.borrow_mut().remove(&id);
         if let Some(late_reader) = self.late_readers.borrow_mut().remove(&id) {
@@ -336,7 +337,7 @@
         }
     }
 
-    /// Closes the connection that is needed least; whether there was one.
+    /// Closes the connection that is needed least; returns whether there was one.
     pub fn close_idle_connection(&self) -> bool {
         let evicted = self.pools.borrow_mut().evict_idle();
         let Some(id) = evicted else { return false };
--- a/balancer/src/upstream/origin.rs
+++ b/balancer/src/upstream/origin.rs
@@ -1,5 +1,5 @@
-//! The origin, where a value is fetched that a cache host lacks, and where writes go: an attempt as
-//! an HTTP/1.1 request, and its response.
+//! The protocol of the origin, which serves values that a cache host lacks and takes writes:
+//! encodes an attempt as an HTTP/1.1 request and parses the response.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
 };
 use crate::request::{AttemptResult, ClientRequest, Value};
 
-/// The HTTP request for this request, of which so much time is left, to the origin at this address.
+/// Encodes the HTTP request to the origin at `address`; `time_left` is the time that it is told.
 pub fn encode(address: SocketAddr, request: &ClientRequest, time_left: Micros) -> RequestBytes {
     let path = format!("/{}", http::percent_encode(&request.key));
     let facts = request.facts_within(time_left);
@@ -31,7 +31,7 @@
     }
 }
 
-/// A response at the front of a buffer.
+/// Parses a response at the front of a buffer.
 pub fn parse_response(bytes: &[u8]) -> Result<Option<ParsedResponse>, ResponseError> {
     let long = http::parse_long_response_head(bytes, MAX_BUFFERED_VALUE, MAX_VALUE);
     if let Some(LongResponse { head, body_length: length }) = long {
--- a/balancer/src/upstream/send_audit.rs
+++ b/balancer/src/upstream/send_audit.rs
@@ -1,6 +1,6 @@
-//! Looks at each attempt again once it is written, by another account than the one that admitted
-//! it: what was written of the request before, when its client left, since when its host drains. A
-//! promise that is seen broken here is counted; nothing is ended by it.
+//! Checks the invariants of each attempt once it is written, independently of the code that
+//! permitted it: by the attempts written before, when the client left, and since when the host
+//! drains. Violations are counted and logged; nothing is ended because of them.
 
 use std::time::Duration;
 
@@ -15,9 +15,9 @@
 #[cfg(test)]
 mod tests;
 
-/// A client's close is seen to within this time. Source: the operators' page on real days.
+/// A client's close is handled within this time, as documented for operators (page on real days).
 const DEPARTURE_SLACK: Duration = Duration::from_millis(100);
-/// How long a process may be held up between its clock and a write, by the same page.
+/// How long a process may be held up between reading its clock and a write, by the same page.
 const STALL_SLACK: Duration = Duration::from_millis(150);
 
 /// One attempt as it was written.
@@ -26,42 +26,42 @@
     pub number: AttemptNumber,
     pub first_byte_at: Instant,
     pub last_byte_at: Instant,
-    /// The end of the attempt's time.
+    /// When the attempt times out.
     pub deadline: Instant,
-    /// The time that its host was told.
-    pub stated: Micros,
-    /// Since when its host drains.
+    /// The time left that the host was told.
+    pub stated_time: Micros,
+    /// When its host began to drain, if it did.
     pub draining_since: Option<Instant>,
 }
 
 impl SentAttempt<'_> {
-    /// The promises that it breaks.
-    fn broken_promises(&self, drain_grace: Duration) -> Vec<Invariant> {
-        let mut broken = Vec::new();
+    /// The invariants that the attempt violates.
+    fn violations(&self, drain_grace: Duration) -> Vec<Invariant> {
+        let mut violations = Vec::new();
         let is_late = |since: Option<Instant>, slack| since.is_some_and(|at| self.first_byte_at > at + slack);
         if is_late(self.request.client.departed_at(), DEPARTURE_SLACK) {
-            broken.push(Invariant::SentForDepartedClient);
+            violations.push(Invariant::SentForDepartedClient);
         }
         if is_late(self.draining_since, drain_grace) {
-            broken.push(Invariant::SentToDrainingHost);
+            violations.push(Invariant::SentToDrainingHost);
         }
         if self.last_byte_at > self.deadline + STALL_SLACK {
-            broken.push(Invariant::SentAfterDeadline);
+            violations.push(Invariant::SentAfterDeadline);
         }
-        if self.first_byte_at + duration(self.stated) > self.deadline + STALL_SLACK {
-            broken.push(Invariant::StatedTimeTooLong);
+        if self.first_byte_at + duration(self.stated_time) > self.deadline + STALL_SLACK {
+            violations.push(Invariant::StatedTimeTooLong);
         }
         if self.request.write_log.record(self.number, self.last_byte_at, self.request.retry_safety) {
-            broken.push(Invariant::UnsafeRepeat);
+            violations.push(Invariant::UnsafeRepeat);
         }
-        broken
+        violations
     }
 }
 
 impl Upstreams {
-    /// Counts the promises that an attempt breaks which was just written.
+    /// Counts the invariants that an attempt violates, once it is written.
     pub(super) fn audit(&self, sent: &SentAttempt<'_>) {
-        for invariant in sent.broken_promises(duration(self.limits.drain_grace)) {
+        for invariant in sent.violations(duration(self.limits.drain_grace)) {
             let id = String::from_utf8_lossy(&sent.request.id);
             let context = format_args!("request {id}, attempt {}", sent.number.0);
             self.invariants.violated(invariant, context);
--- a/balancer/src/upstream/send_audit/tests.rs
+++ b/balancer/src/upstream/send_audit/tests.rs
@@ -1,4 +1,4 @@
-//! Each promise broken on purpose, and none where all is kept.
+//! Each invariant is violated on purpose; an attempt that keeps all of them reports none.
 
 use basaltwood::types::{AttemptOutcome, DeduplicationScope, RetrySafety};
 use bytes::Bytes;
@@ -30,7 +30,7 @@
     }
 }
 
-/// An attempt written at once, half a second before the end of its time.
+/// An attempt written at `at`, 0.5 s before its deadline.
 fn sent(request: &ClientRequest, number: u32, at: Instant) -> SentAttempt<'_> {
     SentAttempt {
         request,
@@ -38,60 +38,60 @@
         first_byte_at: at,
         last_byte_at: at,
         deadline: after(at, 500),
-        stated: 500 * MS,
+        stated_time: 500 * MS,
         draining_since: None,
     }
 }
 
-fn broken(attempt: &SentAttempt<'_>) -> Vec<Invariant> {
-    attempt.broken_promises(Duration::from_millis(250))
+fn violations_of(attempt: &SentAttempt<'_>) -> Vec<Invariant> {
+    attempt.violations(Duration::from_millis(250))
 }
 
 #[test]
-fn attempt_that_keeps_all_promises_breaks_none() {
+fn attempt_within_all_limits_violates_no_invariant() {
     let client = PresenceGuard::default();
     let now = Instant::now();
     let request = request(&client, RetrySafety::AtMostOnce);
     let draining = SentAttempt { draining_since: Some(now), ..sent(&request, 0, after(now, 249)) };
-    assert_eq!(broken(&draining), []);
+    assert_eq!(violations_of(&draining), []);
 }
 
 #[test]
-fn attempt_for_a_client_that_left_is_seen() {
+fn attempt_for_a_departed_client_is_a_violation() {
     let client = PresenceGuard::default();
     let request = request(&client, RetrySafety::Idempotent);
     drop(client);
     let now = Instant::now();
-    assert_eq!(broken(&sent(&request, 0, after(now, 50))), []);
-    assert_eq!(broken(&sent(&request, 1, after(now, 101))), [Invariant::SentForDepartedClient]);
+    assert_eq!(violations_of(&sent(&request, 0, after(now, 50))), []);
+    assert_eq!(violations_of(&sent(&request, 1, after(now, 101))), [Invariant::SentForDepartedClient]);
 }
 
 #[test]
-fn attempt_past_its_time_or_at_a_draining_host_is_seen() {
+fn attempt_past_its_deadline_or_at_a_draining_host_is_a_violation() {
     let client = PresenceGuard::default();
     let request = request(&client, RetrySafety::Idempotent);
     let now = Instant::now();
     let late = SentAttempt { last_byte_at: after(now, 651), ..sent(&request, 0, now) };
-    assert_eq!(broken(&late), [Invariant::SentAfterDeadline]);
-    let stated = SentAttempt { stated: 651 * MS, ..sent(&request, 1, now) };
-    assert_eq!(broken(&stated), [Invariant::StatedTimeTooLong]);
+    assert_eq!(violations_of(&late), [Invariant::SentAfterDeadline]);
+    let stated_time = SentAttempt { stated_time: 651 * MS, ..sent(&request, 1, now) };
+    assert_eq!(violations_of(&stated_time), [Invariant::StatedTimeTooLong]);
     let draining = SentAttempt { draining_since: Some(now), ..sent(&request, 2, after(now, 251)) };
-    assert_eq!(broken(&draining), [Invariant::SentToDrainingHost]);
+    assert_eq!(violations_of(&draining), [Invariant::SentToDrainingHost]);
 }
 
 #[test]
-fn repeat_that_could_take_effect_twice_is_seen() {
+fn repeat_that_could_take_effect_twice_is_a_violation() {
     let client = PresenceGuard::default();
     let now = Instant::now();
     let once = request(&client, RetrySafety::AtMostOnce);
-    assert_eq!(broken(&sent(&once, 0, now)), []);
+    assert_eq!(violations_of(&sent(&once, 0, now)), []);
     once.write_log.ended(AttemptNumber(0), AttemptOutcome::Rejected);
-    assert_eq!(broken(&sent(&once, 1, now)), [], "the first never ran");
+    assert_eq!(violations_of(&sent(&once, 1, now)), [], "the first attempt never ran");
     once.write_log.ended(AttemptNumber(1), AttemptOutcome::ConnectionLost);
-    assert_eq!(broken(&sent(&once, 2, now)), [Invariant::UnsafeRepeat]);
+    assert_eq!(violations_of(&sent(&once, 2, now)), [Invariant::UnsafeRepeat]);
 
     let keyed = request(&client, WINDOW);
-    assert_eq!(broken(&sent(&keyed, 0, now)), []);
-    assert_eq!(broken(&sent(&keyed, 1, after(now, 599))), []);
-    assert_eq!(broken(&sent(&keyed, 2, after(now, 601))), [Invariant::UnsafeRepeat]);
+    assert_eq!(violations_of(&sent(&keyed, 0, now)), []);
+    assert_eq!(violations_of(&sent(&keyed, 1, after(now, 599))), []);
+    assert_eq!(violations_of(&sent(&keyed, 2, after(now, 601))), [Invariant::UnsafeRepeat]);
 }
--- a/balancer/src/upstream/streaming.rs
+++ b/balancer/src/upstream/streaming.rs
@@ -1,4 +1,4 @@
-//! Long values, passed on to the client in pieces as they come.
+//! Streams long values to the client in pieces as they arrive.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,16 +16,16 @@
 use crate::read;
 use crate::socket_io::read_buf;
 
-/// A host that gives nothing of a long value for so long will not give the rest.
+/// A host that sends no byte of a long value for this long is expected to send no more of it.
 const PIECE_TIMEOUT: Duration = Duration::from_secs(5);
-/// What follows a long value is awaited for so long: the client has its value already.
+/// How long to wait for the bytes after a long value; the client has its value already.
 const TRAILER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A long value on its way from a host.
 pub struct ValueStream {
     pub host: HostId,
     pub id: ConnectionId,
-    /// Its next bytes are the value's first.
+    /// A connection whose next bytes are the first of the value.
     pub connection: UpstreamConnection,
     /// The length of the value, in bytes.
     pub length: usize,
@@ -33,8 +33,8 @@
 }
 
 impl Upstreams {
-    /// Passes a long value on, read only as its pieces are taken. For the policy its attempt has
-    /// ended: what becomes of the value tells of the connection alone.
+    /// Streams a long value, reading only as fast as its pieces are taken. For the policy the
+    /// attempt has ended; the result of the stream affects only the connection.
     pub(super) async fn stream_value(self: Rc<Upstreams>, value: ValueStream, pieces: mpsc::Sender<Bytes>) {
         let ValueStream { host, id, connection, length, parse_trailer } = value;
         let mut checked_out = CheckedOut::new(&self, id, connection);
@@ -50,7 +50,7 @@
         connection.buffer.consume(length);
         let more_follows = !connection.buffer.is_empty();
         if more_follows {
-            self.suspect_duplicates(host);
+            self.record_unexpected_bytes(host);
         }
         let keep = reusable && !more_follows && !self.wants_fresh_connections(host);
         let Some(connection) = checked_out.take() else { return };
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Whether all of the value was passed on.
+    /// Passes on the pieces of a value; returns whether all of them were passed on.
     async fn send_pieces(
         &self,
         host: HostId,
@@ -73,7 +73,7 @@
         while left > 0 {
             let max_bytes = window.chunk_size().min(left);
             let Some(piece) = next_piece(connection, max_bytes).await else {
-                // The client can tell: its connection ends before the length that it was told.
+                // The client notices: its connection ends before the announced length.
                 self.counters.values_truncated.add();
                 log::debug!("host {}: a value ended {left} bytes before its end", host.0);
                 return false;
@@ -87,8 +87,8 @@
     }
 }
 
-/// The next piece of a value: of what is buffered, or else of what comes; `None` where nothing
-/// comes any more.
+/// The next piece of a value, from the buffer or else from the socket; `None` if the connection
+/// ended, failed or sent nothing within [`PIECE_TIMEOUT`].
 async fn next_piece(connection: &mut UpstreamConnection, max_bytes: usize) -> Option<Bytes> {
     if connection.buffer.is_empty() {
         let mut piece = BytesMut::with_capacity(max_bytes);
@@ -104,8 +104,8 @@
     Some(piece)
 }
 
-/// What follows a long value; `None` where it is not whole when the connection ends, or makes no
-/// sense.
+/// Reads what follows a long value; `None` if the connection ends before it is complete, or if it
+/// can't be parsed.
 async fn read_trailer(connection: &mut UpstreamConnection, parse_trailer: ParseTrailer) -> Option<Trailer> {
     loop {
         match parse_trailer(connection.buffer.bytes()) {
--- a/connection_pool/src/pools.rs
+++ b/connection_pool/src/pools.rs
@@ -304,8 +304,8 @@
         }
     }
 
-    /// Reports that an idle connection was found closed before its use. No request was lost, and
-    /// nothing is learned from it.
+    /// Reports that an idle connection was found closed before its use. The host closed it in time:
+    /// no request was lost, and nothing is learned from it.
     pub fn found_closed(&mut self, id: ConnectionId) {
         self.forget(id);
     }
