--- a/balancer/tests/drains.rs
+++ b/balancer/tests/drains.rs
@@ -1,6 +1,6 @@
-//! Drains on sockets: a host is announced as leaving while attempts are between their decision and
-//! their first byte. None of them writes a byte to it, and each request is answered elsewhere at
-//! once.
+//! Drains on real sockets: a host is announced as leaving while attempts are between the decision
+//! and their first byte. None of them writes a byte to it, and each request is answered elsewhere
+//! at once.
 
 #[path = "../../tests/common/mod.rs"]
 mod common;
@@ -17,10 +17,10 @@
 
 const BINARY: &str = env!("CARGO_BIN_EXE_basaltwood-balancer");
 
-/// One attempt is in flight at `a`, and others wait there: no connection is free, and none may be
-/// opened for a second. Returns the trace of what they get once the list gives `lifecycle` for `a`,
-/// or does not name it.
-fn waiting_while(lifecycle: &str) -> String {
+/// One attempt is in flight at `a`, and two others wait there: no connection is free, and none may
+/// be opened for 1 s. Returns the trace of requests and answers once the list gives `lifecycle` for
+/// `a`, or does not name `a` if `lifecycle` is empty.
+fn answers_of_waiting_attempts(lifecycle: &str) -> String {
     let (release, a) = breaking_host();
     let b = Peer::host(|_| hit("from b"));
     let discovery = Discovery::start();
@@ -36,19 +36,19 @@
     list.extend((!lifecycle.is_empty()).then(|| entry("a", a.address, lifecycle)));
     discovery.publish(&list);
     trace.extend([read.answer(), once.answer()]);
-    release.send(()).expect("it waits");
-    // What is in flight goes on; its connection is closed after it.
+    release.send(()).expect("the host waits for the release");
+    // The attempt in flight completes, and its connection is then closed.
     trace.extend([slow.answer(), a.next()]);
-    assert!(a.quiet(), "nothing came after the drain was announced");
+    assert!(a.quiet(), "no request was sent to the host after its drain was announced");
 
     let line = program.wait_for_counter("attempts_not_sent", 2);
-    assert!(line.contains(" attempts_not_sent=2 "), "each of those that waited is counted once: {line}");
+    assert!(line.contains(" attempts_not_sent=2 "), "each attempt that waited is counted once: {line}");
     trace.join("\n")
 }
 
 #[test]
 fn attempts_waiting_for_a_connection_when_their_host_leaves_are_not_sent() {
-    let trace = waiting_while("leaving");
+    let trace = answers_of_waiting_attempts("leaving");
     expect![[r#"
         CACHE.GET break id0 c=read,d=..
         closed
@@ -59,13 +59,17 @@
         from a
         closed"#]]
     .assert_eq(&trace);
-    assert_eq!(waiting_while("left"), trace, "one that has left is no other");
-    assert_eq!(waiting_while(""), trace, "nor one that a whole list does not name");
+    assert_eq!(
+        answers_of_waiting_attempts("left"),
+        trace,
+        "a host that has left is treated like one that is leaving"
+    );
+    assert_eq!(answers_of_waiting_attempts(""), trace, "so is a host that a complete list does not name");
 }
 
-/// An attempt is in its handshake with `a` when the list changes `a`, and names another host: what
-/// its client gets. No byte goes where the handshake was.
-fn in_a_handshake_while(changed: impl Fn(SocketAddr) -> String) -> String {
+/// An attempt is in its handshake with `a` when the list changes `a` and names another host.
+/// Returns the client's answer; no byte is written to the old address.
+fn answer_after_a_handshake(changed: impl Fn(SocketAddr) -> String) -> String {
     let a = StalledListener::start();
     let b = Peer::host(|_| hit("from b"));
     let discovery = Discovery::start();
@@ -77,40 +81,40 @@
 
     discovery.publish(&[changed(a.address), entry("b", b.address, "active")]);
     program.wait_for_counter("endpoint_lists", 2);
-    // From here on the handshake can come to its end.
+    // From here on the handshake can complete.
     let (_, wrote) = a.accept_all();
 
     let answer = client.answer();
-    assert!(wrote.try_recv().is_err(), "a byte went where the handshake was");
+    assert!(wrote.try_recv().is_err(), "a byte was written to the old address");
     answer
 }
 
 #[test]
 fn handshake_under_way_when_its_host_leaves_carries_nothing() {
-    assert_eq!(in_a_handshake_while(|at| entry("a", at, "leaving")), "from b");
+    assert_eq!(answer_after_a_handshake(|at| entry("a", at, "leaving")), "from b");
 }
 
-/// Another may stand at the old address now.
+/// The old address may belong to another machine now.
 #[test]
 fn handshake_under_way_when_its_host_moves_carries_nothing() {
     let elsewhere = Peer::host(|_| hit("from the new address"));
-    assert_eq!(in_a_handshake_while(|_| entry("a", elsewhere.address, "active")), "from b");
-    assert!(elsewhere.quiet(), "one attempt each host");
+    assert_eq!(answer_after_a_handshake(|_| entry("a", elsewhere.address, "active")), "from b");
+    assert!(elsewhere.quiet(), "a request is sent to each host at most once");
 }
 
-/// Keys of both hosts' are read at `b`, and nothing comes to `a`.
-fn only_b_serves(program: &Program, a: &Peer, what: &str) {
+/// Reads keys of both hosts: `b` serves all of them, and nothing is sent to `a`.
+fn only_b_serves(program: &Program, a: &Peer, case: &str) {
     for nth in 0..4 {
         let (key, id) = (format!("k{nth}"), format!("id{nth}"));
         assert_eq!(program.client().command(&["CACHE.GET", &key, &id, "c=read,d=600"]), "from b");
     }
-    assert!(a.quiet(), "{what}");
+    assert!(a.quiet(), "{case}");
 }
 
 #[test]
 fn drain_in_an_otherwise_invalid_entry_is_honoured() {
     let b = Peer::host(|_| hit("from b"));
-    for absurd in [
+    for invalid in [
         r#"{"instanceId":"a","lifecycle":"leaving"}"#,
         r#"{"instanceId":"a","hostPort":"::","lifecycle":"leaving","startedAtMs":1e300}"#,
         r#"{"instanceId":"a","hostPort":7,"zone":[],"weight":"much","lifecycle":"left"}"#,
@@ -120,16 +124,17 @@
         let known = [entry("a", a.address, "active"), entry("b", b.address, "active")];
         let program = Program::start(BINARY, discovery.peer.address, &known, 1024);
 
-        discovery.publish(&[absurd.to_owned(), entry("b", b.address, "active")]);
+        discovery.publish(&[invalid.to_owned(), entry("b", b.address, "active")]);
 
         let line = program.wait_for_counter("endpoint_lists", 2);
         assert!(line.contains(" endpoints_refused=0 "), "{line}");
-        only_b_serves(&program, &a, absurd);
+        only_b_serves(&program, &a, invalid);
     }
 }
 
-/// Moved by SIGHUP, it asks for all there is: a discovery that counts from less holds a call from
-/// the version that it has, and may know of a drain all the same.
+/// After SIGHUP moved it to another discovery, the balancer asks for the complete list. A discovery
+/// with a lower version would hold a call that names the balancer's version, although it may know
+/// of a drain.
 #[test]
 fn drain_after_a_move_to_a_discovery_with_lower_versions_is_honoured() {
     let (_release, a) = breaking_host();
@@ -155,7 +160,7 @@
     program.reload_with(&old.address.to_string(), &new.address.to_string());
     trace.extend([new.next(), new.next()]);
     program.wait_for_counter("endpoint_lists", 3);
-    only_b_serves(&program, &a, "nothing goes to the host that leaves");
+    only_b_serves(&program, &a, "no request is sent to the leaving host");
 
     expect![[r#"
         GET /v1/servers?from=1&hold_ms=3000
@@ -165,8 +170,8 @@
     .assert_eq(&trace.join("\n"));
 }
 
-/// After SIGTERM the list is followed for as long as a request is open: a retry goes by what was
-/// announced meanwhile.
+/// After SIGTERM the balancer follows the list for as long as a request is open, so that a retry
+/// respects a drain announced meanwhile.
 #[test]
 fn drain_while_the_balancer_shuts_down_is_honoured() {
     let (release, wait) = gate();
@@ -187,13 +192,13 @@
     program.wait_for_log("Draining");
     let up = ["a", "c"].into_iter().zip([a.address, c.address]).map(|(name, at)| entry(name, at, "active"));
     discovery.publish(&up.chain([entry("b", b.address, "leaving")]).collect::<Vec<_>>());
-    // The next call shows that this list was read.
+    // The next discovery call shows that this list was read.
     trace.push(discovery.peer.next());
-    release.send(()).expect("it waits");
+    release.send(()).expect("the host waits for the release");
     trace.push(client.answer());
 
     assert!(program.ended().success());
-    assert!(b.quiet(), "nothing goes to the host that leaves");
+    assert!(b.quiet(), "no request is sent to the leaving host");
     expect![[r#"
         CACHE.GET k2 slow c=once,d=..
         GET /v1/servers?from=1&hold_ms=3000
@@ -202,22 +207,22 @@
     .assert_eq(&trace.join("\n"));
 }
 
-/// A watch that fell silent is broken: what it misses counts as announced 6 s after, and the change
+/// A watch that fell silent is broken. A change that it misses counts as announced 6 s later, and
 /// has to be known by then.
 #[test]
 fn drain_behind_a_silent_watch_is_honoured_in_time() {
     assert_honoured_in_time(0, |_| Reply::Nothing, calls_without_failures());
 }
 
-/// A response that drips does not put the timeout off.
+/// A response that arrives byte by byte does not extend the timeout.
 #[test]
-fn drain_in_a_list_that_only_drips_is_honoured_in_time() {
+fn drain_behind_a_dripping_list_is_honoured_in_time() {
     assert_honoured_in_time(0, |news| Reply::Drips(news, Duration::from_secs(1)), calls_without_failures());
 }
 
-/// Whatever failed before: a change counts as announced 6 s after discovery had it and could be
-/// reached, which it does here with the first call that is not closed, and which is the one that
-/// falls silent.
+/// A change counts as announced 6 s after discovery has it and can be reached, whatever failed
+/// before. Here discovery can be reached from the first call on that it does not close, which is
+/// the call that falls silent.
 #[test]
 fn drain_behind_a_silent_watch_after_failed_calls_is_honoured_in_time() {
     let calls = expect![[r#"
@@ -228,7 +233,7 @@
     assert_honoured_in_time(4, |_| Reply::Nothing, calls);
 }
 
-/// The calls from the one that falls silent on, where none failed before.
+/// The discovery calls from the silent one on, if no call failed before.
 fn calls_without_failures() -> Expect {
     expect![[r#"
         GET /v1/servers?from=1&hold_ms=2500
@@ -237,14 +242,15 @@
         closed"#]]
 }
 
-/// So many calls are closed; the next gets `first`, and the one after brings the change.
+/// Discovery closes `failed` calls, answers the next with `first`, and the one after that with the
+/// change.
 fn assert_honoured_in_time(failed: u32, first: fn(String) -> Reply, expected: Expect) {
     let (_release, a) = breaking_host();
     let b = Peer::host(|_| hit("from b"));
     let entries = [entry("a", a.address, "leaving"), entry("b", b.address, "active")].join(",");
     let news = format!(r#"{{"generation":2,"reset":false,"instances":[{entries}]}}"#);
     let calls = AtomicU32::new(0);
-    // The first that is not closed is never answered whole, and the one after the news not at all.
+    // The first call that is not closed gets no whole answer, and the last one none at all.
     let discovery = Peer::http(move |_| match calls.fetch_add(1, Ordering::Relaxed) {
         call if call < failed => Reply::Last(String::new()),
         call if call == failed => {
@@ -263,25 +269,25 @@
     program.wait_for_counter("endpoint_lists", 2);
     assert!(silent.elapsed() < Duration::from_secs(6), "the change came after {:?}", silent.elapsed());
     trace.extend([discovery.next(), discovery.next(), discovery.next()]);
-    only_b_serves(&program, &a, "nothing goes to the host that leaves");
-    // When it sees the end of its connection is not fixed.
+    only_b_serves(&program, &a, "no request is sent to the leaving host");
+    // The position of the `closed` line is not deterministic.
     trace.sort();
     expected.assert_eq(&trace.join("\n"));
 }
 
-/// The list as another may write it: indented, in chunks, byte by byte, with a host that leaves and
-/// was never listed before.
+/// A list in other forms that are allowed: indented, chunked, byte by byte, or with a leaving host
+/// that was never listed before.
 #[test]
 fn drain_in_a_list_of_any_form_is_honoured() {
     let b = Peer::host(|_| hit("from b"));
-    for way in ["indented", "chunked", "dripping", "unlisted"] {
+    for layout in ["indented", "chunked", "dripping", "unlisted"] {
         let (_release, a) = breaking_host();
-        let leaves = if way == "unlisted" { "c" } else { "a" };
+        let leaves = if layout == "unlisted" { "c" } else { "a" };
         let entries = [entry(leaves, a.address, "leaving"), entry("b", b.address, "active")].join(",\n  ");
         let list =
             format!("{{\n\t\"generation\" : 2,\r\n \"reset\": false, \"instances\":\n [ {entries} ]\n}}\n");
         let head = "HTTP/1.1 200 so\r\n";
-        let whole = match way {
+        let whole = match layout {
             "chunked" => {
                 let (one, two) = list.split_at(list.len() / 2);
                 let chunk = |part: &str| format!("{:x}\r\n{part}\r\n", part.len());
@@ -290,7 +296,7 @@
             _ => format!("{head}Content-Length: {}\r\n\r\n{list}", list.len()),
         };
         let discovery = Peer::http(move |request| match request.contains("from=1&") {
-            true if way == "dripping" => Reply::Drips(whole.clone(), Duration::from_millis(1)),
+            true if layout == "dripping" => Reply::Drips(whole.clone(), Duration::from_millis(1)),
             true => Reply::Text(whole.clone()),
             false => Reply::Nothing,
         });
@@ -299,22 +305,22 @@
         let program = Program::start(BINARY, discovery.address, &known, 1024);
 
         let line = program.wait_for_counter("endpoint_lists", 2);
-        assert!(line.contains(" discovery_invalid=0 "), "{way}: {line}");
-        only_b_serves(&program, &a, way);
+        assert!(line.contains(" discovery_invalid=0 "), "{layout}: {line}");
+        only_b_serves(&program, &a, layout);
     }
 }
 
-/// The list and requests come while this process is stopped: the list is read before anything is
-/// sent.
+/// The list and requests arrive while the process is stopped. The list is read before any request
+/// is sent.
 #[test]
 fn drain_during_a_process_stall_is_honoured_before_anything_is_sent() {
     let (_release, a) = breaking_host();
     let b = Peer::host(|_| hit("from b"));
-    // By hand: what is written is in the socket before the process goes on.
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    // Written directly, so that the list is in the socket before the process continues.
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind to a free port");
     let known = [entry("a", a.address, "active"), entry("b", b.address, "active")];
-    let program = Program::start(BINARY, listener.local_addr().expect("an address"), &known, 1024);
-    let (mut discovery, _) = listener.accept().expect("it asks");
+    let program = Program::start(BINARY, listener.local_addr().expect("a local address"), &known, 1024);
+    let (mut discovery, _) = listener.accept().expect("the balancer calls discovery");
     let mut clients: Vec<Client> = (0..4).map(|_| program.client()).collect();
     clients.iter_mut().for_each(|client| assert_eq!(client.command(&["PING"]), "+PONG"));
 
@@ -325,17 +331,17 @@
     let leaves = entry("a", a.address, "leaving");
     let body = format!(r#"{{"generation":2,"reset":false,"instances":[{leaves}]}}"#);
     let Reply::Text(text) = http_answer(200, &body) else { panic!("a text") };
-    discovery.write_all(text.as_bytes()).expect("it is taken");
+    discovery.write_all(text.as_bytes()).expect("write the list");
     program.signal("CONT");
 
     clients.iter_mut().for_each(|client| assert_eq!(client.answer(), "from b"));
-    // One whose request was read first may have dialled it; the list comes before the first byte.
+    // A request that was read first may have connected, but the list precedes its first byte.
     let sent: Vec<String> = std::iter::from_fn(|| a.seen()).filter(|seen| seen != "closed").collect();
     assert!(sent.is_empty(), "nothing goes to the host that leaves: {sent:?}");
 }
 
-/// Two hosts go, and one of them returns under its name, all by changes to the list: its number is
-/// another then, and the one that it had is still among those that are free.
+/// By changes to the list two hosts leave and one of them returns under its name. It then has
+/// another host id, while its old id is still free.
 #[test]
 fn drain_of_a_host_that_had_returned_is_honoured() {
     let (_release, a) = breaking_host();
@@ -356,6 +362,9 @@
     let program = Program::start(BINARY, discovery.address, &known, 1024);
 
     let line = program.wait_for_counter("endpoint_lists", 4);
-    assert!(line.contains(" hosts_released=2"), "each host once, and one that drains is not gone: {line}");
-    only_b_serves(&program, &a, "nothing goes to the host that leaves");
+    assert!(
+        line.contains(" hosts_released=2"),
+        "each host is released once, and a draining host is not released: {line}"
+    );
+    only_b_serves(&program, &a, "no request is sent to the leaving host");
 }
--- a/balancer/tests/faults/copies.rs
+++ b/balancer/tests/faults/copies.rs
@@ -1,4 +1,5 @@
-//! Hosts that answer twice: nobody gets what was not made for it, and no other host's requests pay.
+//! Hosts that answer twice: each request gets its own response, and requests to other hosts are not
+//! affected.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -9,24 +10,24 @@
 use crate::BINARY;
 
 const READS: usize = 800;
-/// Between two reads: all of them fall into the time in which copies are suspected.
+/// Interval between reads; all reads fall into the time in which duplicates are suspected.
 const READ_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Values are alike at all three hosts, as flags and empty values are; one host sends one answer
-/// twice, once.
+/// All three hosts return equal values, as is common for flags and empty values. One host sends one
+/// response twice.
 #[test]
-fn one_copy_of_an_answer_costs_no_other_request_its_own() {
-    let has_copied = Arc::new(AtomicBool::new(false));
-    let copied = has_copied.clone();
-    let copies_once = Peer::host(move |request| match hit("v") {
-        Reply::Text(text) if request.contains("copied") && !copied.swap(true, Ordering::Relaxed) => {
+fn one_duplicate_response_fails_no_other_request() {
+    let has_duplicated = Arc::new(AtomicBool::new(false));
+    let duplicated = has_duplicated.clone();
+    let duplicating_host = Peer::host(move |request| match hit("v") {
+        Reply::Text(text) if request.contains("copied") && !duplicated.swap(true, Ordering::Relaxed) => {
             Reply::Text(text.repeat(2))
         }
         reply => reply,
     });
     let others: Vec<Peer> = (0..2).map(|_| Peer::host(|_| hit("v"))).collect();
     let known = [
-        entry("a", copies_once.address, "active"),
+        entry("a", duplicating_host.address, "active"),
         entry("b", others[0].address, "active"),
         entry("c", others[1].address, "active"),
     ];
@@ -37,7 +38,7 @@
             client.command(&["CACHE.GET", &format!("copied{nth}"), &format!("c{nth}"), "c=read,d=1900"]),
             "v"
         );
-        if has_copied.load(Ordering::Relaxed) {
+        if has_duplicated.load(Ordering::Relaxed) {
             break;
         }
     }
@@ -48,5 +49,5 @@
         failed += usize::from(answer != "v");
         thread::sleep(READ_INTERVAL);
     }
-    assert_eq!(failed, 0, "of {READS} reads after one copy");
+    assert_eq!(failed, 0, "{failed} of {READS} reads failed after one duplicate response");
 }
--- a/balancer/tests/faults/keyed_windows.rs
+++ b/balancer/tests/faults/keyed_windows.rs
@@ -1,5 +1,5 @@
-//! Rule 2: a request with an idempotency key that may have run is repeated inside its window alone,
-//! whatever the repeat waits for.
+//! Rule 2: a request with an idempotency key that may have run is retried only within its
+//! deduplication window, whatever the retry waits for.
 
 use std::thread;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use crate::stand_ins::{patient_settings, StalledListener};
 use crate::BINARY;
 
-/// How long hosts remember a key, in the settings of these tests.
+/// The deduplication window of hosts in these tests.
 const WINDOW: Duration = Duration::from_millis(600);
 
 fn settings_with_short_window() -> String {
@@ -18,9 +18,10 @@
     short
 }
 
-/// One host reads the request and resets; the handshake with the other comes up after the window.
+/// One host closes the connection after reading the request; the handshake with the other completes
+/// after the window.
 #[test]
-fn keyed_retry_whose_connection_comes_after_its_window_is_not_sent() {
+fn keyed_retry_that_gets_its_connection_after_the_window_is_not_sent() {
     let a = Peer::host(|_| Reply::Last(String::new()));
     let b = StalledListener::start();
     let known = [entry("a", a.address, "active"), entry("b", b.address, "active")];
@@ -30,7 +31,7 @@
     client.get(HOME_A, "id", "c=put,d=9000,k=5c0f6e1a");
     assert!(a.next().starts_with("CACHE.GET k2 id"));
     program.wait_for_counter("attempts", 2);
-    // What has to pass is the window.
+    // The window has to pass.
     thread::sleep(WINDOW * 2);
     let (_, wrote) = b.accept_all();
 
@@ -38,6 +39,6 @@
     assert_eq!(
         client.answer(),
         "-ERR dead-lettered",
-        "a rejection would ask for a repeat, and it is too late"
+        "a rejection would ask the client for a retry, which is too late"
     );
 }
--- a/balancer/tests/faults/main.rs
+++ b/balancer/tests/faults/main.rs
@@ -1,5 +1,6 @@
-//! Faults of the hunt before production: rare events that meet, forced over sockets. System calls
-//! fail and the wall clock is stepped by the preload library of `basaltwood-fault-shim`.
+//! Rare events that coincide, forced over sockets; the cases come from the search for faults before
+//! production. The preload library of `basaltwood-fault-shim` makes system calls fail and steps the
+//! wall clock.
 
 #[path = "../../../tests/common/mod.rs"]
 mod common;
@@ -22,7 +23,7 @@
 
 const BINARY: &str = env!("CARGO_BIN_EXE_basaltwood-balancer");
 
-/// A program under the preload library, and its faults.
+/// A balancer under the preload library, and the control of its faults.
 struct FaultyProgram {
     program: Program,
     faults: FaultControl,
@@ -35,16 +36,17 @@
         FaultyProgram { program: faulty.program.serving(), ..faulty }
     }
 
-    /// The same under faults from the first moment on, before it serves.
+    /// Starts a balancer with faults injected before it starts; does not wait until it serves.
     fn starting(
         discovery: SocketAddr,
         known: &[String],
         settings: &str,
         inject: impl FnOnce(&FaultControl),
     ) -> FaultyProgram {
-        let folder = tempfile::tempdir().expect("a folder");
-        let library = library_beside_test().expect("the preload library");
-        let faults = FaultControl::create(&folder.path().join("faults"), &library).expect("a file");
+        let folder = tempfile::tempdir().expect("create a temporary folder");
+        let library = library_beside_test().expect("find the preload library");
+        let faults =
+            FaultControl::create(&folder.path().join("faults"), &library).expect("create the fault file");
         inject(&faults);
         let environment = faults.environment();
         let program = Program::starting_with(BINARY, discovery, known, [192, 1024], settings, &environment);
--- a/balancer/tests/faults/shortages.rs
+++ b/balancer/tests/faults/shortages.rs
@@ -1,5 +1,5 @@
-//! System calls that fail for a moment: what is this machine's own shortage is no evidence against
-//! any host, spends no attempt, and loses no request and no news.
+//! System calls that fail for a moment. A shortage on this machine is no evidence against any host,
+//! uses up no attempt, and loses no request and no update from discovery.
 
 use std::thread;
 use std::time::Duration;
@@ -9,32 +9,32 @@
 use crate::common::*;
 use crate::FaultyProgram;
 
-/// How long a call fails: shorter than a request's time.
+/// How long the calls fail; shorter than a request's time.
 const SHORTAGE: Duration = Duration::from_millis(400);
 
 #[test]
-fn reload_without_a_descriptor_is_tried_again() {
+fn reload_without_a_descriptor_is_retried() {
     let (before, after) = (Discovery::start(), Discovery::start());
     let host = Peer::host(|_| hit("v"));
     let known = [entry("a", host.address, "active")];
     let faulty = FaultyProgram::start(before.peer.address, &known, SETTINGS);
     before.peer.next();
 
-    faulty.faults.fail(Call::Open, libc::EMFILE, ALWAYS).expect("a file");
+    faulty.faults.fail(Call::Open, libc::EMFILE, ALWAYS).expect("write the fault file");
     let (old, new) = (before.peer.address.to_string(), after.peer.address.to_string());
     faulty.program.reload_with(&old, &new);
     thread::sleep(SHORTAGE);
-    faulty.faults.restore(Call::Open).expect("a file");
+    faulty.faults.restore(Call::Open).expect("write the fault file");
 
     assert!(after.peer.next().starts_with("GET /v1/servers"));
 }
 
-/// So many requests come while connects fail: few enough for the limits of three new hosts.
+/// Number of requests while connects fail; within the concurrency limits of three new hosts.
 const REQUESTS: usize = 8;
 
-/// Connects fail while requests come: they wait, and are served.
+/// Requests that come while connects fail wait, and are served.
 #[test]
-fn connects_that_fail_for_want_of_something_local_cost_no_attempt() {
+fn connects_that_fail_by_a_local_shortage_cost_no_attempt() {
     let shortages = [
         (Call::Socket, libc::EMFILE),
         (Call::Socket, libc::ENFILE),
@@ -50,12 +50,12 @@
         let mut clients: Vec<Client> = (0..REQUESTS).map(|_| faulty.program.client()).collect();
         clients.iter_mut().for_each(|client| assert_eq!(client.command(&["PING"]), "+PONG"));
 
-        faulty.faults.fail(call, errno, ALWAYS).expect("a file");
+        faulty.faults.fail(call, errno, ALWAYS).expect("write the fault file");
         for (nth, client) in clients.iter_mut().enumerate() {
             client.get(&format!("k{nth}"), &format!("id{nth}"), "c=read,d=1900");
         }
         thread::sleep(SHORTAGE);
-        faulty.faults.restore(call).expect("a file");
+        faulty.faults.restore(call).expect("write the fault file");
 
         let served = clients.iter_mut().filter_map(|client| (client.answer() == "v").then_some(())).count();
         let line = faulty.program.wait_for_counter("requests", REQUESTS as u64);
--- a/balancer/tests/faults/wall_clock.rs
+++ b/balancer/tests/faults/wall_clock.rs
@@ -1,5 +1,5 @@
-//! Rule 4 by the process's own time: the wall clock may be stepped, and a host that has just
-//! started is warming up all the same.
+//! Rule 4 under steps of the wall clock: a host that has just started still counts as warming up,
+//! because the balancer uses its own monotonic time.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -10,14 +10,15 @@
 use crate::FaultyProgram;
 
 const HOUR_MS: i64 = 3_600_000;
-/// Reads before and after the restart of a host, spread over this time.
+/// Number of reads before a host's restart, and again after it.
 const READS: usize = 400;
 const READ_INTERVAL: Duration = Duration::from_millis(4);
-/// What one of four hosts gets of so many reads while it is warm, less its deviation.
-const WARM_PART: usize = READS / 8;
+/// Lower bound of the reads that one of four warm hosts gets: half of its even share, to allow for
+/// deviation.
+const MIN_WARM_READS: usize = READS / 8;
 
-/// How many reads go to a host in the moments after its start is listed, with the wall clock
-/// stepped by so much while the balancer runs.
+/// Returns how many reads go to a host right after its restart is listed, with the wall clock
+/// stepped by `step_ms` while the balancer runs.
 fn reads_at_restarted_host(step_ms: i64) -> usize {
     let discovery = Discovery::start();
     let reads: Vec<Arc<AtomicUsize>> = (0..4).map(|_| Arc::default()).collect();
@@ -43,10 +44,10 @@
     let program = &faulty.program;
     read_many(program, "warm");
 
-    faulty.faults.step_wall_clock(step_ms).expect("a file");
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970");
+    faulty.faults.step_wall_clock(step_ms).expect("write the fault file");
+    let unix = SystemTime::now().duration_since(UNIX_EPOCH).expect("a time after 1970");
     let before = reads[3].load(Ordering::Relaxed);
-    assert!(before >= WARM_PART, "{before} of {READS} reads went to the host while it was warm");
+    assert!(before >= MIN_WARM_READS, "{before} of {READS} reads went to the host while it was warm");
     discovery.publish(&entries(unix.as_millis() as i64 + step_ms));
     program.wait_for_counter("endpoint_lists", 2);
     read_many(program, "cold");
@@ -63,14 +64,17 @@
     }
 }
 
-/// A machine's clock and its hosts' clock are one: a start is listed by the stepped clock.
+/// The balancer and its hosts share one clock, so the start is listed by the stepped clock.
 #[test]
 fn host_that_restarts_after_a_step_of_the_wall_clock_is_warming_up() {
     let steps = [0, -HOUR_MS, HOUR_MS, 2 * HOUR_MS];
     let reads: Vec<(i64, usize)> =
         steps.into_iter().map(|step| (step / HOUR_MS, reads_at_restarted_host(step))).collect();
     for &(hours, count) in &reads {
-        assert!(count > 0, "hours and reads: {reads:?}: none at the host after a step of {hours} h");
-        assert!(count < WARM_PART, "hours and reads: {reads:?}: as many as if warm after {hours} h");
+        assert!(count > 0, "no read went to the host after a step of {hours} h; hours and reads: {reads:?}");
+        assert!(
+            count < MIN_WARM_READS,
+            "as many reads as at a warm host after a step of {hours} h; hours and reads: {reads:?}"
+        );
     }
 }
--- a/balancer/tests/races.rs
+++ b/balancer/tests/races.rs
@@ -1,5 +1,5 @@
-//! Races between the decision on an attempt and its first byte: its client leaves, or its deadline
-//! passes. Each way of waiting is forced, and nothing is written that nobody waits for.
+//! Races between the decision on an attempt and its first byte: the client leaves, or the deadline
+//! passes. Each kind of wait is forced, and no request is written that nobody waits for.
 
 #[path = "../../tests/common/mod.rs"]
 mod common;
@@ -19,16 +19,16 @@
     EACH_DEPARTURE,
 };
 
-/// A key that holds a stand-in back, and whose home of the hosts a and b is a.
-const SLOW_AT_A: &str = "slow4";
+/// A key whose response a stand-in holds back, and whose home among the hosts a and b is a.
+const SLOW_KEY_AT_A: &str = "slow4";
 const BINARY: &str = env!("CARGO_BIN_EXE_basaltwood-balancer");
 
 #[test]
 fn handshake_under_way_when_its_client_leaves_carries_nothing() {
-    EACH_DEPARTURE.into_iter().for_each(leaves_during_a_handshake);
+    EACH_DEPARTURE.into_iter().for_each(client_leaves_during_a_handshake);
 }
 
-fn leaves_during_a_handshake(departure: Departure) {
+fn client_leaves_during_a_handshake(departure: Departure) {
     let a = StalledListener::start();
     let known = [entry("a", a.address, "active")];
     let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &patient_settings());
@@ -42,21 +42,21 @@
     let mut other = program.client();
     other.get("l", "id2", "c=once,d=9000");
 
-    // The one that comes is the other's: its port is not that of the first.
-    let ports = [wrote.recv().expect("the other's"), wrote.try_recv().unwrap_or(nowhere())];
-    assert_eq!(ports[1], nowhere(), "nobody else wrote");
+    // Only the second client's connection carries a request.
+    let ports = [wrote.recv().expect("the second request"), wrote.try_recv().unwrap_or(nowhere())];
+    assert_eq!(ports[1], nowhere(), "a second connection carried a request");
     let line = program.wait_for_counter("attempts", 2);
     assert!(line.contains(" abandoned=1 ") && line.contains(" attempts_cancelled=1 "), "{line}");
 }
 
-/// One attempt is in flight, and another waits at its host: for its connection, and for a new one
-/// to be allowed.
+/// One attempt is in flight, and another one waits at the same host, for that connection or for
+/// permission to open a new one.
 #[test]
 fn attempt_waiting_for_a_connection_when_its_client_leaves_is_not_sent() {
-    EACH_DEPARTURE.into_iter().for_each(leaves_during_the_wait_for_a_connection);
+    EACH_DEPARTURE.into_iter().for_each(client_leaves_during_the_wait_for_a_connection);
 }
 
-fn leaves_during_the_wait_for_a_connection(departure: Departure) {
+fn client_leaves_during_the_wait_for_a_connection(departure: Departure) {
     let (release, a) = breaking_host();
     let known = [entry("a", a.address, "active")];
     let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &patient_settings());
@@ -67,9 +67,9 @@
 
     departure.apply(client);
     program.wait_for_counter("attempts_cancelled", 1);
-    release.send(()).expect("it waits");
+    release.send(()).expect("the host waits for the release");
     trace.push(slow.answer());
-    // The next request there is another client's.
+    // The next request at the host is from another client.
     trace.push(program.client().command(&["CACHE.GET", "l", "id3", "c=read,d=9000"]));
     trace.push(a.next());
 
@@ -84,8 +84,8 @@
     .assert_eq(&trace.join("\n"));
 }
 
-/// A host plans by the time that the request states: what has passed while the attempt waited for
-/// its connection is not left any more.
+/// A host plans by the time that the request states, so that must not include the time that the
+/// attempt waited for its connection.
 #[test]
 fn attempt_that_waited_for_its_connection_states_the_time_left() {
     let (release, a) = breaking_host();
@@ -93,30 +93,34 @@
     let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &patient_settings());
     let (_slow, _) = one_attempt_in_flight(&program, &a);
     let mut waits = program.client();
-    // The time stands first: stand-ins hide it anywhere else.
+    // The time comes first: stand-ins hide it at any other position.
     waits.get("k", "id2", "d=9000,c=read");
     program.wait_for_counter("requests", 3);
 
-    // From here on, since its time counts from when the request is read.
+    // The request's time starts when it is read, which is before this point.
     let began = Instant::now();
-    // What has to pass is a part of the request's own time.
+    // Part of the request's own time has to pass.
     thread::sleep(Duration::from_millis(400));
     let waited = began.elapsed().as_millis();
-    release.send(()).expect("it waits");
+    release.send(()).expect("the host waits for the release");
 
     let request = a.next();
-    let stated: u128 =
-        request.split("d=").nth(1).and_then(|rest| rest.split(',').next()?.parse().ok()).expect("a time");
-    assert!(stated + waited <= 9_000, "{request} after {waited} ms");
+    let stated: u128 = request
+        .split("d=")
+        .nth(1)
+        .and_then(|rest| rest.split(',').next()?.parse().ok())
+        .expect("the time left in milliseconds");
+    assert!(stated + waited <= 9_000, "{request} states too much time after {waited} ms of 9000");
 }
 
-/// A miss that comes after its client has left fetches nothing at the origin, and an error is not
-/// tried elsewhere.
+/// After the client has left, a miss is not fetched at the origin, and an error is not retried at
+/// another host.
 #[test]
 fn outcome_of_an_attempt_after_its_client_left_leads_to_no_retry() {
-    let brings = [("*3\r\n$-1\r\n$-1\r\n$-1\r\n", "attempts_missed"), ("-ERR failed\r\n", "attempts_error")];
+    let responses =
+        [("*3\r\n$-1\r\n$-1\r\n$-1\r\n", "attempts_missed"), ("-ERR failed\r\n", "attempts_error")];
     for ((text, ended), departure) in
-        brings.into_iter().flat_map(|one| EACH_DEPARTURE.map(|departure| (one, departure)))
+        responses.into_iter().flat_map(|one| EACH_DEPARTURE.map(|departure| (one, departure)))
     {
         let (release, wait) = gate();
         let host = Peer::host(move |request| {
@@ -128,20 +132,20 @@
         let known: Vec<String> = at.iter().map(|(name, peer)| entry(name, peer.address, "active")).collect();
         let program = Program::start(BINARY, nowhere(), &known, 1024);
         let mut client = program.client();
-        client.get(SLOW_AT_A, "id", "c=read,d=1900");
+        client.get(SLOW_KEY_AT_A, "id", "c=read,d=1900");
         host.next();
 
         departure.apply(client);
         program.wait_for_counter("abandoned", 1);
-        release.send(()).expect("it waits");
+        release.send(()).expect("the host waits for the release");
 
         let line = program.wait_for_counter(ended, 1);
         assert!(line.contains(" attempts=1 ") && other.quiet() && origin.quiet(), "{ended}: {line}");
     }
 }
 
-/// The connection comes up while this process is stopped, and the request's deadline has passed
-/// when it goes on: both are ready in one poll.
+/// The connection is established while the process is stopped, and the request's deadline has
+/// passed when the process continues: both are ready in the same poll.
 #[test]
 fn request_whose_deadline_passed_during_a_process_stall_is_not_begun() {
     let a = StalledListener::start();
@@ -154,8 +158,8 @@
 
     program.signal("STOP");
     let (accepted, _wrote) = a.accept_all();
-    accepted.recv().expect("its handshake ends in the kernel");
-    // What has to pass is the request's time itself.
+    accepted.recv().expect("the kernel completes the handshake");
+    // The request's time has to pass.
     thread::sleep(Duration::from_millis(1_700).saturating_sub(began.elapsed()));
     program.signal("CONT");
 
@@ -164,7 +168,7 @@
     assert!(line.contains(" attempts_timed_out=0 "), "nothing was written: {line}");
 }
 
-/// The same where it waits for a connection in use, which comes free while this process is stopped.
+/// The request waits for a connection in use, which comes free while the process is stopped.
 #[test]
 fn connection_that_comes_free_after_the_deadline_carries_nothing() {
     let (release, a) = breaking_host();
@@ -178,26 +182,25 @@
     program.wait_for_counter("requests", 3);
 
     program.signal("STOP");
-    release.send(()).expect("it waits");
-    // What has to pass is the request's time itself.
+    release.send(()).expect("the host waits for the release");
+    // The request's time has to pass.
     thread::sleep(Duration::from_millis(500).saturating_sub(began.elapsed()));
     program.signal("CONT");
 
     assert_eq!([slow.answer(), late.answer()], ["from a", "-ERR dead-lettered"]);
     let line = program.wait_for_counter("failed", 1);
     assert!(line.contains(" attempts_timed_out=0 "), "nothing was written: {line}");
-    // What else is seen there is the end of a connection, if one was opened.
+    // The host may see the end of a connection, but not this request.
     assert_ne!(a.seen(), Some("CACHE.GET k id2 c=once,d=..".to_owned()));
 }
 
-/// Clients and hosts hold every descriptor there is for connections when discovery is reachable
-/// again.
+/// Connections of clients and hosts use all descriptors when discovery becomes reachable again.
 #[test]
 fn endpoint_list_when_no_descriptor_is_left_is_read() {
     let (_hosts, known) = four_gated_hosts();
     let back = Arc::new(AtomicBool::new(false));
-    let there = back.clone();
-    let discovery = Peer::http(move |request| match there.load(Ordering::Relaxed) {
+    let is_back = back.clone();
+    let discovery = Peer::http(move |request| match is_back.load(Ordering::Relaxed) {
         true if request.contains("from=2") => Reply::Nothing,
         true => http_answer(200, r#"{"generation":2,"reset":false,"instances":[]}"#),
         false => Reply::Last(String::new()),
@@ -210,7 +213,7 @@
             let before = program.wait_for_counter("requests", sent);
             client.get(&format!("slow{sent}"), &format!("id{sent}"), "c=once,d=9000");
             sent += 1;
-            // A request that found the last descriptor taken is rejected, and sent again.
+            // A request that gets no descriptor is rejected, and another one is sent.
             let after = program.wait_for_counter("requests", sent);
             let count =
                 |line: &str| line.split(" rejected=").nth(1).map(|rest| rest.split(' ').next() == Some("0"));
@@ -226,12 +229,15 @@
     back.store(true, Ordering::Relaxed);
 
     let line = program.wait_for_counter("endpoint_lists", 2);
-    assert!(line.contains(" succeeded=0 ") && line.contains(" failed=0 "), "all is held still: {line}");
+    assert!(
+        line.contains(" succeeded=0 ") && line.contains(" failed=0 "),
+        "all requests are still held back: {line}"
+    );
 }
 
-/// A host answers a request twice, and the copy comes after the next request is written on the same
-/// connection: responses carry no id. Once the host is suspected of answering twice such a copy
-/// serves nobody, and what may have run is not tried again.
+/// A host answers a request twice, and the copy comes after the next request was written on the
+/// same connection. Responses carry no id. Once the host is suspected of duplicates, such a copy
+/// serves no request, and a request that may have run is not retried.
 #[test]
 fn duplicate_response_after_the_next_request_is_not_taken_for_its_response() {
     let text = |value: &str| format!("*3\r\n${}\r\n{value}\r\n$-1\r\n$-1\r\n", value.len());
@@ -241,9 +247,9 @@
         let a = Peer::host(move |request| {
             wait(request);
             match request.split(' ').nth(1) {
-                // The sign: a copy right behind.
+                // The sign of duplicates: a copy right after the response.
                 Some("k1") => Reply::Text(text("v1") + &text("v1")),
-                // A copy of the response before on this connection, and then its own.
+                // A copy of the previous response on this connection, then the request's own.
                 Some("slow3") if late.swap(false, Ordering::Relaxed) => Reply::Text(text("v2") + &text("v3")),
                 Some("slow3") => Reply::Text(text("v3")),
                 key => Reply::Text(text(&key.unwrap_or("").replace('k', "v"))),
@@ -258,7 +264,7 @@
         };
 
         assert_eq!(request(&mut client, "k2"), "v2");
-        // On the connection that carried the one before.
+        // This uses the connection of the previous request.
         client.get("slow3", "id-3", &facts);
         program.wait_for_counter("connections_reused", 1);
         assert_eq!(request(&mut other, "k1"), "v1");
@@ -266,18 +272,18 @@
             let _ = release.send(());
         });
         assert_eq!(client.answer(), expected, "{category}");
-        // The same value for the same key, and for others from hosts that answer once, is no copy.
+        // An equal value is no copy if its key is the same or its host is not suspected.
         let after = ["k4", "k4", "k5"].map(|key| request(&mut client, key));
         assert_eq!(after, ["v4", "v4", "v5"], "{category}");
     }
 }
 
-/// A host that goes on answering each request of a connection once more when the next one comes:
-/// after the first sign every request has a connection of its own, and gets what was made for it.
+/// A host repeats each response of a connection when the next request comes. After the first sign
+/// of duplicates every request uses a new connection, and gets its own response.
 #[test]
-fn requests_to_a_host_that_answers_twice_are_served_by_their_own_responses() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let known = [entry("a", listener.local_addr().expect("one"), "active")];
+fn requests_to_a_host_that_answers_twice_get_their_own_responses() {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind to a free port");
+    let known = [entry("a", listener.local_addr().expect("a local address"), "active")];
     thread::spawn(move || {
         listener.incoming().flatten().for_each(|stream| {
             thread::spawn(move || answer_twice(stream));
@@ -296,11 +302,11 @@
     }
 }
 
-/// Responds with the key; on a connection that carries another request the response before comes
-/// once more ahead of its own. The first response of all comes twice at once.
+/// Responds with the key. Each later response on a connection is preceded by a copy of the previous
+/// one, and the very first response is sent twice at once.
 fn answer_twice(stream: TcpStream) {
     static IS_FIRST: AtomicBool = AtomicBool::new(true);
-    let mut writing = stream.try_clone().expect("a second handle");
+    let mut writing = stream.try_clone().expect("clone the socket");
     let mut reading = BufReader::new(stream);
     let mut copy = String::new();
     while let Ok(request) = read_command(&mut reading) {
