--- a/balancer/src/upstream/checkout.rs
+++ b/balancer/src/upstream/checkout.rs
@@ -27,7 +27,7 @@
         CheckedOut { upstreams, id, connection: Some(connection), waited: false }
     }
 
-    /// Whether the attempt had to wait for the connection, so that its state may be outdated.
+    /// Whether the attempt had to wait for the connection: the request may have ended meanwhile.
     pub fn waited(&self) -> bool {
         self.waited
     }
--- a/balancer/src/upstream/exchange.rs
+++ b/balancer/src/upstream/exchange.rs
@@ -240,8 +240,8 @@
             upstreams.record_unexpected_bytes(self.target.host);
         }
         // If a host answers twice, a copy may come after the check before the write and be taken
-        // for the response to the next request. While duplicates are suspected, new connections
-        // carry one request each, and on reused ones a repeated value is not served.
+        // for the response to the next request. After a sign of duplicates each connection carries
+        // one request; on one that carried another before, a repeated value is not served.
         let duplicates_suspected = upstreams.suspects_duplicates(self.target.host);
         let last = connection.last_response.take();
         let last = last.filter(|_| duplicates_suspected && result.value.is_some());
--- a/balancer/tests/drains.rs
+++ b/balancer/tests/drains.rs
@@ -330,7 +330,7 @@
     }
     let leaves = entry("a", a.address, "leaving");
     let body = format!(r#"{{"generation":2,"reset":false,"instances":[{leaves}]}}"#);
-    let Reply::Text(text) = http_answer(200, &body) else { panic!("a text") };
+    let Reply::Text(text) = http_answer(200, &body) else { panic!("http_answer returns a Reply::Text") };
     discovery.write_all(text.as_bytes()).expect("write the list");
     program.signal("CONT");
 
--- a/balancer/tests/races.rs
+++ b/balancer/tests/races.rs
@@ -120,7 +120,7 @@
     let responses =
         [("*3\r\n$-1\r\n$-1\r\n$-1\r\n", "attempts_missed"), ("-ERR failed\r\n", "attempts_error")];
     for ((text, ended), departure) in
-        responses.into_iter().flat_map(|one| EACH_DEPARTURE.map(|departure| (one, departure)))
+        responses.into_iter().flat_map(|response| EACH_DEPARTURE.map(|departure| (response, departure)))
     {
         let (release, wait) = gate();
         let host = Peer::host(move |request| {
