--- a/balancer/src/upstream/exchange.rs
+++ b/balancer/src/upstream/exchange.rs
@@ -246,7 +246,10 @@
         let last = connection.last_response.take();
         let last = last.filter(|_| duplicates_suspected && result.value.is_some());
         if last.is_some_and(|last| last.repeated_by(fingerprint, self.request.value.is_some())) {
-            log::debug!(request = self.attempt.request.0, host = self.target.host.0; "response suspected to be a copy");
+            log::debug!(
+                request = self.attempt.request.0, host = self.target.host.0;
+                "response suspected to be a copy"
+            );
             upstreams.record_repeated_response(self.target.host);
             return AttemptResult::without_value(AttemptOutcome::ConnectionFault);
         }
