--- a/adapter/tests/batches.rs
+++ b/adapter/tests/batches.rs
@@ -185,28 +185,28 @@
     }
     expect![[r#"
         {"parts":[{"who":3,"outbox":[
-          {"bodyText":"no categories","type":"BROKEN"}]}]}
+          {"bodyText":"categories is empty: define at least one category","type":"BROKEN"}]}]}
         {"parts":[{"who":3,"outbox":[
-          {"bodyText":"objectiveMix.keptPromises is no part from 0 to 1","type":"BROKEN"}]}]}
+          {"bodyText":"objectiveMix.keptPromises is 1.5: expected a number from 0 to 1","type":"BROKEN"}]}]}
         {"parts":[{"who":3,"outbox":[
-          {"bodyText":"objectiveMix.tailMiss is no part from 0 to 1","type":"BROKEN"}]}]}
+          {"bodyText":"objectiveMix.tailMiss is -0.5: expected a number from 0 to 1","type":"BROKEN"}]}]}
         {"parts":[{"who":3,"outbox":[
-          {"bodyText":"costs.push is -1.0: a price is 0 or more, leave it out for none","type":"BROKEN"}]}]}
+          {"bodyText":"costs.push is -1.0: expected 0 or more and below 1e10, or no entry for no price","type":"BROKEN"}]}]}
         {"parts":[{"who":3,"outbox":[
-          {"bodyText":"report.source is daily: say inline, on_probe or off","type":"BROKEN"}]}]}
+          {"bodyText":"report.source is daily: expected inline, on_probe or off","type":"BROKEN"}]}]}
         {"parts":[{"who":3,"outbox":[
-          {"bodyText":"tickMs: -1.0 ms is no span of time","type":"BROKEN"}]}]}
+          {"bodyText":"tickMs: a duration is -1.0 ms, expected 0 or more and below 1e10","type":"BROKEN"}]}]}
         {"parts":[{"who":3,"outbox":[
-          {"bodyText":"maxRetryAfterMs: 100000000000.0 ms is no span of time","type":"BROKEN"}]}]}
+          {"bodyText":"maxRetryAfterMs: a duration is 100000000000.0 ms, expected 0 or more and below 1e10","type":"BROKEN"}]}]}
         {"parts":[{"who":3,"outbox":[
-          {"bodyText":"warmWithinMs: -1.0 ms is no span of time","type":"BROKEN"}]}]}
+          {"bodyText":"warmWithinMs: a duration is -1.0 ms, expected 0 or more and below 1e10","type":"BROKEN"}]}]}
         {"parts":[{"who":3,"outbox":[
-          {"bodyText":"tipAfterMs: 10000000000.0 ms is no span of time","type":"BROKEN"}]}]}
+          {"bodyText":"tipAfterMs: a duration is 10000000000.0 ms, expected 0 or more and below 1e10","type":"BROKEN"}]}]}
         {"parts":[{"who":3,"outbox":[
-          {"bodyText":"read: -1.0 ms is no span of time","type":"BROKEN"}]}]}
+          {"bodyText":"read: a duration is -1.0 ms, expected 0 or more and below 1e10","type":"BROKEN"}]}]}
         {"parts":[{"who":3,"outbox":[
-          {"bodyText":"category read: unknown kind odd","type":"BROKEN"}]}]}
+          {"bodyText":"category read: semantics is odd, expected retryable, fragile or dedup","type":"BROKEN"}]}]}
         {"parts":[{"who":3,"outbox":[
-          {"bodyText":"category read: no window for repeats","type":"BROKEN"}]}]}"#]]
+          {"bodyText":"category read: semantics dedup needs windowMs, the deduplication window, above 0","type":"BROKEN"}]}]}"#]]
     .assert_eq(&lines.join("\n"));
 }
--- a/balancer/tests/mixed_fleet.rs
+++ b/balancer/tests/mixed_fleet.rs
@@ -97,8 +97,8 @@
     assert_eq!(at_a[0].load(Ordering::SeqCst), before, "nothing goes to a host that both know to leave");
 
     expect![[r#"
-        messages between balancers: each decides alone
-        load reports to probes (eps, util): answer times tell enough
+        messages between balancers: each balancer decides on its own
+        load reports to probes (eps, util): the policy relies on response times instead
         its home: from a
         its home: from a
         served of 100: [100, 100]
--- a/balancer/tests/sockets/config.rs
+++ b/balancer/tests/sockets/config.rs
@@ -43,11 +43,11 @@
     expect![[r#"
         Some(1) key must be a string at line 1 column 2
         Some(1) missing field `name` at line 1 column 2
-        Some(1) read: 1e300 ms is no span of time
-        Some(1) no categories
-        Some(1) objectiveMix.tailMiss is no part from 0 to 1
-        Some(1) costs.probe is -0.5: a price is 0 or more, leave it out for none
-        Some(1) report.source is sometimes: say inline, on_probe or off
+        Some(1) read: a duration is 1e300 ms, expected 0 or more and below 1e10
+        Some(1) categories is empty: define at least one category
+        Some(1) objectiveMix.tailMiss is 7.0: expected a number from 0 to 1
+        Some(1) costs.probe is -0.5: expected 0 or more and below 1e10, or no entry for no price
+        Some(1) report.source is sometimes: expected inline, on_probe or off
         Some(1) settings.report.columns: invalid type: string "util", expected a sequence at line 2 column 150
         Some(1) settings.groupSize: invalid value: integer `-3`, expected u32 at line 2 column 118"#]]
     .assert_eq(&lines.join("\n"));
--- a/balancer/tests/takeover.rs
+++ b/balancer/tests/takeover.rs
@@ -206,7 +206,8 @@
     let record = platform.folder.join(format!("basaltwood-{address}-learnt"));
     std::fs::write(&record, "nonsense").expect("a file");
     let program = Program::inheriting(BINARY, &platform.config, &platform.listener, &platform.folder);
-    program.wait_for_log("a record that is not whole; it begins with no learned limits");
+    program
+        .wait_for_log("record is truncated or damaged: checksum mismatch; it begins with no learned limits");
     // Once a second the program records its limits, atomically.
     let began = Instant::now();
     while std::fs::read(&record).is_ok_and(|bytes| bytes == b"nonsense") {
--- a/handover/src/lib.rs
+++ b/handover/src/lib.rs
@@ -1,71 +1,72 @@
-//! The record that a balancer leaves for the process that replaces it: what it learned of each
-//! host's limit.
+//! The record that a balancer leaves for the process that replaces it: the concurrency limit that
+//! it has learned for each host.
 //!
-//! [`encode`] writes it, [`decode`] reads it. A record is a version byte, the hosts' limits, and a
-//! CRC-32 of all before it, lowest byte first. Pure: where the bytes are kept, and whether they are
-//! too old to use, is up to the caller.
+//! A record is a version byte, the limits of the hosts, and a little-endian CRC-32 of all bytes
+//! before it. This crate does no I/O: the caller stores the bytes and decides whether a record is
+//! too old to use.
 
 use basaltwood::types::{LearnedLimit, RingPosition};
 
 /// The first byte of a record.
 const VERSION: u8 = 1;
 
-/// A CRC-32 (IEEE 802.3) over the bytes before it.
+/// The size of the CRC-32 (IEEE 802.3) at the end of a record.
 const CHECKSUM_BYTES: usize = 4;
 
-/// The maximum number of hosts in a record; [`encode`] leaves out the rest.
+/// The maximum number of hosts in a record; [`encode`] leaves out any beyond it.
 const MAX_HOSTS: usize = 4_096;
 
-/// A host takes at most 15 bytes: varints of 64 and of 32 bits.
+/// An upper bound on the encoded size of a host, in bytes: a 64-bit and a 32-bit varint take at
+/// most 15.
 const MAX_HOST_BYTES: usize = 16;
 
 /// The size of the largest record that [`decode`] accepts, in bytes.
 pub const MAX_RECORD_BYTES: usize = 2 + CHECKSUM_BYTES + MAX_HOSTS * MAX_HOST_BYTES;
 
-/// Limits are stored as whole thousandths of an attempt in flight.
+/// Limits, which count attempts in flight, are stored as whole thousandths.
 const LIMIT_SCALE: f64 = 1_000.0;
 
-/// A host as it is stored: its ring position, and its limit scaled by [`LIMIT_SCALE`].
+/// The stored form of a host: its ring position, and its limit times [`LIMIT_SCALE`].
 type StoredHost = (u64, u32);
 
-/// Why bytes are not a usable record. The caller then starts without learned limits.
+/// Why a record can't be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
     /// More bytes than [`MAX_RECORD_BYTES`].
-    #[error("too long a record")]
+    #[error("record is longer than {MAX_RECORD_BYTES} bytes")]
     TooLong,
     /// Too few bytes to be a record.
-    #[error("no record")]
+    #[error("record is shorter than its version and checksum")]
     TooShort,
-    /// The checksum does not match: the record was cut off or damaged.
-    #[error("a record that is not whole")]
+    /// The checksum does not match: the record was truncated or damaged.
+    #[error("record is truncated or damaged: checksum mismatch")]
     ChecksumMismatch,
-    /// Written by a program with another form of record.
-    #[error("a record of another version")]
+    /// The record was written in another format.
+    #[error("record has another format version, expected {VERSION}")]
     UnknownVersion,
-    /// The checksum matches, but what it covers is not a list of hosts.
-    #[error("a record of no sense")]
+    /// The checksum matches, but the content is not a list of hosts.
+    #[error("record is malformed: checksum is valid, list of hosts is not")]
     Malformed,
-    /// More hosts than a record holds.
-    #[error("too many hosts")]
+    /// More hosts than a record may hold.
+    #[error("record has more than {MAX_HOSTS} hosts")]
     TooManyHosts,
 }
 
-/// The record of these limits, as bytes. Hosts past the first 4,096 are left out.
+/// Encodes the limits as a record. Hosts past the first 4,096 are left out.
 pub fn encode(limits: &[LearnedLimit]) -> Vec<u8> {
-    let hosts: Vec<StoredHost> = limits.iter().take(MAX_HOSTS).map(stored).collect();
+    let hosts: Vec<StoredHost> = limits.iter().take(MAX_HOSTS).map(to_stored).collect();
     let mut bytes = vec![VERSION];
-    // Numbers are written to memory: nothing about that can fail.
+    // Serializing numbers to memory can't fail.
     bytes.extend(postcard::to_allocvec(&hosts).unwrap_or_default());
     let checksum = crc32fast::hash(&bytes);
     bytes.extend(checksum.to_le_bytes());
     bytes
 }
 
-/// The limits of a record.
+/// Decodes the limits from a record.
 ///
 /// # Errors
-/// The record is cut off, damaged, of another version, or no record at all.
+/// The bytes are truncated, damaged, of another version, or not a record.
 pub fn decode(bytes: &[u8]) -> Result<Vec<LearnedLimit>, RecordError> {
     if bytes.len() > MAX_RECORD_BYTES {
         return Err(RecordError::TooLong);
@@ -82,13 +83,13 @@
     if hosts.len() > MAX_HOSTS {
         return Err(RecordError::TooManyHosts);
     }
-    Ok(hosts.into_iter().map(learned).collect())
+    Ok(hosts.into_iter().map(from_stored).collect())
 }
 
-fn stored(host: &LearnedLimit) -> StoredHost {
+fn to_stored(host: &LearnedLimit) -> StoredHost {
     (host.position.0, (host.limit * LIMIT_SCALE) as u32)
 }
 
-fn learned((position, limit): StoredHost) -> LearnedLimit {
+fn from_stored((position, limit): StoredHost) -> LearnedLimit {
     LearnedLimit { position: RingPosition(position), limit: f64::from(limit) / LIMIT_SCALE }
 }
--- a/handover/tests/records.rs
+++ b/handover/tests/records.rs
@@ -1,4 +1,4 @@
-//! Records read as they were written, and nothing else is taken for one.
+//! Records decode to what was encoded, and any other bytes are refused.
 
 use basaltwood::types::{LearnedLimit, RingPosition};
 use basaltwood_handover::{decode, encode, RecordError, MAX_RECORD_BYTES};
@@ -6,7 +6,7 @@
 
 proptest! {
     #[test]
-    fn record_decodes_as_encoded_and_cut_or_damaged_is_refused(
+    fn record_decodes_as_encoded_and_is_refused_when_truncated_or_damaged(
         hosts in proptest::collection::vec((any::<u64>(), 0_u32..300_000), 0..40),
         at in any::<prop::sample::Index>(),
         flip in 1_u8..,
@@ -23,11 +23,13 @@
         let decoded = decode(&bytes).expect("a record");
 
         prop_assert!(decoded.len() == limits.len());
-        for (one, other) in decoded.iter().zip(&limits) {
-            prop_assert!(one.position == other.position && (one.limit - other.limit).abs() < 0.002);
+        for (actual, expected) in decoded.iter().zip(&limits) {
+            prop_assert!(
+                actual.position == expected.position && (actual.limit - expected.limit).abs() < 0.002
+            );
         }
         let at = at.index(bytes.len());
-        prop_assert!(decode(&bytes[..at]).is_err(), "cut off at {}", at);
+        prop_assert!(decode(&bytes[..at]).is_err(), "truncated at {}", at);
         bytes[at] ^= flip;
         prop_assert!(decode(&bytes).is_err(), "damaged at {}", at);
     }
@@ -44,7 +46,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_record_are_refused_with_the_cause() {
+fn bytes_that_are_not_a_record_are_refused_with_the_cause() {
     let mut other_version = encode(&[]);
     other_version[0] = 2;
     let checksum = crc32fast::hash(&other_version[..2]).to_le_bytes();
@@ -56,11 +58,15 @@
     let expected = [RecordError::TooShort, RecordError::UnknownVersion, RecordError::TooLong];
     assert_eq!(errors, expected.map(Some));
     let texts = expected.map(|error| error.to_string());
-    assert_eq!(texts, ["no record", "a record of another version", "too long a record"]);
+    let expected_texts = [
+        "record is shorter than its version and checksum",
+        "record has another format version, expected 1",
+        "record is longer than 65542 bytes",
+    ];
+    assert_eq!(texts, expected_texts);
 }
 
-/// Written by the program at commit f154ff4: a balancer of that version may be the one that is
-/// replaced.
+/// Written at commit f154ff4: a balancer of that version may be the one that is replaced.
 const RECORD_OF_VERSION_1: [u8; 45] = [
     0x01, 0x04, 0xae, 0xab, 0x82, 0xad, 0xcc, 0xcd, 0x8f, 0xe7, 0xb4, 0x01, 0xf0, 0x2e, 0x00, 0xac, 0x02,
     0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01, 0x80, 0xd0, 0x0f, 0xef, 0x9b, 0xaf, 0xcd,
@@ -68,7 +74,7 @@
 ];
 
 #[test]
-fn a_record_of_version_1_decodes_as_meant_and_is_still_encoded_so() {
+fn record_of_version_1_decodes_and_is_encoded_identically() {
     let expected: Vec<LearnedLimit> = [
         (RingPosition::of("10.0.0.1:6379"), 6.0),
         (RingPosition(0), 0.3),
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,10 +1,10 @@
-//! The operators' settings of a deployment, as they are handed out, and what the router makes of
-//! them.
+//! The settings of a deployment, as operators write them, and their conversion to the router's own
+//! configuration.
 //!
-//! [`OperatorSettings`] is the settings object as serde reads it. It is read once, both for the
-//! simulator's adapter and for the balancer on sockets, into [`OperatorSettings::policy_config`],
-//! [`OperatorSettings::runtime_limits`] and the [`NameTable`] that turns names into ids; the object
-//! itself is not kept. Pure: where the object comes from is the caller's matter.
+//! [`OperatorSettings`] is the settings object as serde reads it. Both the simulator's adapter and
+//! the balancer convert it once, with [`OperatorSettings::policy_config`],
+//! [`OperatorSettings::runtime_limits`] and [`NameTable::new`], and do not keep the object itself.
+//! This crate does no I/O: the caller loads the object.
 
 mod error;
 mod names;
@@ -19,7 +19,7 @@
 pub use operator_settings::OperatorSettings;
 pub use runtime_limits::RuntimeLimits;
 
-/// Milliseconds with fractions, to the nearest whole microsecond: the simulator counts in these.
+/// Rounds milliseconds, which may have a fraction, to whole microseconds.
 pub fn micros(ms: f64) -> Micros {
     (ms * 1000.0).round() as Micros
 }
--- a/settings/src/names.rs
+++ b/settings/src/names.rs
@@ -1,4 +1,4 @@
-//! Names of a deployment and the ids that the policy knows them by.
+//! Ids that the policy uses in place of a deployment's names.
 
 use std::collections::HashMap;
 
@@ -8,12 +8,12 @@
 
 use crate::{OperatorSettings, UnknownName};
 
-/// Gives names consecutive ids in the order in which they are first seen. Released ids are reused
-/// first, the last released one before the others.
+/// Assigns consecutive ids to names in the order in which they are first seen. Released ids are
+/// reused first, the most recently released id before the others.
 #[derive(Default)]
 pub struct IdTable {
     ids: HashMap<String, u32>,
-    /// The name of each id; for a released id, the name that it had last.
+    /// The name of each id; for a released id, its last name.
     names: Vec<String>,
     /// Ids that are free for reuse.
     released: Vec<u32>,
@@ -34,8 +34,8 @@
         id
     }
 
-    /// Frees an id for reuse. Returns whether it was in use. Where the id was released before and
-    /// its name has another id since, the name keeps that one.
+    /// Frees an id for reuse and returns whether it was in use. Releasing an id a second time has
+    /// no effect, even if its last name has since been assigned another id.
     pub fn release(&mut self, id: u32) -> bool {
         let name = &self.names[id as usize];
         let in_use = self.ids.get(name) == Some(&id);
@@ -46,12 +46,12 @@
         in_use
     }
 
-    /// The name that an id has, or had last. The id must have been assigned.
+    /// The name of an id; for a released id, its last name. Panics if the id was never assigned.
     pub fn name(&self, id: u32) -> &str {
         &self.names[id as usize]
     }
 
-    /// The id of a name; `kind` tells the error what was looked up.
+    /// The id of a name. `kind` says what the name stands for and goes into the error.
     ///
     /// # Errors
     /// The name has no id.
@@ -70,38 +70,38 @@
     }
 }
 
-/// The names of a deployment and the ids that the policy knows them by.
+/// Assigns and looks up the ids of a deployment's hosts, zones, request classes and tenants.
 pub struct NameTable {
     /// The hosts, by [`HostId`].
     pub hosts: IdTable,
     zones: IdTable,
     classes: IdTable,
     tenants: IdTable,
-    /// The machine type of the origin's hosts, where there is an origin.
+    /// The machine type of the origin's hosts, if there is an origin.
     origin_machine_type: Option<String>,
 }
 
 /// A host as an endpoint list describes it.
 pub struct EndpointRecord<'a> {
-    /// Its name.
+    /// The host's name.
     pub host: &'a str,
-    /// Its zone, where the list names one.
+    /// Its zone, if the list names one.
     pub zone: Option<&'a str>,
-    /// Its machine type, which tells the origin's hosts from cache hosts.
+    /// Its machine type, which distinguishes the origin's hosts from cache hosts.
     pub kind: Option<&'a str>,
-    /// Its cell, where the list names one.
+    /// Its cell, if the list names one.
     pub cell: Option<u32>,
     /// Whether it is up, draining or gone.
     pub lifecycle: Lifecycle,
-    /// Its nominal size against the others'; 1 where the list gives none.
+    /// Its nominal capacity relative to other hosts; 1 if the list gives none.
     pub weight: Option<f64>,
-    /// When its process started, where the list says.
+    /// When its process started, if the list says so.
     pub started_at: Option<Micros>,
 }
 
 impl NameTable {
-    /// The names that the settings give; hosts, and zones that the settings leave out, come with
-    /// the lists.
+    /// A table with the names from the settings. Hosts, and zones that the settings leave out, are
+    /// added by [`NameTable::endpoint`].
     pub fn new(settings: &OperatorSettings) -> NameTable {
         NameTable {
             hosts: IdTable::default(),
@@ -125,9 +125,9 @@
         self.classes.lookup(name, "category").map(|id| RequestClassId(id as u16))
     }
 
-    /// The id of a tenant; none where the settings have no tenant of this name.
+    /// The id of a tenant, or `None` if the settings have no tenant of this name.
     pub fn tenant_id(&self, name: &str) -> Option<TenantId> {
-        self.tenants.lookup(name, "customer").ok().map(|id| TenantId(id as u16))
+        self.tenants.lookup(name, "tenant").ok().map(|id| TenantId(id as u16))
     }
 
     /// Whether machines of this type are the origin's.
@@ -135,7 +135,7 @@
         self.origin_machine_type.is_some() && machine_type == self.origin_machine_type.as_deref()
     }
 
-    /// The host for the policy, with ids for its names.
+    /// Converts a record to the policy's form; assigns ids to names that have none.
     pub fn endpoint(&mut self, record: &EndpointRecord) -> Endpoint {
         Endpoint {
             host: HostId(self.hosts.intern(record.host)),
--- a/settings/src/operator_settings.rs
+++ b/settings/src/operator_settings.rs
@@ -1,12 +1,12 @@
-//! The settings object as operators write it. Struct names and the names that serde reads are the
-//! file's; fields have the names of the router's own terms. Fields that the router makes no use of
-//! are skipped.
+//! The settings object as operators write it. Struct names and serde names are those of the
+//! settings file; field names are the router's own terms. Fields that the router does not use are
+//! skipped.
 
 use std::collections::BTreeMap;
 
 use serde::Deserialize;
 
-/// The settings of a deployment, as operators hand them out.
+/// The settings of a deployment, as operators write them.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct OperatorSettings {
@@ -14,14 +14,14 @@
     /// In the order of their ids.
     #[serde(default, rename = "dcs")]
     pub(crate) zones: Vec<String>,
-    /// How the endpoint list comes; `ask` where it comes only when asked for.
+    /// How the balancer gets the endpoint list: `ask` means that it has to poll discovery.
     #[serde(default)]
     pub(crate) discovery: Option<String>,
     #[serde(default)]
     pub(crate) domain: Option<Domain>,
     #[serde(default, rename = "excessBenefit")]
     pub(crate) over_quota_weight: Option<f64>,
-    /// How many balancers share the hosts.
+    /// The number of balancers that share the hosts.
     #[serde(default, rename = "groupSize")]
     pub(crate) balancers: Option<u32>,
     pub(crate) invariants: Invariants,
@@ -38,13 +38,14 @@
     pub(crate) tenants: Option<Vec<Tenant>>,
     #[serde(default)]
     pub(crate) tick_ms: Option<f64>,
-    /// What the listed weights are: live load, `off`, or nominal sizes.
+    /// What the weights on the endpoint list are: `live` for current load, `off` for none, anything
+    /// else for nominal capacities.
     #[serde(default)]
     pub(crate) weights: Option<String>,
 }
 
 impl OperatorSettings {
-    /// The machine type of the origin's hosts, where the settings name one.
+    /// The machine type of the origin's hosts, if the settings name one.
     pub(crate) fn origin_machine_type(&self) -> Option<&str> {
         let index = self.domain.as_ref()?.origin_kind?;
         let index = usize::try_from(index).ok()?;
@@ -52,7 +53,7 @@
     }
 }
 
-/// A class of requests.
+/// A request class.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct Category {
@@ -61,9 +62,10 @@
     pub(crate) latency_objective_ms: f64,
     #[serde(rename = "ttlMs")]
     pub(crate) time_limit_ms: f64,
-    /// When a request may be sent again: `retryable`, `fragile` or `dedup`.
+    /// When a request may be retried: `retryable` (always), `fragile` (not once an attempt may have
+    /// run) or `dedup` (within the deduplication window).
     pub(crate) semantics: String,
-    /// Which hosts deduplicate together: those of a `zone`, of a `cell`, or all.
+    /// Which hosts share a deduplication record: those of a `zone`, those of a `cell`, or all.
     #[serde(default, rename = "group")]
     pub(crate) deduplication_scope: Option<String>,
     #[serde(default, rename = "windowMs")]
@@ -77,15 +79,15 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct Domain {
-    /// `aside` where the balancer asks the origin for what a cache host lacks.
+    /// `aside` if the balancer itself fetches from the origin what a cache host misses.
     #[serde(default)]
     pub(crate) mode: Option<String>,
-    /// The place of the origin's machine type among the machine types; negative for no origin.
+    /// The index of the origin's machine type in `machineTypes`; negative for no origin.
     #[serde(default)]
     origin_kind: Option<i64>,
 }
 
-/// What holds for all hosts.
+/// Settings that hold for all hosts: slow start, overload and drain.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct Invariants {
@@ -103,7 +105,7 @@
     pub(crate) keeps_dropped_hosts: bool,
 }
 
-/// The parts of the result where the worst stretches count by themselves.
+/// How much of a class's value depends on few of its requests missing the latency objective.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct ObjectiveMix {
@@ -113,7 +115,7 @@
     pub(crate) tail_miss: Option<f64>,
 }
 
-/// What the deployment allows, and its bounds.
+/// The mechanisms that the deployment allows, and their limits.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct Limits {
@@ -139,13 +141,13 @@
     pub(crate) max_open_requests: Option<usize>,
 }
 
-/// What hosts report of their load, and when.
+/// Which load figures hosts report, and how.
 #[derive(Default, Deserialize)]
 pub(crate) struct Report {
     /// `inline`, `on_probe` or `off`.
     #[serde(default)]
     pub(crate) source: Option<String>,
-    /// Empty where a probe shows only that the host answers.
+    /// The reported load figures; empty if a probe shows only that the host answers.
     #[serde(default)]
     pub(crate) columns: Vec<String>,
 }
--- a/settings/src/policy_config.rs
+++ b/settings/src/policy_config.rs
@@ -1,4 +1,4 @@
-//! The settings as the policy's configuration.
+//! Conversion of the settings to the policy's configuration.
 
 use basaltwood::types::{
     Capabilities, DeduplicationScope, Micros, PolicyConfig, RequestClass, RetrySafety, SlowStart,
@@ -6,10 +6,10 @@
 };
 
 use crate::operator_settings::{Category, ObjectiveMix};
-use crate::runtime_limits::MAX_SPAN_MS;
+use crate::runtime_limits::MAX_DURATION_MS;
 use crate::{micros, OperatorSettings, SettingsError};
 
-/// Prices of this much or more are treated as mistakes.
+/// Prices at or above this are rejected as mistakes.
 const MAX_PRICE: f64 = 1e10;
 
 const REPORT_SOURCES: [&str; 3] = ["inline", REPORT_ON_PROBE, REPORT_OFF];
@@ -17,10 +17,10 @@
 const REPORT_OFF: &str = "off";
 
 impl OperatorSettings {
-    /// The policy's configuration; `seed` is that of its random draws.
+    /// The policy's configuration, with the seed of its random draws.
     ///
     /// # Errors
-    /// The first thing in the settings that can't be used.
+    /// The first value in the settings that can't be used.
     pub fn policy_config(&self, seed: u64) -> Result<PolicyConfig, SettingsError> {
         self.check()?;
         Ok(PolicyConfig {
@@ -28,7 +28,7 @@
             balancers: self.balancers.unwrap_or(1).max(1),
             capabilities: self.capabilities(),
             max_retry_after: self.max_retry_after()?,
-            tick: span("tickMs", self.tick_ms.unwrap_or(1.0))?,
+            tick: duration("tickMs", self.tick_ms.unwrap_or(1.0))?,
             over_quota_weight: self.over_quota_weight.unwrap_or(1.0),
             tail_objective: self.objective_mix.tail_objective(),
             slow_start: self.slow_start()?,
@@ -37,15 +37,17 @@
         })
     }
 
-    /// What the deployment allows and no decision makes use of, a line each.
+    /// The mechanisms that the deployment allows but the policy does not use, one log line each.
     pub fn ignored_capabilities(&self) -> Vec<String> {
         let mut ignored = Vec::new();
         if self.limits.peer_messages {
-            ignored.push("messages between balancers: each decides alone".to_owned());
+            ignored.push("messages between balancers: each balancer decides on its own".to_owned());
         }
         if self.limits.probes && self.report.source.as_deref() == Some(REPORT_ON_PROBE) {
             let columns = self.report.columns.join(", ");
-            ignored.push(format!("load reports to probes ({columns}): answer times tell enough"));
+            ignored.push(format!(
+                "load reports to probes ({columns}): the policy relies on response times instead"
+            ));
         }
         ignored
     }
@@ -80,21 +82,21 @@
         }
     }
 
-    /// None where rejections carry no Retry-After.
+    /// `None` if rejections carry no Retry-After.
     fn max_retry_after(&self) -> Result<Option<Micros>, SettingsError> {
         if !self.limits.retry_after {
             return Ok(None);
         }
         let max_ms = self.limits.max_retry_after_ms.filter(|&ms| ms > 0.0);
-        max_ms.map(|ms| span("maxRetryAfterMs", ms)).transpose()
+        max_ms.map(|ms| duration("maxRetryAfterMs", ms)).transpose()
     }
 
     fn slow_start(&self) -> Result<SlowStart, SettingsError> {
         Ok(SlowStart {
             initial_capacity: self.invariants.initial_capacity,
-            warm_up_time: span("warmWithinMs", self.invariants.warm_up_time_ms)?,
+            warm_up_time: duration("warmWithinMs", self.invariants.warm_up_time_ms)?,
             overload_multiple: self.invariants.overload_multiple,
-            overload_window: span("tipAfterMs", self.invariants.overload_window_ms)?,
+            overload_window: duration("tipAfterMs", self.invariants.overload_window_ms)?,
         })
     }
 
@@ -106,15 +108,15 @@
 
 impl ObjectiveMix {
     fn check(&self) -> Result<(), SettingsError> {
-        for (field, part) in [("keptPromises", self.tail_objective_weight), ("tailMiss", self.tail_miss)] {
-            if part.is_some_and(|part| !(0.0..=1.0).contains(&part)) {
-                return Err(SettingsError::InvalidObjectivePart { field });
+        for (field, value) in [("keptPromises", self.tail_objective_weight), ("tailMiss", self.tail_miss)] {
+            if let Some(value) = value.filter(|value| !(0.0..=1.0).contains(value)) {
+                return Err(SettingsError::InvalidObjectiveFraction { field, value });
             }
         }
         Ok(())
     }
 
-    /// None where the tail has no objective of its own.
+    /// `None` if the tail objective has no weight.
     fn tail_objective(&self) -> Option<TailObjective> {
         let weight = self.tail_objective_weight.filter(|&weight| weight > 0.0)?;
         Some(TailObjective { weight, miss: self.tail_miss.unwrap_or(0.0) })
@@ -125,8 +127,8 @@
     fn request_class(&self) -> Result<RequestClass, SettingsError> {
         let retry_safety = self.retry_safety()?;
         Ok(RequestClass {
-            latency_objective: span(&self.name, self.latency_objective_ms)?,
-            time_limit: span(&self.name, self.time_limit_ms)?,
+            latency_objective: duration(&self.name, self.latency_objective_ms)?,
+            time_limit: duration(&self.name, self.time_limit_ms)?,
             priority_weight: self.priority_weight.unwrap_or(1.0),
             late_weight: self.late_weight.unwrap_or(0.0),
             retry_safety,
@@ -134,7 +136,7 @@
     }
 
     fn retry_safety(&self) -> Result<RetrySafety, SettingsError> {
-        let window = self.deduplication_window_ms.map(|ms| span(&self.name, ms)).transpose()?;
+        let window = self.deduplication_window_ms.map(|ms| duration(&self.name, ms)).transpose()?;
         match self.semantics.as_str() {
             "retryable" => Ok(RetrySafety::Idempotent),
             "fragile" => Ok(RetrySafety::AtMostOnce),
@@ -142,9 +144,10 @@
                 Some(window) => Ok(RetrySafety::IdempotencyKey { scope: self.scope(), window }),
                 None => Err(SettingsError::NoDeduplicationWindow { category: self.name.clone() }),
             },
-            unknown => {
-                Err(SettingsError::UnknownSemantics { category: self.name.clone(), kind: unknown.to_owned() })
-            }
+            unknown => Err(SettingsError::UnknownSemantics {
+                category: self.name.clone(),
+                semantics: unknown.to_owned(),
+            }),
         }
     }
 
@@ -157,12 +160,12 @@
     }
 }
 
-/// Converts a span of the settings to microseconds; `what` names the field or category in the
+/// Converts a duration of the settings to microseconds; `what` names the field or category in the
 /// error.
-fn span(what: &str, ms: f64) -> Result<Micros, SettingsError> {
-    if (0.0..MAX_SPAN_MS).contains(&ms) {
+fn duration(what: &str, ms: f64) -> Result<Micros, SettingsError> {
+    if (0.0..MAX_DURATION_MS).contains(&ms) {
         Ok(micros(ms))
     } else {
-        Err(SettingsError::InvalidSpan { what: what.to_owned(), ms })
+        Err(SettingsError::InvalidDuration { what: what.to_owned(), ms })
     }
 }
--- a/settings/tests/names.rs
+++ b/settings/tests/names.rs
@@ -1,22 +1,22 @@
-//! Ids for names, and those that were released.
+//! Assignment, release and reuse of ids.
 
 use basaltwood_settings::IdTable;
 
-/// A caller may release an id again and again, also when the name has another id by then.
+/// A caller may release an id more than once, even after its name has been assigned another id.
 #[test]
-fn name_with_a_new_id_keeps_it_when_its_former_id_is_released_again() {
+fn second_release_of_a_former_id_leaves_the_new_id_of_its_name() {
     // Given
     let mut names = IdTable::default();
     let (a, b) = (names.intern("a"), names.intern("b"));
     assert!(names.release(a) && names.release(b));
     let new_id = names.intern("a");
-    assert_eq!(new_id, b, "the id that was released last goes first");
+    assert_eq!(new_id, b, "the most recently released id is reused first");
 
     // When
     let was_in_use = names.release(a);
 
     // Then
-    assert!(!was_in_use, "that id is free");
+    assert!(!was_in_use, "the id was free already");
     assert_eq!(names.intern("a"), new_id);
     let others = [names.intern("c"), names.intern("d")];
     assert_eq!(others, [a, 2], "no id has two names");
