--- a/balancer/tests/regions/maps.rs
+++ b/balancer/tests/regions/maps.rs
@@ -27,7 +27,7 @@
     refused(Program::with_config_in(BINARY, &text, folder.path()));
     expect![[r#"
         Some(1)  line 7: zone "n2" is in region "north" (line 4) and in "south": remove it from one
-        Some(1)  line 1: no region "west": own is to be one of "north", "south"
+        Some(1)  line 1: no region "west": own must be one of "north", "south"
         Some(1)  line 1: invalid key-value pair, expected key; see deploy/regions.example.toml for the form
         Some(1)  line 1: no region: add a [[region]], or remove the file"#]]
     .assert_eq(&lines.join("\n"));
--- a/regions/src/error.rs
+++ b/regions/src/error.rs
@@ -1,25 +1,24 @@
-//! Why the operators' file of regions is refused.
+//! Errors in the operators' region file.
 
-/// A file of regions that can't be used: one line with the file, the line in it, what is wrong
-/// there, and the way out.
+/// An invalid region file. The message is one line: file, line number, problem, and how to fix it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file} line {line}: {problem}")]
 pub struct RegionMapError {
     /// The file, as the caller of [`RegionMap::parse`](crate::RegionMap::parse) names it.
     pub file: String,
-    /// The line in it, counted from 1.
+    /// The line number in the file, from 1.
     pub line: usize,
-    /// What is wrong there.
+    /// What is wrong on that line.
     pub problem: RegionMapProblem,
 }
 
-/// What is wrong with a file of regions, and the way out.
+/// What is wrong with a region file, and how to fix it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RegionMapProblem {
-    /// Not TOML, or not of the form that a file of regions has.
+    /// The text is not TOML, or does not have the form of a region file.
     #[error("{cause}; see deploy/regions.example.toml for the form")]
     Form {
-        /// What the TOML reader found.
+        /// The error of the TOML parser.
         cause: String,
     },
     /// The file has no `[[region]]`.
@@ -28,67 +27,67 @@
     /// A name is empty or blank.
     #[error("{what} is empty: give it a name")]
     EmptyName {
-        /// Whose name it is.
+        /// What the name belongs to.
         what: &'static str,
     },
-    /// Two regions have one name.
-    #[error("region {region:?} is named on line {first_line} too: make one of both")]
+    /// Two regions have the same name.
+    #[error("region {region:?} is already defined on line {first_line}: merge the two")]
     DuplicateRegion {
-        /// The name of both.
+        /// The name that both have.
         region: String,
-        /// The line of the first of them.
+        /// The line of the first region's name.
         first_line: usize,
     },
     /// A region has an empty list of zones.
     #[error("region {region:?} has no zone: give it one, or remove the region")]
     NoZone {
-        /// The region without a zone.
+        /// The name of the region.
         region: String,
     },
-    /// A region names one zone twice.
+    /// A region lists a zone twice.
     #[error("zone {zone:?} is in region {region:?} twice: remove one")]
     RepeatedZone {
-        /// The zone that is repeated.
+        /// The zone that is listed twice.
         zone: String,
-        /// The region that names it.
+        /// The region that lists it.
         region: String,
     },
-    /// Two regions name one zone.
+    /// Two regions list the same zone.
     #[error(
         "zone {zone:?} is in region {first_region:?} (line {first_line}) and in {region:?}: \
          remove it from one"
     )]
     SharedZone {
-        /// The zone that both name.
+        /// The zone that both list.
         zone: String,
-        /// The first region that names it.
+        /// The first region that lists it.
         first_region: String,
-        /// The line on which that one names it.
+        /// The line on which the first region lists it.
         first_line: usize,
-        /// The other region.
+        /// The second region.
         region: String,
     },
     /// A count is not in the range 1 to 4,294,967,295.
-    #[error("region {region:?} has {field} = {value}: {way_out}")]
+    #[error("region {region:?} has {field} = {value}: {remedy}")]
     CountOutOfRange {
-        /// The region that has it.
+        /// The region with this count.
         region: String,
-        /// The count's name in the file.
+        /// The name of the count in the file.
         field: &'static str,
-        /// What the file says.
+        /// The value in the file.
         value: i64,
         /// What to write instead.
-        way_out: &'static str,
+        remedy: &'static str,
     },
-    /// More zones or regions than there are numbers for.
-    #[error("over 65,534 zones or regions: name fewer")]
+    /// More zones or regions than 16-bit numbers can identify.
+    #[error("more than 65,534 zones or regions: define fewer")]
     TooMany,
-    /// `own` is none of the regions.
-    #[error("no region {own:?}: own is to be one of {known}")]
+    /// `own` is not the name of a region.
+    #[error("no region {own:?}: own must be one of {known}")]
     UnknownOwnRegion {
-        /// What the file says.
+        /// The value in the file.
         own: String,
-        /// The regions that it has, sorted and quoted.
+        /// The names of the regions in the file, sorted and quoted.
         known: String,
     },
 }
--- a/regions/src/file.rs
+++ b/regions/src/file.rs
@@ -1,4 +1,4 @@
-//! The operators' file of regions: reading it and checking it.
+//! Parsing and validation of the operators' region file.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -8,7 +8,7 @@
 
 use crate::error::{RegionMapError, RegionMapProblem};
 
-/// The file as it is written.
+/// The file as TOML, before validation.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RawFile {
@@ -28,11 +28,11 @@
     min_hosts: Option<Spanned<i64>>,
 }
 
-/// The content of a file that has passed all checks.
+/// The content of a valid file.
 pub(crate) struct RegionFile {
-    /// The own region's place in `regions`.
+    /// The index of the own region in `regions`.
     pub(crate) own: usize,
-    /// In the file's order.
+    /// The regions in the file's order.
     pub(crate) regions: Vec<RegionEntry>,
 }
 
@@ -40,18 +40,18 @@
 pub(crate) struct RegionEntry {
     pub(crate) name: String,
     pub(crate) zones: Vec<String>,
-    /// How many balancers it has, where the file says.
+    /// The number of its balancers, if the file gives it.
     pub(crate) balancers: Option<u32>,
-    /// How many of its hosts must be up for a ring of its own, where the file says.
+    /// The number of its hosts that must be up for it to be the ring, if the file gives it.
     pub(crate) min_hosts: Option<u32>,
 }
 
 impl RegionFile {
-    /// Reads and checks the text of a file; errors call it `file`.
+    /// Parses and validates the text of a file; errors refer to it as `file`.
     pub(crate) fn parse(file: &str, text: &str) -> Result<RegionFile, RegionMapError> {
         let source = Source { file, text };
         let raw = source.read()?;
-        let own = Checker::new(&source, &raw).check()?;
+        let own = Validator::new(&source, &raw).validate()?;
         let regions = raw.regions.into_iter().map(RegionEntry::from).collect();
         Ok(RegionFile { own, regions })
     }
@@ -68,12 +68,12 @@
     }
 }
 
-/// A count of the file that may be used: 1 or more.
+/// The value if it is a valid count: 1 to 4,294,967,295.
 fn positive(value: &Spanned<i64>) -> Option<u32> {
     u32::try_from(*value.get_ref()).ok().filter(|&count| count > 0)
 }
 
-/// A file's text, for the places of errors.
+/// A file's text and name, which turn the span of an error into a line number.
 struct Source<'a> {
     file: &'a str,
     text: &'a str,
@@ -98,28 +98,28 @@
     }
 }
 
-/// Where a zone was named first.
-struct ZonePlace {
+/// Where a zone was first listed: the index of the region, and the line.
+struct ZoneLocation {
     region: usize,
     line: usize,
 }
 
-/// Goes through a file once, region by region, and stops at the first problem.
-struct Checker<'a> {
+/// Validates a file region by region and stops at the first problem.
+struct Validator<'a> {
     source: &'a Source<'a>,
     raw: &'a RawFile,
-    /// The lines of the regions so far, by name.
+    /// The line of each region checked so far, by name.
     regions: BTreeMap<&'a str, usize>,
-    zones: BTreeMap<&'a str, ZonePlace>,
+    zones: BTreeMap<&'a str, ZoneLocation>,
 }
 
-impl<'a> Checker<'a> {
-    fn new(source: &'a Source<'a>, raw: &'a RawFile) -> Checker<'a> {
-        Checker { source, raw, regions: BTreeMap::new(), zones: BTreeMap::new() }
+impl<'a> Validator<'a> {
+    fn new(source: &'a Source<'a>, raw: &'a RawFile) -> Validator<'a> {
+        Validator { source, raw, regions: BTreeMap::new(), zones: BTreeMap::new() }
     }
 
-    /// The own region's place among the regions.
-    fn check(mut self) -> Result<usize, RegionMapError> {
+    /// Returns the index of the own region.
+    fn validate(mut self) -> Result<usize, RegionMapError> {
         if self.raw.regions.is_empty() {
             return Err(self.error(&self.raw.own, RegionMapProblem::NoRegion));
         }
@@ -129,9 +129,9 @@
             self.check_zones(index, region)?;
             self.check_counts(region)?;
         }
-        // One number is left for hosts without a zone.
-        let too_many = usize::from(u16::MAX);
-        if self.zones.len() >= too_many || self.raw.regions.len() >= too_many {
+        // Numbers are 16-bit, and one is reserved for hosts without a zone.
+        let limit = usize::from(u16::MAX);
+        if self.zones.len() >= limit || self.raw.regions.len() >= limit {
             return Err(self.error(&self.raw.own, RegionMapProblem::TooMany));
         }
         self.own_region()
@@ -163,8 +163,8 @@
         }
         for zone in region.zones.get_ref() {
             self.check_name(zone, "the name of a zone")?;
-            let place = ZonePlace { region: index, line: self.source.line(&zone.span()) };
-            let Some(first) = self.zones.insert(zone.get_ref(), place) else { continue };
+            let location = ZoneLocation { region: index, line: self.source.line(&zone.span()) };
+            let Some(first) = self.zones.insert(zone.get_ref(), location) else { continue };
             let zone_name = zone.get_ref().clone();
             let region = region_name.clone();
             let problem = if first.region == index {
@@ -202,25 +202,25 @@
         region: &RawRegion,
         field: &'static str,
         value: Option<&Spanned<i64>>,
-        way_out: &'static str,
+        remedy: &'static str,
     ) -> Result<(), RegionMapError> {
         let Some(invalid) = value.filter(|value| positive(value).is_none()) else { return Ok(()) };
         let region = region.name.get_ref().clone();
-        let problem = RegionMapProblem::CountOutOfRange { region, field, value: *invalid.get_ref(), way_out };
+        let problem = RegionMapProblem::CountOutOfRange { region, field, value: *invalid.get_ref(), remedy };
         Err(self.error(invalid, problem))
     }
 
     fn own_region(&self) -> Result<usize, RegionMapError> {
         let own = self.raw.own.get_ref();
-        let place = self.raw.regions.iter().position(|region| region.name.get_ref() == own);
-        place.ok_or_else(|| {
+        let index = self.raw.regions.iter().position(|region| region.name.get_ref() == own);
+        index.ok_or_else(|| {
             let known: Vec<String> = self.regions.keys().map(|name| format!("{name:?}")).collect();
             let problem = RegionMapProblem::UnknownOwnRegion { own: own.clone(), known: known.join(", ") };
             self.error(&self.raw.own, problem)
         })
     }
 
-    fn error<T>(&self, place: &Spanned<T>, problem: RegionMapProblem) -> RegionMapError {
-        self.source.error(place.span(), problem)
+    fn error<T>(&self, value: &Spanned<T>, problem: RegionMapProblem) -> RegionMapError {
+        self.source.error(value.span(), problem)
     }
 }
--- a/regions/src/hosts.rs
+++ b/regions/src/hosts.rs
@@ -1,4 +1,4 @@
-//! The hosts of the list, and which of them the policy is to see.
+//! Tracks the hosts of the endpoint list and selects those that the policy sees.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,22 +7,22 @@
 use crate::map::{RegionIndex, RegionMap, ZoneNumber};
 use crate::update::{ListedHost, RegionCounts, RegionEvent, RingUpdate};
 
-/// The maximum number of zones without a region that are reported and counted: a list of absurd
-/// zones must not fill memory or the log.
+/// The maximum number of zones without a region that are reported and counted: a faulty list with
+/// many unknown zones must not fill memory or the log.
 const MAX_REPORTED_ZONES: usize = 1_024;
 
-/// What is kept of a host. Its size matters: there are many hosts outside the ring
+/// The state of a listed host. It has to be small, since many hosts are outside the ring
 /// (tests/memory.rs).
 struct Host<T> {
-    /// None where no region names its zone.
+    /// The host's zone; `None` if no region has it.
     zone: Option<ZoneNumber>,
-    /// The zone under which the policy knows the host. Requests that were sent there ran in that
-    /// zone, and hosts may deduplicate by zone.
+    /// The zone in which the policy knows the host. It is kept apart from `zone`, since requests sent
+    /// to the host ran in this one and hosts may deduplicate by zone.
     announced_zone: Option<ZoneNumber>,
     lifecycle: Lifecycle,
     origin: bool,
-    /// The policy knows the host, and the caller has not forgotten it since. One that no list names
-    /// any more is `Gone` and stays as long: the policy may go on using it, and then has to see its
+    /// Whether the policy knows the host and the caller has not forgotten it. Such a host is kept
+    /// as `Gone` after the list drops it: the policy may go on using it, and then has to see its
     /// drain.
     announced: bool,
     details: T,
@@ -33,7 +33,7 @@
         self.zone.map(|zone| map.region_of(zone))
     }
 
-    /// Its entry for the policy, with this zone and lifecycle.
+    /// The host's entry for the policy, with this zone and lifecycle.
     fn entry(
         &self,
         name: &str,
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Takes the host out of the policy's use. Where only draining binds, the policy would go on
-    /// sending to a host that is just gone, for as long as it answers: so it drains first.
+    /// Removes the host from the policy. With `keeps_dropped_hosts` the policy would go on sending
+    /// to a host that is merely gone, as long as it answers, so the host is first set to draining.
     fn withdraw(&mut self, name: &str, map: &RegionMap, update: &mut RingUpdate<T>) {
         self.announced = false;
         update.hosts_removed += usize::from(self.lifecycle == Lifecycle::Up);
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Brings the host into the policy's use.
+    /// Adds the host to the policy.
     fn announce(&mut self, name: &str, map: &RegionMap, update: &mut RingUpdate<T>) {
         self.announced = true;
         self.announced_zone = self.zone;
@@ -69,26 +69,25 @@
     }
 }
 
-/// The hosts of the list, and the ring that they make.
+/// The hosts of the endpoint list, and the region that is the ring.
 pub struct Regions<T> {
     map: RegionMap,
     hosts: BTreeMap<Box<str>, Host<T>>,
-    /// The region whose hosts are the ring.
+    /// The region whose hosts form the ring.
     ring: RegionIndex,
-    /// The zones without a region that were reported.
+    /// The zones without a region that were reported so far.
     reported_zones: BTreeSet<Option<Box<str>>>,
 }
 
 impl<T: Clone> Regions<T> {
-    /// No hosts yet; the ring is the own region.
+    /// Starts without hosts, with the own region as the ring.
     pub fn new(map: RegionMap) -> Regions<T> {
         let ring = map.own_index();
         Regions { map, hosts: BTreeMap::new(), ring, reported_zones: BTreeSet::new() }
     }
 
-    /// Takes the full list, or only the entries that changed. Returns what the policy is to see.
-    ///
-    /// A host that leaves the ring is returned as draining and then as gone.
+    /// Applies the full list, or only the entries that changed, and returns the update for the
+    /// policy. A host that leaves the ring is returned twice: as draining, then as gone.
     pub fn apply(&mut self, full_list: bool, entries: Vec<ListedHost<T>>) -> RingUpdate<T> {
         let mut update = RingUpdate::default();
         if full_list {
@@ -96,35 +95,35 @@
         }
         for entry in &entries {
             self.report_unknown_zone(entry, &mut update.events);
-            self.record(entry);
+            self.store(entry);
         }
         self.choose_ring(&mut update.events);
         for entry in entries {
-            self.pass_on(entry, &mut update);
+            self.forward(entry, &mut update);
         }
         self.reconcile(&mut update);
         update
     }
 
-    /// The caller has dropped all its state for this host, so that nothing can reach it any more.
-    /// Has no effect unless the host is gone.
+    /// Forgets a host for which the caller has dropped all state, so that nothing more can be sent
+    /// to it. Has no effect unless the host is gone.
     pub fn forget(&mut self, host: &str) {
         if self.hosts.get(host).is_some_and(|host| host.lifecycle == Lifecycle::Gone) {
             self.hosts.remove(host);
         }
     }
 
-    /// The name of the region whose hosts are the ring.
+    /// The name of the region whose hosts form the ring.
     pub fn ring(&self) -> &str {
         self.map.name_of(self.ring)
     }
 
-    /// The map that places the hosts.
+    /// The map of zones to regions.
     pub fn map(&self) -> &RegionMap {
         &self.map
     }
 
-    /// The number of hosts on the list by where they are.
+    /// Counts the listed hosts by region and the unknown zones.
     pub fn counts(&self) -> RegionCounts {
         let mut counts =
             RegionCounts { unmapped_zones: self.reported_zones.len(), ..RegionCounts::default() };
@@ -138,7 +137,8 @@
         counts
     }
 
-    /// Hosts that the full list leaves out are gone; of those only what the policy knows is kept.
+    /// Marks hosts that the full list leaves out as gone, and removes those that the policy does not
+    /// know.
     fn drop_unlisted(&mut self, entries: &[ListedHost<T>]) {
         let listed: BTreeSet<&str> = entries.iter().map(|entry| &*entry.host).collect();
         self.hosts.retain(|name, host| {
@@ -151,9 +151,9 @@
     }
 
     fn report_unknown_zone(&mut self, entry: &ListedHost<T>, events: &mut Vec<RegionEvent>) {
-        let concerns_us = entry.lifecycle == Lifecycle::Up && !entry.origin;
-        let unknown = concerns_us && self.zone_of(entry).is_none();
-        if unknown
+        let needs_region = entry.lifecycle == Lifecycle::Up && !entry.origin;
+        if needs_region
+            && self.zone_of(entry).is_none()
             && self.reported_zones.len() < MAX_REPORTED_ZONES
             && self.reported_zones.insert(entry.zone.clone())
         {
@@ -161,9 +161,9 @@
         }
     }
 
-    /// Keeps what an entry says. One that ends a host's use may leave its zone out, or name an
-    /// absurd one: the zone then stays as it was.
-    fn record(&mut self, entry: &ListedHost<T>) {
+    /// Stores an entry's state. An entry that ends a host's use may have no zone or an unknown one:
+    /// the host then keeps its former zone.
+    fn store(&mut self, entry: &ListedHost<T>) {
         let is_up = entry.lifecycle == Lifecycle::Up;
         let is_gone = entry.lifecycle == Lifecycle::Gone;
         let zone = self.zone_of(entry);
@@ -192,19 +192,19 @@
         }
     }
 
-    /// Passes an entry on where its host is an origin's or of the ring.
-    fn pass_on(&mut self, entry: ListedHost<T>, update: &mut RingUpdate<T>) {
+    /// Forwards an entry to the policy if its host is an origin host or in the ring.
+    fn forward(&mut self, entry: ListedHost<T>, update: &mut RingUpdate<T>) {
         let zone = self.zone_of(&entry);
         let Some(host) = self.hosts.get_mut(&entry.host) else { return };
         let in_ring = |region: Option<RegionIndex>| region == Some(self.ring);
         let ends_use = entry.lifecycle != Lifecycle::Up;
-        // A list may name a host twice, in two zones: it is where the last entry has it.
+        // A list may name a host twice, in two zones: the last entry counts.
         let entry_region = zone.map(|zone| self.map.region_of(zone));
         let in_use = in_ring(host.region(&self.map)) && (ends_use || in_ring(entry_region));
         if !host.origin && !in_use {
             return;
         }
-        // What ends its use leaves its zone as it was, whatever the entry says.
+        // An entry that ends the host's use does not change its zone.
         let kept_zone = host.announced_zone.filter(|_| host.announced && ends_use);
         update.hosts_added += usize::from(!host.announced && !ends_use && !host.origin);
         host.announced = true;
@@ -213,8 +213,8 @@
         update.entries.push(ListedHost { zone: kept_name.or(entry.zone), ..entry });
     }
 
-    /// Withdraws the hosts that left the ring, and announces those that came into it without an
-    /// entry of their own: where the ring is another region's now.
+    /// Withdraws hosts that left the ring, and announces hosts that entered it without an entry in
+    /// this update, because another region became the ring.
     fn reconcile(&mut self, update: &mut RingUpdate<T>) {
         let (map, ring) = (&self.map, Some(self.ring));
         self.hosts.retain(|name, host| {
@@ -230,14 +230,14 @@
         });
     }
 
-    /// The zone that an entry names, where a region has it.
+    /// The zone that an entry names, if a region has it.
     fn zone_of(&self, entry: &ListedHost<T>) -> Option<ZoneNumber> {
         entry.zone.as_deref().and_then(|zone| self.map.zone(zone))
     }
 
-    /// The ring is the first region with its minimum of hosts up, from the own one on in the file's
-    /// order and round; where none has that, the first with any. Where none has any it stays: an
-    /// empty list may be wrong, and the policy may go on using what it has.
+    /// Selects the ring: from the own region on in the file's order, wrapping around, the first
+    /// region with its minimum of hosts up, or else the first with any host up. If no region has a
+    /// host up, the ring stays: an empty list may be wrong, and the policy may use the hosts it has.
     fn choose_ring(&mut self, events: &mut Vec<RegionEvent>) {
         let hosts_up = self.hosts_up();
         let count = hosts_up.len() as RegionIndex;
@@ -255,7 +255,7 @@
         }
     }
 
-    /// By region, the number of its cache hosts that are up.
+    /// The number of cache hosts that are up, by region.
     fn hosts_up(&self) -> Vec<u32> {
         let mut hosts_up = vec![0; self.map.names().len()];
         let is_up = |host: &&Host<T>| host.lifecycle == Lifecycle::Up && !host.origin;
--- a/regions/src/lib.rs
+++ b/regions/src/lib.rs
@@ -1,18 +1,18 @@
-//! Rings by region: which hosts of the list make this balancer's ring. Pure: no I/O, no clock, no
-//! randomness.
+//! Rings by region: selects the hosts of the endpoint list that form this balancer's ring. No I/O,
+//! no clock, no randomness.
 //!
-//! [`RegionMap::parse`] reads the operators' file that gives each zone its region and names the own
-//! one. [`Regions`] takes list entries, the full list or those that changed, and returns those that
-//! the policy is to see: the hosts of the own region, origin hosts, and whatever ends the use of a
-//! host that the policy knows. The caller gives ids, connections and memory to no other host, and
-//! says when it has forgotten a host ([`Regions::forget`]).
+//! [`RegionMap::parse`] reads the operators' file, which assigns each zone to a region and names the
+//! balancer's own region. [`Regions`] takes the full endpoint list or its changed entries, and
+//! returns the entries for the policy: hosts in the ring, origin hosts, and entries that end the use
+//! of a host that the policy knows. The caller allocates ids, connections and memory for these hosts
+//! only, and reports when it has dropped a host ([`Regions::forget`]).
 //!
-//! The ring follows from the list alone, and so is the same at all balancers of a region: it is the
-//! own region, or the next in the file's order while that one has fewer hosts up than its minimum,
-//! which the file may set and which is 1 otherwise.
+//! The ring depends on the list and the map alone, so it is the same at all balancers of a region:
+//! it holds the hosts of the own region or, while that has fewer hosts up than its minimum, those
+//! of the next region in the file's order. The file may set the minimum; the default is 1.
 //!
-//! It decides nothing about requests, and knows nothing of the hosts' health: spill-over by
-//! evidence is not built (docs/regions.md).
+//! This crate does not route requests and does not see the hosts' health: spill-over to another
+//! region by evidence is not implemented (docs/regions.md).
 
 mod error;
 mod file;
--- a/regions/src/map.rs
+++ b/regions/src/map.rs
@@ -1,25 +1,26 @@
-//! Zones, the regions that they are in, and the own region.
+//! The map of zones to regions.
 
 use std::num::NonZeroU16;
 
 use crate::error::RegionMapError;
 use crate::file::{RegionEntry, RegionFile};
 
-/// The number of a zone that a region names, from 1 on: two bytes, also where there may be none.
+/// The number of a zone that a region names, from 1, so that an `Option` of it also takes two
+/// bytes.
 pub(crate) type ZoneNumber = NonZeroU16;
 
-/// A region's place in the file's order, from 0 on.
+/// The index of a region in the file's order.
 pub(crate) type RegionIndex = u16;
 
-/// Zones and the regions that they are in, in the file's order, and which region is this
-/// balancer's.
+/// Assigns zones to regions, which have an order of preference, and names this balancer's own
+/// region.
 #[derive(Clone, Debug)]
 pub struct RegionMap {
     own: RegionIndex,
     names: Vec<String>,
-    /// By region, how many of its hosts must be up for a ring of its own.
+    /// By region, the number of its hosts that must be up for it to be the ring.
     min_hosts: Vec<u32>,
-    /// Balancers of the own region, where the file says.
+    /// The number of balancers in the own region, if the file gives it.
     balancers: Option<u32>,
     /// Sorted by name, each with its region.
     zones: Vec<(Box<str>, RegionIndex)>,
@@ -27,18 +28,18 @@
 }
 
 impl RegionMap {
-    /// Reads the text of a file; errors call it `file`.
+    /// Parses the text of a region file; errors refer to it as `file`.
     ///
     /// # Errors
-    /// One line with the file, the line in it, what is wrong there, and the way out.
+    /// The first problem in the file, with its line.
     pub fn parse(file: &str, text: &str) -> Result<RegionMap, RegionMapError> {
         RegionFile::parse(file, text).map(RegionMap::from)
     }
 
-    /// The CRC-32 (IEEE 802.3) of all that the file says but for the own region, so that all
-    /// regions' copies of one map have the same: regions in their order with names, zones, numbers
-    /// of balancers and minimum numbers of hosts. Comments, white space and the order of a region's
-    /// zones don't count.
+    /// A CRC-32 (IEEE 802.3) of the map without the own region, so that every region's copy of one
+    /// map has the same version. It covers the regions in their order with names, zones, numbers of
+    /// balancers and minimum numbers of hosts, but not comments, white space or the order of a
+    /// region's zones.
     pub fn version(&self) -> u32 {
         self.version
     }
@@ -53,12 +54,12 @@
         &self.names
     }
 
-    /// How many balancers the own region has, where the file says.
+    /// The number of balancers in the own region, if the file gives it.
     pub fn balancers(&self) -> Option<u32> {
         self.balancers
     }
 
-    /// How many hosts of a region must be up for a ring of its own; 1 where the file does not say.
+    /// The number of hosts of a region that must be up for it to be the ring; 1 by default.
     pub(crate) fn min_hosts(&self, region: RegionIndex) -> u32 {
         self.min_hosts[usize::from(region)]
     }
@@ -71,10 +72,10 @@
         &self.names[usize::from(region)]
     }
 
-    /// The number of a zone, none where no region names it.
+    /// The number of a zone, or `None` if no region names the zone.
     pub(crate) fn zone(&self, name: &str) -> Option<ZoneNumber> {
-        let at = self.zones.binary_search_by(|zone| (*zone.0).cmp(name)).ok()?;
-        ZoneNumber::new(at as u16 + 1)
+        let index = self.zones.binary_search_by(|zone| (*zone.0).cmp(name)).ok()?;
+        ZoneNumber::new(index as u16 + 1)
     }
 
     pub(crate) fn zone_name(&self, zone: ZoneNumber) -> &str {
@@ -111,9 +112,9 @@
     region.min_hosts.unwrap_or(1)
 }
 
-/// The version of a map: over the regions in the file's order the name, the zones sorted, the
-/// balancers (0 where the file does not say), and the minimum number of hosts. Numbers are of four
-/// bytes, lowest first; a text follows its length, the zones follow their number.
+/// The version of a map: for each region in the file's order its name, the number of zones, the
+/// sorted zones, the number of balancers (0 if not given) and the minimum number of hosts. Numbers
+/// are 4 bytes, little-endian; texts are preceded by their length.
 fn checksum(regions: &[RegionEntry]) -> u32 {
     let mut sum = MapChecksum(crc32fast::Hasher::new());
     for region in regions {
--- a/regions/src/update.rs
+++ b/regions/src/update.rs
@@ -1,46 +1,46 @@
-//! What goes into [`Regions`](crate::Regions) and what comes out.
+//! Input and output of [`Regions`](crate::Regions).
 
 use basaltwood::types::Lifecycle;
 
-/// A host as a list describes it.
+/// A host as the endpoint list describes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedHost<T> {
-    /// Its name.
+    /// The host's name.
     pub host: Box<str>,
-    /// Its zone, where the list names one.
+    /// Its zone, if the list names one.
     pub zone: Option<Box<str>>,
-    /// Whether it is the origin's.
+    /// Whether it is an origin host.
     pub origin: bool,
     /// Whether it is up, draining or gone.
     pub lifecycle: Lifecycle,
-    /// What the caller wants back with it: address, weight and the like.
+    /// Data that the caller gets back with the entry, such as address and weight.
     pub details: T,
 }
 
-/// Something that is worth a line of the log.
+/// An event for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegionEvent {
-    /// No region names this zone, or an entry names none; reported once for each zone.
+    /// A host is up in a zone that no region has, or has no zone (`None`); reported once per zone.
     UnknownZone(Option<Box<str>>),
-    /// The ring is another region's hosts from now on.
+    /// Another region became the ring.
     RingChanged {
-        /// The region whose hosts were the ring.
+        /// The former ring region.
         before: String,
-        /// The region whose hosts are the ring.
+        /// The new ring region.
         now: String,
     },
 }
 
-/// What the policy is to see, in this order; a full list where a full list came in.
+/// Entries for the policy, in this order; they form a full list if a full list was applied.
 #[derive(Debug, PartialEq)]
 pub struct RingUpdate<T> {
     /// The entries for the policy.
     pub entries: Vec<ListedHost<T>>,
     /// Events for the log.
     pub events: Vec<RegionEvent>,
-    /// Hosts that are up and came into the ring, including those of the first list.
+    /// The number of up hosts that entered the ring, including those of the first list.
     pub hosts_added: usize,
-    /// Hosts that are up and were taken out of it: they moved, or the ring did.
+    /// The number of up hosts that left the ring, because their zone or the ring changed.
     pub hosts_removed: usize,
 }
 
@@ -50,15 +50,15 @@
     }
 }
 
-/// The number of cache hosts on the list by where they are; the origin's hosts are not counted.
+/// Numbers of listed cache hosts by region; origin hosts are not counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RegionCounts {
-    /// Hosts of the ring's region, including those that drain.
+    /// Hosts in the ring's region, including draining ones.
     pub in_ring: usize,
-    /// All other hosts.
+    /// Hosts outside the ring's region.
     pub outside_ring: usize,
-    /// Those of the other hosts whose zone is in no region.
+    /// Hosts outside the ring's region whose zone is in no region.
     pub unmapped_hosts: usize,
-    /// Zones without a region that the list has named so far.
+    /// Zones without a region that were reported so far.
     pub unmapped_zones: usize,
 }
--- a/regions/tests/common/mod.rs
+++ b/regions/tests/common/mod.rs
@@ -1,6 +1,5 @@
-//! Shared by the tests: entries in a few words, and a stand-in for the policy that applies what it
-//! gets.
-#![allow(dead_code)] // each test file uses its part
+//! Shared test support: a short notation for entries and updates, and a stand-in for the policy.
+#![allow(dead_code)] // not every test binary uses all of it
 
 use std::collections::BTreeMap;
 
@@ -19,14 +18,14 @@
 zones = ["s1", "s2"]
 "#;
 
-/// With a number as all the details.
+/// An entry with a number as its details.
 pub type Listed = ListedHost<u32>;
 
 pub fn regions() -> Regions<u32> {
     Regions::new(RegionMap::parse("regions.toml", MAP).expect("it is valid"))
 }
 
-/// The same map with these minimum numbers of hosts, where there are any: west, north, south.
+/// [`MAP`] with the given minimum numbers of hosts for west, north and south.
 pub fn regions_with(min_hosts: [Option<u32>; 3]) -> Regions<u32> {
     let mut map = MAP.to_owned();
     for (zones, minimum) in [r#"["w1"]"#, r#"["n1", "n2"]"#, r#"["s1", "s2"]"#].iter().zip(min_hosts) {
@@ -37,7 +36,8 @@
     Regions::new(RegionMap::parse("regions.toml", &map).expect("it is valid"))
 }
 
-/// `name zone lifecycle`: `-` is no zone, and a name that begins with `origin` is of an origin.
+/// Parses `name [zone [leaving|left [details]]]`. The zone `-` is none; a name that begins with
+/// `origin` is an origin host.
 pub fn entry(words: &str) -> Listed {
     let mut words = words.split(' ');
     let host = words.next().expect("a name");
@@ -61,8 +61,8 @@
     text.split(", ").filter(|words| !words.is_empty()).map(entry).collect()
 }
 
-/// An update, in a line.
-pub fn shown(update: &RingUpdate<u32>) -> String {
+/// Formats an update in lines of up to six events and entries.
+pub fn format_update(update: &RingUpdate<u32>) -> String {
     let word = |lifecycle| match lifecycle {
         Lifecycle::Up => "",
         Lifecycle::Draining => " drains",
@@ -83,19 +83,19 @@
     }
 }
 
-/// What the policy makes of the updates. Where only draining binds it keeps hosts that a list drops
-/// without a drain, until they stop answering.
+/// The policy's view of the hosts. With `keeps_dropped_hosts`, a host that the list drops without a
+/// drain stays in use until it stops answering.
 #[derive(Default)]
 pub struct StandInPolicy {
-    pub dropped_stay: bool,
-    pub hosts: BTreeMap<Box<str>, Known>,
+    pub keeps_dropped_hosts: bool,
+    pub hosts: BTreeMap<Box<str>, KnownHost>,
 }
 
 #[derive(Clone, Debug)]
-pub struct Known {
+pub struct KnownHost {
     pub entry: Listed,
     pub drained: bool,
-    /// Only its own answers keep it.
+    /// The list has dropped the host, which stays in use while it answers.
     pub dropped: bool,
 }
 
@@ -106,37 +106,37 @@
             if full_list && !named.contains(&&**name) {
                 known.apply(
                     ListedHost { lifecycle: Lifecycle::Gone, ..known.entry.clone() },
-                    self.dropped_stay,
+                    self.keeps_dropped_hosts,
                 );
             }
         }
         for entry in &update.entries {
-            let known = self.hosts.entry(entry.host.clone()).or_insert_with(|| Known {
+            let known = self.hosts.entry(entry.host.clone()).or_insert_with(|| KnownHost {
                 entry: ListedHost { lifecycle: Lifecycle::Gone, ..entry.clone() },
                 drained: false,
                 dropped: false,
             });
-            known.apply(entry.clone(), self.dropped_stay);
+            known.apply(entry.clone(), self.keeps_dropped_hosts);
         }
     }
 
-    /// Hosts that it may send to.
+    /// The hosts that the policy may send to.
     pub fn up(&self) -> BTreeMap<Box<str>, Listed> {
         let up = self.hosts.values().filter(|known| known.entry.lifecycle == Lifecycle::Up);
         up.map(|known| (known.entry.host.clone(), known.entry.clone())).collect()
     }
 
-    /// Forgets hosts that are gone, as the caller has it do; their names.
-    pub fn free(&mut self) -> Vec<Box<str>> {
-        let gone = |known: &&Known| known.entry.lifecycle == Lifecycle::Gone;
+    /// Forgets hosts that are gone and returns their names.
+    pub fn forget_gone(&mut self) -> Vec<Box<str>> {
+        let gone = |known: &&KnownHost| known.entry.lifecycle == Lifecycle::Gone;
         let gone: Vec<Box<str>> =
             self.hosts.values().filter(gone).map(|known| known.entry.host.clone()).collect();
         gone.iter().for_each(|name| drop(self.hosts.remove(name)));
         gone
     }
 
-    /// A host that only its answers kept stops answering.
-    pub fn silent(&mut self, host: &str) {
+    /// Lets a host stop answering: if the list has dropped it, it is gone.
+    pub fn stop_answering(&mut self, host: &str) {
         if let Some(known) = self.hosts.get_mut(host).filter(|known| known.dropped) {
             known.dropped = false;
             known.entry.lifecycle = Lifecycle::Gone;
@@ -144,10 +144,10 @@
     }
 }
 
-impl Known {
-    fn apply(&mut self, entry: Listed, dropped_stay: bool) {
+impl KnownHost {
+    fn apply(&mut self, entry: Listed, keeps_dropped_hosts: bool) {
         self.drained |= entry.lifecycle == Lifecycle::Draining;
-        let stays = dropped_stay && !self.drained && self.entry.lifecycle == Lifecycle::Up;
+        let stays = keeps_dropped_hosts && !self.drained && self.entry.lifecycle == Lifecycle::Up;
         self.dropped = entry.lifecycle == Lifecycle::Gone && stays;
         if !self.dropped {
             self.entry = entry;
--- a/regions/tests/map.rs
+++ b/regions/tests/map.rs
@@ -1,4 +1,4 @@
-//! The operators' file: what it gives, and how an invalid one is refused.
+//! Parsing of the operators' region file, and the errors for invalid files.
 
 use basaltwood_regions::{RegionMap, RegionMapError, RegionMapProblem};
 use expect_test::expect;
@@ -25,25 +25,29 @@
     );
     let other = VALID.replace("own = \"north\"", "own = \"south\"");
     let map = RegionMap::parse("regions.toml", &other).expect("it is valid");
-    assert_eq!((map.own(), map.balancers()), ("south", None), "only the own region's number counts");
+    assert_eq!(
+        (map.own(), map.balancers()),
+        ("south", None),
+        "only the own region's number of balancers is used"
+    );
 }
 
-/// The refusal of each variant of the valid file, with a line break at each colon and semicolon.
-fn refusals(replacements: &[(&str, &str)]) -> String {
+/// The error for each variant of the valid file, with a line break at each colon and semicolon.
+fn errors(replacements: &[(&str, &str)]) -> String {
     let mut lines = Vec::new();
     for (part, replacement) in replacements {
         let text = VALID.replacen(part, replacement, 1);
         assert_ne!(text, VALID);
-        let refusal = RegionMap::parse("regions.toml", &text).expect_err("it is invalid").to_string();
-        assert!(!refusal.contains('\n'), "{refusal:?}");
-        lines.push(refusal.replace("; ", ";\n    ").replace(": ", ":\n    "));
+        let error = RegionMap::parse("regions.toml", &text).expect_err("it is invalid").to_string();
+        assert!(!error.contains('\n'), "{error:?}");
+        lines.push(error.replace("; ", ";\n    ").replace(": ", ":\n    "));
     }
     lines.join("\n")
 }
 
 #[test]
-fn invalid_regions_and_zones_are_refused_in_one_line_with_the_way_out() {
-    let refusals = refusals(&[
+fn invalid_regions_and_zones_are_refused_in_one_line_with_a_remedy() {
+    let errors = errors(&[
         ("\"z03\"", "\"z02\""),
         ("\"z02\"", "\"z01\""),
         ("own = \"north\"", "own = \"west\""),
@@ -63,13 +67,13 @@
             remove one
         regions.toml line 1:
             no region "west":
-            own is to be one of "north", "south"
+            own must be one of "north", "south"
         regions.toml line 11:
             region "south" has no zone:
             give it one, or remove the region
         regions.toml line 10:
-            region "north" is named on line 4 too:
-            make one of both
+            region "north" is already defined on line 4:
+            merge the two
         regions.toml line 1:
             own is empty:
             give it a name
@@ -82,12 +86,12 @@
         regions.toml line 1:
             no region:
             add a [[region]], or remove the file"#]]
-    .assert_eq(&refusals);
+    .assert_eq(&errors);
 }
 
 #[test]
-fn invalid_counts_are_refused_in_one_line_with_the_way_out() {
-    let refusals = refusals(&[
+fn invalid_counts_are_refused_in_one_line_with_a_remedy() {
+    let errors = errors(&[
         ("519", "0"),
         ("519", "-2"),
         ("519", "5_000_000_000"),
@@ -124,12 +128,12 @@
             invalid type:
             floating point `0.5`, expected i64;
             see deploy/regions.example.toml for the form"#]]
-    .assert_eq(&refusals);
+    .assert_eq(&errors);
 }
 
 #[test]
-fn invalid_form_is_refused_in_one_line_with_the_way_out() {
-    let refusals = refusals(&[
+fn invalid_form_is_refused_in_one_line_with_a_remedy() {
+    let errors = errors(&[
         ("own = \"north\"", ""),
         ("zones = [\"z03\"]", ""),
         ("zones = [\"z03\"]", "zones = [\"z03\"]\nzone = \"z04\""),
@@ -161,11 +165,11 @@
         regions.toml line 1:
             missing field `own`;
             see deploy/regions.example.toml for the form"#]]
-    .assert_eq(&refusals);
+    .assert_eq(&errors);
 }
 
 #[test]
-fn refusal_names_file_line_and_problem() {
+fn error_has_file_line_and_problem() {
     let text = VALID.replacen("\"z03\"", "\"z01\"", 1);
     let error = RegionMap::parse("regions.toml", &text).expect_err("it is invalid");
     let problem = RegionMapProblem::SharedZone {
@@ -177,9 +181,9 @@
     assert_eq!(error, RegionMapError { file: "regions.toml".to_owned(), line: 11, problem });
 }
 
-/// The version depends on what the map says, not on whose copy it is or how that is written.
+/// Every region's copy of a map has the same version, however the file is formatted.
 #[test]
-fn version_differs_by_all_a_map_says_but_the_own_region() {
+fn version_depends_on_all_of_a_map_except_the_own_region() {
     let version =
         |text: &str| RegionMap::parse("regions.toml", text).map(|map| format!("{:08x}", map.version()));
     let mut lines = vec![version(VALID).expect("it is valid")];
--- a/regions/tests/properties.rs
+++ b/regions/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties of the ring over any series of lists.
+//! Properties of the ring after any sequence of lists and changes.
 
 mod common;
 
@@ -9,22 +9,22 @@
 use common::*;
 use proptest::prelude::*;
 
-/// What a map says of its regions' minimum numbers of hosts: west, north, south.
+/// The minimum numbers of hosts in a map, if set: west, north, south.
 type MinHosts = [Option<u32>; 3];
 
 fn any_min_hosts() -> impl Strategy<Value = MinHosts> {
     proptest::array::uniform3(proptest::option::of(1..4_u32))
 }
 
-/// One step of a list's life.
+/// One update of the endpoint list.
 #[derive(Clone, Debug)]
 struct Step {
     full_list: bool,
     entries: Vec<Listed>,
-    /// Whether the caller forgets hosts that are gone after this step.
-    frees: bool,
-    /// The host that stops answering before that.
-    silent: usize,
+    /// Whether the caller forgets gone hosts at the end of the step.
+    forgets: bool,
+    /// The index of the host that stops answering after the update.
+    unresponsive: usize,
 }
 
 const HOSTS: [&str; 8] = ["a", "b", "c", "d", "e", "f", "origin", "h"];
@@ -43,11 +43,12 @@
             ListedHost { host: host.into(), zone, origin: host == "origin", lifecycle, details }
         });
     let entries = proptest::collection::vec(entry, 0..7);
-    (prop::bool::weighted(0.3), entries, any::<bool>(), 0..HOSTS.len())
-        .prop_map(|(full_list, entries, frees, silent)| Step { full_list, entries, frees, silent })
+    (prop::bool::weighted(0.3), entries, any::<bool>(), 0..HOSTS.len()).prop_map(
+        |(full_list, entries, forgets, unresponsive)| Step { full_list, entries, forgets, unresponsive },
+    )
 }
 
-/// Brings the list to what discovery has after a step.
+/// Applies a step to the complete list, as discovery would hold it.
 fn apply_step(list: &mut BTreeMap<Box<str>, Listed>, step: &Step) {
     if step.full_list {
         list.clear();
@@ -57,8 +58,8 @@
     }
 }
 
-/// Hosts that are up in the first region that has its minimum, or in the first that has any, and
-/// origins.
+/// The expected ring: up hosts of the first region with its minimum, or else of the first with any,
+/// and origin hosts.
 fn ring_of(list: &BTreeMap<Box<str>, Listed>, min_hosts: MinHosts) -> BTreeMap<Box<str>, Listed> {
     let up = |entry: &&Listed| entry.lifecycle == Lifecycle::Up;
     let in_zones = |zones: &[&str]| -> BTreeMap<Box<str>, Listed> {
@@ -77,19 +78,18 @@
     ring
 }
 
-/// Entries of a full list come in any order.
-fn shuffled(list: &BTreeMap<Box<str>, Listed>, by: u64) -> Vec<Listed> {
+/// The entries of the list in an order that depends on `seed`.
+fn shuffled(list: &BTreeMap<Box<str>, Listed>, seed: u64) -> Vec<Listed> {
     let mut entries: Vec<Listed> = list.values().cloned().collect();
-    entries.sort_by_key(|entry| RingPosition::of(&entry.host).mixed(by));
+    entries.sort_by_key(|entry| RingPosition::of(&entry.host).mixed(seed));
     entries
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(2_000) })]
 
-    /// The same at all balancers of the region: whatever lists and changes a balancer got, what it
-    /// sends to is what the list says now, and one that starts with that list in full, in any
-    /// order, has the same.
+    /// All balancers of a region have the same ring: it depends only on the current list, not on the
+    /// lists and changes before it or on the order of the entries in a full list.
     #[test]
     fn ring_after_any_lists_equals_the_ring_of_the_final_list(
         min_hosts in any_min_hosts(),
@@ -107,24 +107,24 @@
             other.apply(true, &regions_with(min_hosts).apply(true, shuffled(&list, order)));
             prop_assert_eq!(policy.up(), ring_of(&list, min_hosts));
             prop_assert_eq!(other.up(), ring_of(&list, min_hosts));
-            if step.frees {
-                policy.free().iter().for_each(|name| regions.forget(name));
+            if step.forgets {
+                policy.forget_gone().iter().for_each(|name| regions.forget(name));
             }
         }
     }
 
-    /// Rule 3, also where only draining binds: whatever a drain's entry says, and whether or not a
-    /// list still names the host, the policy sends nothing there; and it uses no host outside the
-    /// ring, listed or not.
+    /// Also with `keeps_dropped_hosts`, the policy sends nothing to a draining host, whatever zone its
+    /// entry names and whether or not a list still names the host (rule 3). It uses no host outside
+    /// the ring, listed or not.
     #[test]
-    fn draining_host_is_never_used_whatever_came_before(
+    fn draining_or_outside_host_is_never_used(
         min_hosts in any_min_hosts(),
         steps in proptest::collection::vec(step(), 1..24),
     ) {
         let mut regions = regions_with(min_hosts);
-        let mut policy = StandInPolicy { dropped_stay: true, ..StandInPolicy::default() };
+        let mut policy = StandInPolicy { keeps_dropped_hosts: true, ..StandInPolicy::default() };
         let mut list = BTreeMap::new();
-        // The zone of a host when an entry last named it.
+        // The zone in the last entry of each host that named a known zone or was up.
         let mut zones = BTreeMap::new();
         for step in steps {
             let update = regions.apply(step.full_list, step.entries.clone());
@@ -132,27 +132,27 @@
             apply_step(&mut list, &step);
             let up = policy.up();
             for entry in list.values().filter(|entry| entry.lifecycle == Lifecycle::Draining) {
-                prop_assert!(!up.contains_key(&entry.host), "{} drains", entry.host);
+                prop_assert!(!up.contains_key(&entry.host), "{} is draining", entry.host);
             }
             for (name, entry) in ring_of(&list, min_hosts) {
                 prop_assert_eq!(up.get(&name), Some(&entry));
             }
             for entry in &step.entries {
-                let named = entry.zone.as_deref().is_some_and(|zone| zone != "x");
-                if named || entry.lifecycle == Lifecycle::Up {
+                let in_region = entry.zone.as_deref().is_some_and(|zone| zone != "x");
+                if in_region || entry.lifecycle == Lifecycle::Up {
                     zones.insert(entry.host.clone(), entry.zone.clone());
                 }
             }
             for name in up.iter().filter(|(_, entry)| !entry.origin).map(|(name, _)| name) {
-                let listed = ring_of(&list, min_hosts).contains_key(name);
-                prop_assert!(listed || policy.hosts[name].dropped, "{name} is not listed");
-                // Regions' names begin as their zones do.
+                let in_ring = ring_of(&list, min_hosts).contains_key(name);
+                prop_assert!(in_ring || policy.hosts[name].dropped, "{name} is neither in the ring nor dropped by the list");
+                // A region's name and its zones begin with the same letter.
                 let zone = zones[name].as_deref().and_then(|zone| zone.chars().next());
-                prop_assert_eq!(zone, regions.ring().chars().next(), "{} lies outside", name);
+                prop_assert_eq!(zone, regions.ring().chars().next(), "{} is outside the ring", name);
             }
-            policy.silent(HOSTS[step.silent]);
-            if step.frees {
-                policy.free().iter().for_each(|name| regions.forget(name));
+            policy.stop_answering(HOSTS[step.unresponsive]);
+            if step.forgets {
+                policy.forget_gone().iter().for_each(|name| regions.forget(name));
             }
         }
     }
--- a/regions/tests/rings.rs
+++ b/regions/tests/rings.rs
@@ -1,4 +1,4 @@
-//! Which hosts the policy sees: traces of lists in and entries out.
+//! Which hosts the policy sees, as traces of lists and the resulting updates.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use common::*;
 use expect_test::expect;
 
-/// Lists, a line each, `all` before one that holds all there is, and what the policy sees of each.
+/// Applies each list, a full one if it begins with `all: `, and formats it with its update.
 fn trace(lists: &[&str]) -> String {
     trace_of(regions(), lists)
 }
@@ -15,7 +15,7 @@
     let lines = lists.iter().map(|list| {
         let (full_list, text) = list.strip_prefix("all: ").map_or((false, *list), |text| (true, text));
         let update = regions.apply(full_list, entries(text));
-        format!("{}\n  => {}\n", list.trim(), shown(&update))
+        format!("{}\n  => {}\n", list.trim(), format_update(&update))
     });
     lines.collect()
 }
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn zone_without_region_is_outside_and_reported_once() {
+fn zone_without_region_is_outside_the_ring_and_reported_once() {
     let trace = trace(&["all: a n1, b x1, c -, d x1", "b x1, c -, e x2, f x3 leaving, g - leaving", "a x1"]);
     expect![[r#"
         all: a n1, b x1, c -, d x1
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn host_that_leaves_the_ring_is_gone_and_one_that_enters_is_up() {
+fn host_leaving_the_ring_is_withdrawn_and_host_entering_it_is_announced() {
     let trace = trace(&[
         "all: a n1, b n2, c s1",
         "b s1",
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn entry_that_ends_use_of_a_ring_host_is_passed_on_whatever_its_zone() {
+fn drain_or_removal_of_a_ring_host_is_passed_on_with_any_zone() {
     let trace = trace(&[
         "all: a n1, b n1, c n1, d n1, e n1, f n1, keep n1",
         "a - leaving, b absurd leaving, c s1 leaving",
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn region_that_loses_all_hosts_hands_over_the_ring_and_regains_it_with_the_first() {
+fn region_without_hosts_loses_the_ring_and_regains_it_with_its_first_host() {
     let trace = trace(&[
         "all: a n1, b n1, c n1, d n2, e n2, f n2, s s1, t s2 leaving, u s2",
         "a n1 left",
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn next_region_is_the_one_after_the_own_in_file_order_wrapping_round() {
+fn next_region_follows_the_own_region_in_file_order_with_wrap_around() {
     let trace = trace(&[
         "all: a n1, s s1, w w1",
         "a n1 leaving",
@@ -242,8 +242,9 @@
     .assert_eq(&trace);
 }
 
-/// After a restart some balancers have the new map and others the old one, with the same list: a
-/// zone that moves is used by both regions, one that is in no region meanwhile by neither.
+/// During a rollout of a new map, balancers with the old and the new map get the same list: a zone
+/// that moves between regions is used by both of them, or by neither if an intermediate map has it
+/// in no region.
 #[test]
 fn balancers_with_different_maps_each_follow_their_own() {
     let moved = MAP.replace(r#""n1", "n2""#, r#""n1""#).replace(r#""s1", "s2""#, r#""s1", "s2", "n2""#);
@@ -254,7 +255,7 @@
             let map = map.replace("own = \"north\"", &format!("own = \"{own}\""));
             let mut regions = Regions::new(RegionMap::parse("regions.toml", &map).expect("it is valid"));
             let update = regions.apply(true, entries("a n1, b n2, c s1, d s2"));
-            lines += &format!("{version}, {own}: {}\n", shown(&update));
+            lines += &format!("{version}, {own}: {}\n", format_update(&update));
         }
     }
     expect![[r#"
@@ -279,18 +280,18 @@
     assert_eq!((regions.counts(), regions.ring()), (counted, "south"));
 }
 
-/// A host that a list drops while only draining binds stays in use, and its drain is passed on
-/// though no list names it any more.
+/// With `keeps_dropped_hosts` a host that a list drops stays in use, so its drain is passed on
+/// although no list names the host any more.
 #[test]
 fn drain_of_an_unlisted_host_is_passed_on_until_the_host_is_forgotten() {
     let mut regions = regions();
-    let mut policy = StandInPolicy { dropped_stay: true, ..StandInPolicy::default() };
+    let mut policy = StandInPolicy { keeps_dropped_hosts: true, ..StandInPolicy::default() };
     let mut apply = |full_list, text: &str, policy: &mut StandInPolicy| {
         let update = regions.apply(full_list, entries(text));
         policy.apply(full_list, &update);
-        policy.free().iter().for_each(|name| regions.forget(name));
+        policy.forget_gone().iter().for_each(|name| regions.forget(name));
         let up: Vec<_> = policy.up().into_keys().collect();
-        format!("{text}\n  => {}; up: {}\n", shown(&update), up.join(" ")).replace(": \n", ": none\n")
+        format!("{text}\n  => {}; up: {}\n", format_update(&update), up.join(" ")).replace(": \n", ": none\n")
     };
     let lines = [
         apply(true, "a n1, b n1, c n1", &mut policy),
