--- a/regions/src/hosts.rs
+++ b/regions/src/hosts.rs
@@ -16,8 +16,8 @@
 struct Host<T> {
     /// The host's zone; `None` if no region has it.
     zone: Option<ZoneNumber>,
-    /// The zone in which the policy knows the host. It is kept apart from `zone`, since requests sent
-    /// to the host ran in this one and hosts may deduplicate by zone.
+    /// The zone in which the policy knows the host. It is kept apart from `zone`, since requests
+    /// sent to the host ran in this one and hosts may deduplicate by zone.
     announced_zone: Option<ZoneNumber>,
     lifecycle: Lifecycle,
     origin: bool,
@@ -137,8 +137,8 @@
         counts
     }
 
-    /// Marks hosts that the full list leaves out as gone, and removes those that the policy does not
-    /// know.
+    /// Marks hosts that the full list leaves out as gone, and removes those that the policy does
+    /// not know.
     fn drop_unlisted(&mut self, entries: &[ListedHost<T>]) {
         let listed: BTreeSet<&str> = entries.iter().map(|entry| &*entry.host).collect();
         self.hosts.retain(|name, host| {
@@ -237,7 +237,8 @@
 
     /// Selects the ring: from the own region on in the file's order, wrapping around, the first
     /// region with its minimum of hosts up, or else the first with any host up. If no region has a
-    /// host up, the ring stays: an empty list may be wrong, and the policy may use the hosts it has.
+    /// host up, the ring stays: an empty list may be wrong, and the policy may use the hosts it
+    /// has.
     fn choose_ring(&mut self, events: &mut Vec<RegionEvent>) {
         let hosts_up = self.hosts_up();
         let count = hosts_up.len() as RegionIndex;
--- a/regions/tests/memory.rs
+++ b/regions/tests/memory.rs
@@ -11,8 +11,9 @@
     line.trim().trim_end_matches(" kB").parse::<usize>().expect("a number") * 1024
 }
 
-/// Each host has 64 bytes of details, enough for address, weight, cell and start time, and a name of
-/// 19 letters. Names are inserted in sorted order, which leaves the most memory of a B-tree unused.
+/// Each host has 64 bytes of details, enough for address, weight, cell and start time, and a name
+/// of 19 letters. Names are inserted in sorted order, which leaves the most memory of a B-tree
+/// unused.
 #[test]
 fn host_outside_the_ring_takes_under_256_bytes() {
     const HOSTS: usize = 20_000;
--- a/regions/tests/properties.rs
+++ b/regions/tests/properties.rs
@@ -88,8 +88,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(2_000) })]
 
-    /// All balancers of a region have the same ring: it depends only on the current list, not on the
-    /// lists and changes before it or on the order of the entries in a full list.
+    /// All balancers of a region have the same ring: it depends only on the current list, not on
+    /// the lists and changes before it or on the order of the entries in a full list.
     #[test]
     fn ring_after_any_lists_equals_the_ring_of_the_final_list(
         min_hosts in any_min_hosts(),
@@ -113,9 +113,9 @@
         }
     }
 
-    /// Also with `keeps_dropped_hosts`, the policy sends nothing to a draining host, whatever zone its
-    /// entry names and whether or not a list still names the host (rule 3). It uses no host outside
-    /// the ring, listed or not.
+    /// Also with `keeps_dropped_hosts`, the policy sends nothing to a draining host, whatever zone
+    /// its entry names and whether or not a list still names the host (rule 3). It uses no host
+    /// outside the ring, listed or not.
     #[test]
     fn draining_or_outside_host_is_never_used(
         min_hosts in any_min_hosts(),
--- a/wire/src/body.rs
+++ b/wire/src/body.rs
@@ -1,9 +1,9 @@
-//! A value as it comes in, in pieces of any size. It is held once, in segments, so that no long
-//! stretch of memory is wanted.
+//! Receives a value in pieces of any size. The value is stored once, in segments, so that a long
+//! one needs no large contiguous allocation.
 
 use bytes::{BufMut, Bytes, BytesMut};
 
-/// The largest segment, in bytes.
+/// The maximum length of a segment, in bytes.
 const MAX_SEGMENT: usize = 64 * 1024;
 
 /// A value that is being read.
@@ -17,23 +17,22 @@
 }
 
 impl Body {
-    /// An empty body that is to be of so many bytes.
+    /// An empty body that expects `length` bytes.
     pub fn new(length: usize) -> Body {
         Body { segments: Vec::new(), current: BytesMut::new(), length, remaining: length }
     }
 
-    /// The length that the body is to have, in bytes.
+    /// The length of the complete body, in bytes.
     pub fn length(&self) -> usize {
         self.length
     }
 
-    /// Bytes that are still to come.
+    /// The number of bytes that are not received yet.
     pub fn remaining(&self) -> usize {
         self.remaining
     }
 
-    /// Copies what belongs to the body from the front of bytes that were read already. Returns how
-    /// many.
+    /// Copies up to [`Body::remaining`] bytes from the front of `bytes`, and returns their number.
     pub fn copy_from(&mut self, bytes: &[u8]) -> usize {
         let mut copied = 0;
         while copied < bytes.len() && self.remaining > 0 {
@@ -46,7 +45,8 @@
         copied
     }
 
-    /// Where the next bytes may be read to, no more than are to come. [`Body::advance`] follows.
+    /// Space for the next bytes, no more than remain to be received. Call [`Body::advance`] after
+    /// writing to it.
     pub fn unfilled(&mut self) -> bytes::buf::Limit<&mut BytesMut> {
         if self.current.capacity() == self.current.len() {
             self.seal();
@@ -56,7 +56,7 @@
         (&mut self.current).limit(spare.min(self.remaining))
     }
 
-    /// So many bytes were read to where [`Body::unfilled`] pointed.
+    /// Records that `count` bytes were written to the space that [`Body::unfilled`] returned.
     pub fn advance(&mut self, count: usize) {
         self.remaining -= count;
         if self.remaining == 0 {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The value, once nothing remains to come.
+    /// The segments of the value; complete once [`Body::remaining`] is 0.
     pub fn into_segments(self) -> Vec<Bytes> {
         self.segments
     }
--- a/wire/src/buffer.rs
+++ b/wire/src/buffer.rs
@@ -1,62 +1,65 @@
-//! A connection's one buffer: it grows as it needs to, up to a bound, and is compacted in place.
+//! The read buffer of a connection. It grows on demand up to a bound, and is compacted in place.
 
 use std::io;
 
 use bytes::{Buf, BytesMut};
 
-/// The minimum space that a read gets, in bytes.
+/// The minimum free space for a read, in bytes.
 const READ_STEP: usize = 4 * 1024;
 
-/// An empty buffer keeps no more memory than this, in bytes.
+/// The maximum capacity that an empty buffer keeps, in bytes.
 const MAX_IDLE_CAPACITY: usize = 16 * 1024;
 
-/// Bytes that were read from a connection and are not parsed yet.
+/// Bytes that were read from a connection and are not yet parsed.
 pub struct Buffer {
     bytes: BytesMut,
     max_length: usize,
 }
 
 impl Buffer {
-    /// An empty buffer that takes no more once it holds so many bytes.
+    /// An empty buffer that is full once it holds `max_length` bytes.
     pub fn new(max_length: usize) -> Buffer {
         Buffer { bytes: BytesMut::new(), max_length }
     }
 
-    /// The bytes that it holds.
+    /// The bytes in the buffer.
     pub fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
-    /// Whether it holds nothing.
+    /// Whether the buffer holds no bytes.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// The memory that it takes, in bytes.
+    /// The allocated memory, in bytes.
     pub fn capacity(&self) -> usize {
         self.bytes.capacity()
     }
 
-    /// Whether it takes no more.
+    /// Whether the buffer accepts no more bytes.
     pub fn is_full(&self) -> bool {
         self.bytes.len() >= self.max_length
     }
 
-    /// Where the next bytes are read to. Nothing is lost where a read is cancelled.
+    /// The buffer with space for the next read. Cancelling that read loses no bytes.
     ///
     /// # Errors
-    /// `InvalidData` where it is full.
+    /// `InvalidData` if the buffer is full.
     pub fn unfilled(&mut self) -> io::Result<&mut BytesMut> {
         if self.is_full() {
-            return Err(io::Error::new(io::ErrorKind::InvalidData, "more than may come at a time"));
+            return Err(io::Error::new(
+                io::ErrorKind::InvalidData,
+                "read buffer is full without a complete message",
+            ));
         }
-        // Nothing else holds a part of these bytes, so this moves them to the front before it
-        // grows.
+        // No other handle shares these bytes, so `reserve` moves them to the front before it
+        // allocates.
         self.bytes.reserve(READ_STEP);
         Ok(&mut self.bytes)
     }
 
-    /// Drops so many bytes from the front: they are parsed.
+    /// Drops `count` parsed bytes from the front.
     pub fn consume(&mut self, count: usize) {
         self.bytes.advance(count);
         if self.bytes.is_empty() && self.bytes.capacity() > MAX_IDLE_CAPACITY {
--- a/wire/src/facts.rs
+++ b/wire/src/facts.rs
@@ -1,14 +1,15 @@
-//! The facts of a request: the list of names and values that follows a command's id, or stands in
-//! the header `X-Facts`, such as `c=read,t=acme,d=480,k=5c0f,r=1`.
+//! The facts of a request: a list of names and values, in the word after a command's id or in the
+//! header `X-Facts`, such as `c=read,t=acme,d=480,k=5c0f,r=1`.
 
 use bytes::{BufMut, Bytes, BytesMut};
 
-/// The value of a name in a list of facts.
+/// The value of the fact with this name, if the list has one.
 pub fn fact<'a>(facts: &'a str, name: &str) -> Option<&'a str> {
     facts.split(',').find_map(|fact| fact.strip_prefix(name)?.strip_prefix('='))
 }
 
-/// The same facts with another timeout for this attempt (`d`, in milliseconds, at least one).
+/// A copy of the facts in which the timeout (`d`, in milliseconds, at least 1) is replaced by that
+/// of this attempt.
 pub fn with_timeout(facts: &[u8], ms: u64) -> Bytes {
     let mut out = BytesMut::with_capacity(facts.len() + 8);
     for (nth, fact) in facts.split(|&byte| byte == b',').enumerate() {
--- a/wire/src/http/encode.rs
+++ b/wire/src/http/encode.rs
@@ -1,14 +1,15 @@
-//! Requests and responses, as they are written.
+//! Encoding of requests and responses.
 
 use bytes::{BufMut, Bytes, BytesMut};
 
-/// As much as a head takes as a rule, in bytes; a longer one grows its buffer.
+/// The initial buffer capacity for a head, in bytes; enough for most.
 const HEAD_CAPACITY: usize = 256;
 
-/// A body of up to this length, in bytes, is put behind its head without growing the buffer.
+/// The maximum body length for which the buffer is allocated together with that for the head, in
+/// bytes.
 const MAX_BODY_CAPACITY: usize = 64 * 1024;
 
-/// A request; the path's parts are to be escaped before.
+/// Encodes a request. The caller has to percent-encode the path.
 pub fn encode_request(
     method: &str,
     path: &str,
@@ -21,7 +22,7 @@
     out.freeze()
 }
 
-/// The same without its body, of so many bytes, which is to follow.
+/// Encodes a request without its body; the caller appends `body_length` bytes.
 pub fn encode_request_head(
     method: &str,
     path: &str,
@@ -45,7 +46,7 @@
     out
 }
 
-/// A response with the length of its body.
+/// Encodes a response with its `Content-Length`.
 pub fn encode_response(status: u16, headers: &[(&str, &str)], body: &[u8]) -> Bytes {
     let mut out = BytesMut::with_capacity(HEAD_CAPACITY / 2 + body.len());
     out.put_slice(format!("HTTP/1.1 {status} -\r\nContent-Length: {}\r\n", body.len()).as_bytes());
--- a/wire/src/http/error.rs
+++ b/wire/src/http/error.rs
@@ -1,57 +1,60 @@
-//! Why bytes are no HTTP message that can be used.
+//! Errors in HTTP messages.
 
-/// Why a client can't use a response.
+use super::response::MAX_INTERIM;
+use super::{MAX_HEAD, MAX_HEADERS};
+
+/// Why a response can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ResponseError {
-    /// The head is no HTTP.
+    /// The head is not HTTP/1.x.
     #[error("{0}")]
     Malformed(#[from] httparse::Error),
-    /// More interim responses (1xx) than are skipped.
-    #[error("too many interim answers")]
+    /// Too many interim responses (1xx) before the final one.
+    #[error("{MAX_INTERIM} interim responses (1xx) without a final response")]
     TooManyInterim,
-    /// The head is longer than is waited for.
-    #[error("too long a head")]
+    /// The head is incomplete and already too long.
+    #[error("response head is longer than {MAX_HEAD} bytes")]
     HeadTooLong,
-    /// The body is longer than the caller takes.
-    #[error("too long a body")]
+    /// The body is longer than the caller allows.
+    #[error("response body is longer than allowed")]
     BodyTooLong,
-    /// The head has no status.
-    #[error("no status")]
+    /// The head has no status code.
+    #[error("response has no status code")]
     MissingStatus,
-    /// A `Content-Length` that is no number.
-    #[error("no length")]
+    /// A `Content-Length` is not a number.
+    #[error("Content-Length is not a number")]
     InvalidLength,
-    /// A `Transfer-Encoding` other than `chunked`.
-    #[error("transfer encoding {0}")]
+    /// The `Transfer-Encoding` is not `chunked`.
+    #[error("unsupported Transfer-Encoding {0}, expected chunked")]
     UnsupportedTransferEncoding(String),
-    /// Several lengths that differ, or none where the connection's end would have to mark the
-    /// body's.
-    #[error("no one length")]
+    /// Several lengths that differ, or no length, so that only the close of the connection would
+    /// end the body.
+    #[error("response needs one Content-Length or chunked Transfer-Encoding")]
     AmbiguousLength,
-    /// A chunk's head is no HTTP.
-    #[error("no chunk")]
+    /// The size line of a chunk is malformed.
+    #[error("size line of a chunk is malformed")]
     InvalidChunk,
-    /// A chunk is not followed by a line's end, or trailers follow the last one.
-    #[error("a chunk without its end, or trailers")]
+    /// A chunk is not followed by CRLF, or trailers follow the last chunk.
+    #[error("chunk is not followed by CRLF, or the response has trailers")]
     InvalidChunkEnd,
 }
 
-/// Why a server can't use a request.
+/// Why a request can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// The head is no HTTP.
+    /// The head is not HTTP/1.x.
     #[error("{0}")]
     Malformed(httparse::Error),
-    /// A `Content-Length` that is no number.
-    #[error("no length")]
+    /// A `Content-Length` is not a number.
+    #[error("Content-Length is not a number")]
     InvalidLength,
-    /// The head is longer than is waited for, or has more header lines.
-    #[error("too long a head")]
+    /// The head is incomplete and already too long, or has too many header lines.
+    #[error("request head is longer than {MAX_HEAD} bytes or {MAX_HEADERS} header lines")]
     HeadTooLong,
-    /// The body is longer than the caller takes.
-    #[error("too long a body")]
+    /// The body is longer than the caller allows.
+    #[error("request body is longer than allowed")]
     BodyTooLong,
-    /// A body whose length is not given beforehand.
-    #[error("no length")]
+    /// The request has a `Transfer-Encoding`, so the length of its body is unknown in advance.
+    #[error("Transfer-Encoding is not supported in requests, expected Content-Length")]
     LengthRequired,
 }
--- a/wire/src/http/percent.rs
+++ b/wire/src/http/percent.rs
@@ -1,6 +1,6 @@
-//! Keys as paths.
+//! Percent-encoding of keys as paths.
 
-/// A key as a path: all but unreserved characters are escaped.
+/// Encodes a key as a path: all bytes but unreserved characters are escaped.
 pub fn percent_encode(key: &[u8]) -> String {
     let mut path = String::with_capacity(key.len() + 1);
     for &byte in key {
@@ -13,7 +13,7 @@
     path
 }
 
-/// The key in a path, without the path's first slash; anything that is no escape is kept as it is.
+/// Decodes the key in a path, without the leading slash. Malformed escapes are kept as they are.
 pub fn percent_decode(path: &str) -> Vec<u8> {
     let bytes = path.strip_prefix('/').unwrap_or(path).as_bytes();
     let mut out = Vec::with_capacity(bytes.len());
@@ -33,7 +33,7 @@
     out
 }
 
-/// The byte of an escape sequence at the front, if there is one.
+/// The byte that an escape sequence at the front stands for, if there is one.
 fn escaped_byte(bytes: &[u8]) -> Option<u8> {
     let digits = bytes.strip_prefix(b"%")?.get(..2)?;
     let digits = std::str::from_utf8(digits).ok()?;
--- a/wire/src/http/request.rs
+++ b/wire/src/http/request.rs
@@ -1,26 +1,26 @@
-//! Requests, as a server reads them.
+//! Parsing of requests by a server.
 
 use bytes::Bytes;
 
 use super::{RequestError, MAX_HEAD, MAX_HEADERS};
 
-/// A request as a server reads it.
+/// A parsed request.
 #[derive(Debug)]
 pub struct Request {
-    /// The method, as it is written.
+    /// The method, unchanged.
     pub method: String,
-    /// The path and its query, as they are written.
+    /// The path and query, still percent-encoded.
     pub path: String,
-    /// Names in lower case, and values.
+    /// The header names, in lower case, and values.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Bytes,
-    /// How many bytes the request took.
+    /// The length of the encoded request, in bytes.
     pub consumed: usize,
 }
 
 impl Request {
-    /// The value of a header, its name in lower case.
+    /// The value of the first header with this name, which has to be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         header(&self.headers, name)
     }
@@ -30,10 +30,10 @@
     headers.iter().find(|header| header.0 == name).map(|header| header.1.as_str())
 }
 
-/// A complete request; `None` while it is incomplete. Only bodies whose length is given are read.
+/// Parses a request; returns `None` while it is incomplete. A body needs a `Content-Length`.
 ///
 /// # Errors
-/// What is no HTTP, or too long to be taken.
+/// The bytes are not HTTP, the head or body is too long, or the length of the body is not given.
 pub fn parse_request(bytes: &[u8], max_body: usize) -> Result<Option<Request>, RequestError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
--- a/wire/src/http/response.rs
+++ b/wire/src/http/response.rs
@@ -1,47 +1,47 @@
-//! Responses, as a client reads them.
+//! Parsing of responses by a client.
 
 use bytes::{BufMut, Bytes, BytesMut};
 
 use super::{ResponseError, MAX_HEAD, MAX_HEADERS};
 
-/// The maximum number of interim responses (1xx) ahead of the final one.
-const MAX_INTERIM: usize = 16;
+/// The number of interim responses (1xx) without a final one that is an error.
+pub(super) const MAX_INTERIM: usize = 16;
 
-/// After this status the connection no longer speaks HTTP, so it counts as the final response.
+/// The status 101. The connection no longer uses HTTP after it, so it is a final response.
 const SWITCHING_PROTOCOLS: u16 = 101;
 
-/// A response.
+/// A parsed response.
 #[derive(Debug)]
 pub struct Response {
     /// The status, such as 200.
     pub status: u16,
-    /// The server says itself that the request never ran.
+    /// Whether the server states that it did not process the request (`X-Unprocessed: 1`).
     pub unprocessed: bool,
-    /// Seconds after which to retry, where the server says.
+    /// The `Retry-After` header in seconds, if the server sent a number.
     pub retry_after: Option<u32>,
-    /// Whether the connection may carry another request.
+    /// Whether the connection can be used for another request.
     pub keep_alive: bool,
-    /// The body; empty where only the head was read.
+    /// The body; empty if only the head was parsed.
     pub body: Bytes,
-    /// How many bytes the response took, those of interim ones included; without its body where
-    /// only the head was read.
+    /// The length of the encoded response with all interim responses, in bytes; without the body if
+    /// only the head was parsed.
     pub consumed: usize,
 }
 
 /// A response whose body is too long to be buffered.
 #[derive(Debug)]
 pub struct LongResponse {
-    /// The response without its body, which begins after `consumed` bytes.
+    /// The response without its body, which begins at offset `consumed`.
     pub head: Response,
     /// The length of the body, in bytes.
     pub body_length: usize,
 }
 
-/// A complete response; `None` while it is incomplete.
+/// Parses a response; returns `None` while it is incomplete.
 ///
 /// # Errors
-/// What is no HTTP or too long; also a response whose end only the connection's end would mark: it
-/// could not be known to be complete.
+/// The bytes are not HTTP, or the response is too long. A response that only the close of the
+/// connection would end is an error too, since it can't be told from a truncated one.
 pub fn parse_response(bytes: &[u8], max_body: usize) -> Result<Option<Response>, ResponseError> {
     let mut start = 0;
     for _ in 0..MAX_INTERIM {
@@ -55,8 +55,8 @@
     Err(ResponseError::TooManyInterim)
 }
 
-/// The head of a response whose body is too long to be buffered: past `max_buffered` and up to
-/// `max_body` bytes, by the head. `None` for any other, or while no head is complete.
+/// Parses the head of a response whose `Content-Length` is above `max_buffered` and at most
+/// `max_body` bytes. Returns `None` for any other response, and while the head is incomplete.
 pub fn parse_long_response_head(bytes: &[u8], max_buffered: usize, max_body: usize) -> Option<LongResponse> {
     let mut start = 0;
     for _ in 0..MAX_INTERIM {
@@ -83,26 +83,26 @@
 enum Framing {
     /// There is no body.
     None,
-    /// By its length, in bytes.
+    /// By `Content-Length`, in bytes.
     Length(usize),
-    /// By its last chunk.
+    /// By the last chunk.
     Chunked,
 }
 
-/// A response's head: the response as far as it goes, and how its body follows.
+/// The head of a response, and how the end of its body is marked.
 struct Head {
-    /// `consumed` is where the body begins.
+    /// The response with an empty body; `consumed` is the offset of the body.
     response: Response,
     framing: Framing,
 }
 
-/// A body and where it ends.
+/// A body and the offset of its end.
 struct ParsedBody {
     body: Bytes,
     end: usize,
 }
 
-/// The first response, which may be an interim one (1xx).
+/// Parses the first response, which may be an interim response (1xx).
 fn parse_one(bytes: &[u8], max_body: usize) -> Result<Option<Response>, ResponseError> {
     let Some(Head { response, framing }) = parse_head(bytes)? else { return Ok(None) };
     let start = response.consumed;
@@ -169,7 +169,7 @@
         } else if is("x-unprocessed") {
             self.unprocessed = text == "1";
         } else if is("retry-after") {
-            // It may be a date, too; then the caller's own pause has to do.
+            // It may also be a date, which is ignored: the caller then uses its default pause.
             self.retry_after = text.parse().ok();
         }
         Ok(())
--- a/wire/src/lib.rs
+++ b/wire/src/lib.rs
@@ -1,10 +1,9 @@
-//! The codecs of the router, as bytes: RESP2 with clients and cache hosts ([`resp`]), HTTP/1.1 with
-//! the origin, discovery and operators ([`http`]), the list of facts that goes with a request
-//! ([`facts`]), and the buffers that bytes come into ([`buffer`], [`body`]).
+//! The codecs of the router: RESP2 for clients and cache hosts ([`resp`]), HTTP/1.1 for the origin,
+//! discovery and operators ([`http`]), the list of facts that goes with a request ([`facts`]), and
+//! the buffers that bytes are read into ([`buffer`], [`body`]).
 //!
-//! Parsers take the bytes that have come so far and return `None` while a message is incomplete;
-//! encoders return bytes. Pure: no sockets, no clock. It knows no request beyond its bytes, and
-//! decides nothing.
+//! Parsers take the bytes received so far and return `None` while a message is incomplete; encoders
+//! return bytes. This crate uses no sockets and no clock, and keeps no state between messages.
 
 pub mod body;
 pub mod buffer;
--- a/wire/src/resp/command.rs
+++ b/wire/src/resp/command.rs
@@ -1,47 +1,48 @@
-//! Commands, as a server reads them.
+//! Parsing of commands by a server.
 
 use std::ops::Range;
 
 use bytes::Bytes;
 
-use super::element::{bulk, bulk_head, line, number};
+use super::element::{parse_bulk, parse_bulk_head, parse_line, parse_number};
 use super::{RespError, MAX_BUFFERED_VALUE, MAX_ELEMENTS, MAX_VALUE};
 
-/// The longest word of a command that is no value, in bytes.
+/// The maximum length of a word that is not the value, in bytes.
 const MAX_WORD: usize = 8 * 1024;
 
-/// The place of the value among the words of a command. It may be long only as the last of them.
+/// The index of the value among the words of a command. Only a value that is the last word may be
+/// longer than [`MAX_WORD`].
 const VALUE_INDEX: i64 = 4;
 
-/// What there is of a command.
+/// A command that has been received, in full or up to its value.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ParsedCommand {
-    /// All of it.
+    /// The complete command.
     Complete(CompleteCommand),
-    /// All words but the value, which has not come in full.
+    /// All words but the value, which is incomplete.
     ValuePending {
-        /// The words ahead of the value.
+        /// The words before the value.
         words: Vec<Bytes>,
-        /// How many bytes they took, the value's head included: the value begins after these.
+        /// The offset at which the value begins, after its head.
         consumed: usize,
         /// The length of the value, in bytes. [`CRLF`](super::CRLF) follows it.
         value_length: usize,
     },
 }
 
-/// All of a command.
+/// A complete command.
 #[derive(Debug, PartialEq, Eq)]
 pub struct CompleteCommand {
-    /// Its words, which share one copy of the bytes.
+    /// The words, which share one copy of the bytes.
     pub words: Vec<Bytes>,
-    /// How many bytes it took.
+    /// The length of the encoded command, in bytes.
     pub consumed: usize,
 }
 
-/// A command whose value is buffered in full.
+/// Parses a command with its value; returns `None` while it is incomplete.
 ///
 /// # Errors
-/// What is no command, or has a value past [`MAX_BUFFERED_VALUE`].
+/// The bytes are not a command, or an incomplete value is longer than [`MAX_BUFFERED_VALUE`].
 pub fn parse_complete_command(bytes: &[u8]) -> Result<Option<CompleteCommand>, RespError> {
     match parse_command(bytes)? {
         Some(ParsedCommand::Complete(command)) => Ok(Some(command)),
@@ -52,10 +53,11 @@
     }
 }
 
-/// A command, also one whose value is yet to come; `None` while there is less.
+/// Parses a command; returns `None` until all words but the value, and the head of the value, are
+/// complete.
 ///
 /// # Errors
-/// What is no command.
+/// The bytes are not a command.
 pub fn parse_command(bytes: &[u8]) -> Result<Option<ParsedCommand>, RespError> {
     match bytes.first() {
         None => Ok(None),
@@ -64,17 +66,17 @@
     }
 }
 
-/// A person at a terminal may write a command as a plain line.
+/// Parses an inline command: a plain line, as a person at a terminal writes it.
 fn parse_inline(bytes: &[u8]) -> Result<Option<ParsedCommand>, RespError> {
-    let Some(line) = line(bytes, 0)? else { return Ok(None) };
+    let Some(line) = parse_line(bytes, 0)? else { return Ok(None) };
     let words = line.text.split(u8::is_ascii_whitespace).filter(|word| !word.is_empty());
     let words = words.map(Bytes::copy_from_slice).collect();
     Ok(Some(ParsedCommand::Complete(CompleteCommand { words, consumed: line.next })))
 }
 
 fn parse_array(bytes: &[u8]) -> Result<Option<ParsedCommand>, RespError> {
-    let Some(head) = line(bytes, 0)? else { return Ok(None) };
-    let count = number(&head.text[1..])?;
+    let Some(head) = parse_line(bytes, 0)? else { return Ok(None) };
+    let count = parse_number(&head.text[1..])?;
     if !(0..=MAX_ELEMENTS).contains(&count) {
         return Err(RespError::InvalidWordCount);
     }
@@ -83,12 +85,12 @@
     for index in 0..count {
         let is_value = index == VALUE_INDEX && count == VALUE_INDEX + 1;
         let max_length = if is_value { MAX_VALUE } else { MAX_WORD };
-        match bulk(bytes, at, max_length)? {
+        match parse_bulk(bytes, at, max_length)? {
             Some(word) => {
                 ranges.push(word.range.ok_or(RespError::NullWord)?);
                 at = word.next;
             }
-            None if is_value => return pending(bytes, at, ranges),
+            None if is_value => return value_pending(bytes, at, ranges),
             None => return Ok(None),
         }
     }
@@ -96,10 +98,14 @@
     Ok(Some(ParsedCommand::Complete(CompleteCommand { words, consumed: at })))
 }
 
-/// A command whose value begins at `from`, if at least the value's head is there. Its length has
-/// been checked.
-fn pending(bytes: &[u8], from: usize, ranges: Vec<Range<usize>>) -> Result<Option<ParsedCommand>, RespError> {
-    let Some(head) = bulk_head(bytes, from)? else { return Ok(None) };
+/// A command with an incomplete value at `from`; `None` while the value's head is incomplete. The
+/// caller has checked the length of the value.
+fn value_pending(
+    bytes: &[u8],
+    from: usize,
+    ranges: Vec<Range<usize>>,
+) -> Result<Option<ParsedCommand>, RespError> {
+    let Some(head) = parse_bulk_head(bytes, from)? else { return Ok(None) };
     Ok(Some(ParsedCommand::ValuePending {
         words: shared_words(&bytes[..head.start], ranges),
         consumed: head.start,
@@ -107,7 +113,8 @@
     }))
 }
 
-/// The words share one copy: the buffer itself stays whole, so that it can be compacted in place.
+/// Copies the words out of the buffer, as slices of one allocation. Slices of the buffer itself
+/// would prevent its compaction in place.
 fn shared_words(bytes: &[u8], ranges: Vec<Range<usize>>) -> Vec<Bytes> {
     let copy = Bytes::copy_from_slice(bytes);
     ranges.into_iter().map(|range| copy.slice(range)).collect()
--- a/wire/src/resp/encode.rs
+++ b/wire/src/resp/encode.rs
@@ -1,22 +1,22 @@
-//! Commands and replies, as they are written.
+//! Encoding of commands and replies.
 
 use bytes::{BufMut, Bytes, BytesMut};
 
-/// The end of a line, and of a bulk string.
+/// The terminator of lines and bulk strings.
 pub const CRLF: &[u8] = b"\r\n";
 
-/// More than the head and the end of a bulk string take, in bytes.
+/// An upper bound on the length of a bulk string's head and terminator, in bytes.
 const BULK_OVERHEAD: usize = 16;
 
-/// A command of these words.
+/// Encodes a command.
 pub fn encode_command(words: &[&[u8]]) -> Bytes {
     let mut out = BytesMut::with_capacity(encoded_length(words) + BULK_OVERHEAD);
     put_command(&mut out, words.len(), words);
     out.freeze()
 }
 
-/// A command of these words and of a value of so many bytes: all but the value and its [`CRLF`],
-/// which are to follow.
+/// Encodes a command that ends with a value of `value_length` bytes, up to the value. The caller
+/// appends the value and [`CRLF`].
 pub fn encode_command_head(words: &[&[u8]], value_length: usize) -> Bytes {
     let mut out = BytesMut::with_capacity(encoded_length(words) + 2 * BULK_OVERHEAD);
     put_command(&mut out, words.len() + 1, words);
@@ -24,25 +24,25 @@
     out.freeze()
 }
 
-/// The head of a bulk string of so many bytes; the bytes and [`CRLF`] are to follow.
+/// Encodes the head of a bulk string of `length` bytes. The caller appends the bytes and [`CRLF`].
 pub fn encode_bulk_head(length: usize) -> Bytes {
     Bytes::from(format!("${length}\r\n"))
 }
 
-/// A bulk string.
+/// Encodes a bulk string.
 pub fn encode_bulk(value: &[u8]) -> Bytes {
     let mut out = BytesMut::with_capacity(value.len() + BULK_OVERHEAD);
     put_bulk(&mut out, value);
     out.freeze()
 }
 
-/// An error line.
+/// Encodes an error line that begins with `-ERR`.
 pub fn encode_error(text: &str) -> Bytes {
     Bytes::from(format!("-ERR {text}\r\n"))
 }
 
-/// A cache host's reply with a value or, with `None`, a miss; null for how the request went, and
-/// the host's load where it reports that.
+/// Encodes a cache host's reply of three elements: the value (null for a miss), the request's
+/// status (always null here), and the host's load if it reports any.
 pub fn encode_reply(value: Option<&[u8]>, load: Option<&str>) -> Bytes {
     let mut out = BytesMut::with_capacity(value.map_or(0, <[u8]>::len) + 2 * BULK_OVERHEAD);
     out.put_slice(b"*3\r\n");
--- a/wire/src/resp/mod.rs
+++ b/wire/src/resp/mod.rs
@@ -1,8 +1,7 @@
-//! RESP2: commands from clients, replies from cache hosts and from balancers. Pure; knows no
-//! requests.
+//! RESP2: commands of clients, replies of cache hosts and of balancers.
 //!
-//! Parsers read a message at the front of the bytes that have come so far, and return `None` while
-//! it is incomplete.
+//! Parsers read a message from the front of the bytes received so far, and return `None` while the
+//! message is incomplete.
 
 mod command;
 mod element;
@@ -20,14 +19,14 @@
     LongReply, MessageEnd, ParsedReply, Reply,
 };
 
-/// The largest value that is buffered in full before any of it is passed on, in bytes.
+/// The maximum length of a value that is buffered in full before it is passed on, in bytes.
 pub const MAX_BUFFERED_VALUE: usize = 64 * 1024;
 
-/// The largest value that may pass at all, in bytes; past [`MAX_BUFFERED_VALUE`] it is streamed.
+/// The maximum length of a value, in bytes. Values above [`MAX_BUFFERED_VALUE`] are streamed.
 pub const MAX_VALUE: usize = 4 * 1024 * 1024;
 
-/// The largest command or reply that is buffered in full, in bytes.
+/// The maximum length of a command or reply that is buffered in full, in bytes.
 pub const MAX_BUFFERED_MESSAGE: usize = MAX_BUFFERED_VALUE + 16 * 1024;
 
-/// The maximum number of elements in an array: commands and replies have only a few.
+/// The maximum number of elements in an array; valid commands and replies have fewer.
 const MAX_ELEMENTS: i64 = 16;
--- a/wire/src/resp/reply.rs
+++ b/wire/src/resp/reply.rs
@@ -1,85 +1,87 @@
-//! Replies of cache hosts and of balancers, as their clients read them.
+//! Parsing of replies of cache hosts and of balancers.
 
 use std::ops::Range;
 
-use super::element::{bulk, bulk_head, element_count, element_end, line, number};
+use super::element::{
+    find_element_end, parse_bulk, parse_bulk_head, parse_element_count, parse_line, parse_number,
+};
 use super::{RespError, MAX_BUFFERED_VALUE, MAX_VALUE};
 
-/// The elements of a reply up to here count: the value, and how the request went. Past them is the
-/// host's load.
+/// The index of the first element that reports the host's load. Those before it are the value and
+/// the request's status, which have to be valid.
 const FIRST_LOAD_ELEMENT: i64 = 2;
 
 /// What a cache host replied.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// An array that begins with a value, which is here in the bytes.
+    /// An array that begins with a value, at these offsets.
     Value(Range<usize>),
-    /// The same with null for the value: the host lacks the key.
+    /// An array that begins with null: the host does not have the key.
     Miss,
-    /// The host rejected the request before it ran.
+    /// The host rejected the request before executing it.
     Busy,
     /// Any other error.
     Failed,
 }
 
-/// A cache host's reply and its end.
+/// A parsed reply of a cache host.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ParsedReply {
     /// The reply.
     pub reply: Reply,
-    /// Where it ends.
+    /// The end of the reply.
     pub end: MessageEnd,
 }
 
 /// The end of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MessageEnd {
-    /// How many bytes the message took.
+    /// The length of the encoded message, in bytes.
     pub consumed: usize,
-    /// Whether the connection may carry another.
+    /// Whether the connection can be used for another message.
     pub keep_alive: bool,
 }
 
 /// The head of a reply whose value is too long to be buffered in full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LongReply {
-    /// Where the value begins.
+    /// The offset of the value.
     pub start: usize,
-    /// The length of the value, in bytes. A line's end follows it.
+    /// The length of the value, in bytes, without the CRLF after it.
     pub length: usize,
-    /// How many elements follow that, which [`parse_after_long_value`] reads.
+    /// The number of elements after the value, for [`parse_after_long_value`].
     pub trailing_elements: i64,
 }
 
 /// What a balancer replied to a request.
 #[derive(Debug, PartialEq, Eq)]
 pub enum BalancerReply {
-    /// A value, which is here in the bytes.
+    /// A value, at these offsets.
     Value(Range<usize>),
-    /// A rejection, with the Retry-After in milliseconds where it has one.
+    /// A rejection, with its Retry-After in milliseconds if it has one.
     Busy(Option<u64>),
-    /// An error line, or anything else that is complete and no value.
+    /// An error line, or any other complete reply without a value.
     Failed,
 }
 
-/// The head of a reply with a long value; `None` where the reply is another, or its head is
-/// incomplete.
+/// Parses the head of a reply whose value is longer than [`MAX_BUFFERED_VALUE`]. Returns `None` for
+/// any other reply, and while the head is incomplete.
 pub fn parse_long_reply_head(bytes: &[u8]) -> Option<LongReply> {
-    let head = line(bytes, 0).ok()??;
+    let head = parse_line(bytes, 0).ok()??;
     if !head.text.starts_with(b"*") {
         return None;
     }
-    let trailing_elements = element_count(head.text).ok()? - 1;
-    let value = bulk_head(bytes, head.next).ok()??;
+    let trailing_elements = parse_element_count(head.text).ok()? - 1;
+    let value = parse_bulk_head(bytes, head.next).ok()??;
     let length = usize::try_from(value.length).ok()?;
     let is_long = (MAX_BUFFERED_VALUE + 1..=MAX_VALUE).contains(&length);
     is_long.then_some(LongReply { start: value.start, length, trailing_elements })
 }
 
-/// What follows a long value, from its line's end on; `None` while it is incomplete.
+/// Parses the bytes after a long value, from its CRLF on; returns `None` while they are incomplete.
 ///
 /// # Errors
-/// No line's end follows the value, or what says how the request went is no element.
+/// The value is not followed by CRLF, or the element with the request's status is malformed.
 pub fn parse_after_long_value(bytes: &[u8], trailing_elements: i64) -> Result<Option<MessageEnd>, RespError> {
     match bytes.get(..2) {
         Some(b"\r\n") => trailing_end(bytes, 2, trailing_elements),
@@ -88,13 +90,13 @@
     }
 }
 
-/// The end of a reply's elements past its value.
+/// Finds the end of the elements after the value of a reply.
 fn trailing_end(bytes: &[u8], mut at: usize, count: i64) -> Result<Option<MessageEnd>, RespError> {
     for index in 1..=count {
-        match element_end(bytes, at, 1) {
+        match find_element_end(bytes, at, 1) {
             Ok(Some(next)) => at = next,
             Ok(None) => return Ok(None),
-            // A value is good whatever the host's load says.
+            // A malformed load report does not invalidate the value, only the connection.
             Err(_) if index >= FIRST_LOAD_ELEMENT => {
                 return Ok(Some(MessageEnd { consumed: bytes.len(), keep_alive: false }));
             }
@@ -104,47 +106,48 @@
     Ok(Some(MessageEnd { consumed: at, keep_alive: true }))
 }
 
-/// A complete reply of a cache host; `None` while it is incomplete.
+/// Parses a reply of a cache host; returns `None` while it is incomplete.
 ///
 /// # Errors
-/// What is no reply to a command of the router.
+/// The bytes are not a reply to a command of the router.
 pub fn parse_reply(bytes: &[u8]) -> Result<Option<ParsedReply>, RespError> {
     if !matches!(bytes.first(), None | Some(b'*' | b'-')) {
         return Err(RespError::UnexpectedReply);
     }
-    let Some(head) = line(bytes, 0)? else { return Ok(None) };
+    let Some(head) = parse_line(bytes, 0)? else { return Ok(None) };
     if head.text.starts_with(b"-") {
         let is_busy = head.text == b"-BUSY" || head.text.starts_with(b"-BUSY ");
         let reply = if is_busy { Reply::Busy } else { Reply::Failed };
         let end = MessageEnd { consumed: head.next, keep_alive: true };
         return Ok(Some(ParsedReply { reply, end }));
     }
-    let count = element_count(head.text)?;
+    let count = parse_element_count(head.text)?;
     if count == 0 {
         return Err(RespError::EmptyReply);
     }
-    let Some(value) = bulk(bytes, head.next, MAX_BUFFERED_VALUE)? else { return Ok(None) };
+    let Some(value) = parse_bulk(bytes, head.next, MAX_BUFFERED_VALUE)? else { return Ok(None) };
     let reply = value.range.map_or(Reply::Miss, Reply::Value);
     let end = trailing_end(bytes, value.next, count - 1)?;
     Ok(end.map(|end| ParsedReply { reply, end }))
 }
 
-/// A complete reply of a balancer, and how many bytes it took; `None` while it is incomplete.
+/// Parses a reply of a balancer and returns it with its encoded length in bytes, or `None` while it
+/// is incomplete.
 ///
 /// # Errors
-/// What is no reply to a command of ours.
+/// The bytes are not a reply to a client's request.
 pub fn parse_balancer_reply(bytes: &[u8]) -> Result<Option<(BalancerReply, usize)>, RespError> {
     match bytes.first() {
         None => Ok(None),
         Some(b'$') => {
-            let Some(value) = bulk(bytes, 0, MAX_BUFFERED_VALUE)? else { return Ok(None) };
+            let Some(value) = parse_bulk(bytes, 0, MAX_BUFFERED_VALUE)? else { return Ok(None) };
             Ok(Some((value.range.map_or(BalancerReply::Failed, BalancerReply::Value), value.next)))
         }
         Some(b'+' | b'-' | b':') => {
-            let Some(head) = line(bytes, 0)? else { return Ok(None) };
+            let Some(head) = parse_line(bytes, 0)? else { return Ok(None) };
             Ok(Some((status_reply(head.text), head.next)))
         }
-        // As a cache host replies, where a client talks to one directly.
+        // The reply of a cache host, if a client talks to the host without a balancer.
         Some(b'*') => {
             let Some(ParsedReply { reply, end }) = parse_reply(bytes)? else { return Ok(None) };
             let reply = match reply {
@@ -161,7 +164,7 @@
     match line.strip_prefix(b"-BUSY") {
         Some([]) => BalancerReply::Busy(None),
         Some([b' ', ms @ ..]) => {
-            let retry_after_ms = number(ms).ok().and_then(|ms| ms.try_into().ok());
+            let retry_after_ms = parse_number(ms).ok().and_then(|ms| ms.try_into().ok());
             BalancerReply::Busy(retry_after_ms)
         }
         _ => BalancerReply::Failed,
