--- a/adapter/src/adapter.rs
+++ b/adapter/src/adapter.rs
@@ -1,4 +1,4 @@
-//! All balancers of this process.
+//! The balancers that this process hosts.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -9,11 +9,11 @@
 use crate::instance::Instance;
 use crate::protocol::{encode_failed_start, Batch, Event, ListEntry, Outbox, Reply};
 
-/// Where events are put that name no balancer.
+/// The instance id of events that name no balancer.
 const NO_INSTANCE: u64 = u64::MAX;
 
-/// All balancers of this process. They share the numbered endpoint lists, which belong to the wire,
-/// and nothing else.
+/// The balancers that this process hosts. They share only the numbered endpoint lists, which are
+/// part of the protocol.
 #[derive(Default)]
 pub struct Adapter {
     lists: HashMap<u32, Vec<ListEntry>>,
@@ -22,10 +22,10 @@
 }
 
 impl Adapter {
-    /// The reply to a batch, both as lines of JSON without their ends.
+    /// Processes a batch and returns the reply, both as a line of JSON without its line end.
     ///
     /// # Errors
-    /// What is wrong with the batch; no later one can be replied to then.
+    /// What is wrong with the batch. No batch may be processed after an error.
     pub fn batch(&mut self, line: &str) -> Result<String, BatchError> {
         let batch: Batch = serde_json::from_str(line)?;
         let now = micros(batch.time_ms);
@@ -43,8 +43,7 @@
         Ok(Reply(&outboxes).to_string())
     }
 
-    /// How many messages of other balancers and results of probes came, sound or not: no decision
-    /// uses them.
+    /// The number of peer messages and probe results received. They are ignored, valid or not.
     pub fn ignored_messages(&self) -> u64 {
         self.ignored_messages
     }
@@ -68,8 +67,7 @@
             }
             Event::ProbeResult | Event::PeerMessage => self.ignored_messages += 1,
             event => {
-                // There is no instance where it was stopped, or never had settings that can be
-                // used.
+                // There is no instance if it was stopped, or its settings could not be used.
                 let Some(instance) = self.instances.get_mut(&id) else { return Ok(()) };
                 instance.handle(now, event, &self.lists, outbox)?;
             }
--- a/adapter/src/error.rs
+++ b/adapter/src/error.rs
@@ -1,42 +1,41 @@
-//! Why a batch ends the adapter. What the simulator sends wrong is the simulator's fault, so the
-//! adapter stops at it.
+//! Errors in batches. They are faults of the simulator, so the adapter stops at the first.
 
 use basaltwood_settings::UnknownName;
 
-/// Why a batch can't be replied to.
+/// Why a batch can't be processed.
 #[derive(Debug, thiserror::Error)]
 pub enum BatchError {
-    /// The line is no batch.
+    /// The line is not a batch.
     #[error("{0}")]
     Malformed(#[from] serde_json::Error),
-    /// One of its events can't be used. Parts and events are counted from 0.
+    /// An event of the batch can't be processed. Parts and events are numbered from 0.
     #[error("part {part}, event {event}: {cause}")]
     Event {
-        /// The part of the batch.
+        /// The number of the part in the batch.
         part: usize,
-        /// The event in that part.
+        /// The number of the event in the part.
         event: usize,
-        /// What is wrong with it.
+        /// What is wrong with the event.
         cause: EventError,
     },
 }
 
-/// Why an event can't be used.
+/// Why an event can't be processed.
 #[derive(Debug, thiserror::Error)]
 pub enum EventError {
-    /// It is not of its type's form.
+    /// The event does not have the form of its type.
     #[error("{0}")]
     Malformed(#[from] serde_json::Error),
-    /// It names a request that is not open.
-    #[error("unknown op {0}")]
+    /// The event names a request that is not open.
+    #[error("request {0} is not open")]
     UnknownRequest(String),
-    /// It names a class or a host that is not known.
+    /// The event names an unknown class or host.
     #[error("{0}")]
     UnknownName(#[from] UnknownName),
-    /// It names an endpoint list that did not come.
-    #[error("no such list")]
+    /// The event names no endpoint list, or one that was not received.
+    #[error("endpoint update without a list that was received")]
     UnknownList,
-    /// It names a timer that was not set.
-    #[error("unknown timer {0}")]
+    /// The event names an unknown timer.
+    #[error("unknown timer {0}, expected sweep or watch")]
     UnknownTimer(String),
 }
--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -1,4 +1,5 @@
-//! One hosted balancer: the wire's events into the policy's, the policy's actions into the wire's.
+//! A hosted balancer: translates events to those of the policy, and actions to those of the
+//! protocol.
 
 use std::collections::HashMap;
 
@@ -13,17 +14,17 @@
 use crate::open_requests::OpenRequests;
 use crate::protocol::{self, AttemptEnd, Event, ListEntry, NewRequest, Outbox, Scope};
 
-/// One hosted balancer.
+/// A hosted balancer.
 pub struct Instance {
     policy: Policy,
     requests: OpenRequests,
     names: NameTable,
-    /// Empty between events.
+    /// The actions of the current event; empty between events.
     actions: Vec<PolicyAction>,
 }
 
 impl Instance {
-    /// A balancer with these settings; `seed` is that of its random draws.
+    /// Starts a balancer with these settings and the seed of its random draws.
     pub fn start(seed: u64, settings: &OperatorSettings) -> Result<Instance, SettingsError> {
         Ok(Instance {
             policy: Policy::new(&settings.policy_config(seed)?),
@@ -33,7 +34,7 @@
         })
     }
 
-    /// Passes an event to the policy, and puts the actions that follow from it into the outbox.
+    /// Passes an event to the policy and appends the resulting actions to the outbox.
     pub fn handle(
         &mut self,
         now: Micros,
@@ -56,7 +57,7 @@
                 _ => {}
             }
         }
-        // Only now: the actions name the request, which may be forgotten with this.
+        // After the actions, which name the request: this may forget it.
         match ending {
             Some(Ending::Attempt { request, finished }) => self.requests.attempt_ended(request, finished),
             Some(Ending::Request { request }) => self.requests.finished(request),
@@ -65,7 +66,7 @@
         Ok(())
     }
 
-    /// The event for the policy, if it is one that the policy is to have.
+    /// The event in the policy's form; `None` if the policy does not get it.
     fn policy_event(
         &mut self,
         event: Event,
@@ -78,15 +79,15 @@
                 Ok(Some(self.endpoints(scope, list)))
             }
             Event::Request(request) => self.request(request).map(Some),
-            Event::AnswerBegan { request, attempt, host, elapsed_ms } => {
+            Event::ResponseBegan { request, attempt, host, elapsed_ms } => {
                 let request = self.requests.id(&request)?;
-                self.requests.answer_began(request, attempt);
+                self.requests.response_began(request, attempt);
                 let outcome = AttemptOutcome::Succeeded;
                 self.attempt_ended(request, attempt, &host, elapsed_ms, outcome, true).map(Some)
             }
             Event::AttemptEnded(end) => self.attempt_finished(end),
             Event::ClientGone { request } => {
-                // The request may have been ended a moment ago.
+                // The request may have ended just before its client left.
                 let request = self.requests.id(&request).ok();
                 Ok(request.map(|request| PolicyEvent::ClientGone { request }))
             }
@@ -163,11 +164,11 @@
     }
 }
 
-/// What an event for the policy ends.
+/// What a policy event ends.
 enum Ending {
-    /// An attempt, and the request with it where that is finished.
+    /// An attempt, and the request too if `finished`.
     Attempt { request: RequestId, finished: bool },
-    /// A request without an attempt.
+    /// A request, but no attempt.
     Request { request: RequestId },
 }
 
--- a/adapter/src/lib.rs
+++ b/adapter/src/lib.rs
@@ -1,8 +1,9 @@
-//! The simulator's wire: a batch of events in, the actions of the policy out, one line each.
+//! The simulator's protocol: each line is a batch of events, and is answered by a line with the
+//! policy's actions.
 //!
-//! [`Adapter::batch`] takes a line and returns the reply's. The adapter hosts one or many
-//! balancers, translates between the wire's names and the policy's ids, and decides nothing. It
-//! does no I/O but for a line on standard error for an event of an unknown type.
+//! [`Adapter::batch`] takes a line and returns the reply line. The adapter hosts one or many
+//! balancers and translates between the protocol's names and the policy's ids; all decisions are
+//! the policy's. Its only I/O is a line on standard error for an event of an unknown type.
 
 mod adapter;
 mod error;
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! The adapter on standard input and output: one batch a line, one reply a line.
+//! Runs the adapter on standard input and output, with one batch and one reply per line.
 
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
@@ -9,7 +9,7 @@
     let mut adapter = Adapter::default();
     match serve(&mut adapter, io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => {}
-        // The simulator is gone: nobody is there to read why.
+        // The simulator has closed the pipe, so no one reads the error.
         Err(ServeError::Output(_)) => return ExitCode::FAILURE,
         Err(error) => {
             eprintln!("{error}");
@@ -17,19 +17,19 @@
         }
     }
     if adapter.ignored_messages() > 0 {
-        eprintln!("{} messages and answers to probes passed by", adapter.ignored_messages());
+        eprintln!("ignored {} messages of peers and results of probes", adapter.ignored_messages());
     }
     ExitCode::SUCCESS
 }
 
-/// Why the adapter ends before its input does. Batches are counted from 1.
+/// Why the adapter stops before the end of its input. Batches are numbered from 1.
 #[derive(Debug, thiserror::Error)]
 enum ServeError {
     #[error("batch {number}: {cause}")]
     Input { number: usize, cause: io::Error },
     #[error("batch {number}: {cause}")]
     Batch { number: usize, cause: BatchError },
-    #[error("a reply is not written: {0}")]
+    #[error("can't write a reply: {0}")]
     Output(io::Error),
 }
 
--- a/adapter/src/open_requests.rs
+++ b/adapter/src/open_requests.rs
@@ -1,4 +1,4 @@
-//! The requests that are open or have attempts in flight, by the wire's names and the policy's ids.
+//! Open requests, by the protocol's names and the policy's ids.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,8 +6,7 @@
 
 use crate::error::EventError;
 
-/// The requests that are open or have attempts in flight. Each is forgotten under both names after
-/// that.
+/// The requests that are unfinished or have attempts in flight. After that a request is forgotten.
 #[derive(Default)]
 pub struct OpenRequests {
     ids: HashMap<String, RequestId>,
@@ -19,13 +18,13 @@
     name: String,
     attempts_in_flight: u32,
     finished: bool,
-    /// The attempt whose answer has begun: as on sockets that ends it for the policy, and the
-    /// client gets the rest.
+    /// The attempt whose response has begun. As on sockets, this ends the attempt for the policy,
+    /// while the response streams to the client.
     streaming_attempt: Option<u32>,
 }
 
 impl OpenRequests {
-    /// The id of a new request.
+    /// Adds a new request and returns its id.
     pub fn open(&mut self, name: String) -> RequestId {
         let id = RequestId(self.next_id);
         self.next_id += 1;
@@ -40,17 +39,17 @@
         self.ids.get(name).copied().ok_or_else(|| EventError::UnknownRequest(name.to_owned()))
     }
 
-    /// The wire's name of a request, which must be open.
+    /// The protocol's name of a request, which must be open.
     pub fn name(&self, id: RequestId) -> &str {
         &self.requests[&id].name
     }
 
-    /// The policy started an attempt.
+    /// Records that the policy started an attempt.
     pub fn attempt_started(&mut self, id: RequestId) {
         self.update(id, |request| request.attempts_in_flight += 1);
     }
 
-    /// An attempt ended for the policy, and perhaps the request with it.
+    /// Records that an attempt ended for the policy, and the request too if `finished`.
     pub fn attempt_ended(&mut self, id: RequestId, finished: bool) {
         self.update(id, |request| {
             request.attempts_in_flight = request.attempts_in_flight.saturating_sub(1);
@@ -58,21 +57,22 @@
         });
     }
 
-    /// The request has its final answer, or its client is gone.
+    /// Records that the request has its final response, or that its client is gone.
     pub fn finished(&mut self, id: RequestId) {
         self.update(id, |request| request.finished = true);
     }
 
-    /// The answer of an attempt has begun. The attempt will end twice: now for the policy, and for
-    /// the wire once the answer is complete.
-    pub fn answer_began(&mut self, id: RequestId, attempt: u32) {
+    /// Records that the response of an attempt has begun. The attempt ends twice: now for the
+    /// policy, and for the simulator once the response is complete.
+    pub fn response_began(&mut self, id: RequestId, attempt: u32) {
         self.update(id, |request| {
             request.streaming_attempt = Some(attempt);
             request.attempts_in_flight += 1;
         });
     }
 
-    /// Whether an attempt that ends for the wire has ended for the policy before.
+    /// Records that an attempt ended for the simulator, and returns whether it had already ended
+    /// for the policy.
     pub fn end_streaming(&mut self, id: RequestId, attempt: u32) -> bool {
         let streaming = self.requests[&id].streaming_attempt == Some(attempt);
         if streaming {
--- a/adapter/src/protocol/actions.rs
+++ b/adapter/src/protocol/actions.rs
@@ -1,4 +1,4 @@
-//! What goes to the simulator: actions, and the reply line that carries them.
+//! Messages to the simulator: actions, and the reply line that holds them.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -15,7 +15,7 @@
 /// The encoded actions of one balancer, in order.
 pub type Outbox = Vec<String>;
 
-/// A reply line: the actions of each balancer, already encoded one by one.
+/// A reply line with the encoded actions of each balancer.
 pub struct Reply<'a>(pub &'a BTreeMap<u64, Outbox>);
 
 impl fmt::Display for Reply<'_> {
@@ -29,12 +29,12 @@
     }
 }
 
-/// The message that a balancer did not start, since its settings can't be used.
+/// Encodes the message that a balancer did not start because its settings can't be used.
 pub fn encode_failed_start(error: &SettingsError) -> String {
     serde_json::json!({"type": "BROKEN", "bodyText": error.to_string()}).to_string()
 }
 
-/// An action, with the wire's names of its request and host.
+/// Encodes an action, with the protocol's names of its request and host.
 pub fn encode(action: PolicyAction, requests: &OpenRequests, hosts: &IdTable) -> String {
     let ticket = |request: RequestId| json_string(requests.name(request));
     match action {
@@ -60,7 +60,7 @@
     }
 }
 
-/// The timer that the wire has by this name.
+/// The timer that has this name in the protocol.
 pub fn timer(name: &str) -> Result<Timer, EventError> {
     match name {
         SWEEP => Ok(Timer::Sweep),
@@ -80,8 +80,8 @@
     serde_json::Value::from(text)
 }
 
-/// Whole microseconds as milliseconds, exact to the last digit.
-fn millis(span: Micros) -> String {
-    let sign = if span < 0 { "-" } else { "" };
-    format!("{sign}{}.{:03}", span.abs() / 1000, span.abs() % 1000)
+/// Formats microseconds as milliseconds with three decimals, without rounding.
+fn millis(duration: Micros) -> String {
+    let sign = if duration < 0 { "-" } else { "" };
+    format!("{sign}{}.{:03}", duration.abs() / 1000, duration.abs() % 1000)
 }
--- a/adapter/src/protocol/events.rs
+++ b/adapter/src/protocol/events.rs
@@ -1,4 +1,4 @@
-//! What comes from the simulator: batches of events.
+//! Messages from the simulator: batches of events.
 
 use basaltwood::types::{AttemptOutcome, Lifecycle};
 use basaltwood_settings::OperatorSettings;
@@ -7,11 +7,11 @@
 
 use crate::error::EventError;
 
-// Bits of a new request.
+// Flags in the `bits` of a new request.
 const RETRY_BIT: u32 = 2;
 const WRITE_BIT: u32 = 4;
 
-/// What happened in one instant of simulated time.
+/// The events of one instant of simulated time.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Batch<'a> {
@@ -20,13 +20,13 @@
     pub parts: Vec<Part<'a>>,
 }
 
-/// What happened to one balancer.
+/// The events of one balancer.
 #[derive(Deserialize)]
 pub struct Part<'a> {
-    /// The balancer; none for what concerns all.
+    /// The balancer; `None` for events that concern all balancers.
     #[serde(rename = "who")]
     pub instance: Option<u64>,
-    /// Read one by one, so that an event of an unknown type can be skipped.
+    /// The events, each parsed on its own, so that one of an unknown type can be skipped.
     #[serde(borrow)]
     pub events: Vec<&'a RawValue>,
 }
@@ -42,10 +42,10 @@
         #[serde(rename = "info")]
         settings: Box<OperatorSettings>,
     },
-    /// A balancer is no more.
+    /// A balancer stops.
     #[serde(rename = "DETACH")]
     Stop,
-    /// An endpoint list, which updates refer to by its number.
+    /// An endpoint list, to which updates refer by its number.
     #[serde(rename = "MANIFEST")]
     EndpointList {
         #[serde(rename = "table")]
@@ -53,7 +53,7 @@
         #[serde(rename = "elements")]
         entries: Vec<ListEntry>,
     },
-    /// Discovery answered.
+    /// A response of discovery.
     #[serde(rename = "UPDATE")]
     EndpointUpdate {
         scope: Scope,
@@ -75,9 +75,9 @@
         #[serde(rename = "ctx")]
         timer: String,
     },
-    /// The first byte of an answer came.
+    /// The first byte of a response arrived.
     #[serde(rename = "FIRST_BYTE")]
-    AnswerBegan {
+    ResponseBegan {
         #[serde(rename = "ticket")]
         request: String,
         #[serde(rename = "hop")]
@@ -86,14 +86,14 @@
         #[serde(rename = "waitTimeMs")]
         elapsed_ms: f64,
     },
-    /// Results of probes and messages of peers are not used, whatever they hold.
+    /// A probe result. Probe results and peer messages are ignored, so their content is not parsed.
     #[serde(rename = "STATUS_BACK")]
     ProbeResult,
     #[serde(rename = "PEER_DATA")]
     PeerMessage,
 }
 
-/// The types of [`Event`], to tell an unknown type from a malformed event.
+/// The types of [`Event`]: an event of another type is skipped, a malformed one of these an error.
 const EVENT_TYPES: [&str; 11] = [
     "SPAWN",
     "DETACH",
@@ -114,7 +114,7 @@
 }
 
 impl Event {
-    /// Reads one event; one of an unknown type is skipped with a line on standard error.
+    /// Parses an event. One of an unknown type gives `None` and a line on standard error.
     pub fn read(text: &str) -> Result<Option<Event>, EventError> {
         let error = match serde_json::from_str(text) {
             Ok(event) => return Ok(Some(event)),
@@ -174,7 +174,7 @@
     pub elapsed_ms: f64,
     #[serde(rename = "rc")]
     pub outcome: Outcome,
-    /// Whether the request ends with it.
+    /// Whether the request ends with the attempt.
     #[serde(rename = "over")]
     pub finished: bool,
     pub host: String,
@@ -188,9 +188,9 @@
     Changes,
     /// Every host.
     All,
-    /// Every host, as it was known before.
+    /// Every host, from a list saved earlier.
     Remembered,
-    /// Nothing: the call was refused.
+    /// Nothing: discovery refused the call.
     Refused,
 }
 
@@ -266,7 +266,7 @@
     pub lifecycle: HostState,
     #[serde(default)]
     pub weight: Option<f64>,
-    /// When its process started; 0 where that is not known.
+    /// When the host's process started; 0 if unknown.
     #[serde(default, rename = "lastStartMs")]
     pub started_at_ms: Option<f64>,
 }
--- a/adapter/src/protocol/mod.rs
+++ b/adapter/src/protocol/mod.rs
@@ -1,5 +1,5 @@
-//! The wire's messages as they are read and written. The names that serde reads are the wire's;
-//! types and fields have the names of the router's own terms.
+//! The messages of the simulator's protocol. Serde names are those of the protocol; types and
+//! fields are named in the router's own terms.
 
 mod actions;
 mod events;
--- a/admin/src/lib.rs
+++ b/admin/src/lib.rs
@@ -1,8 +1,8 @@
-//! The admin interface of a balancer as bytes: [`parse_request`] reads a request from the front of
-//! a buffer, [`response`] and [`error_response`] encode answers, and [`MetricsPage`] writes metrics
-//! in Prometheus' text format.
+//! The codec of a balancer's admin interface: [`parse_request`] reads a request from the front of a
+//! buffer, [`response`] and [`error_response`] encode responses, and [`MetricsPage`] writes metrics
+//! in the Prometheus text format.
 //!
-//! It is pure: it does no I/O, never waits, and counts nothing itself.
+//! This crate does no I/O and keeps no counters.
 
 mod metrics_page;
 mod request;
--- a/admin/src/metrics_page.rs
+++ b/admin/src/metrics_page.rs
@@ -1,13 +1,13 @@
-//! Metrics in Prometheus' text format.
+//! Metrics in the Prometheus text format.
 
 use std::fmt::{self, Write};
 
 /// How a metric changes over time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MetricKind {
-    /// It only rises while the process runs.
+    /// The value only rises while the process runs.
     Counter,
-    /// It rises and falls.
+    /// The value rises and falls.
     Gauge,
 }
 
@@ -33,7 +33,7 @@
         Sample { label: None, value }
     }
 
-    /// A sample with a label of this name and text.
+    /// A sample with a label; `text` is the label's value.
     pub fn labelled(name: &'a str, text: &'a str, value: u64) -> Sample<'a> {
         Sample { label: Some((name, text)), value }
     }
--- a/admin/src/request.rs
+++ b/admin/src/request.rs
@@ -1,19 +1,19 @@
-//! Admin requests and their answers in HTTP/1.1.
+//! Admin requests and their responses in HTTP/1.1.
 
 use basaltwood_wire::http;
 use bytes::Bytes;
 
-/// The largest body that a request may bring; none of them needs one.
+/// The maximum length of a request's body, in bytes; no admin request needs a body.
 pub const MAX_BODY_BYTES: usize = 8 * 1024;
-/// The largest request, head and body together.
+/// The maximum length of a request, head and body together, in bytes.
 pub const MAX_REQUEST_BYTES: usize = 32 * 1024;
 
 /// A request to the admin interface.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminRequest {
-    /// Whether the balancer can serve: `GET /_ready`.
+    /// Ask whether the balancer can serve requests: `GET /_ready`.
     Ready,
-    /// The metrics: `GET /_vars`.
+    /// Get the metrics: `GET /_vars`.
     Vars,
     /// Begin to drain clients: `POST /_lameduck/on`.
     LameDuckOn,
@@ -21,13 +21,13 @@
     LameDuckOff,
 }
 
-/// Why a request is refused, in HTTP's terms.
+/// The HTTP status with which a request is refused.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("refused with HTTP status {status}")]
 pub struct AdminRequestError {
-    /// The answer's status.
+    /// The status code of the response.
     pub status: u16,
-    /// The allowed method, if the method is wrong.
+    /// The allowed method, if the request has another one.
     pub allow: Option<&'static str>,
 }
 
@@ -47,8 +47,7 @@
 /// Parses a request from the front of the buffer; `None` while it is incomplete.
 ///
 /// # Errors
-/// [`AdminRequestError`] if the bytes can't become a valid request, or one of an unknown path or
-/// method.
+/// [`AdminRequestError`] if the bytes are not a valid request, or its path or method is unknown.
 pub fn parse_request(bytes: &[u8]) -> Result<Option<AdminRequest>, AdminRequestError> {
     let request = http::parse_request(bytes, MAX_BODY_BYTES).map_err(|error| {
         let status = match error {
@@ -71,12 +70,12 @@
     }
 }
 
-/// The answer to a request. It closes the connection.
+/// Encodes the response to a request. It announces that the connection is closed.
 pub fn response(status: u16, text: &str) -> Bytes {
     encode_response(status, None, text)
 }
 
-/// The answer to a refused request. It closes the connection.
+/// Encodes the response to a refused request. It announces that the connection is closed.
 pub fn error_response(error: &AdminRequestError) -> Bytes {
     encode_response(error.status, error.allow, "")
 }
--- a/fault_control/src/lib.rs
+++ b/fault_control/src/lib.rs
@@ -1,8 +1,8 @@
-//! Faults that a test injects into a process which has the preload library `basaltwood-fault-shim`
-//! loaded: failing system calls, short reads and writes, and a stepped wall clock.
+//! Injects faults into a process that runs with the preload library `basaltwood-fault-shim`:
+//! failing system calls, short reads and writes, and a stepped wall clock.
 //!
 //! A test creates a [`FaultControl`], starts the program with [`FaultControl::environment`], and
-//! changes the faults while it runs. Both sides share a small file; nothing else is touched.
+//! changes the faults while the program runs. The test and the library share only a small file.
 
 use std::fs::{File, OpenOptions};
 use std::io;
@@ -10,19 +10,19 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The variable that names the control file to the preload library.
+/// The environment variable with the path of the control file.
 pub const CONTROL_VARIABLE: &str = "BASALTWOOD_FAULT_CONTROL";
-/// The preload library's file, as cargo builds it.
+/// The file name of the preload library, as built by cargo.
 pub const LIBRARY_FILE: &str = "libbasaltwood_fault_shim.so";
-/// Fields of the control file, eight bytes each.
-pub const FIELDS: usize = 64;
-/// The field with the step of the wall clock, in milliseconds.
+/// The number of fields in the control file, each a little-endian 64-bit integer.
+pub const FIELD_COUNT: usize = 64;
+/// The index of the field with the step of the wall clock, in milliseconds.
 pub const WALL_CLOCK_FIELD: usize = 0;
-/// The field with the seed by which a fault's rate is drawn.
+/// The index of the field with the seed of the random draws for fault rates.
 pub const SEED_FIELD: usize = 1;
-/// The first of the fields of system calls, two for each.
+/// The index of the first field of a system call; each kind of call has two fields.
 const FIRST_CALL_FIELD: usize = 2;
-/// The rate of a fault that hits each call, per thousand.
+/// The rate, per thousand calls, at which every call is hit.
 pub const ALWAYS: u32 = 1_000;
 
 /// A kind of system call that can fail.
@@ -34,11 +34,11 @@
     Socket,
     /// `connect`.
     Connect,
-    /// `recv` and `readv`.
+    /// `recv`.
     Receive,
-    /// `send` and `writev`.
+    /// `send` and `writev`; only `send` can be shortened.
     Send,
-    /// `open` and its relatives.
+    /// `open` and `open64`.
     Open,
     /// `write` to a regular file.
     WriteFile,
@@ -47,8 +47,8 @@
 }
 
 impl Call {
-    /// Each kind.
-    pub const EACH: [Call; 8] = [
+    /// All kinds.
+    pub const ALL: [Call; 8] = [
         Call::Accept,
         Call::Socket,
         Call::Connect,
@@ -59,13 +59,14 @@
         Call::Sync,
     ];
 
-    /// The control file's field with this call's error; the rate stands in the next one.
+    /// The index of the field with this call's fault: an error number, or the negated maximum
+    /// number of bytes. The next field holds the rate.
     pub const fn field(self) -> usize {
         FIRST_CALL_FIELD + 2 * self as usize
     }
 }
 
-/// The faults of one process, from the side of the test.
+/// Controls the faults of one process.
 pub struct FaultControl {
     file: File,
     path: PathBuf,
@@ -73,32 +74,32 @@
 }
 
 impl FaultControl {
-    /// A control file at this path, without any fault; `library` is the preload library.
+    /// Creates a control file without faults; `library` is the path of the preload library.
     ///
     /// # Errors
     /// The system's error if the file can't be created.
     pub fn create(path: &Path, library: &Path) -> io::Result<FaultControl> {
         let file = OpenOptions::new().create(true).truncate(true).read(true).write(true).open(path)?;
-        file.set_len(8 * FIELDS as u64)?;
+        file.set_len(8 * FIELD_COUNT as u64)?;
         Ok(FaultControl { file, path: path.to_owned(), library: library.to_owned() })
     }
 
-    /// The control file at this path as it is, or a new one without any fault.
+    /// Opens the control file and keeps its faults, or creates one without faults.
     ///
     /// # Errors
-    /// The system's error if the file can't be had.
+    /// The system's error if the file can't be opened or created.
     pub fn open(path: &Path, library: &Path) -> io::Result<FaultControl> {
         let file = OpenOptions::new().create(true).truncate(false).read(true).write(true).open(path)?;
-        file.set_len(8 * FIELDS as u64)?;
+        file.set_len(8 * FIELD_COUNT as u64)?;
         Ok(FaultControl { file, path: path.to_owned(), library: library.to_owned() })
     }
 
-    /// The variables of the environment under which the program has to be started.
+    /// The environment variables with which the program has to be started.
     pub fn environment(&self) -> [(&'static str, &Path); 2] {
         [("LD_PRELOAD", &self.library), (CONTROL_VARIABLE, &self.path)]
     }
 
-    /// Steps the wall clock by so many milliseconds against the machine's, from now on.
+    /// Offsets the wall clock of the program from that of the machine, from now on.
     ///
     /// # Errors
     /// The system's error if the control file can't be written.
@@ -106,7 +107,7 @@
         self.set(WALL_CLOCK_FIELD, milliseconds)
     }
 
-    /// Has so many of a thousand calls fail with this error number, from now on.
+    /// Makes `per_thousand` of 1,000 calls fail with this error number, from now on.
     ///
     /// # Errors
     /// The system's error if the control file can't be written.
@@ -115,7 +116,7 @@
         self.set(call.field(), i64::from(errno))
     }
 
-    /// Has each read or write move so many bytes at most, from now on.
+    /// Limits each read or write to this number of bytes, from now on.
     ///
     /// # Errors
     /// The system's error if the control file can't be written.
@@ -124,7 +125,7 @@
         self.set(call.field(), -i64::from(bytes))
     }
 
-    /// Ends the fault of this call.
+    /// Removes the fault of this call.
     ///
     /// # Errors
     /// The system's error if the control file can't be written.
@@ -132,13 +133,13 @@
         self.set(call.field(), 0)
     }
 
-    /// Has a call fail for a while; returns after that.
+    /// Makes every call of this kind fail for `duration`; blocks until then.
     ///
     /// # Errors
     /// The system's error if the control file can't be written.
-    pub fn fail_for(&self, call: Call, errno: i32, span: Duration) -> io::Result<()> {
+    pub fn fail_for(&self, call: Call, errno: i32, duration: Duration) -> io::Result<()> {
         self.fail(call, errno, ALWAYS)?;
-        std::thread::sleep(span);
+        std::thread::sleep(duration);
         self.restore(call)
     }
 
@@ -147,15 +148,16 @@
     }
 }
 
-/// The preload library beside the running test program, as `cargo test` builds it.
+/// The path of the preload library in the build folder of the running test program.
 ///
 /// # Errors
-/// If the program's own path is unknown, or the library is not there.
+/// The path of the program is unknown, or the library is not built.
 pub fn library_beside_test() -> io::Result<PathBuf> {
     let program = std::env::current_exe()?;
     let folders = program.ancestors().skip(1).take(2);
     let found = folders.map(|folder| folder.join(LIBRARY_FILE)).find(|path| path.exists());
     found.ok_or_else(|| {
-        io::Error::new(io::ErrorKind::NotFound, "build it: cargo build -p basaltwood-fault-shim")
+        let text = format!("{LIBRARY_FILE} is not built: run cargo build -p basaltwood-fault-shim");
+        io::Error::new(io::ErrorKind::NotFound, text)
     })
 }
--- a/fault_shim/src/lib.rs
+++ b/fault_shim/src/lib.rs
@@ -1,8 +1,8 @@
-//! A preload library for tests: system calls of the program fail, or move fewer bytes, as the
-//! control file says that `BASALTWOOD_FAULT_CONTROL` names; the wall clock is stepped by it. Without
+//! A preload library for tests: makes system calls of the program fail or move fewer bytes, and
+//! steps its wall clock, as set in the control file that `BASALTWOOD_FAULT_CONTROL` names. Without
 //! that variable it changes nothing.
 //!
-//! `basaltwood_fault_control` describes the file and is how a test writes it.
+//! `basaltwood_fault_control` defines the format of the file and writes it for a test.
 
 mod control;
 mod next;
@@ -14,14 +14,14 @@
 
 use control::{fault_of, wall_clock_step_ms, Fault};
 
-/// Nanoseconds in a second, and in a millisecond.
 const NANOS_PER_SECOND: i64 = 1_000_000_000;
 const NANOS_PER_MILLI: i64 = 1_000_000;
-/// The standard streams: the log must not fail.
+/// The highest descriptor of a standard stream. Writes to these never fail, since the log uses
+/// them.
 const LAST_STANDARD_STREAM: c_int = 2;
 
-/// Fails a call where the control file asks for it.
-fn fails(call: Call) -> bool {
+/// Sets `errno` and returns true if the control file makes this call fail.
+fn inject_error(call: Call) -> bool {
     match fault_of(call) {
         Some(Fault::Error(errno)) => {
             // SAFETY: `__errno_location` returns this thread's valid errno.
@@ -32,8 +32,8 @@
     }
 }
 
-/// How many bytes a call may move.
-fn shortened(call: Call, count: size_t) -> size_t {
+/// The number of bytes that a call may move: `count`, or the limit in the control file.
+fn limited_count(call: Call, count: size_t) -> size_t {
     match fault_of(call) {
         Some(Fault::Short(bytes)) => count.min(bytes),
         _ => count,
@@ -43,7 +43,7 @@
 /// `clock_gettime` with the wall clock stepped.
 ///
 /// # Safety
-/// As of the C library's function.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
     let result = next::clock_gettime(clock, time);
@@ -56,11 +56,11 @@
     result
 }
 
-/// `accept4`. A failed one leaves the connection where it waits, but for `ECONNABORTED`, which takes
-/// it away as the system does.
+/// `accept4`. An injected error leaves the connection in the accept queue, also `ECONNABORTED`,
+/// with which the system would have removed it.
 ///
 /// # Safety
-/// As of the C library's function.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn accept4(
     socket: c_int,
@@ -68,7 +68,7 @@
     length: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    if fails(Call::Accept) {
+    if inject_error(Call::Accept) {
         return -1;
     }
     next::accept4(socket, address, length, flags)
@@ -77,10 +77,10 @@
 /// `socket`.
 ///
 /// # Safety
-/// As of the C library's function.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
-    if fails(Call::Socket) {
+    if inject_error(Call::Socket) {
         return -1;
     }
     next::socket(domain, kind, protocol)
@@ -89,10 +89,10 @@
 /// `connect`.
 ///
 /// # Safety
-/// As of the C library's function.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn connect(socket: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
-    if fails(Call::Connect) {
+    if inject_error(Call::Connect) {
         return -1;
     }
     next::connect(socket, address, length)
@@ -101,50 +101,50 @@
 /// `recv`.
 ///
 /// # Safety
-/// As of the C library's function.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn recv(socket: c_int, bytes: *mut c_void, count: size_t, flags: c_int) -> ssize_t {
-    if fails(Call::Receive) {
+    if inject_error(Call::Receive) {
         return -1;
     }
-    next::recv(socket, bytes, shortened(Call::Receive, count), flags)
+    next::recv(socket, bytes, limited_count(Call::Receive, count), flags)
 }
 
 /// `send`.
 ///
 /// # Safety
-/// As of the C library's function.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn send(socket: c_int, bytes: *const c_void, count: size_t, flags: c_int) -> ssize_t {
-    if fails(Call::Send) {
+    if inject_error(Call::Send) {
         return -1;
     }
-    next::send(socket, bytes, shortened(Call::Send, count), flags)
+    next::send(socket, bytes, limited_count(Call::Send, count), flags)
 }
 
-/// `writev`; a shortened one writes the first segment alone.
+/// `writev`. It may fail, but is never shortened.
 ///
 /// # Safety
-/// As of the C library's function.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn writev(file: c_int, segments: *const iovec, count: c_int) -> ssize_t {
-    if file > LAST_STANDARD_STREAM && fails(Call::Send) {
+    if file > LAST_STANDARD_STREAM && inject_error(Call::Send) {
         return -1;
     }
     next::writev(file, segments, count)
 }
 
-/// `write`; it fails on regular files alone.
+/// `write`. Faults are injected for regular files only.
 ///
 /// # Safety
-/// As of the C library's function.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn write(file: c_int, bytes: *const c_void, count: size_t) -> ssize_t {
     if fault_of(Call::WriteFile).is_some() && is_regular_file(file) {
-        if fails(Call::WriteFile) {
+        if inject_error(Call::WriteFile) {
             return -1;
         }
-        return next::write(file, bytes, shortened(Call::WriteFile, count));
+        return next::write(file, bytes, limited_count(Call::WriteFile, count));
     }
     next::write(file, bytes, count)
 }
@@ -159,10 +159,10 @@
 /// `fsync`.
 ///
 /// # Safety
-/// As of the C library's function.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn fsync(file: c_int) -> c_int {
-    if fails(Call::Sync) {
+    if inject_error(Call::Sync) {
         return -1;
     }
     next::fsync(file)
@@ -171,23 +171,23 @@
 /// `fdatasync`.
 ///
 /// # Safety
-/// As of the C library's function.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn fdatasync(file: c_int) -> c_int {
-    if fails(Call::Sync) {
+    if inject_error(Call::Sync) {
         return -1;
     }
     next::fdatasync(file)
 }
 
-/// `open64`; the mode is read whether or not it was passed, and ignored by the system where it does
-/// not count.
+/// `open64`. The mode is read even if the caller passed none; the system ignores it where the flags
+/// do not require one.
 ///
 /// # Safety
-/// As of the C library's function.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
-    if fails(Call::Open) {
+    if inject_error(Call::Open) {
         return -1;
     }
     next::open64(path, flags, mode)
@@ -196,7 +196,7 @@
 /// `open`.
 ///
 /// # Safety
-/// As of the C library's function.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn open(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
     open64(path, flags, mode)
--- a/fault_shim/src/next.rs
+++ b/fault_shim/src/next.rs
@@ -1,4 +1,4 @@
-//! The functions of the C library that the exported ones stand before.
+//! The functions of the C library that this library replaces.
 
 use std::ffi::{c_void, CStr};
 use std::sync::OnceLock;
@@ -6,13 +6,14 @@
 use libc::{c_char, c_int, clockid_t, iovec, mode_t, size_t, sockaddr, socklen_t, ssize_t, timespec};
 
 fn symbol(name: &CStr) -> usize {
-    // SAFETY: the name is a C string, and `RTLD_NEXT` looks it up in the libraries behind this one.
+    // SAFETY: the name is a C string, and `RTLD_NEXT` looks it up in the libraries loaded after
+    // this one.
     let found = unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) };
     assert!(!found.is_null(), "the C library has no {name:?}");
     found as usize
 }
 
-/// Defines a function that calls the C library's one of the same name.
+/// Defines a function that calls the C library's function of the same name.
 macro_rules! next {
     ($name:ident($($argument:ident: $type:ty),*) -> $result:ty) => {
         pub unsafe fn $name($($argument: $type),*) -> $result {
--- a/fault_shim/tests/preloaded.rs
+++ b/fault_shim/tests/preloaded.rs
@@ -1,4 +1,4 @@
-//! The preload library under a program that is not ours to change: `date`, `cat`.
+//! The preload library in unmodified programs: `date` and `cat`.
 
 use std::process::{Command, Output};
 
