--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -114,7 +114,7 @@
         self.names.endpoint(&EndpointRecord {
             host: &entry.host,
             zone: entry.zone.as_deref(),
-            kind: entry.machine_type.as_deref(),
+            machine_type: entry.machine_type.as_deref(),
             cell: entry.cell,
             lifecycle: entry.lifecycle.into(),
             weight: entry.weight,
--- a/balancer/src/discovery/endpoints.rs
+++ b/balancer/src/discovery/endpoints.rs
@@ -208,7 +208,7 @@
     let endpoint = shared.names.borrow_mut().endpoint(&settings::EndpointRecord {
         host: &name,
         zone: zone.as_deref(),
-        kind: None,
+        machine_type: None,
         cell: details.cell,
         lifecycle,
         weight: details.weight,
--- a/settings/src/names.rs
+++ b/settings/src/names.rs
@@ -88,7 +88,7 @@
     /// Its zone, if the list names one.
     pub zone: Option<&'a str>,
     /// Its machine type, which distinguishes the origin's hosts from cache hosts.
-    pub kind: Option<&'a str>,
+    pub machine_type: Option<&'a str>,
     /// Its cell, if the list names one.
     pub cell: Option<u32>,
     /// Whether it is up, draining or gone.
@@ -140,7 +140,7 @@
         Endpoint {
             host: HostId(self.hosts.intern(record.host)),
             position: RingPosition::of(record.host),
-            origin: self.is_origin(record.kind),
+            origin: self.is_origin(record.machine_type),
             zone: ZoneId(record.zone.map_or(0, |zone| self.zones.intern(zone))),
             cell: CellId(record.cell.unwrap_or(0)),
             lifecycle: record.lifecycle,
--- a/testbed/src/scale/simulated/balancer.rs
+++ b/testbed/src/scale/simulated/balancer.rs
@@ -131,7 +131,7 @@
         let endpoint = self.names.borrow_mut().endpoint(&EndpointRecord {
             host: &entry.instance_id,
             zone: entry.zone.as_deref(),
-            kind: entry.machine_type.as_deref(),
+            machine_type: entry.machine_type.as_deref(),
             cell: entry.cell,
             lifecycle: entry.lifecycle(),
             weight: entry.weight,
