--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -57,7 +57,7 @@
                 _ => {}
             }
         }
-        // After the actions, which name the request: this may forget it.
+        // After the loop: this may forget the request, whose name the actions need.
         match ending {
             Some(Ending::Attempt { request, finished }) => self.requests.attempt_ended(request, finished),
             Some(Ending::Request { request }) => self.requests.finished(request),
--- a/adapter/src/protocol/events.rs
+++ b/adapter/src/protocol/events.rs
@@ -188,7 +188,7 @@
     Changes,
     /// Every host.
     All,
-    /// Every host, from a list saved earlier.
+    /// Every host, as last known.
     Remembered,
     /// Nothing: discovery refused the call.
     Refused,
--- a/adapter/tests/batches.rs
+++ b/adapter/tests/batches.rs
@@ -190,7 +190,7 @@
         {"parts":[{"who":3,"outbox":[
           {"bodyText":"objectiveMix.tailMiss is -0.5: expected a number from 0 to 1","type":"BROKEN"}]}]}
         {"parts":[{"who":3,"outbox":[
-          {"bodyText":"costs.push is -1.0: expected 0 or more and below 1e10, or no entry for no price","type":"BROKEN"}]}]}
+          {"bodyText":"costs.push is -1.0: expected 0 or more and below 1e10, or leave it out for none","type":"BROKEN"}]}]}
         {"parts":[{"who":3,"outbox":[
           {"bodyText":"report.source is daily: expected inline, on_probe or off","type":"BROKEN"}]}]}
         {"parts":[{"who":3,"outbox":[
--- a/balancer/tests/sockets/config.rs
+++ b/balancer/tests/sockets/config.rs
@@ -46,7 +46,7 @@
         Some(1) read: a duration is 1e300 ms, expected 0 or more and below 1e10
         Some(1) categories is empty: define at least one category
         Some(1) objectiveMix.tailMiss is 7.0: expected a number from 0 to 1
-        Some(1) costs.probe is -0.5: expected 0 or more and below 1e10, or no entry for no price
+        Some(1) costs.probe is -0.5: expected 0 or more and below 1e10, or leave it out for none
         Some(1) report.source is sometimes: expected inline, on_probe or off
         Some(1) settings.report.columns: invalid type: string "util", expected a sequence at line 2 column 150
         Some(1) settings.groupSize: invalid value: integer `-3`, expected u32 at line 2 column 118"#]]
--- a/fault_control/src/lib.rs
+++ b/fault_control/src/lib.rs
@@ -14,7 +14,7 @@
 pub const CONTROL_VARIABLE: &str = "BASALTWOOD_FAULT_CONTROL";
 /// The file name of the preload library, as built by cargo.
 pub const LIBRARY_FILE: &str = "libbasaltwood_fault_shim.so";
-/// The number of fields in the control file, each a little-endian 64-bit integer.
+/// The number of fields in the control file, each a 64-bit integer in little-endian order.
 pub const FIELD_COUNT: usize = 64;
 /// The index of the field with the step of the wall clock, in milliseconds.
 pub const WALL_CLOCK_FIELD: usize = 0;
--- a/fault_shim/src/next.rs
+++ b/fault_shim/src/next.rs
@@ -20,7 +20,7 @@
             static ADDRESS: OnceLock<usize> = OnceLock::new();
             let name = concat!(stringify!($name), "\0");
             let address = *ADDRESS.get_or_init(|| {
-                symbol(CStr::from_bytes_with_nul(name.as_bytes()).expect("it ends with a zero"))
+                symbol(CStr::from_bytes_with_nul(name.as_bytes()).expect("name ends with NUL"))
             });
             // SAFETY: the C library's function of this name has this signature.
             let function: unsafe extern "C" fn($($type),*) -> $result = std::mem::transmute(address);
--- a/fault_shim/tests/preloaded.rs
+++ b/fault_shim/tests/preloaded.rs
@@ -13,7 +13,7 @@
 }
 
 fn run(control: &FaultControl, program: &str, argument: &str) -> Output {
-    Command::new(program).arg(argument).envs(control.environment()).output().expect("it runs")
+    Command::new(program).arg(argument).envs(control.environment()).output().expect("the program starts")
 }
 
 fn unix_seconds(control: &FaultControl) -> i64 {
--- a/regions/tests/common/mod.rs
+++ b/regions/tests/common/mod.rs
@@ -22,7 +22,7 @@
 pub type Listed = ListedHost<u32>;
 
 pub fn regions() -> Regions<u32> {
-    Regions::new(RegionMap::parse("regions.toml", MAP).expect("it is valid"))
+    Regions::new(RegionMap::parse("regions.toml", MAP).expect("a valid region file"))
 }
 
 /// [`MAP`] with the given minimum numbers of hosts for west, north and south.
@@ -33,7 +33,7 @@
             map = map.replace(zones, &format!("{zones}\nhosts = {minimum}"));
         }
     }
-    Regions::new(RegionMap::parse("regions.toml", &map).expect("it is valid"))
+    Regions::new(RegionMap::parse("regions.toml", &map).expect("a valid region file"))
 }
 
 /// Parses `name [zone [leaving|left [details]]]`. The zone `-` is none; a name that begins with
--- a/regions/tests/map.rs
+++ b/regions/tests/map.rs
@@ -18,13 +18,13 @@
 
 #[test]
 fn file_gives_region_names_and_balancers_of_the_own_region() {
-    let map = RegionMap::parse("regions.toml", VALID).expect("it is valid");
+    let map = RegionMap::parse("regions.toml", VALID).expect("a valid region file");
     assert_eq!(
         (map.own(), map.names(), map.balancers()),
         ("north", &["north".into(), "south".into()][..], Some(519))
     );
     let other = VALID.replace("own = \"north\"", "own = \"south\"");
-    let map = RegionMap::parse("regions.toml", &other).expect("it is valid");
+    let map = RegionMap::parse("regions.toml", &other).expect("a valid region file");
     assert_eq!(
         (map.own(), map.balancers()),
         ("south", None),
@@ -38,7 +38,7 @@
     for (part, replacement) in replacements {
         let text = VALID.replacen(part, replacement, 1);
         assert_ne!(text, VALID);
-        let error = RegionMap::parse("regions.toml", &text).expect_err("it is invalid").to_string();
+        let error = RegionMap::parse("regions.toml", &text).expect_err("an invalid region file").to_string();
         assert!(!error.contains('\n'), "{error:?}");
         lines.push(error.replace("; ", ";\n    ").replace(": ", ":\n    "));
     }
@@ -171,7 +171,7 @@
 #[test]
 fn error_has_file_line_and_problem() {
     let text = VALID.replacen("\"z03\"", "\"z01\"", 1);
-    let error = RegionMap::parse("regions.toml", &text).expect_err("it is invalid");
+    let error = RegionMap::parse("regions.toml", &text).expect_err("an invalid region file");
     let problem = RegionMapProblem::SharedZone {
         zone: "z01".to_owned(),
         first_region: "north".to_owned(),
@@ -186,7 +186,7 @@
 fn version_depends_on_all_of_a_map_except_the_own_region() {
     let version =
         |text: &str| RegionMap::parse("regions.toml", text).map(|map| format!("{:08x}", map.version()));
-    let mut lines = vec![version(VALID).expect("it is valid")];
+    let mut lines = vec![version(VALID).expect("a valid region file")];
     for (part, by) in [
         ("own = \"north\"", "own = \"south\""),
         ("own = \"north\"", "# The southern copy.\nown = 'south'   # here"),
@@ -205,13 +205,13 @@
     ] {
         let text = VALID.replacen(part, by, 1);
         assert_ne!(text, VALID);
-        let (version, same) = (version(&text).expect("it is valid"), &lines[0]);
+        let (version, same) = (version(&text).expect("a valid region file"), &lines[0]);
         let word = if version == *same { "the same" } else { "another" };
         lines.push(format!("{word}: {part:?} now {by:?}"));
     }
-    let (north, south) = VALID.split_at(VALID.rfind("[[region]]").expect("it is there"));
+    let (north, south) = VALID.split_at(VALID.rfind("[[region]]").expect("a second region"));
     let (own, north) = north.split_once("\n\n").expect("an empty line");
-    let reversed = version(&format!("{own}\n{south}{north}")).expect("it is valid");
+    let reversed = version(&format!("{own}\n{south}{north}")).expect("a valid region file");
     lines.push(format!("{}: regions reversed", if reversed == lines[0] { "the same" } else { "another" }));
     expect![[r##"
         7a4aced4
@@ -236,6 +236,6 @@
 #[test]
 fn example_file_parses() {
     let text = include_str!("../../deploy/regions.example.toml");
-    let map = RegionMap::parse("regions.example.toml", text).expect("it is valid");
+    let map = RegionMap::parse("regions.example.toml", text).expect("a valid region file");
     assert_eq!((map.own(), map.names().len(), map.balancers()), ("north", 2, Some(519)));
 }
--- a/regions/tests/memory.rs
+++ b/regions/tests/memory.rs
@@ -19,7 +19,7 @@
     const HOSTS: usize = 20_000;
     const MAP: &str =
         "own = \"n\"\nregion = [{ name = \"n\", zones = [\"n1\"] }, { name = \"s\", zones = [\"s1\"] }]";
-    let mut regions = Regions::new(RegionMap::parse("regions.toml", MAP).expect("it is valid"));
+    let mut regions = Regions::new(RegionMap::parse("regions.toml", MAP).expect("a valid region file"));
     let entry = |nth: usize, zone: &str| {
         let (host, zone) = (format!("cache-host-{nth:08}").into_boxed_str(), Some(zone.into()));
         ListedHost { host, zone, origin: false, lifecycle: Lifecycle::Up, details: [nth; 8] }
--- a/regions/tests/rings.rs
+++ b/regions/tests/rings.rs
@@ -92,22 +92,22 @@
 fn drain_or_removal_of_a_ring_host_is_passed_on_with_any_zone() {
     let trace = trace(&[
         "all: a n1, b n1, c n1, d n1, e n1, f n1, keep n1",
-        "a - leaving, b absurd leaving, c s1 leaving",
-        "d - left, e absurd left, f s1 left",
+        "a - leaving, b unknown leaving, c s1 leaving",
+        "d - left, e unknown left, f s1 left",
         "all: keep n1",
-        "a - left, b absurd leaving",
+        "a - left, b unknown leaving",
     ]);
     expect![[r#"
         all: a n1, b n1, c n1, d n1, e n1, f n1, keep n1
           => a n1, b n1, c n1, d n1, e n1, f n1,
              keep n1
-        a - leaving, b absurd leaving, c s1 leaving
+        a - leaving, b unknown leaving, c s1 leaving
           => a n1 drains, b n1 drains, c n1 drains, c n1 gone
-        d - left, e absurd left, f s1 left
+        d - left, e unknown left, f s1 left
           => d n1 gone, e n1 gone, f n1 drains, f n1 gone
         all: keep n1
           => keep n1
-        a - left, b absurd leaving
+        a - left, b unknown leaving
           => a n1 gone, b n1 drains
     "#]]
     .assert_eq(&trace);
@@ -253,7 +253,8 @@
     for (version, map) in [("old", MAP), ("in no region", &taken), ("moved", &moved)] {
         for own in ["north", "south"] {
             let map = map.replace("own = \"north\"", &format!("own = \"{own}\""));
-            let mut regions = Regions::new(RegionMap::parse("regions.toml", &map).expect("it is valid"));
+            let mut regions =
+                Regions::new(RegionMap::parse("regions.toml", &map).expect("a valid region file"));
             let update = regions.apply(true, entries("a n1, b n2, c s1, d s2"));
             lines += &format!("{version}, {own}: {}\n", format_update(&update));
         }
@@ -300,7 +301,7 @@
         apply(false, "b s1", &mut policy),
         apply(false, "b - leaving", &mut policy),
         apply(true, "", &mut policy),
-        apply(false, "c absurd leaving", &mut policy),
+        apply(false, "c unknown leaving", &mut policy),
         apply(false, "c - left", &mut policy),
         apply(false, "c - leaving", &mut policy),
     ];
@@ -317,7 +318,7 @@
           => nothing; up: c
 
           => nothing; up: c
-        c absurd leaving
+        c unknown leaving
           => c n1 drains; up: none
         c - left
           => c n1 gone; up: none
--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -15,7 +15,7 @@
         value: f64,
     },
     /// A price in `costs` is negative, not a number, or 1e10 or more.
-    #[error("costs.{name} is {price:?}: expected 0 or more and below 1e10, or no entry for no price")]
+    #[error("costs.{name} is {price:?}: expected 0 or more and below 1e10, or leave it out for none")]
     InvalidPrice {
         /// The key of the price in `costs`.
         name: String,
--- a/wire/src/resp/mod.rs
+++ b/wire/src/resp/mod.rs
@@ -28,5 +28,5 @@
 /// The maximum length of a command or reply that is buffered in full, in bytes.
 pub const MAX_BUFFERED_MESSAGE: usize = MAX_BUFFERED_VALUE + 16 * 1024;
 
-/// The maximum number of elements in an array; valid commands and replies have fewer.
+/// The maximum number of elements in an array; commands and replies need only a few.
 const MAX_ELEMENTS: i64 = 16;
