--- a/handover/src/lib.rs
+++ b/handover/src/lib.rs
@@ -29,7 +29,7 @@
 /// The stored form of a host: its ring position, and its limit times [`LIMIT_SCALE`].
 type StoredHost = (u64, u32);
 
-/// Why a record can't be decoded.
+/// Why a record can't be decoded. The caller then starts without learned limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
     /// More bytes than [`MAX_RECORD_BYTES`].
--- a/regions/src/hosts.rs
+++ b/regions/src/hosts.rs
@@ -51,7 +51,8 @@
     }
 
     /// Removes the host from the policy. The host is first set to draining: a policy with the
-    /// capability `keeps_dropped_hosts` goes on sending to a host that is only gone while it answers.
+    /// capability `keeps_dropped_hosts` goes on sending to a host that is only gone while it
+    /// answers.
     fn withdraw(&mut self, name: &str, map: &RegionMap, update: &mut RingUpdate<T>) {
         self.announced = false;
         update.hosts_removed += usize::from(self.lifecycle == Lifecycle::Up);
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -19,7 +19,7 @@
 pub use operator_settings::OperatorSettings;
 pub use runtime_limits::RuntimeLimits;
 
-/// Rounds milliseconds, which may have a fraction, to whole microseconds.
+/// Rounds milliseconds to whole microseconds; the simulator counts in milliseconds with fractions.
 pub fn micros(ms: f64) -> Micros {
     (ms * 1000.0).round() as Micros
 }
--- a/settings/src/names.rs
+++ b/settings/src/names.rs
@@ -93,7 +93,7 @@
     pub cell: Option<u32>,
     /// Whether it is up, draining or gone.
     pub lifecycle: Lifecycle,
-    /// Its nominal capacity relative to other hosts; 1 if the list gives none.
+    /// Its nominal size relative to other hosts; 1 if the list gives none.
     pub weight: Option<f64>,
     /// When its process started, if the list says so.
     pub started_at: Option<Micros>,
--- a/settings/src/operator_settings.rs
+++ b/settings/src/operator_settings.rs
@@ -39,7 +39,7 @@
     #[serde(default)]
     pub(crate) tick_ms: Option<f64>,
     /// What the weights on the endpoint list are: `live` for current load, `off` for none, anything
-    /// else for nominal capacities.
+    /// else for nominal sizes.
     #[serde(default)]
     pub(crate) weights: Option<String>,
 }
--- a/wire/src/http/encode.rs
+++ b/wire/src/http/encode.rs
@@ -2,7 +2,7 @@
 
 use bytes::{BufMut, Bytes, BytesMut};
 
-/// The initial buffer capacity for a head, in bytes; enough for most.
+/// The initial buffer capacity for a head, in bytes; the buffer grows for a longer head.
 const HEAD_CAPACITY: usize = 256;
 
 /// The maximum body length for which the buffer is allocated together with that for the head, in
--- a/wire/src/lib.rs
+++ b/wire/src/lib.rs
@@ -3,7 +3,7 @@
 //! the buffers that bytes are read into ([`buffer`], [`body`]).
 //!
 //! Parsers take the bytes received so far and return `None` while a message is incomplete; encoders
-//! return bytes. This crate uses no sockets and no clock, and keeps no state between messages.
+//! return bytes. This crate uses no sockets and no clock, and does not interpret requests.
 
 pub mod body;
 pub mod buffer;
