--- a/fault_shim/src/next.rs
+++ b/fault_shim/src/next.rs
@@ -1,4 +1,4 @@
-//! The functions of the C library that the exported ones stand before.
+//! The functions of the C library that this library replaces.
 
 use std::ffi::{c_void, CStr};
 use std::sync::OnceLock;
@@ -6,20 +6,21 @@
 use libc::{c_char, c_int, clockid_t, iovec, mode_t, size_t, sockaddr, socklen_t, ssize_t, timespec};
 
 fn symbol(name: &CStr) -> usize {
-    // SAFETY: the name is a C string, and `RTLD_NEXT` looks it up in the libraries behind this one.
+    // SAFETY: the name is a C string, and `RTLD_NEXT` looks it up in the libraries loaded after
+    // this one.
     let found = unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) };
     assert!(!found.is_null(), "the C library has no {name:?}");
     found as usize
 }
 
-/// Defines a function that calls the C library's one of the same name.
+/// Defines a function that calls the C library's function of the same name.
 macro_rules! next {
     ($name:ident($($argument:ident: $type:ty),*) -> $result:ty) => {
         pub unsafe fn $name($($argument: $type),*) -> $result {
             static ADDRESS: OnceLock<usize> = OnceLock::new();
             let name = concat!(stringify!($name), "\0");
             let address = *ADDRESS.get_or_init(|| {
-                symbol(CStr::from_bytes_with_nul(name.as_bytes()).expect("it ends with a zero"))
+                symbol(CStr::from_bytes_with_nul(name.as_bytes()).expect("name ends with NUL"))
             });
             // SAFETY: the C library's function of this name has this signature.
             let function: unsafe extern "C" fn($($type),*) -> $result = std::mem::transmute(address);
