--- a/balancer/tests/drains.rs
+++ b/balancer/tests/drains.rs
@@ -13,7 +13,7 @@
 
 use common::*;
 use expect_test::{expect, Expect};
-use stand_ins::{breaking_host, one_attempt_in_flight, patient_settings, StalledListener};
+use stand_ins::{breaking_host, long_deadline_settings, one_attempt_in_flight, StalledListener};
 
 const BINARY: &str = env!("CARGO_BIN_EXE_basaltwood-balancer");
 
@@ -25,7 +25,8 @@
     let b = Peer::host(|_| hit("from b"));
     let discovery = Discovery::start();
     let known = [entry("a", a.address, "active")];
-    let program = Program::start_by(BINARY, discovery.peer.address, &known, [192, 1024], &patient_settings());
+    let program =
+        Program::start_by(BINARY, discovery.peer.address, &known, [192, 1024], &long_deadline_settings());
     let (mut slow, mut trace) = one_attempt_in_flight(&program, &a);
     let (mut read, mut once) = (program.client(), program.client());
     read.get("k", "id2", "c=read,d=9000");
@@ -70,7 +71,8 @@
     let b = Peer::host(|_| hit("from b"));
     let discovery = Discovery::start();
     let known = [entry("a", a.address, "active")];
-    let program = Program::start_by(BINARY, discovery.peer.address, &known, [192, 1024], &patient_settings());
+    let program =
+        Program::start_by(BINARY, discovery.peer.address, &known, [192, 1024], &long_deadline_settings());
     let mut client = program.client();
     client.get("k", "id", "c=once,d=9000");
     program.wait_for_counter("attempts", 1);
@@ -178,7 +180,7 @@
     let discovery = Discovery::start();
     let known = [entry("a", a.address, "active"), entry("b", b.address, "active")];
     let mut program =
-        Program::start_by(BINARY, discovery.peer.address, &known, [192, 1024], &patient_settings());
+        Program::start_by(BINARY, discovery.peer.address, &known, [192, 1024], &long_deadline_settings());
     let mut client = program.client();
     client.get(HOME_A, "slow", "c=once,d=9000");
     let mut trace = vec![a.next(), discovery.peer.next()];
--- a/balancer/tests/faults/keyed_windows.rs
+++ b/balancer/tests/faults/keyed_windows.rs
@@ -5,14 +5,14 @@
 use std::time::Duration;
 
 use crate::common::*;
-use crate::stand_ins::{patient_settings, StalledListener};
+use crate::stand_ins::{long_deadline_settings, StalledListener};
 use crate::BINARY;
 
 /// How long hosts remember a key, in the settings of these tests.
 const WINDOW: Duration = Duration::from_millis(600);
 
 fn settings_with_short_window() -> String {
-    let settings = patient_settings();
+    let settings = long_deadline_settings();
     let short = settings.replace("\"windowMs\":5000.0", &format!("\"windowMs\":{}.0", WINDOW.as_millis()));
     assert_ne!(short, settings);
     short
--- a/balancer/tests/races.rs
+++ b/balancer/tests/races.rs
@@ -15,8 +15,8 @@
 use common::*;
 use expect_test::expect;
 use stand_ins::{
-    breaking_host, four_gated_hosts, one_attempt_in_flight, patient_settings, Departure, StalledListener,
-    EACH_DEPARTURE,
+    breaking_host, four_gated_hosts, long_deadline_settings, one_attempt_in_flight, Departure,
+    StalledListener, EACH_DEPARTURE,
 };
 
 /// A key that holds a stand-in back, and whose home of the hosts a and b is a.
@@ -31,7 +31,7 @@
 fn leaves_during_a_handshake(departure: Departure) {
     let a = StalledListener::start();
     let known = [entry("a", a.address, "active")];
-    let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &patient_settings());
+    let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &long_deadline_settings());
     let mut client = program.client();
     client.get("k", "id", "c=once,d=9000");
     program.wait_for_counter("attempts", 1);
@@ -59,7 +59,7 @@
 fn leaves_during_the_wait_for_a_connection(departure: Departure) {
     let (release, a) = breaking_host();
     let known = [entry("a", a.address, "active")];
-    let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &patient_settings());
+    let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &long_deadline_settings());
     let (mut slow, mut trace) = one_attempt_in_flight(&program, &a);
     let mut client = program.client();
     client.get("k", "id2", "c=read,d=9000");
@@ -90,7 +90,7 @@
 fn attempt_that_waited_for_its_connection_states_the_time_left() {
     let (release, a) = breaking_host();
     let known = [entry("a", a.address, "active")];
-    let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &patient_settings());
+    let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &long_deadline_settings());
     let (_slow, _) = one_attempt_in_flight(&program, &a);
     let mut waits = program.client();
     // The time stands first: stand-ins hide it anywhere else.
@@ -146,7 +146,7 @@
 fn request_whose_deadline_passed_during_a_process_stall_is_not_begun() {
     let a = StalledListener::start();
     let known = [entry("a", a.address, "active")];
-    let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &patient_settings());
+    let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &long_deadline_settings());
     let mut client = program.client();
     let began = Instant::now();
     client.get("k", "id", "c=once,d=1500");
@@ -169,7 +169,7 @@
 fn connection_that_comes_free_after_the_deadline_carries_nothing() {
     let (release, a) = breaking_host();
     let known = [entry("a", a.address, "active")];
-    let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &patient_settings());
+    let program = Program::start_by(BINARY, nowhere(), &known, [192, 1024], &long_deadline_settings());
     let (mut slow, trace) = one_attempt_in_flight(&program, &a);
     assert_eq!(trace[2], "-BUSY 2000");
     let mut late = program.client();
@@ -202,7 +202,7 @@
         true => http_answer(200, r#"{"generation":2,"reset":false,"instances":[]}"#),
         false => Reply::Last(String::new()),
     });
-    let program = Program::start_by(BINARY, discovery.address, &known, [192, 32], &patient_settings());
+    let program = Program::start_by(BINARY, discovery.address, &known, [192, 32], &long_deadline_settings());
     let mut clients: Vec<Client> = (0..8).map(|_| program.client()).collect();
     let mut sent = 0;
     for client in &mut clients {
--- a/balancer/tests/regions/hosts.rs
+++ b/balancer/tests/regions/hosts.rs
@@ -8,7 +8,7 @@
 
 use crate::common::*;
 use crate::fleet::*;
-use crate::stand_ins::{breaking_host, one_attempt_in_flight, patient_settings};
+use crate::stand_ins::{breaking_host, long_deadline_settings, one_attempt_in_flight};
 
 #[test]
 fn hosts_outside_the_own_region_are_never_connected_to() {
@@ -93,7 +93,7 @@
     let b = Peer::host(|_| hit("from b"));
     let discovery = Discovery::start();
     let known = [zoned_entry("a", "n1", a.address, "active")];
-    let program = start(discovery.peer.address, &known, &patient_settings());
+    let program = start(discovery.peer.address, &known, &long_deadline_settings());
     let (mut slow, mut trace) = one_attempt_in_flight(&program, &a);
     let (mut read, mut once) = (program.client(), program.client());
     read.get("k", "id2", "c=read,d=9000");
--- a/balancer/tests/stand_ins/mod.rs
+++ b/balancer/tests/stand_ins/mod.rs
@@ -38,7 +38,7 @@
 
 /// Deadlines of many seconds for attempts and connections, and a balancer among 300: it opens one
 /// connection a second at a host that has just broken one.
-pub fn patient_settings() -> String {
+pub fn long_deadline_settings() -> String {
     let long = SETTINGS
         .replace("\"targetLatencyMs\":800.0,\"ttlMs\":2000.0", "\"targetLatencyMs\":9000.0,\"ttlMs\":9500.0");
     long.replace("\"groupSize\":2", "\"groupSize\":300")
