--- a/balancer/src/downstream/accept.rs
+++ b/balancer/src/downstream/accept.rs
@@ -1,5 +1,4 @@
-//! Accepts clients' connections, each once there is a descriptor for it, and closes them without
-//! losing a reply.
+//! Accepts clients' connections and serves each once the budget has a descriptor for it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,24 +15,26 @@
 use crate::lifecycle::Phase;
 use crate::shared::Shared;
 
-/// Between looks for a free descriptor.
+/// How often a free descriptor is looked for.
 const DESCRIPTOR_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Accepts that fail in a row, in the last phase of the process, until those that wait are given up.
+/// In the last phase of the process, more than this number of consecutive failed accepts abandons
+/// the clients that are still waiting.
 const MAX_FAILURES_AT_END: u32 = 20;
 
-/// Accepts for as long as the phase lets it; each connection runs by itself. One is accepted before
-/// there is a descriptor for it, at the cost of one that the budget reserves: so no other
-/// connection is closed for a client that is not there, and none waits unseen.
+/// Accepts connections while the phase allows it, and serves each in a task of its own. The next
+/// connection is accepted before the budget has a descriptor for it, using one that the budget
+/// reserves: so a connection is shed only for a client that is really there, and no client waits
+/// unnoticed.
 pub async fn accept(shared: Rc<Shared>, listener: TcpListener, mut phase: watch::Receiver<Phase>) {
     let mut draining_backlog = false;
     let mut failures = 0;
     loop {
-        // Never cut off between accepting and serving: a client that is let in must be served.
+        // Never cancelled between accepting and serving: an accepted client must be served.
         let accepted = tokio::select! {
             biased;
             now = phase.wait_for(|now| !now.accepts_connections()), if !draining_backlog => match now {
-                // The platform's socket goes on, and another process takes what waits there.
+                // The listening socket stays open, and the successor accepts the waiting clients.
                 Ok(now) if *now == Phase::Takeover => return,
                 _ => {
                     draining_backlog = true;
@@ -41,8 +42,8 @@
                 }
             },
             accepted = listener.accept() => accepted,
-            // Whom the kernel had taken is served: closing over them would reset them with what
-            // they sent.
+            // Connections in the kernel's backlog are served: closing the listener would reset
+            // them, with the commands that they sent.
             () = yield_now(), if draining_backlog => return,
         };
         match accepted {
@@ -55,13 +56,13 @@
             }
             Err(cause) => {
                 failures += 1;
-                log::debug!("accept: {cause}");
-                // Those that wait are owed an answer until the end, but not for ever.
+                log::debug!("accepting a client connection failed: {cause}");
+                // Waiting clients are owed an answer until the exit, but may not delay it forever.
                 if *phase.borrow() == Phase::Flushing && failures > MAX_FAILURES_AT_END {
                     return;
                 }
-                // A client that went away while it waited, or a call that was interrupted, says
-                // nothing of this machine: the next one is accepted at once.
+                // A client that left while it waited and an interrupted call indicate no shortage:
+                // the next connection is accepted at once.
                 if FaultOrigin::of(&cause) == FaultOrigin::LocalShortage {
                     if lacks_descriptors(&cause) {
                         shared.upstreams.close_idle_connection();
@@ -75,8 +76,8 @@
     }
 }
 
-/// A descriptor for one more client. Where there is none, idle connections go first, the one that
-/// has been idle longest before others.
+/// Waits for a descriptor for one more client. If there is none, idle connections are closed, the
+/// longest idle one first.
 async fn descriptor_for_client(shared: &Shared) -> DescriptorPermit {
     loop {
         if let Some(permit) = shared.budget.client_descriptor() {
@@ -90,7 +91,7 @@
     }
 }
 
-/// Serves a connection to its end, and closes it.
+/// Serves a connection to its end and closes it.
 async fn serve(
     number: u64,
     shared: Rc<Shared>,
@@ -99,8 +100,9 @@
     phase: watch::Receiver<Phase>,
 ) {
     let _permit = permit;
-    // The process does not end before this connection has: its last reply would go with it.
-    let _lives = phase.clone();
+    // Keeps the process from exiting before this connection is closed, which would lose its last
+    // reply.
+    let _exit_guard = phase.clone();
     let _ = stream.set_nodelay(true);
     let closed = Connection::new(number, &shared, &mut stream, phase).run().await;
     close(&shared, stream, closed).await;
--- a/balancer/src/downstream/closing.rs
+++ b/balancer/src/downstream/closing.rs
@@ -1,9 +1,9 @@
-//! The one way in which a client's connection ends: its reason, and what the client is still owed.
+//! Closes a client's connection without losing replies.
 //!
-//! A reply counts once its client's system has all of it. A close over bytes that were not read, or
-//! that come after it, resets the connection and takes with it what the client's system has not got
-//! yet. So the sending side is shut first, and what still comes is read and discarded until the
-//! client has closed or its time is up.
+//! A reply counts once the client's system has received all of it. A close while received bytes are
+//! unread, or before further bytes arrive, resets the connection, and the client loses what its
+//! system has not received yet. So the sending side is shut down first, and input is read and
+//! discarded until the client has closed too or a time limit is reached.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,45 +18,45 @@
 use crate::socket_io::read_buf;
 use crate::socket_table::Delivery;
 
-/// The client's end is awaited so long: no client waits longer for an answer, by the operators'
-/// protocol. One whose descriptor is needed by another is waited for no longer.
+/// How long to wait for the client to close: by the operators' protocol no client waits longer for
+/// an answer. The wait ends early if another client needs the descriptor.
 const MAX_LINGER: Duration = Duration::from_secs(3);
-/// The same where the system does not tell what the client has received. Most read at once; a client
-/// that is slower, on such a system, may lose the end of its last reply.
+/// The same where the operating system does not report what the client has received. Most clients
+/// read at once; on such a system a slower one may lose the end of its last reply.
 const MAX_UNKNOWN_LINGER: Duration = Duration::from_millis(1_200);
-/// The client is given so long to close by itself; then the system is asked what it has received,
-/// again and again.
+/// How long the client has to close by itself before the first check of what it has received.
 const FIRST_CHECK: Duration = Duration::from_millis(200);
+/// The time between further checks.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Bytes that are read and discarded at a time meanwhile.
+/// Bytes that are read and discarded at a time.
 const DISCARD_BUFFER: usize = 16 * 1024;
 
 /// Why a client's connection ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The client has closed its connection, or ended its sending.
+    /// The client closed its connection or its sending side.
     ClientLeft,
-    /// The connection broke.
+    /// A read or write failed.
     ConnectionBroken,
-    /// The client asked to be let go.
+    /// The client sent QUIT.
     ClientQuit,
-    /// The client broke the protocol, and was told so.
+    /// The client violated the protocol and was sent an error.
     ProtocolError,
-    /// The client sent nothing, or nothing more of a command, for too long.
+    /// The client sent no command, or not the rest of one, in time.
     ClientSilent,
-    /// The client took nothing of a reply for too long.
+    /// The client received nothing of a reply for too long.
     ReaderStalled,
-    /// Another client needs its descriptor.
+    /// Another client needs the descriptor.
     Shed,
     /// The process drains or ends, and the connection is idle.
     Draining,
-    /// A host gave only the beginning of a long value.
+    /// A host sent only the beginning of a long value.
     ValueTruncated,
 }
 
 impl CloseReason {
-    /// Whether replies may be owed at this end: the client can't get them (it left, or takes
-    /// nothing), or can tell that it has not (nothing can be written behind half a value).
+    /// Whether replies may be left unsent for this reason: the client can't receive them (it left or
+    /// does not read), or it can tell that they are missing (its last value is incomplete).
     pub fn may_owe_replies(self) -> bool {
         use CloseReason::{ClientLeft, ConnectionBroken, ReaderStalled, ValueTruncated};
         matches!(self, ClientLeft | ConnectionBroken | ReaderStalled | ValueTruncated)
@@ -69,18 +69,19 @@
     }
 }
 
-/// How a connection stood at its end.
+/// The state of a connection that is no longer served.
 #[derive(Clone, Copy, Debug)]
 pub struct Closed {
     /// The connection's number in the log.
     pub number: u64,
-    /// Why it ends.
+    /// Why the connection is closed.
     pub reason: CloseReason,
-    /// Replies that its client has not been written.
+    /// The number of replies that were not written in full.
     pub owed: usize,
 }
 
-/// Ends a client's connection, and returns once its client has closed too or is not waited for.
+/// Closes a client's connection. Returns once the client has closed too, has received everything,
+/// or is no longer waited for.
 pub async fn close(shared: &Rc<Shared>, mut stream: TcpStream, closed: Closed) {
     let Closed { number, reason, owed } = closed;
     log::debug!(client = number, reason:?, owed; "client connection ends");
@@ -94,17 +95,17 @@
     }
     let wakeup = Rc::default();
     tokio::select! {
-        _ = timeout(MAX_LINGER, delivered(shared, &mut stream)) => {}
+        _ = timeout(MAX_LINGER, discard_until_delivered(shared, &mut stream)) => {}
         () = shared.budget.descriptor_wanted(&wakeup) => {}
     }
 }
 
-/// Reads and discards until the client has closed, or its system has all that was sent: a reset
-/// takes nothing from it then.
-async fn delivered(shared: &Shared, stream: &mut TcpStream) {
+/// Reads and discards input until the client has closed, or its system has received all that was
+/// sent: a reset loses nothing then.
+async fn discard_until_delivered(shared: &Shared, stream: &mut TcpStream) {
     let (Ok(local), Ok(remote)) = (stream.local_addr(), stream.peer_addr()) else { return };
-    let began = Instant::now();
-    let mut check_at = began + FIRST_CHECK;
+    let started_at = Instant::now();
+    let mut check_at = started_at + FIRST_CHECK;
     loop {
         let mut discarded = BytesMut::with_capacity(DISCARD_BUFFER).limit(DISCARD_BUFFER);
         tokio::select! {
@@ -114,7 +115,7 @@
             () = sleep_until(check_at) => {
                 match shared.sockets.delivery(local, remote) {
                     Delivery::Complete => return,
-                    Delivery::Unknown if began.elapsed() >= MAX_UNKNOWN_LINGER => return,
+                    Delivery::Unknown if started_at.elapsed() >= MAX_UNKNOWN_LINGER => return,
                     Delivery::Unknown | Delivery::Pending => {}
                 }
                 check_at = Instant::now() + CHECK_INTERVAL;
--- a/balancer/src/downstream/command.rs
+++ b/balancer/src/downstream/command.rs
@@ -1,4 +1,4 @@
-//! One command of a client: a request for the policy, or something that is answered at once.
+//! Parses a client's command into a request for the policy, or into an immediate reply.
 
 use std::ops::RangeInclusive;
 use std::rc::Rc;
@@ -18,52 +18,55 @@
 use crate::shared::Shared;
 use crate::write_log::WriteLog;
 
-/// What makes sense as a time to wait, in milliseconds: an hour at most.
+/// Accepted values of the fact `d`, the client's timeout in milliseconds: an hour at most.
 const WAIT_RANGE_MS: RangeInclusive<f64> = 0.0..=3_600_000.0;
-/// A lag of the event loop below this is its timers' own.
+/// Event loop lag below this, in microseconds, is within the precision of timers and ignored.
 const MIN_LAG: Micros = 10_000;
-/// Microseconds in a millisecond.
 const MICROS_PER_MS: f64 = 1_000.0;
 
-/// Why a command is no request. The text is what the client is told.
+/// Why a command is not a valid request. The text is sent to the client.
 #[derive(Debug, Error)]
 pub enum RequestError {
-    /// Fewer words than a request has.
+    /// The key, the id or the facts are missing.
     #[error("a key, an id and facts are needed")]
     MissingWords,
-    /// A value with a read, none with a write, or words behind it.
+    /// A read with a value, a write without one, or words after the value.
     #[error("wrong number of arguments")]
     WrongArity,
-    /// They go on in HTTP's headers too, where an end of line would begin another header.
+    /// The id and the facts are also sent as HTTP headers, where a line break would begin another
+    /// header.
     #[error("a key, an id and facts without control characters are needed")]
     ControlCharacters,
-    /// No fact `c`.
+    /// The fact `c` is missing.
     #[error("no c: the category is missing")]
     MissingClass,
-    /// The settings have no class of this name.
+    /// The settings have no request class of this name.
     #[error("{0}")]
     UnknownClass(String),
-    /// No fact `d`, or no span of time in it.
-    #[error("no d: the time to wait is missing or absurd")]
-    MissingWait,
-    /// Hosts drop or refuse a second request under the same id.
+    /// The fact `d` is missing, no number, or outside [`WAIT_RANGE_MS`].
+    #[error(
+        "no d: expected the time to wait in milliseconds, {} to {}",
+        WAIT_RANGE_MS.start(), WAIT_RANGE_MS.end()
+    )]
+    InvalidWait,
+    /// Hosts drop or refuse a second request with the same id.
     #[error("an op with this id is open")]
     IdInUse,
 }
 
-/// What becomes of a command.
+/// What a command was parsed into.
 pub enum Parsed {
-    /// A request for the policy, whose id is reserved now.
+    /// A request for the policy. Its id is reserved.
     Request(Rc<ClientRequest>, NewRequest),
-    /// Answered at once.
+    /// An immediate reply.
     Reply(Bytes),
-    /// Answered at once, and the client is to be let go after that.
+    /// An immediate reply, after which the connection is closed.
     ReplyAndQuit(Bytes),
-    /// Refused at once; what follows it is read all the same.
+    /// An error reply; the connection stays open.
     Malformed(Bytes),
 }
 
-/// Reads one command; it has at least one word.
+/// Parses one command, which must have at least one word.
 pub fn parse(shared: &Shared, command: Command, phase: Phase, client: ClientPresence) -> Parsed {
     let words = &command.words;
     let name = words[0].to_ascii_uppercase();
@@ -72,7 +75,7 @@
             Ok((request, new_request)) => Parsed::Request(Rc::new(request), new_request),
             Err(cause) => Parsed::Malformed(resp::encode_error(&cause.to_string())),
         },
-        // By this the load balancer in front learns that clients are to go elsewhere.
+        // Tells the load balancer in front to send clients elsewhere.
         b"PING" if phase == Phase::LameDuck => Parsed::Reply(resp::encode_error("draining")),
         b"PING" if words.len() == 2 => Parsed::Reply(resp::encode_bulk(&words[1])),
         b"PING" => Parsed::Reply(Bytes::from_static(b"+PONG\r\n")),
@@ -82,8 +85,8 @@
     }
 }
 
-/// Reads a command's words into the request as hosts get it and as the policy sees it, and reserves
-/// its id.
+/// Parses a command's words into the request that hosts get and the one that the policy sees, and
+/// reserves its id.
 fn request(
     shared: &Shared,
     command: Command,
@@ -108,7 +111,7 @@
     if value.is_some() != is_write || words.next().is_some() {
         return Err(RequestError::WrongArity);
     }
-    if key.is_empty() || !is_plain(&id) || !is_plain(&facts) {
+    if key.is_empty() || !is_header_safe(&id) || !is_header_safe(&facts) {
         return Err(RequestError::ControlCharacters);
     }
     let new_request = new_request(shared, &key, &facts, is_write)?;
@@ -130,12 +133,12 @@
     Ok((request, new_request))
 }
 
-/// Some text without control characters.
-fn is_plain(text: &Bytes) -> bool {
+/// Whether the text is not empty and has no control characters.
+fn is_header_safe(text: &Bytes) -> bool {
     !text.is_empty() && !text.iter().any(u8::is_ascii_control)
 }
 
-/// The request as the policy sees it: by its facts, `name=value` with commas between.
+/// The request as the policy sees it, built from its facts (`name=value`, separated by commas).
 fn new_request(
     shared: &Shared,
     key: &Bytes,
@@ -147,7 +150,7 @@
     let wait_ms = fact(&facts, "d")
         .and_then(|wait| wait.parse::<f64>().ok())
         .filter(|wait| WAIT_RANGE_MS.contains(wait))
-        .ok_or(RequestError::MissingWait)?;
+        .ok_or(RequestError::InvalidWait)?;
     let names = shared.names.borrow();
     let class = names.class_id(class).map_err(|cause| RequestError::UnknownClass(cause.to_string()))?;
     Ok(NewRequest {
@@ -160,7 +163,8 @@
     })
 }
 
-/// When a command that is read now may have come: while the event loop was late it waited unread.
+/// The earliest time at which a command read now may have arrived: it may have waited unread for
+/// as long as the event loop lagged.
 fn arrived_at(shared: &Shared) -> Micros {
     let lag = shared.loop_profile.lag().as_micros() as Micros;
     shared.clock.now() - if lag >= MIN_LAG { lag } else { 0 }
--- a/balancer/src/downstream/connection.rs
+++ b/balancer/src/downstream/connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection, from its first byte until it is to be closed.
+//! Serves one client's connection, from its first byte until it is to be closed.
 
 use std::collections::VecDeque;
 use std::ops::ControlFlow;
@@ -25,32 +25,32 @@
 use crate::requests;
 use crate::shared::Shared;
 
-/// Commands of one connection that may wait for their replies; more are left unread.
+/// How many commands of one connection may wait for their replies; further ones are left unread.
 const MAX_PENDING_REPLIES: usize = 32;
-/// The same while a reply is being written: a client that does not read must not fill the memory of
-/// all.
+/// The same while a reply is being written: a client that does not read must not fill the memory
+/// that all clients share.
 const MAX_PENDING_WHILE_WRITING: usize = 4;
-/// A client that takes nothing of its reply for twice this time is disconnected: after the first
-/// time the system is asked what the client has still to acknowledge, after the second whether that
-/// is less. A write itself shows progress only once a third of the system's buffer is free.
+/// A client that receives nothing of its reply for twice this time is disconnected: after the first
+/// interval its unacknowledged bytes are recorded, after the second they must have become fewer. A
+/// write itself shows progress only once a third of the system's buffer is free.
 const WRITE_CHECK_INTERVAL: Duration = Duration::from_millis(2_500);
 /// A command without its value must be complete within this time, the first one counted from the
-/// accept; a value must make progress within it. Clients that send nothing, or part of something,
-/// must not hold descriptors and memory of others.
+/// accept; a value must make progress within it. Clients that send nothing or a partial command
+/// must not hold descriptors and memory that others need.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(2_600);
-/// What of the input is wanted at a step.
+/// How the input is handled in a step.
 struct ReadPlan {
-    /// Commands may be taken up.
+    /// Further commands may be served.
     takes_commands: bool,
-    /// Bytes may be held.
+    /// The memory budget allows more bytes.
     has_memory: bool,
     /// Bytes are read.
     reads: bool,
-    /// The input is polled, if only for the client's end: something goes on for it.
+    /// The input is polled, if only to notice that the client disconnects.
     watches_client: bool,
 }
 
-/// What ended a step.
+/// The event that ends a step.
 enum Event {
     Input(InputEvent),
     MemoryFreed,
@@ -64,32 +64,32 @@
 
 /// A client's connection with its commands and replies.
 pub struct Connection<'a> {
-    /// Its number in the log.
+    /// The connection's number in the log.
     number: u64,
     shared: &'a Rc<Shared>,
     phase: watch::Receiver<Phase>,
     reader: ReadHalf<'a>,
     writer: WriteHalf<'a>,
     input: Input,
-    /// The bytes held for this client beside those of its requests.
+    /// Accounts for the bytes held for this client, except those of its requests.
     memory: MemoryGuard,
     /// Replies in the order of their commands.
     pending: VecDeque<PendingReply>,
     outgoing: OutgoingReply,
-    /// By when the reply that is being written is to be taken, or the command begun to be whole.
+    /// When the reply being written must have made progress, or the command begun must be complete.
     step_deadline: Option<Instant>,
-    /// What the client had still to acknowledge when that was last checked, while a reply is written.
+    /// The last check of unacknowledged bytes, while a reply is being written.
     write_check: Option<WriteCheck>,
-    /// No more is read: the client asked to be let go, or broke the protocol.
+    /// Set once no more input is read: the client sent QUIT or violated the protocol.
     closing: Option<CloseReason>,
     activity: Activity,
     shed_wakeup: Rc<Notify>,
-    /// Ends with this connection: nothing begins for its client after that.
+    /// Dropped with this connection: no attempt begins for the client afterwards.
     presence: PresenceGuard,
 }
 
 impl<'a> Connection<'a> {
-    /// A connection that has just been accepted.
+    /// Creates the state of a connection that has just been accepted.
     pub fn new(
         number: u64,
         shared: &'a Rc<Shared>,
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Takes up the commands that are whole, as many as may wait for their replies.
+    /// Processes complete commands, up to the limit of pending replies.
     async fn take_commands(&mut self) {
         while self.closing.is_none() && self.pending.len() < self.max_pending() {
             match self.input.next_command(self.shared) {
@@ -160,9 +160,9 @@
     }
 
     async fn take_command(&mut self, command: Command) {
-        // A new connection is taken to be readable before the kernel was asked, which tells of its
-        // end too. Where its client sent something and went while it waited for a descriptor, that
-        // has to be known before anything begins.
+        // The runtime assumes that a new connection is readable before it polls the kernel, which
+        // also reports a disconnect. A client that sent a command and left while it waited for a
+        // descriptor must be known to be gone before an attempt begins.
         if !self.activity.had_command {
             yield_now().await;
         }
@@ -196,7 +196,7 @@
         self.pending.push_back(PendingReply::Ready(text));
     }
 
-    /// The last reply to a client that does not keep to the protocol.
+    /// Queues the last reply to a client that violates the protocol.
     fn refuse(&mut self, cause: &ProtocolError) {
         log::debug!(client = self.number, cause:%; "client refused");
         self.shared.counters.malformed.add();
@@ -240,8 +240,8 @@
         Snapshot { phase, is_idle, is_partial, is_quiet, awaits_memory, drain_overdue }
     }
 
-    /// Whether an idle connection is to be closed now. What came in the meantime is served: a close
-    /// by a timer must cross as few requests as can be.
+    /// Whether an idle connection is to be closed now. Bytes that arrived in the meantime are served
+    /// first, so that a close by a timer crosses with as few requests as possible.
     async fn confirm_close(&mut self, snapshot: &Snapshot) -> bool {
         yield_now().await;
         if snapshot.drain_overdue || !self.input.try_read(&mut self.reader) {
@@ -251,7 +251,7 @@
         false
     }
 
-    /// Bounds the step that the client has to take next, from when it was first owed.
+    /// Sets the deadline of the client's next step, counted from when the step became due.
     fn update_step_deadline(&mut self, snapshot: &Snapshot) {
         self.step_deadline = match self.step_timeout(snapshot) {
             Some(timeout) => Some(self.step_deadline.unwrap_or_else(|| Instant::now() + timeout)),
@@ -263,7 +263,7 @@
         if self.outgoing.has_text() {
             return Some(WRITE_CHECK_INTERVAL);
         }
-        // It waits for its host, or for memory, and not for its client.
+        // The connection waits for a host or for memory, not for the client.
         if !self.outgoing.is_empty() || snapshot.awaits_memory {
             return None;
         }
@@ -279,14 +279,14 @@
         let takes_commands = may_read && self.pending.len() < self.max_pending();
         let awaits_reply = self.pending.iter().any(|reply| matches!(reply, PendingReply::Awaited(..)));
         let works_for_client = snapshot.awaits_memory || awaits_reply;
-        // What waits for its turn is read all the same while a request goes on: of a client whose
-        // unread bytes fill its window the end can't be seen, and nothing may go on for one that
-        // has gone.
+        // While a request is in progress, commands past the limit are read into the buffer too: if
+        // unread bytes filled the client's window, its disconnect would go unnoticed, and its
+        // requests would continue.
         let reads_ahead = may_read && !takes_commands && works_for_client && self.input.can_read_ahead();
         let has_memory = self.shared.budget.has_memory() || self.input.may_exceed_memory(snapshot.is_idle);
         let reads = (takes_commands || reads_ahead) && has_memory;
-        // The client's end is looked for where something goes on for it; a reply that is there is
-        // written, whoever still reads.
+        // A disconnect is watched for while work for the client is in progress. A complete reply is
+        // written even if the client may have stopped reading.
         let watches_client = reads || works_for_client || self.outgoing.is_streaming();
         ReadPlan { takes_commands, has_memory, reads, watches_client }
     }
@@ -332,7 +332,7 @@
     fn handle_input(&mut self, event: InputEvent) -> ControlFlow<CloseReason> {
         match event {
             InputEvent::Read(Ok(1..)) => {
-                // A value that is being read is bound by its progress.
+                // The time limit of a value applies to its progress.
                 if self.input.has_incoming_value() {
                     self.step_deadline = None;
                 }
@@ -350,7 +350,7 @@
             }
             InputEvent::Disconnected => {
                 let pending = self.pending.len();
-                log::debug!("a client has gone of which nothing was read; {pending} commands wait");
+                log::debug!("client disconnected while its input was not read; {pending} replies pending");
                 ControlFlow::Break(CloseReason::ClientLeft)
             }
         }
@@ -361,8 +361,8 @@
             OutputEvent::Wrote(Ok(count)) if count > 0 => {
                 self.outgoing.written(count);
                 self.activity.replied_in_takeover = *self.phase.borrow() == Phase::Takeover;
-                // It is bound by the client's progress: one that goes on taking bytes is served, however
-                // slowly, with the replies behind this one.
+                // The time limit applies to progress: a client that keeps receiving bytes, however
+                // slowly, gets this reply and those after it.
                 self.step_deadline = None;
                 self.write_check = None;
                 ControlFlow::Continue(())
@@ -373,8 +373,8 @@
         }
     }
 
-    /// The client did not take the step that it owed. One that is in the midst of a command is told
-    /// so.
+    /// Handles a client that missed the deadline of its step. After a partial command it is sent an
+    /// error.
     fn handle_timeout(&mut self) -> ControlFlow<CloseReason> {
         if !self.outgoing.is_empty() {
             return self.check_reader();
@@ -389,7 +389,7 @@
         ControlFlow::Continue(())
     }
 
-    /// A reply could not be written on for a while: whether its client takes anything at all.
+    /// Disconnects the client if it received nothing of its reply since the previous check.
     fn check_reader(&mut self) -> ControlFlow<CloseReason> {
         let check = WriteCheck::of(&self.reader, &self.shared.sockets);
         if self.write_check.is_some_and(|before| !check.may_show_progress_since(before)) {
--- a/balancer/src/downstream/idle_close.rs
+++ b/balancer/src/downstream/idle_close.rs
@@ -1,5 +1,5 @@
-//! When a connection on which nothing is owed is to be closed, by the process's phase and by what its
-//! client did of late.
+//! Decides when an idle client connection is closed, from the process's phase and the client's
+//! recent activity.
 
 use std::time::Duration;
 
@@ -7,46 +7,46 @@
 
 use crate::lifecycle::Phase;
 
-/// A connection is not closed for this long after it was accepted, or after part of a command came:
-/// it may be about to send the rest.
+/// A connection is not closed for this long after it was accepted or sent part of a command: the
+/// client may be about to send the rest.
 const QUIET_PERIOD: Duration = Duration::from_millis(250);
-/// During a drain a connection that has not sent any command is kept for this long: it may be about
-/// to send one.
+/// A lame duck keeps a connection that has not sent any command for this long: the client may be
+/// about to send one.
 const FIRST_COMMAND_GRACE: Duration = Duration::from_secs(1);
-/// Idle connections are closed this long after another process took over: a close before that could
-/// cross a request.
+/// Idle connections are closed this long after the successor took over; an earlier close could cross
+/// with a request.
 const KEEP_ALIVE_AFTER_TAKEOVER: Duration = Duration::from_millis(600);
-/// During a drain a client that goes on sending is served for this long. What it sends after that
-/// stays unread, and it sends it again elsewhere.
+/// During a drain a client that goes on sending is served for this long. Later commands stay unread,
+/// so the client can safely send them elsewhere.
 const MAX_DRAIN_TIME: Duration = Duration::from_secs(3);
 
-/// What the next step of a connection depends on.
+/// A connection's state at the beginning of a step.
 pub struct Snapshot {
     pub phase: Phase,
     /// No reply is owed or being written.
     pub is_idle: bool,
-    /// Part of a command has come.
+    /// Part of a command has arrived.
     pub is_partial: bool,
-    /// Nothing came for a while, though nothing kept it from being read.
+    /// Nothing arrived for [`QUIET_PERIOD`], and reading was not held back for memory.
     pub is_quiet: bool,
     pub awaits_memory: bool,
-    /// The client was sent away long ago.
+    /// The drain has lasted longer than [`MAX_DRAIN_TIME`], and no value is being read.
     pub drain_overdue: bool,
 }
 
-/// What a client did of late, and since when it is sent away.
+/// A client's recent activity, and the start of the drain.
 pub struct Activity {
     pub had_command: bool,
-    /// When something last came of the client, the connection itself at first.
+    /// When the client last sent bytes, or else when it was accepted.
     pub last_input_at: Instant,
-    /// The last reply went while another process took over.
+    /// The last reply was written during a takeover.
     pub replied_in_takeover: bool,
-    /// Since when clients are sent away.
+    /// When the drain of clients began.
     pub draining_since: Option<Instant>,
 }
 
 impl Activity {
-    /// Of a connection that has just been accepted.
+    /// The activity of a connection that has just been accepted.
     pub fn new() -> Activity {
         Activity {
             had_command: false,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The process's phase is this now.
+    /// Updates the start of the drain from the process's phase.
     pub fn note_phase(&mut self, phase: Phase) {
         if phase.drains_clients() {
             self.draining_since.get_or_insert_with(Instant::now);
@@ -65,32 +65,32 @@
         }
     }
 
-    /// Nothing came for a while.
+    /// Whether nothing arrived for [`QUIET_PERIOD`].
     pub fn is_quiet(&self) -> bool {
         Instant::now() >= self.last_input_at + QUIET_PERIOD
     }
 
-    /// The client was sent away long ago.
+    /// Whether the drain has lasted longer than [`MAX_DRAIN_TIME`].
     pub fn drain_is_overdue(&self) -> bool {
         has_passed(self.draining_since, MAX_DRAIN_TIME)
     }
 
-    /// Whether the phase ends a connection that is idle.
+    /// Whether an idle connection is to be closed in this phase.
     pub fn is_due_to_close(&self, snapshot: &Snapshot) -> bool {
         match snapshot.phase {
             Phase::Starting | Phase::Serving => false,
-            // One that has just come must not be sent away unserved.
+            // A client that has just connected must not be turned away without service.
             Phase::LameDuck => {
                 !snapshot.is_partial
                     && (self.had_command || has_passed(Some(self.last_input_at), FIRST_COMMAND_GRACE))
             }
             Phase::Draining => !snapshot.is_partial && (self.had_command || snapshot.is_quiet),
-            // Later ones go to the other process. A close that follows a reply crosses no request.
+            // New connections go to the successor. A close right after a reply crosses no request.
             Phase::Takeover => {
                 !snapshot.is_partial && (self.replied_in_takeover || self.keep_alive_is_over_after_takeover())
             }
-            // Part of a command that nothing is added to will not be whole, and a balancer must not
-            // stay away for it.
+            // A partial command that gets no more bytes will not complete, and must not delay the
+            // exit and with it the start of the next process.
             Phase::Closing => snapshot.is_quiet || (!snapshot.is_partial && self.had_command),
             Phase::Flushing | Phase::Ended => true,
         }
@@ -100,7 +100,7 @@
         self.had_command && has_passed(self.draining_since, KEEP_ALIVE_AFTER_TAKEOVER)
     }
 
-    /// When one of the times of an idle connection is over that no event tells of.
+    /// When the next time limit of an idle connection ends; no other event wakes the connection.
     pub fn next_recheck(&self, snapshot: &Snapshot) -> Option<Instant> {
         let is_timed =
             snapshot.is_idle && (snapshot.is_partial || !self.had_command || self.draining_since.is_some());
@@ -117,7 +117,7 @@
     }
 }
 
-/// Whether a span is over since an instant, where there is one.
+/// Whether `since` is set and at least `span` has passed since.
 fn has_passed(since: Option<Instant>, span: Duration) -> bool {
     since.is_some_and(|since| Instant::now() >= since + span)
 }
--- a/balancer/src/downstream/input.rs
+++ b/balancer/src/downstream/input.rs
@@ -1,4 +1,5 @@
-//! What a client sends: bytes into commands, with values of their own when they are not small.
+//! Input of a client's connection: reads bytes and parses commands. Values that are not small are
+//! read into memory of their own.
 
 use std::future::Future;
 use std::io;
@@ -19,44 +20,44 @@
 use crate::shared::Shared;
 use crate::socket_io::read_buf;
 
-/// What a connection may hold, in bytes, while others hold all that there is: enough for commands
-/// without a value.
+/// Bytes that a connection may hold although the memory budget is used up by others: enough for
+/// commands without a value.
 pub const UNBUDGETED_BYTES: usize = 4 * 1024;
-/// Between looks whether a client has gone of which nothing more is read: no attempt may begin for
-/// it over 0.1 s after that. Source: the operators' page on real days.
+/// How often a client from which nothing more is read is checked for having disconnected: no
+/// attempt may begin for it more than 0.1 s after it left. Source: the operators' page on real days.
 const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why a client's bytes are no command; nothing that it sends after that is read. The text is what
-/// it is told.
+/// Why a client's bytes can't be parsed as a command. Nothing that the client sends afterwards is
+/// read. The text is sent to the client.
 #[derive(Debug, Error)]
 pub enum ProtocolError {
-    /// No RESP2.
+    /// The bytes are not RESP2.
     #[error("{0}")]
     Malformed(String),
-    /// A command without its value that is longer than any may be.
+    /// The command, not counting its value, is longer than the input buffer.
     #[error("too long a command")]
     CommandTooLong,
-    /// A value that can't be taken.
+    /// The value is too long for its command or for the memory budget.
     #[error("too long a value")]
     ValueTooLong,
-    /// Bytes other than the end of a line behind a value.
+    /// A value is not followed by CRLF.
     #[error("a bulk string without its end")]
     MissingTerminator,
-    /// A command that was begun and not ended.
+    /// The rest of a command did not arrive in time.
     #[error("no whole command in time")]
     TimedOut,
 }
 
-/// A whole command.
+/// A complete command.
 pub struct Command {
-    /// Its words, but for a value that was read by itself. A blank line has none.
+    /// The command's words without a value that was read separately. Empty for a blank line.
     pub words: Vec<Bytes>,
-    /// The value that was read by itself.
+    /// The value, if it was read separately.
     pub value: Option<SeparateValue>,
 }
 
 impl Command {
-    /// The bytes that no [`ValuePermit`] accounts for.
+    /// The command's bytes that no [`ValuePermit`] accounts for.
     pub fn unreserved_size(&self) -> usize {
         let unreserved = self.value.iter().filter(|value| matches!(value.memory, ValueMemory::Unreserved));
         let segments = unreserved.flat_map(|value| &value.segments);
@@ -64,25 +65,25 @@
     }
 }
 
-/// A value that was read by itself.
+/// A value that was read separately from its command's other words.
 pub struct SeparateValue {
-    /// Its bytes, in order.
+    /// The value's bytes, in order.
     pub segments: Vec<Bytes>,
-    /// Where its memory came from.
+    /// How the value's memory is accounted for.
     pub memory: ValueMemory,
 }
 
-/// The memory for a value.
+/// How the memory of a value is accounted for.
 pub enum ValueMemory {
-    /// A small one is accounted for as any command is.
+    /// A small value: its bytes count like those of a command.
     Unreserved,
-    /// To be had once it is this one's turn.
+    /// The value waits in the queue for memory.
     Awaited(Pin<Box<dyn Future<Output = Option<ValuePermit>>>>),
-    /// Reserved whole.
+    /// Memory is reserved for the whole value.
     Reserved(ValuePermit),
 }
 
-/// A command of which the value is still being read.
+/// A command whose value is still being read.
 struct IncomingValue {
     words: Vec<Bytes>,
     body: Body,
@@ -103,7 +104,7 @@
         matches!(self.memory, ValueMemory::Awaited(_))
     }
 
-    /// Whether it has memory of its own, or will have.
+    /// Whether memory is reserved for the value, or a reservation is pending.
     fn has_own_memory(&self) -> bool {
         !matches!(self.memory, ValueMemory::Unreserved)
     }
@@ -114,13 +115,13 @@
     }
 }
 
-/// What came of waiting for input.
+/// The result of waiting for input.
 pub enum InputEvent {
-    /// So many bytes were read; 0 at the end of the stream.
+    /// The number of bytes read; 0 at the end of the stream.
     Read(io::Result<usize>),
-    /// The value that is being read has its memory now.
+    /// Memory was reserved for the value that is being read.
     MemoryReserved,
-    /// The client has gone, seen without reading what it sent before.
+    /// The client has disconnected; bytes that it sent before may be unread.
     Disconnected,
 }
 
@@ -131,12 +132,12 @@
 }
 
 impl Input {
-    /// An empty one.
+    /// Creates an empty input.
     pub fn new() -> Input {
         Input { buffer: Buffer::new(resp::MAX_BUFFERED_MESSAGE), incoming: None }
     }
 
-    /// Whether part of a command has come.
+    /// Whether part of a command has arrived.
     pub fn is_partial(&self) -> bool {
         !self.buffer.is_empty() || self.incoming.is_some()
     }
@@ -146,53 +147,53 @@
         self.incoming.is_some()
     }
 
-    /// Whether the value that is being read waits for its memory.
+    /// Whether the value that is being read waits for memory.
     pub fn awaits_memory(&self) -> bool {
         self.incoming.as_ref().is_some_and(IncomingValue::awaits_memory)
     }
 
-    /// Whether bytes may be read although none are left of what all connections may hold: they have
-    /// memory of their own, or are so few that others must not keep this client from being served.
+    /// Whether bytes may be read although the memory budget is used up: either memory is reserved
+    /// for them, or they are so few that other clients must not keep this one from being served.
     pub fn may_exceed_memory(&self, is_idle: bool) -> bool {
         let has_own_memory = self.incoming.as_ref().is_some_and(IncomingValue::has_own_memory);
         has_own_memory || (is_idle && self.buffer.bytes().len() < UNBUDGETED_BYTES)
     }
 
-    /// Whether the buffer can take more bytes of commands, and no value is being read.
+    /// Whether the buffer has room for more commands and no value is being read.
     pub fn can_read_ahead(&self) -> bool {
         self.incoming.is_none() && !self.buffer.is_full()
     }
 
-    /// The bytes that no [`ValuePermit`] accounts for.
+    /// The input's bytes that no [`ValuePermit`] accounts for.
     pub fn unreserved_size(&self) -> usize {
         let unreserved = self.incoming.as_ref().filter(|incoming| !incoming.has_own_memory());
         self.buffer.capacity() + unreserved.map_or(0, |incoming| incoming.body.length())
     }
 
-    /// Gives up the value that is being read.
+    /// Discards the value that is being read.
     pub fn drop_incoming_value(&mut self) {
         self.incoming = None;
     }
 
-    /// Takes the next command from what was read; `None` while it is not whole.
+    /// Takes the next command from the bytes read; `None` while it is incomplete.
     ///
     /// # Errors
-    /// Where the bytes can become no command any more.
+    /// If the bytes can't be the beginning of a command.
     pub fn next_command(&mut self, shared: &Shared) -> Result<Option<Command>, ProtocolError> {
         if self.incoming.is_none() {
             match resp::parse_command(self.buffer.bytes()).map_err(malformed)? {
                 None if self.buffer.is_full() => return Err(ProtocolError::CommandTooLong),
                 None => return Ok(None),
-                Some(ParsedCommand::Complete(CompleteCommand { words, consumed: used })) => {
-                    self.buffer.consume(used);
+                Some(ParsedCommand::Complete(CompleteCommand { words, consumed })) => {
+                    self.buffer.consume(consumed);
                     return Ok(Some(Command { words, value: None }));
                 }
-                Some(ParsedCommand::ValuePending { words, consumed: used, value_length: length }) => {
-                    // What can't be taken is refused before it comes.
+                Some(ParsedCommand::ValuePending { words, consumed, value_length: length }) => {
+                    // A value that can't be held is refused before it is read.
                     if length > resp::MAX_BUFFERED_VALUE && !can_take_value(shared, &words[0], length) {
                         return Err(ProtocolError::ValueTooLong);
                     }
-                    self.buffer.consume(used);
+                    self.buffer.consume(consumed);
                     self.incoming = Some(IncomingValue::new(shared, words, length));
                 }
             }
@@ -200,13 +201,13 @@
         self.take_value()
     }
 
-    /// Completes the value that is being read, if all of it is there.
+    /// Completes the command whose value is being read, if all of the value has arrived.
     fn take_value(&mut self) -> Result<Option<Command>, ProtocolError> {
         let Some(incoming) = self.incoming.as_mut().filter(|incoming| !incoming.awaits_memory()) else {
             return Ok(None);
         };
-        let taken = incoming.body.copy_from(self.buffer.bytes());
-        self.buffer.consume(taken);
+        let copied = incoming.body.copy_from(self.buffer.bytes());
+        self.buffer.consume(copied);
         if incoming.body.remaining() > 0 {
             return Ok(None);
         }
@@ -218,15 +219,14 @@
         Ok(self.incoming.take().map(IncomingValue::into_command))
     }
 
-    /// Waits for input: into the value that is being read or else into the buffer; a value that is
-    /// not small waits for its memory first. Where no more is to be read, only the client's end
-    /// ends this.
-    pub async fn wait(&mut self, reader: &mut ReadHalf<'_>, reads: bool) -> InputEvent {
+    /// Waits for input and reads it into the pending value, or else into the buffer. A value that
+    /// is not small waits for memory first. Without `may_read`, only a disconnect ends the wait.
+    pub async fn wait(&mut self, reader: &mut ReadHalf<'_>, may_read: bool) -> InputEvent {
         match &mut self.incoming {
             Some(IncomingValue { memory, .. }) if matches!(memory, ValueMemory::Awaited(_)) => {
                 if let ValueMemory::Awaited(reservation) = memory {
                     tokio::select! {
-                        // There is always a permit: the budget outlives every connection.
+                        // Never `None`: the budget outlives every connection.
                         permit = reservation => {
                             *memory = permit.map_or(ValueMemory::Unreserved, ValueMemory::Reserved);
                         }
@@ -235,7 +235,7 @@
                 }
                 InputEvent::MemoryReserved
             }
-            _ if !reads => {
+            _ if !may_read => {
                 disconnected(reader).await;
                 InputEvent::Disconnected
             }
@@ -247,7 +247,7 @@
         }
     }
 
-    /// Reads what is there already; whether there was anything.
+    /// Reads what has arrived, without waiting. Returns whether any byte was read.
     pub fn try_read(&mut self, reader: &mut ReadHalf<'_>) -> bool {
         matches!(self.buffer.unfilled().map(|room| reader.try_read_buf(room)), Ok(Ok(1..)))
     }
@@ -257,17 +257,17 @@
     ProtocolError::Malformed(cause.to_string())
 }
 
-/// Whether a value past the length of a bulk string belongs to a command that may have one, and can
-/// be held.
+/// Whether the command may have a value longer than a buffered one, and the memory budget can hold
+/// it.
 fn can_take_value(shared: &Shared, command: &[u8], length: usize) -> bool {
     command.eq_ignore_ascii_case(b"CACHE.SET") && shared.budget.can_hold_value(length)
 }
 
-/// Waits until the client has ended its side, or the connection broke. Seen without reading what
-/// came before: while nothing more is read of a connection, its requests must not go on for nobody.
+/// Waits until the client has closed its side or the connection broke, without reading any bytes:
+/// a client that leaves while nothing is read from it must still have its requests cancelled.
 async fn disconnected(reader: &ReadHalf<'_>) {
     while reader.ready(Interest::READABLE).await.is_ok_and(|ready| !ready.is_read_closed()) {
-        // There is something unread, which nobody may take yet.
+        // Unread bytes keep the socket readable, so this polls.
         sleep(DISCONNECT_POLL_INTERVAL).await;
     }
 }
--- a/balancer/src/downstream/reply.rs
+++ b/balancer/src/downstream/reply.rs
@@ -1,4 +1,4 @@
-//! What a client is answered: replies in the order of its commands, long values in chunks.
+//! Replies to a client, written in the order of its commands; long values are written in chunks.
 
 use std::collections::VecDeque;
 use std::io;
@@ -16,33 +16,34 @@
 
 /// The reply to one command.
 pub enum PendingReply {
-    /// It is there.
+    /// The reply is complete.
     Ready(Bytes),
-    /// It comes with the final answer to a request.
+    /// The reply follows from a request's final answer, which is still awaited.
     Awaited(oneshot::Receiver<AnswerDelivery>, ActiveRequest),
 }
 
-/// The reply that is being written, and what it means for its request.
+/// The reply that is being written, with its request and that request's outcome.
 #[derive(Default)]
 pub struct OutgoingReply {
+    /// Bytes that can be written now.
     text: Bytes,
-    /// What follows the text, of a long value.
+    /// The rest of a long value, which follows the text.
     stream: Option<StreamedValue>,
     request: Option<(ActiveRequest, RequestOutcome)>,
 }
 
-/// What came of writing.
+/// The result of a step of writing.
 pub enum OutputEvent {
-    /// So many bytes were written.
+    /// The number of bytes written.
     Wrote(io::Result<usize>),
-    /// The next chunk of a long value is there.
+    /// The next chunk of a long value can be written.
     ChunkReady,
-    /// The host does not give the rest of a long value.
+    /// The host ended before it sent the rest of a long value.
     StreamBroken,
 }
 
 impl OutgoingReply {
-    /// A reply that is there as a whole.
+    /// Creates a reply from its complete text.
     pub fn ready(text: Bytes) -> OutgoingReply {
         OutgoingReply { text, ..OutgoingReply::default() }
     }
@@ -66,17 +67,17 @@
         self.text.is_empty() && self.stream.is_none()
     }
 
-    /// Whether bytes are there to be written now.
+    /// Whether there are bytes that can be written now.
     pub fn has_text(&self) -> bool {
         !self.text.is_empty()
     }
 
-    /// Whether more of a long value is to come.
+    /// Whether the rest of a long value is still awaited from the host.
     pub fn is_streaming(&self) -> bool {
         self.stream.is_some()
     }
 
-    /// The bytes held for the client; those of a stream are accounted for by its window.
+    /// The bytes held for the client; a streamed value's are accounted for by its window.
     pub fn held_bytes(&self) -> usize {
         if self.is_streaming() {
             0
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Writes some of the text, or waits for the next chunk where all of that is written.
+    /// Writes some of the text, or waits for the next chunk if all of the text is written.
     pub async fn advance(&mut self, writer: &mut (impl AsyncWrite + TcpSocket + Unpin)) -> OutputEvent {
         if self.text.is_empty() {
             return self.next_chunk().await;
@@ -93,7 +94,8 @@
         OutputEvent::Wrote(write_some(writer, &self.text).await)
     }
 
-    /// So many bytes were written. With the last one the request has ended for its client.
+    /// Takes note that `count` bytes were written. With the last byte of the reply the request has
+    /// ended for its client.
     pub fn written(&mut self, count: usize) {
         self.text.advance(count);
         if self.is_empty() {
@@ -107,9 +109,9 @@
         }
     }
 
-    /// The next chunk of a long value becomes the text, and its terminator after the last one.
-    /// Where the host does not give the rest the request has failed, and the client can tell by its
-    /// connection's end.
+    /// Makes the next chunk of a long value the text, or the terminator after the last chunk. If
+    /// the host does not send the rest, the request has failed, and the client learns it from the
+    /// close of its connection.
     async fn next_chunk(&mut self) -> OutputEvent {
         let Some(stream) = &mut self.stream else { return std::future::pending().await };
         if stream.length == 0 {
@@ -132,7 +134,7 @@
     }
 }
 
-/// Takes the first reply off the queue, if it is there.
+/// Takes the first reply off the queue, if it is complete.
 pub fn take_ready(pending: &mut VecDeque<PendingReply>) -> Option<OutgoingReply> {
     match pending.pop_front_if(|first| matches!(first, PendingReply::Ready(_)))? {
         PendingReply::Ready(text) => Some(OutgoingReply::ready(text)),
@@ -140,8 +142,8 @@
     }
 }
 
-/// Waits for the final answer that the first reply of the queue needs, and takes it off. A request
-/// that ended without one, which is a fault of this program, has failed.
+/// Waits for the final answer that the first reply in the queue needs, and takes that reply off. A
+/// request that ended without a final answer, which is a bug, counts as failed.
 pub async fn next_awaited(
     pending: &mut VecDeque<PendingReply>,
     invariants: &Invariants,
@@ -160,7 +162,7 @@
     }
 }
 
-/// A final answer as RESP2; of a long value its head.
+/// Encodes a final answer as RESP2; of a long value, only the head.
 fn encode(answer: &FinalAnswer) -> Bytes {
     match answer {
         FinalAnswer::Succeeded(Value::Whole(value)) => resp::encode_bulk(value),
--- a/balancer/src/presence.rs
+++ b/balancer/src/presence.rs
@@ -1,4 +1,5 @@
-//! Whether a client's connection is still open, as every attempt for it asks before its first byte.
+//! Tracks whether a client's connection is still open; each attempt checks it before it writes its
+//! first byte.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,25 +13,25 @@
 }
 
 impl ClientPresence {
-    /// Whether its connection is open, as far as was seen.
+    /// Whether the client's connection is open, as far as known.
     pub fn is_present(&self) -> bool {
         self.departed_at.get().is_none()
     }
 
-    /// When its connection was seen to end.
+    /// When the client's connection ended; `None` while it is open.
     pub fn departed_at(&self) -> Option<Instant> {
         self.departed_at.get()
     }
 }
 
-/// Held by a client's connection: dropped, it ends the client's presence.
+/// Held by a client's connection; its drop marks the client as departed.
 #[derive(Default)]
 pub struct PresenceGuard {
     presence: ClientPresence,
 }
 
 impl PresenceGuard {
-    /// For a request that came on this connection.
+    /// The client's presence, for a request received on this connection.
     pub fn presence(&self) -> ClientPresence {
         self.presence.clone()
     }
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -1,5 +1,5 @@
-//! What a client asked for, and what an attempt of it brought: the types that requests, cache hosts
-//! and origin share.
+//! A client's request and the results of its attempts: types shared by the code for requests, cache
+//! hosts and the origin.
 
 use basaltwood::types::{AttemptOutcome, Micros, RetrySafety};
 use basaltwood_wire::facts;
@@ -11,96 +11,96 @@
 use crate::presence::ClientPresence;
 use crate::write_log::WriteLog;
 
-/// How an attempt ended, and the value where it brought one.
+/// The outcome of an attempt, with the value that it returned, if any.
 pub struct AttemptResult {
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// What it brought.
+    /// The value that the attempt returned.
     pub value: Option<Value>,
 }
 
 impl AttemptResult {
-    /// An attempt that succeeded with a value.
+    /// The result of an attempt that succeeded with a value.
     pub fn succeeded(value: Value) -> AttemptResult {
         AttemptResult { outcome: AttemptOutcome::Succeeded, value: Some(value) }
     }
 
-    /// An attempt that brought no value.
+    /// The result of an attempt that returned no value.
     pub fn without_value(outcome: AttemptOutcome) -> AttemptResult {
         AttemptResult { outcome, value: None }
     }
 }
 
-/// A value that an attempt brought.
+/// A value that an attempt returned.
 pub enum Value {
-    /// All of it.
+    /// The complete value.
     Whole(Bytes),
-    /// One that is too long to be held whole.
+    /// A value that is too long to be held in memory as a whole.
     Streamed(StreamedValue),
 }
 
-/// A value that comes in chunks, as they are taken. Where they end before its length is reached,
-/// the host did not give the rest.
+/// A value that is received in chunks, as fast as they are taken. If the chunks end before `length`
+/// is reached, the host did not send the rest.
 pub struct StreamedValue {
-    /// Bytes that are still to come.
+    /// The number of bytes that are still to come.
     pub length: usize,
-    /// The chunks.
+    /// The chunks, in order.
     pub pieces: mpsc::Receiver<Bytes>,
 }
 
-/// What a client asked for, in its own bytes.
+/// A client's request, in the bytes that the client sent.
 pub struct ClientRequest {
     /// The command's name.
     pub command: Bytes,
     /// The key.
     pub key: Bytes,
-    /// The client's id of the request.
+    /// The request's id, chosen by the client.
     pub id: Bytes,
-    /// Names and values: the class, how long the client waits, and more.
+    /// `name=value` pairs: the class, the client's timeout, and more.
     pub facts: Bytes,
-    /// What is to be written, in segments.
+    /// The value to write, in segments; `None` for a read.
     pub value: Option<Vec<Bytes>>,
-    /// The memory that was reserved for a long one.
+    /// The memory reserved for the value, unless the value is small.
     pub _memory: Option<ValuePermit>,
-    /// When it may be sent again, by the settings.
+    /// When the request may be sent again, by the settings of its class.
     pub retry_safety: RetrySafety,
-    /// Its attempts that were written whole.
+    /// The request's attempts that were written in full.
     pub write_log: WriteLog,
-    /// Whether its client is still there.
+    /// Whether the client is still connected.
     pub client: ClientPresence,
-    /// Set once the request has its final answer, or its client has gone: nothing more may be sent.
+    /// Set once the request has its final answer or its client has left: nothing more may be sent.
     pub finished: watch::Sender<bool>,
 }
 
 impl ClientRequest {
-    /// The value where it is too long to be copied into a command: its length and its segments.
+    /// The length and segments of a value that is too long to be copied into a command.
     pub fn long_value(&self) -> Option<(usize, &[Bytes])> {
         let segments = self.value.as_deref()?;
         let length = segments.iter().map(Bytes::len).sum();
         Some((length, segments)).filter(|_| length > MAX_BUFFERED_VALUE)
     }
 
-    /// The value in one stretch, where it is short.
+    /// The value in one buffer, if it is short enough to be copied into a command.
     pub fn short_value(&self) -> Option<Bytes> {
         let segments = self.value.as_ref().filter(|_| self.long_value().is_none())?;
         Some(match &segments[..] {
-            [one] => one.clone(),
-            several => Bytes::from(several.concat()),
+            [segment] => segment.clone(),
+            segments => Bytes::from(segments.concat()),
         })
     }
 
-    /// Whether the request has its final answer, or its client has gone.
+    /// Whether the request has its final answer or its client has left.
     pub fn is_finished(&self) -> bool {
         *self.finished.borrow()
     }
 
-    /// Waits until the request has its final answer or its client has gone.
+    /// Waits until the request has its final answer or its client has left.
     pub async fn wait_finished(&self) {
-        // The sender is our own, so this can't fail.
+        // Can't fail: `self` owns the sender.
         let _ = self.finished.subscribe().wait_for(|finished| *finished).await;
     }
 
-    /// The facts as they came, but for the time that this attempt may take.
+    /// The client's facts with the timeout replaced by the time left for the attempt, at least 1 ms.
     pub fn facts_within(&self, time_left: Micros) -> Bytes {
         let wait_ms = (time_left / 1000).max(1) as u64;
         facts::with_timeout(&self.facts, wait_ms)
--- a/balancer/src/requests.rs
+++ b/balancer/src/requests.rs
@@ -1,5 +1,5 @@
-//! One request from its submission to its final answer: carries out what the policy decides, and
-//! reports how attempts end.
+//! Runs one request from its submission to its final answer: carries out the policy's decisions and
+//! reports the outcome of each attempt.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -18,33 +18,34 @@
 use crate::shared::Shared;
 use crate::upstream::AttemptTarget;
 
-/// A final answer that comes later after its deadline breaks a promise: half of the time after which it
-/// is lost, in which a process may be held up for 0.15 s. Source: the operators' page on real days.
+/// A final answer that is more than this late violates an invariant: half of the lateness at which
+/// an answer is lost, of which 0.15 s allow for a stalled process. Source: the operators' page on
+/// real days.
 const MAX_ANSWER_LATENESS: Micros = 250_000;
 
-/// The final answer to a request, in no protocol's form.
+/// The final answer to a request, independent of the protocol.
 pub enum FinalAnswer {
-    /// Served, with the value that an attempt brought.
+    /// The request succeeded with this value.
     Succeeded(Value),
-    /// Not served, and trying again is harmless.
+    /// The request was not run; a retry is harmless.
     Rejected {
-        /// When to try again at the earliest, counted from now.
+        /// The earliest time for a retry, counted from now.
         retry_after: Option<Micros>,
     },
-    /// Failed, and it may have taken effect.
+    /// The request failed and may have taken effect.
     Failed,
 }
 
-/// A final answer on its way to the client's connection.
+/// A final answer sent to the client's connection.
 pub struct AnswerDelivery {
-    /// The answer.
+    /// The final answer.
     pub answer: FinalAnswer,
-    /// The memory that it takes until the connection takes it up.
+    /// Accounts for the answer's memory until the connection receives it.
     pub _memory: MemoryGuard,
 }
 
-/// Serves one request whose id was reserved. Its client has gone once the other end of `delivery`
-/// is dropped.
+/// Serves one request whose id is reserved. The client has left once the receiving end of
+/// `delivery` is dropped.
 pub async fn serve(
     shared: Rc<Shared>,
     request: Rc<ClientRequest>,
@@ -53,7 +54,7 @@
     memory: MemoryGuard,
 ) {
     shared.counters.requests.add();
-    // The client may have gone while the request waited to be served: nothing is begun for nobody.
+    // The client may have left before this task ran: no attempt is started for it then.
     if delivery.is_closed() {
         shared.counters.abandoned.add();
         shared.release_id(&request.id);
@@ -77,7 +78,7 @@
         in_flight: BTreeMap::new(),
         value: None,
     };
-    // Its client is told that it failed where its delivery is dropped.
+    // Dropping `delivery` without an answer makes the connection reply that the request failed.
     if let Err(panicked) = catch_panic(task.run(actions)).await {
         let context = format_args!("request {}: {panicked}", id.0);
         shared.invariants.violated(Invariant::TaskPanicked, context);
@@ -89,21 +90,22 @@
 struct RequestTask {
     shared: Rc<Shared>,
     id: RequestId,
-    /// When its client stops waiting.
+    /// When the client stops waiting.
     deadline: Micros,
     request: Rc<ClientRequest>,
-    /// None once the request has its final answer, or its client has gone.
+    /// `None` once the request has its final answer or its client has left.
     delivery: Option<oneshot::Sender<AnswerDelivery>>,
-    /// What the request holds until it has its final answer, or its last attempt has ended.
+    /// The memory that the request holds until its final answer or the end of its last attempt.
     memory: Option<MemoryGuard>,
     attempts: JoinSet<(AttemptNumber, AttemptResult)>,
     in_flight: BTreeMap<AttemptNumber, AbortHandle>,
-    /// What the attempt that ended last brought.
+    /// The value that the most recently ended attempt returned.
     value: Option<Value>,
 }
 
 impl RequestTask {
-    /// Runs until the request has its final answer and nothing is in flight.
+    /// Runs until the request has its final answer, or its client has left, and no attempt is in
+    /// flight.
     async fn run(mut self, mut actions: Vec<RequestAction>) {
         let wakeup = self.shared.register(self.id);
         loop {
@@ -115,7 +117,7 @@
             let has_attempts = !self.in_flight.is_empty();
             actions = tokio::select! {
                 biased;
-                // First: an attempt that ends because its client has gone is to lead to no other one.
+                // Polled first: an attempt that ends because its client left must not be retried.
                 () = client_gone(&mut self.delivery) => self.abandon(),
                 ended = self.attempts.join_next(), if has_attempts => self.attempt_joined(ended),
                 () = wakeup.notified() => self.shared.router.borrow_mut().take_actions(self.id),
@@ -173,7 +175,7 @@
             Some(Ok(ended)) => ended,
             Some(Err(cause)) => match self.panicked_attempt(cause) {
                 Some(attempt) => (attempt, AttemptResult::without_value(AttemptOutcome::ConnectionFault)),
-                // One that was cancelled has been reported already.
+                // A cancelled attempt has been reported already.
                 None => return Vec::new(),
             },
             None => return Vec::new(),
@@ -188,7 +190,7 @@
         self.report(attempt, outcome)
     }
 
-    /// The attempt whose task panicked: it may have run, and its host is not to blame.
+    /// The attempt whose task panicked. The host may have run it, and is not at fault.
     fn panicked_attempt(&self, cause: JoinError) -> Option<AttemptNumber> {
         let task = cause.id();
         let payload = cause.try_into_panic().ok()?;
@@ -207,7 +209,7 @@
         })
     }
 
-    /// The client has gone: nothing more is sent for the request.
+    /// Handles the client's departure: nothing more is sent for the request.
     fn abandon(&mut self) -> Vec<RequestAction> {
         log::debug!(request = self.id.0; "request abandoned by its client");
         self.delivery = None;
@@ -241,17 +243,17 @@
         self.request.finished.send_replace(true);
         let (Some(delivery), Some(mut memory)) = (self.delivery.take(), self.memory.take()) else { return };
         self.check_lateness();
-        // A streamed value is held by its stream's window alone.
+        // The bytes of a streamed value are accounted for by its stream's window.
         let held = match &answer {
             FinalAnswer::Succeeded(Value::Whole(value)) => value.len(),
             _ => 0,
         };
         memory.set(held);
-        // A client that has just gone needs none.
+        // The send fails if the client has just left.
         let _ = delivery.send(AnswerDelivery { answer, _memory: memory });
     }
 
-    /// A final answer is owed by the request's deadline, whatever else the process does.
+    /// Reports an invariant violation if the final answer comes well after the request's deadline.
     fn check_lateness(&self) {
         let late_by = self.shared.clock.now() - self.deadline;
         if late_by > MAX_ANSWER_LATENESS {
--- a/balancer/src/write_log.rs
+++ b/balancer/src/write_log.rs
@@ -1,5 +1,5 @@
-//! Which attempts of a request were written whole, and whether any of them was a repeat that could
-//! take effect twice.
+//! Records which attempts of a request were written in full, to detect a repeat that could take
+//! effect twice.
 
 use std::cell::RefCell;
 
@@ -16,18 +16,19 @@
     proven_not_run: bool,
 }
 
-/// The attempts of one request that were written whole.
+/// The attempts of one request that were written in full.
 #[derive(Default)]
 pub struct WriteLog {
     written: RefCell<Vec<WrittenAttempt>>,
 }
 
 impl WriteLog {
-    /// The last byte of an attempt was written. Whether an earlier one makes that unsafe.
+    /// Records that the last byte of an attempt was written. Returns whether this is unsafe: an
+    /// earlier attempt may have run, and the request may not run twice or its window has passed.
     pub fn record(&self, number: AttemptNumber, written_at: Instant, safety: RetrySafety) -> bool {
         let mut written = self.written.borrow_mut();
-        let possible_runs = written.iter().filter(|earlier| !earlier.proven_not_run);
-        let first = possible_runs.map(|earlier| earlier.written_at).min();
+        let may_have_run = written.iter().filter(|earlier| !earlier.proven_not_run);
+        let first = may_have_run.map(|earlier| earlier.written_at).min();
         written.push(WrittenAttempt { number, written_at, proven_not_run: false });
         match (first, safety) {
             (None, _) | (_, RetrySafety::Idempotent) => false,
@@ -38,7 +39,7 @@
         }
     }
 
-    /// An attempt ended.
+    /// Records an attempt's outcome, which may prove that it did not run.
     pub fn ended(&self, number: AttemptNumber, outcome: AttemptOutcome) {
         let mut written = self.written.borrow_mut();
         let ended = written.iter_mut().find(|attempt| attempt.number == number);
--- a/balancer/tests/sockets/commands.rs
+++ b/balancer/tests/sockets/commands.rs
@@ -112,16 +112,16 @@
 
     expect![[r#"
         -ERR a key, an id and facts are needed
-        -ERR no d: the time to wait is missing or absurd
-        -ERR no d: the time to wait is missing or absurd
-        -ERR no d: the time to wait is missing or absurd
+        -ERR no d: expected the time to wait in milliseconds, 0 to 3600000
+        -ERR no d: expected the time to wait in milliseconds, 0 to 3600000
+        -ERR no d: expected the time to wait in milliseconds, 0 to 3600000
         -ERR unknown category unheard-of
         -ERR no c: the category is missing
         -ERR a key, an id and facts without control characters are needed
         -ERR wrong number of arguments
         -ERR wrong number of arguments
         -ERR unknown command
-        -ERR no d: the time to wait is missing or absurd
+        -ERR no d: expected the time to wait in milliseconds, 0 to 3600000
         -ERR Protocol error: no number then closed
         -ERR Protocol error: no such number of words then closed
         -ERR Protocol error: no such number of words then closed
