--- a/balancer/src/budget.rs
+++ b/balancer/src/budget.rs
@@ -1,6 +1,6 @@
-//! What all connections share: one budget of descriptors, and one of the bytes that they hold.
+//! The budgets that all connections share: file descriptors, and bytes held in memory.
 //!
-//! Every grant is a guard that gives back what it stands for when it is dropped.
+//! Each grant is a guard that returns its share to the budget when it is dropped.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -11,17 +11,18 @@
 use basaltwood_wire::resp::MAX_BUFFERED_VALUE;
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
 
-/// Descriptors that are no connections of clients or hosts: standard streams, the runtime's,
-/// signals, the listener, discovery's, and a client that is not yet counted. 12 were seen without
-/// discovery's.
+/// Descriptors other than the connections of clients and hosts: standard streams, the runtime's,
+/// signals, the listener, discovery's, and one accepted client that is not counted yet. Without
+/// discovery's, 12 were in use.
 const RESERVED_DESCRIPTORS: usize = 16;
-/// However small the limit, so many connections are allowed.
+/// The minimum number of connections, even if the descriptor limit is smaller.
 const MIN_CONNECTIONS: usize = 4;
 /// The unit, in bytes, in which memory for values is reserved.
 const RESERVATION_UNIT: usize = 1024;
-/// Chunks of a streamed value held at a time: one read, one handed over, one written.
+/// Chunks of a streamed value held at a time: one being read, one in the channel, one being
+/// written.
 const CHUNKS_PER_STREAM: usize = 3;
-/// How large a chunk of a streamed value may be, in bytes.
+/// The smallest and the largest chunk of a streamed value, in bytes.
 const CHUNK_SIZES: RangeInclusive<usize> = 4 * 1024..=64 * 1024;
 
 /// Memory reserved for a value that is being read.
@@ -31,45 +32,46 @@
 pub struct ResourceBudget {
     connections: Cell<usize>,
     max_connections: Cell<usize>,
-    /// Descriptors that are no connections.
+    /// Descriptors not available to connections.
     reserved_descriptors: usize,
     client_connections: Cell<usize>,
-    /// Every request needs a connection to a host beside its client's. What hosts use counts into
-    /// their half: were it kept free on top of that, clients would wait unserved while descriptors
-    /// lie idle.
+    /// Half of all connections, since each request needs a connection to a host beside its
+    /// client's. Hosts' open connections count towards the hosts' half; if a full half were kept
+    /// free on top of them, clients would wait while descriptors are unused.
     max_client_connections: Cell<usize>,
     held_bytes: Cell<usize>,
     max_held_bytes: Cell<usize>,
-    /// For values that are read, each reserved whole before its first byte, first come, first
-    /// served: long ones, and short ones, which long ones must not keep waiting.
+    /// Memory for values being read, in units. A value's whole size is reserved before its first
+    /// byte is read, in order of arrival. Short values have a semaphore of their own so that long
+    /// ones do not delay them.
     long_values: Arc<Semaphore>,
     short_values: Arc<Semaphore>,
     max_long_value_units: usize,
     streams: Cell<usize>,
     max_stream_bytes: usize,
-    /// Notified whenever something was given back.
+    /// Notified when a descriptor or memory is returned to the budget.
     pub freed: Notify,
-    /// Clients that can make room, by when their silence began: idle ones, and those with part of a
-    /// command or none.
+    /// Clients that can be shed: those that are idle, and those that sent part of a first or later
+    /// command or nothing at all.
     idle_clients: SheddableClients,
     partial_clients: SheddableClients,
-    /// Clients whose connections are shut and that have not closed yet.
+    /// Clients whose connections are shut down on this side and that have not closed yet.
     closing_clients: SheddableClients,
-    next_silence: Cell<u64>,
+    next_wait: Cell<u64>,
 }
 
-/// Clients that may be asked to make room, the longest silence first.
+/// The wakeups of clients that can be shed, by the number of their wait: the longest wait first.
 type SheddableClients = RefCell<BTreeMap<u64, Rc<Notify>>>;
 
-/// Takes a client out of those that may be asked to make room.
+/// Removes a client from those that can be shed.
 struct SheddableGuard<'a> {
     clients: &'a SheddableClients,
-    silence: u64,
+    wait: u64,
 }
 
 impl Drop for SheddableGuard<'_> {
     fn drop(&mut self) {
-        self.clients.borrow_mut().remove(&self.silence);
+        self.clients.borrow_mut().remove(&self.wait);
     }
 }
 
@@ -88,14 +90,14 @@
     }
 }
 
-/// Bytes that one holder has in memory.
+/// The bytes in memory that one holder accounts for.
 pub struct MemoryGuard {
     budget: Rc<ResourceBudget>,
     bytes: usize,
 }
 
 impl MemoryGuard {
-    /// The holder has so many bytes now.
+    /// Sets how many bytes the holder has now.
     pub fn set(&mut self, bytes: usize) {
         let budget = &self.budget;
         budget.held_bytes.set(budget.held_bytes.get() + bytes - self.bytes);
@@ -112,11 +114,11 @@
     }
 }
 
-/// A value that is being streamed.
+/// Counts a value as being streamed until it is dropped.
 pub struct StreamGuard(Rc<ResourceBudget>);
 
 impl StreamGuard {
-    /// How many bytes of it may be read at a time now: less, the more values stream.
+    /// The size in bytes of the chunks to read now; it shrinks as more values are streamed.
     pub fn chunk_size(&self) -> usize {
         let per_stream = self.0.max_stream_bytes / CHUNKS_PER_STREAM / self.0.streams.get();
         per_stream.clamp(*CHUNK_SIZES.start(), *CHUNK_SIZES.end())
@@ -130,7 +132,8 @@
 }
 
 impl ResourceBudget {
-    /// A budget of so many descriptors, of which some are reserved for others, and so many bytes.
+    /// Creates a budget of `descriptors` file descriptors, `reserved` of which are not for
+    /// connections, and of `memory` bytes.
     pub fn new(descriptors: usize, reserved: usize, memory: usize) -> Rc<ResourceBudget> {
         let max_long_value_units = memory / 3 / RESERVATION_UNIT;
         let budget = ResourceBudget {
@@ -150,37 +153,38 @@
             idle_clients: SheddableClients::default(),
             partial_clients: SheddableClients::default(),
             closing_clients: SheddableClients::default(),
-            next_silence: Cell::new(0),
+            next_wait: Cell::new(0),
         };
         budget.set_limits(descriptors, memory);
         Rc::new(budget)
     }
 
-    /// The limits from now on. What is held past them is given back by and by: see
-    /// [`ResourceBudget::excess_connections`].
+    /// Changes the limits. Connections past a lowered limit stay open until they are closed one by
+    /// one: see [`ResourceBudget::excess_connections`].
     pub fn set_limits(&self, descriptors: usize, memory: usize) {
         let connections = descriptors.saturating_sub(self.reserved_descriptors).max(MIN_CONNECTIONS);
         self.max_connections.set(connections);
         self.max_client_connections.set(connections / 2);
-        // Values wait twice, as a request and as an answer, and hosts' buffers come on top. Beside
-        // this quarter stand a third for long requests, a twelfth for short ones that come in
-        // parts, and a sixth for streams, all three from the start on; the last sixth is the
-        // process's own.
+        // A value may be held twice, in a request and in an answer, and hosts' buffers add to that.
+        // Besides this quarter, a third is for long values of requests, a twelfth for short ones
+        // that arrive in parts, and a sixth for streams, all three fixed at the start; the last
+        // sixth is for the process itself.
         self.max_held_bytes.set(memory / 4);
         self.freed.notify_waiters();
     }
 
-    /// How many connections there are more than there may be.
+    /// The number of open connections above the limit.
     pub fn excess_connections(&self) -> usize {
         self.connections.get().saturating_sub(self.max_connections.get())
     }
 
-    /// A descriptor for a connection to a host; none where all are taken.
+    /// A descriptor for a connection to a host; `None` if all are in use.
     pub fn host_descriptor(self: &Rc<ResourceBudget>) -> Option<DescriptorPermit> {
         self.descriptor(false)
     }
 
-    /// A descriptor for a client's connection; none where all are taken, or the clients' half.
+    /// A descriptor for a client's connection; `None` if all are in use, or all of the clients'
+    /// half.
     pub fn client_descriptor(self: &Rc<ResourceBudget>) -> Option<DescriptorPermit> {
         if !self.has_client_descriptor() {
             return None;
@@ -197,38 +201,38 @@
         Some(DescriptorPermit { budget: self.clone(), is_client })
     }
 
-    /// Whether one more client could have a descriptor.
+    /// Whether a descriptor is available for one more client.
     pub fn has_client_descriptor(&self) -> bool {
         self.connections.get() < self.max_connections.get() && !self.clients_at_limit()
     }
 
-    /// Whether clients hold all the descriptors that they may.
+    /// Whether clients hold all descriptors of their half.
     pub fn clients_at_limit(&self) -> bool {
         self.client_connections.get() >= self.max_client_connections.get()
     }
 
-    /// Waits until this client is asked to make room, by its own wakeup. Each wait begins a new
-    /// silence.
+    /// Waits until this client is to be shed, which its `wakeup` signals. Each call counts the
+    /// client's waiting time anew.
     pub async fn shed_requested(&self, is_partial: bool, wakeup: &Rc<Notify>) {
         let clients = if is_partial { &self.partial_clients } else { &self.idle_clients };
-        self.asked_to_make_room(clients, wakeup).await;
+        self.wait_to_be_shed(clients, wakeup).await;
     }
 
-    /// Waits until the descriptor of a connection that is shut already is needed.
+    /// Waits until the descriptor of a connection that is already shut down is needed.
     pub async fn descriptor_wanted(&self, wakeup: &Rc<Notify>) {
-        self.asked_to_make_room(&self.closing_clients, wakeup).await;
+        self.wait_to_be_shed(&self.closing_clients, wakeup).await;
     }
 
-    async fn asked_to_make_room(&self, clients: &SheddableClients, wakeup: &Rc<Notify>) {
-        let silence = self.next_silence.replace(self.next_silence.get() + 1);
-        let _guard = SheddableGuard { clients, silence };
-        clients.borrow_mut().insert(silence, wakeup.clone());
+    async fn wait_to_be_shed(&self, clients: &SheddableClients, wakeup: &Rc<Notify>) {
+        let wait = self.next_wait.replace(self.next_wait.get() + 1);
+        let _guard = SheddableGuard { clients, wait };
+        clients.borrow_mut().insert(wait, wakeup.clone());
         wakeup.notified().await;
     }
 
-    /// Asks one client to make room: one whose connection is shut already, else the one that has
-    /// been idle longest, and only where none is idle one with part of a command or none. A crowd
-    /// of the latter must not keep others out.
+    /// Asks one client to give up its descriptor: first one whose connection is already shut down,
+    /// then the longest idle one, and only if there is none, one that sent part of a command or
+    /// nothing. Many clients of the last kind must not keep others out.
     pub fn shed_client(&self) {
         for clients in [&self.closing_clients, &self.idle_clients, &self.partial_clients] {
             if let Some((_, wakeup)) = clients.borrow_mut().pop_first() {
@@ -238,7 +242,7 @@
         }
     }
 
-    /// Accounts for the bytes of one more holder.
+    /// Creates a guard for the bytes of one more holder.
     pub fn memory_guard(self: &Rc<ResourceBudget>) -> MemoryGuard {
         MemoryGuard { budget: self.clone(), bytes: 0 }
     }
@@ -248,20 +252,20 @@
         length.div_ceil(RESERVATION_UNIT) <= self.max_long_value_units
     }
 
-    /// Memory for a value, once it is this one's turn.
+    /// Waits for memory for a value, in order of the calls.
     pub async fn reserve_value(self: Rc<ResourceBudget>, length: usize) -> Option<ValuePermit> {
         let values = if length > MAX_BUFFERED_VALUE { &self.long_values } else { &self.short_values };
         let units = length.div_ceil(RESERVATION_UNIT) as u32;
         values.clone().acquire_many_owned(units).await.ok()
     }
 
-    /// One more value streams until the guard is dropped.
+    /// Counts one more streamed value until the guard is dropped.
     pub fn start_stream(self: &Rc<ResourceBudget>) -> StreamGuard {
         self.streams.set(self.streams.get() + 1);
         StreamGuard(self.clone())
     }
 
-    /// Whether any more bytes may be held.
+    /// Whether more bytes may be held.
     pub fn has_memory(&self) -> bool {
         self.held_bytes.get() < self.max_held_bytes.get()
     }
--- a/balancer/src/counters.rs
+++ b/balancer/src/counters.rs
@@ -5,7 +5,7 @@
 
 use basaltwood::types::AttemptOutcome;
 
-/// Defines [`Counters`] with these fields, which are printed in this order and by these names.
+/// Defines [`Counters`] with these fields, which are printed in this order and under these names.
 macro_rules! counters {
     ($($name:ident),* $(,)?) => {
         /// The process's counters.
@@ -24,52 +24,53 @@
     };
 }
 
-/// A number that only rises while the process lives.
+/// A number that only grows while the process runs.
 #[derive(Default)]
 pub struct Counter(Cell<u64>);
 
 impl Counter {
-    /// One more.
+    /// Adds one.
     pub fn add(&self) {
         self.add_many(1);
     }
 
-    /// How many there are.
+    /// The current count.
     pub fn count(&self) -> u64 {
         self.0.get()
     }
 
-    /// `more` more.
-    pub fn add_many(&self, more: usize) {
-        self.0.set(self.0.get() + more as u64);
+    /// Adds `count`.
+    pub fn add_many(&self, count: usize) {
+        self.0.set(self.0.get() + count as u64);
     }
 }
 
 counters! {
-    // Clients and what they sent: accepted, closed to make way for others, closed for being slow,
-    // requests, commands that are no request.
+    // Clients accepted, closed to free a descriptor for others, and closed for being slow;
+    // requests; malformed commands.
     clients, clients_shed, clients_slow, requests, malformed,
-    // How requests ended; `abandoned` if the client had gone.
+    // How requests ended; `abandoned` if the client had left.
     succeeded, rejected, failed, abandoned,
-    // Attempts, and how they ended.
+    // Attempts started, and how they ended.
     attempts, attempts_succeeded, attempts_missed, attempts_error, attempts_rejected, attempts_timed_out,
     attempts_unreachable, attempts_connection_lost, attempts_connection_fault, attempts_cancelled,
     attempts_not_sent, attempts_connects_at_limit,
-    // Long values of which the host did not send the whole.
+    // Long values that a host did not send in full.
     values_truncated,
-    // Connections to hosts: opened, reused, found closed when they were to be reused.
+    // Connections to hosts: opened, reused, found closed when about to be reused.
     connections_opened, connections_reused, connections_stale,
-    // Lists that were applied; calls to discovery that were refused for now, timed out or lost, or
-    // got an invalid response; entries left out as invalid; hosts that are gone and forgotten.
+    // Endpoint lists applied; calls to discovery refused for now, timed out or lost, and answered
+    // with an invalid response; list entries rejected as invalid; departed hosts whose state was
+    // released.
     endpoint_lists, discovery_unavailable, discovery_timeouts, discovery_invalid, endpoints_refused,
     hosts_released,
-    // Regions: changes of the ring to another region; hosts that were added to the ring, or removed
-    // while up; zones that no region names.
+    // Regions: changes of the ring to another region; hosts added to the ring, and removed from it
+    // while up; zones that belong to no region.
     regions_rings, regions_hosts_in, regions_hosts_out, regions_zones_unnamed,
 }
 
 impl Counters {
-    /// An attempt ended in this way.
+    /// Counts an attempt that ended with this outcome.
     pub fn attempt_ended(&self, outcome: AttemptOutcome) {
         let counter = match outcome {
             AttemptOutcome::Succeeded => &self.attempts_succeeded,
--- a/balancer/src/downstream/closing.rs
+++ b/balancer/src/downstream/closing.rs
@@ -55,8 +55,8 @@
 }
 
 impl CloseReason {
-    /// Whether replies may be left unsent for this reason: the client can't receive them (it left or
-    /// does not read), or it can tell that they are missing (its last value is incomplete).
+    /// Whether replies may be left unsent for this reason: the client can't receive them (it left
+    /// or does not read), or it can tell that they are missing (its last value is incomplete).
     pub fn may_owe_replies(self) -> bool {
         use CloseReason::{ClientLeft, ConnectionBroken, ReaderStalled, ValueTruncated};
         matches!(self, ClientLeft | ConnectionBroken | ReaderStalled | ValueTruncated)
--- a/balancer/src/downstream/connection.rs
+++ b/balancer/src/downstream/connection.rs
@@ -240,8 +240,8 @@
         Snapshot { phase, is_idle, is_partial, is_quiet, awaits_memory, drain_overdue }
     }
 
-    /// Whether an idle connection is to be closed now. Bytes that arrived in the meantime are served
-    /// first, so that a close by a timer crosses with as few requests as possible.
+    /// Whether an idle connection is to be closed now. Bytes that arrived in the meantime are
+    /// served first, so that a close by a timer crosses with as few requests as possible.
     async fn confirm_close(&mut self, snapshot: &Snapshot) -> bool {
         yield_now().await;
         if snapshot.drain_overdue || !self.input.try_read(&mut self.reader) {
--- a/balancer/src/downstream/idle_close.rs
+++ b/balancer/src/downstream/idle_close.rs
@@ -13,11 +13,11 @@
 /// A lame duck keeps a connection that has not sent any command for this long: the client may be
 /// about to send one.
 const FIRST_COMMAND_GRACE: Duration = Duration::from_secs(1);
-/// Idle connections are closed this long after the successor took over; an earlier close could cross
-/// with a request.
+/// Idle connections are closed this long after the successor took over; an earlier close could
+/// cross with a request.
 const KEEP_ALIVE_AFTER_TAKEOVER: Duration = Duration::from_millis(600);
-/// During a drain a client that goes on sending is served for this long. Later commands stay unread,
-/// so the client can safely send them elsewhere.
+/// During a drain a client that goes on sending is served for this long. Later commands stay
+/// unread, so the client can safely send them elsewhere.
 const MAX_DRAIN_TIME: Duration = Duration::from_secs(3);
 
 /// A connection's state at the beginning of a step.
--- a/balancer/src/invariants.rs
+++ b/balancer/src/invariants.rs
@@ -1,34 +1,34 @@
-//! Promises that are checked while the process serves: each has a name and a counter, and a broken
-//! one leaves a line in the log. A check never ends anything and never panics.
+//! Invariants that are checked while the process serves. A violation is counted under the
+//! invariant's name and logged; it never ends a request or a connection and never panics.
 
 use std::cell::Cell;
 use std::fmt;
 
-/// A promise that can be seen to be broken from inside.
+/// An invariant whose violation the process itself can detect; each variant names the violation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
-    /// A connection was closed with replies owed to a client that could have had them.
+    /// A connection was closed while replies were owed to a client that could have received them.
     ReplyOwedAtClose,
     /// A request ended without a final answer.
     AnswerMissing,
     /// A request got its final answer well after its deadline.
     AnswerLate,
-    /// An attempt began over 0.1 s after its client had closed its connection.
+    /// An attempt began more than 0.1 s after the client had closed its connection.
     SentForDepartedClient,
-    /// An attempt was written after its request's time.
+    /// An attempt was written after the request's deadline.
     SentAfterDeadline,
-    /// A repeat was written that could take effect twice.
+    /// A retry was written that could make the request take effect twice.
     UnsafeRepeat,
-    /// An attempt was written to a host that drains, after the grace.
+    /// An attempt was written to a draining host after the grace period.
     SentToDrainingHost,
-    /// A host was told more time than its client has left.
+    /// A host was given more time than the client has left.
     StatedTimeTooLong,
-    /// A part of the program panicked.
+    /// A task of this process panicked.
     TaskPanicked,
 }
 
 impl Invariant {
-    /// Each of them.
+    /// All invariants.
     pub const EACH: [Invariant; 9] = [
         Invariant::ReplyOwedAtClose,
         Invariant::AnswerMissing,
@@ -41,7 +41,7 @@
         Invariant::TaskPanicked,
     ];
 
-    /// Its name in the metrics and the log.
+    /// The invariant's name in the metrics and the log.
     pub fn name(self) -> &'static str {
         match self {
             Invariant::ReplyOwedAtClose => "reply_owed_at_close",
@@ -57,21 +57,21 @@
     }
 }
 
-/// How often each promise was seen broken.
+/// How often each invariant was violated.
 #[derive(Default)]
 pub struct Invariants {
     violations: [Cell<u64>; Invariant::EACH.len()],
 }
 
 impl Invariants {
-    /// A promise was broken; `context` names request, attempt, host and times.
+    /// Counts and logs a violation; `context` names the request, attempt, host and times involved.
     pub fn violated(&self, invariant: Invariant, context: fmt::Arguments<'_>) {
         let count = &self.violations[invariant as usize];
         count.set(count.get() + 1);
         log::error!("invariant {} violated: {context}", invariant.name());
     }
 
-    /// Each promise with how often it was broken.
+    /// Each invariant with the number of its violations.
     pub fn counts(&self) -> impl Iterator<Item = (Invariant, u64)> + '_ {
         Invariant::EACH.into_iter().map(|invariant| (invariant, self.violations[invariant as usize].get()))
     }
--- a/balancer/src/metrics.rs
+++ b/balancer/src/metrics.rs
@@ -1,4 +1,5 @@
-//! The metrics that operators fetch, counted where clients and hosts see the event.
+//! The metrics that operators fetch. An event is counted when it becomes visible to a client or a
+//! host.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -14,11 +15,11 @@
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Its answer was written whole.
+    /// The answer was written in full.
     Ok,
-    /// It was rejected; a retry by the client is harmless.
+    /// The request was rejected; a retry by the client is harmless.
     Shed,
-    /// It failed.
+    /// The request failed.
     Error,
 }
 
@@ -26,15 +27,15 @@
 pub struct Metrics {
     /// The request classes' names, in the order of their ids.
     class_names: Vec<String>,
-    /// By class.
+    /// Outcomes of requests, by the id of their class.
     outcomes: RefCell<Vec<OutcomeCounts>>,
     attempts_sent: Cell<u64>,
     active_requests: Cell<u64>,
     pool_size: Cell<PoolSize>,
-    /// The most of the last second.
+    /// The maximum lag in the last second.
     loop_lag: Cell<Duration>,
     invariants: Rc<Invariants>,
-    /// None if the operators gave no map of regions.
+    /// `None` if the operators gave no map of regions.
     regions: RefCell<Option<RegionMetrics>>,
 }
 
@@ -50,21 +51,21 @@
     counts: RegionCounts,
     /// Each region's name, and whether its hosts form this balancer's ring.
     rings: Vec<(String, bool)>,
-    /// Eight hexadecimal digits.
+    /// The version of the map, as eight hexadecimal digits.
     map_version: String,
 }
 
-/// An open request, from its arrival to its end for the client. One that is dropped without an
-/// outcome was abandoned by its client, and counts as no outcome.
+/// An open request, from its arrival until its reply was written. If it is dropped before
+/// [`ActiveRequest::finish`], the client abandoned the request, and no outcome is counted.
 pub struct ActiveRequest {
     metrics: Rc<Metrics>,
     class: RequestClassId,
-    /// The client's id of it, for the log.
+    /// The request's id as the client chose it, for the log.
     client_id: Bytes,
 }
 
 impl ActiveRequest {
-    /// The request ended for its client with this outcome.
+    /// Counts the outcome of a request that has ended for its client.
     pub fn finish(self, outcome: RequestOutcome) {
         log::debug!(client_id:% = String::from_utf8_lossy(&self.client_id), outcome:?; "reply ended");
         let mut outcomes = self.metrics.outcomes.borrow_mut();
@@ -86,7 +87,7 @@
 }
 
 impl Metrics {
-    /// Metrics that all are 0. Each request class is shown from the start.
+    /// Creates metrics that are all 0. Each request class is shown from the start.
     pub fn new(class_names: Vec<String>) -> Rc<Metrics> {
         Rc::new(Metrics {
             outcomes: RefCell::new(vec![OutcomeCounts::default(); class_names.len()]),
@@ -100,13 +101,13 @@
         })
     }
 
-    /// A request of this class arrived.
+    /// Counts a request that has arrived as active until the returned value is dropped.
     pub fn request_started(self: &Rc<Metrics>, class: RequestClassId, client_id: Bytes) -> ActiveRequest {
         self.active_requests.set(self.active_requests.get() + 1);
         ActiveRequest { metrics: self.clone(), class, client_id }
     }
 
-    /// An attempt was written whole to a cache host or the origin.
+    /// Counts an attempt that was written in full to a cache host or the origin.
     pub fn attempt_sent(&self) {
         self.attempts_sent.set(self.attempts_sent.get() + 1);
     }
@@ -116,12 +117,12 @@
         self.pool_size.set(pool_size);
     }
 
-    /// Sets how late the event loop was, at the most, in the last second.
+    /// Sets the maximum lag of the event loop in the last second.
     pub fn set_loop_lag(&self, lag: Duration) {
         self.loop_lag.set(lag);
     }
 
-    /// Sets how many listed hosts are in and outside the ring, and which region the ring is.
+    /// Sets how many listed hosts are in and outside the ring, and which region forms the ring.
     pub fn set_regions<T: Clone>(&self, regions: &Regions<T>) {
         let is_ring = |name: &String| (name.clone(), name == regions.ring());
         self.regions.replace(Some(RegionMetrics {
@@ -131,7 +132,7 @@
         }));
     }
 
-    /// The promises whose violations are shown.
+    /// The invariants whose violations are shown.
     pub fn invariants(&self) -> Rc<Invariants> {
         self.invariants.clone()
     }
@@ -141,7 +142,7 @@
         self.pool_size.get().listed > 0
     }
 
-    /// The page of all metrics. It costs no more than writing it: all counts are kept up to date.
+    /// Renders all metrics. Nothing is computed for the page: all counts are kept up to date.
     pub fn render(&self) -> MetricsPage {
         let mut page = MetricsPage::default();
         self.add_outcomes(&mut page);
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -100,7 +100,8 @@
         let _ = self.finished.subscribe().wait_for(|finished| *finished).await;
     }
 
-    /// The client's facts with the timeout replaced by the time left for the attempt, at least 1 ms.
+    /// The client's facts with the timeout replaced by the time left for the attempt, at least 1
+    /// ms.
     pub fn facts_within(&self, time_left: Micros) -> Bytes {
         let wait_ms = (time_left / 1000).max(1) as u64;
         facts::with_timeout(&self.facts, wait_ms)
--- a/balancer/src/shared.rs
+++ b/balancer/src/shared.rs
@@ -1,4 +1,4 @@
-//! The state that every connection and every request of this process shares.
+//! The state that all connections and requests of this process share.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashSet};
@@ -22,43 +22,43 @@
 use crate::socket_table::SocketTable;
 use crate::upstream::{UpstreamEvent, Upstreams};
 
-/// All that serving a request takes. It lives from start to exit.
+/// Everything needed to serve a request. It lives from start to exit.
 pub struct Shared {
-    /// The policy, with every request that is open.
+    /// The policy, with all open requests.
     pub router: RefCell<Router>,
-    /// The deployment's names, and the numbers that the policy knows them by.
+    /// The names of the deployment and the ids that the policy uses for them.
     pub names: RefCell<NameTable>,
-    /// Which listed hosts make the ring; none where the operators gave no map of regions.
+    /// Which listed hosts form the ring; `None` if the operators gave no map of regions.
     pub regions: Option<RefCell<HostRegions>>,
-    /// When listed hosts started, on this process's clock.
+    /// When the listed hosts started, on this process's clock.
     pub start_times: RefCell<StartTimes>,
     /// Cache hosts and the origin, with the connections to them.
     pub upstreams: Rc<Upstreams>,
-    /// The process's one clock.
+    /// The clock that the whole process uses.
     pub clock: Rc<Clock>,
-    /// The log's counters.
+    /// The counters printed to the log.
     pub counters: Rc<Counters>,
-    /// The operators' metrics.
+    /// The metrics that operators fetch.
     pub metrics: Rc<Metrics>,
-    /// Promises that are checked while the process serves.
+    /// The invariants that are checked while the process serves.
     pub invariants: Rc<Invariants>,
-    /// What the event loop's time goes to.
+    /// How the event loop spends its time.
     pub loop_profile: LoopProfile,
-    /// What the system shows of connections.
+    /// The kernel's table of connections.
     pub sockets: SocketTable,
-    /// Descriptors and memory.
+    /// The budgets of descriptors and memory.
     pub budget: Rc<ResourceBudget>,
-    /// When requests may be sent again, by class.
+    /// When requests may be sent again, by the id of their class.
     retry_safety: Vec<RetrySafety>,
-    /// Wakes the task of a request for which something was decided.
+    /// Wakes the task of a request for which the policy has actions.
     wakeups: RefCell<BTreeMap<RequestId, Rc<Notify>>>,
-    /// The clients' ids of the requests that are open: hosts drop or refuse a second one under the
-    /// same id.
+    /// The client-chosen ids of open requests: hosts drop or refuse a second request with the same
+    /// id.
     ids_in_use: RefCell<HashSet<Bytes>>,
 }
 
 impl Shared {
-    /// The state of a process that has no client yet.
+    /// Creates the state of a process without clients.
     pub fn new(
         config: &PolicyConfig,
         names: NameTable,
@@ -87,13 +87,13 @@
         }
     }
 
-    /// The endpoint list is filtered by this map of regions from now on.
+    /// Filters the endpoint list by this map of regions, if there is one.
     pub fn with_regions(self, map: Option<RegionMap>) -> Shared {
         Shared { regions: map.map(|map| RefCell::new(HostRegions::new(map))), ..self }
     }
 
-    /// Wakes the tasks of requests for which something was decided while another request was
-    /// reported on.
+    /// Wakes the tasks of requests for which the policy has actions, which may result from a report
+    /// on another request.
     pub fn wake_requests(&self) {
         for request in self.router.borrow_mut().requests_with_actions() {
             if let Some(wakeup) = self.wakeups.borrow().get(&request) {
@@ -102,19 +102,19 @@
         }
     }
 
-    /// The wakeup of a request, from its submission until [`Shared::unregister`].
+    /// Registers a request and returns its wakeup, which is used until [`Shared::unregister`].
     pub fn register(&self, request: RequestId) -> Rc<Notify> {
         let wakeup = Rc::new(Notify::new());
         self.wakeups.borrow_mut().insert(request, wakeup.clone());
         wakeup
     }
 
-    /// The request's task ends.
+    /// Removes the wakeup of a request whose task ends.
     pub fn unregister(&self, request: RequestId) {
         self.wakeups.borrow_mut().remove(&request);
     }
 
-    /// Reports to the policy what connections tell of attempts and hosts, for ever.
+    /// Reports the events of connections to hosts to the policy, until the process ends.
     pub async fn forward_upstream_events(self: Rc<Shared>) {
         loop {
             self.upstreams.events_ready.notified().await;
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Reports what has been recorded until now.
+    /// Reports the events recorded so far to the policy.
     pub fn process_upstream_events(&self) {
         for event in self.upstreams.take_events() {
             let now = self.clock.now();
@@ -147,7 +147,7 @@
         self.wake_requests();
     }
 
-    /// What the process has in hand now, for its profile.
+    /// The process's current load, for its profile.
     pub fn load_snapshot(&self, pool_size: PoolSize) -> LoadSnapshot {
         let (router, pools) = (self.router.borrow(), self.upstreams.pool_stats());
         LoadSnapshot {
@@ -170,7 +170,7 @@
         self.retry_safety.get(usize::from(class.0)).copied().unwrap_or(RetrySafety::AtMostOnce)
     }
 
-    /// A request's task ended other than by its final answer: nothing of it is left behind.
+    /// Cleans up after a request whose task ended without a final answer.
     pub fn abandon_request(&self, request: RequestId, client_id: &Bytes) {
         self.router.borrow_mut().abandon(self.clock.now(), request);
         self.unregister(request);
@@ -178,13 +178,13 @@
         self.wake_requests();
     }
 
-    /// Takes a client's id for a request; whether it was free. [`Shared::release_id`] gives it
-    /// back.
+    /// Reserves a client-chosen request id until [`Shared::release_id`]. Returns whether it was
+    /// free.
     pub fn reserve_id(&self, id: &Bytes) -> bool {
         self.ids_in_use.borrow_mut().insert(id.clone())
     }
 
-    /// The request under this id has ended, with every attempt.
+    /// Releases the id of a request that has ended with all its attempts.
     pub fn release_id(&self, id: &Bytes) {
         self.ids_in_use.borrow_mut().remove(id);
     }
--- a/balancer/src/socket_io.rs
+++ b/balancer/src/socket_io.rs
@@ -1,10 +1,10 @@
-//! Reads and writes on sockets that a fault of the moment does not end: interrupted calls, short
-//! ones, and a lack of memory that passes.
+//! Socket reads and writes that survive transient faults: interrupted calls, short reads and
+//! writes, and a temporary lack of memory.
 //!
-//! The runtime waits for edges: it takes a call that moved fewer bytes than it might for the sign
-//! that nothing is left (epoll(7)). Where that was not so, or an edge got lost, nothing would come
-//! any more. So a socket that stays silent is read directly a few times, ever less often, and what a
-//! short write left is offered once more at once.
+//! The runtime uses edge-triggered polling: it takes a call that moved fewer bytes than it could as
+//! the sign that the socket is drained (epoll(7)). If the socket was not drained, or an edge was
+//! lost, the socket would never become ready again. So a socket without input is also read directly
+//! a few times, at growing intervals, and the rest of a short write is written again at once.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::time::Duration;
@@ -18,25 +18,25 @@
 
 use crate::io_errors::FaultOrigin;
 
-/// The pause after a call failed for want of something that the system gets back soon.
+/// The pause after a call failed for lack of a resource that the system soon frees.
 const SHORTAGE_PAUSE: Duration = Duration::from_millis(5);
-/// So many pauses follow one another at most: half a second.
+/// The maximum number of such pauses during one read or write: half a second in total.
 const MAX_SHORTAGE_PAUSES: u32 = 100;
-/// After so many interruptions in a row a call pauses for so long.
-const INTERRUPTIONS_AT_ONCE: u32 = 8;
+/// After each group of this many interrupted calls there is a pause.
+const INTERRUPTIONS_PER_PAUSE: u32 = 8;
 const INTERRUPTION_PAUSE: Duration = Duration::from_millis(1);
-/// A silent socket is asked directly after this time, and again after twice as long each time.
-const FIRST_DIRECT_CALL: Duration = Duration::from_millis(10);
-/// So often: the last call comes 1.3 s after the silence began.
-const MAX_DIRECT_CALLS: u32 = 7;
-/// Bytes that a direct read takes at a time, and at most: a peer that never stops must not keep the
-/// others waiting.
+/// The wait before the first direct read; it doubles before each further one.
+const FIRST_DIRECT_READ: Duration = Duration::from_millis(10);
+/// The maximum number of direct reads; the last one comes 1.3 s after the wait began.
+const MAX_DIRECT_READS: u32 = 7;
+/// The size of one call of a direct read.
 const DIRECT_READ_BYTES: usize = 4 * 1024;
+/// The maximum size of a direct read: a peer that sends without pause must not delay others.
 const MAX_DIRECT_BYTES: usize = 64 * 1024;
 
-/// Something that reads or writes a TCP socket.
+/// Access to the TCP socket of a stream or of one of its halves.
 pub trait TcpSocket {
-    /// The socket.
+    /// The underlying socket.
     fn tcp(&self) -> &TcpStream;
 }
 
@@ -58,35 +58,34 @@
     }
 }
 
-/// The patience with one socket during one read or write.
+/// Counts the retries of one read or write.
 #[derive(Default)]
-struct Patience {
-    direct_calls: u32,
+struct RetryState {
+    direct_reads: u32,
     shortage_pauses: u32,
     interruptions: u32,
 }
 
-impl Patience {
-    /// How long to wait for the runtime before the socket is asked directly; none where it was asked
-    /// often enough.
+impl RetryState {
+    /// How long to wait for the runtime before the next direct read; `None` after the last one.
     fn next_wait(&mut self) -> Option<Duration> {
-        let wait = FIRST_DIRECT_CALL * 2u32.pow(self.direct_calls);
-        (self.direct_calls < MAX_DIRECT_CALLS).then(|| {
-            self.direct_calls += 1;
+        let wait = FIRST_DIRECT_READ * 2u32.pow(self.direct_reads);
+        (self.direct_reads < MAX_DIRECT_READS).then(|| {
+            self.direct_reads += 1;
             wait
         })
     }
 
-    /// Waits after a failed call until it can be made again.
+    /// Waits after a failed call until it can be repeated.
     ///
     /// # Errors
-    /// The error itself where the call must not be made again.
+    /// The error itself if the call must not be repeated.
     async fn wait_to_retry(&mut self, error: io::Error) -> io::Result<()> {
         match FaultOrigin::of(&error) {
             FaultOrigin::Interrupted => {
                 self.interruptions += 1;
-                // A call that is interrupted again and again must not keep others waiting.
-                if self.interruptions.is_multiple_of(INTERRUPTIONS_AT_ONCE) {
+                // A call that is interrupted repeatedly must not delay other tasks.
+                if self.interruptions.is_multiple_of(INTERRUPTIONS_PER_PAUSE) {
                     sleep(INTERRUPTION_PAUSE).await;
                 }
                 Ok(())
@@ -101,29 +100,31 @@
     }
 }
 
-/// Reads once to the end of a growing buffer; 0 at the end of the stream. It is cancel safe.
+/// Reads available bytes and appends them to the buffer. Returns the number of bytes, 0 at the end
+/// of the stream. Cancel safe.
 ///
 /// # Errors
-/// The peer's, or the system's where what it lacks does not come back.
+/// An error of the connection, or a shortage of system resources that lasts.
 pub async fn read_buf(
     from: &mut (impl AsyncRead + TcpSocket + Unpin),
     buffer: &mut impl BufMut,
 ) -> io::Result<usize> {
-    let mut patience = Patience::default();
+    let mut retries = RetryState::default();
     loop {
-        let read = match patience.next_wait() {
+        let read = match retries.next_wait() {
             Some(wait) => timeout(wait, from.read_buf(buffer)).await,
             None => Ok(from.read_buf(buffer).await),
         };
         match read.unwrap_or_else(|_| read_directly(from.tcp(), buffer)) {
             Ok(count) => return Ok(count),
             Err(error) if error.kind() == ErrorKind::WouldBlock => {}
-            Err(error) => patience.wait_to_retry(error).await?,
+            Err(error) => retries.wait_to_retry(error).await?,
         }
     }
 }
 
-/// Reads all that is there, as much as there is room for; 0 at the end of the stream.
+/// Reads available bytes without the runtime, up to [`MAX_DIRECT_BYTES`] and the buffer's capacity;
+/// 0 at the end of the stream.
 fn read_directly(from: &TcpStream, buffer: &mut impl BufMut) -> io::Result<usize> {
     let socket = SockRef::from(from);
     let mut bytes = [0; DIRECT_READ_BYTES];
@@ -136,7 +137,7 @@
                 buffer.put_slice(&bytes[..count]);
                 total += count;
             }
-            // What was read counts; the error comes again with the next call.
+            // The bytes read are returned first; the next call fails with the error again.
             Err(_) if total > 0 => break,
             Err(error) => return Err(error),
         }
@@ -144,7 +145,7 @@
     Ok(total)
 }
 
-/// Writes as much as is taken without waiting.
+/// Writes as many bytes as the socket accepts without waiting.
 fn write_directly(to: &TcpStream, bytes: &[u8]) -> usize {
     let socket = SockRef::from(to);
     let mut total = 0;
@@ -152,24 +153,25 @@
         match (&mut &*socket).write(&bytes[total..]) {
             Ok(0) => break,
             Ok(count) => total += count,
-            // What was written counts; the error comes again with the next call.
+            // The bytes written are reported first; the next call fails with the error again.
             Err(_) => break,
         }
     }
     total
 }
 
-/// Writes some of the bytes. It is cancel safe.
+/// Writes some of the bytes and returns their number. Cancel safe.
 ///
 /// # Errors
 /// As of [`read_buf`].
 pub async fn write_some(to: &mut (impl AsyncWrite + TcpSocket + Unpin), bytes: &[u8]) -> io::Result<usize> {
-    let mut patience = Patience::default();
+    let mut retries = RetryState::default();
     loop {
         match to.write(bytes).await {
-            // The runtime waits for an edge now, which comes only where the system has no room.
+            // After a short write the runtime waits for an edge, which comes only if the socket's
+            // buffer was full.
             Ok(count) => return Ok(count + write_directly(to.tcp(), &bytes[count..])),
-            Err(error) => patience.wait_to_retry(error).await?,
+            Err(error) => retries.wait_to_retry(error).await?,
         }
     }
 }
