--- a/balancer/tests/large_fleet/core_share.rs
+++ b/balancer/tests/large_fleet/core_share.rs
@@ -1,4 +1,4 @@
-//! A share of a core for a process of the test's own: it is stopped and let go on in turns.
+//! Limits the CPU time of a process that the test started, by stopping and continuing it in turns.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -7,26 +7,26 @@
 
 use rustix::process::{kill_process, Pid, Signal};
 
-/// One stop and one run.
+/// The length of one stop and one run together.
 const PERIOD: Duration = Duration::from_millis(20);
 
-/// Holds a process to its share until it is dropped.
+/// Limits a process to a share of a core until it is dropped.
 pub struct CoreShare {
     ended: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl CoreShare {
-    /// A tenth of a core.
+    /// The running time per period for a tenth of a core.
     pub const TENTH: Duration = Duration::from_millis(2);
 
-    /// The process runs for so long in each period of 20 ms.
+    /// Lets the process run for `runs_for` in each period of 20 ms.
     pub fn limit(process: u32, runs_for: Duration) -> CoreShare {
-        let pid = Pid::from_raw(process as i32).expect("a process");
+        let pid = Pid::from_raw(process as i32).expect("a process id");
         let ended = Arc::new(AtomicBool::new(false));
-        let until = ended.clone();
+        let is_ended = ended.clone();
         let thread = thread::spawn(move || {
-            while !until.load(Ordering::Relaxed) {
+            while !is_ended.load(Ordering::Relaxed) {
                 let _ = kill_process(pid, Signal::STOP);
                 thread::sleep(PERIOD - runs_for);
                 let _ = kill_process(pid, Signal::CONT);
--- a/balancer/tests/large_fleet/fleet.rs
+++ b/balancer/tests/large_fleet/fleet.rs
@@ -1,4 +1,5 @@
-//! Thousands of cache hosts behind one listener: any address of 127.0.0.0/8 is a host of its own.
+//! Thousands of cache hosts behind one listener. All addresses of 127.0.0.0/8 are local, and each
+//! address of 127.77.0.0/16 is used as a separate host.
 
 use std::io::{BufReader, Write};
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -11,17 +12,17 @@
 
 use crate::common::{entry, hit, read_command, Reply};
 
-/// The stack of a thread that serves one connection.
+/// The stack size of a thread that serves one connection.
 const STACK_BYTES: usize = 64 * 1024;
 
-/// What each host does with a request.
+/// What every host does with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Behavior {
     Serves,
-    /// It resets the connection.
+    /// Resets the connection.
     Resets,
-    /// It reads it and says nothing.
+    /// Reads the request and does not answer.
     Hangs,
 }
 
@@ -29,17 +30,17 @@
     const EACH: [Behavior; 3] = [Behavior::Serves, Behavior::Resets, Behavior::Hangs];
 }
 
-/// All hosts.
+/// All hosts of a test.
 pub struct Fleet {
     port: u16,
     hosts: usize,
-    /// The first hosts have been replaced by later ones.
+    /// How many hosts were replaced, in the order of their numbers.
     replaced: AtomicUsize,
     behavior: Arc<AtomicU8>,
 }
 
 impl Fleet {
-    /// Hosts that serve each key with the value `v`.
+    /// Starts hosts that answer each request with the value `v`.
     pub fn start(hosts: usize) -> Fleet {
         let listener = TcpListener::bind((Ipv4Addr::UNSPECIFIED, 0)).expect("a free port");
         let port = listener.local_addr().expect("an address").port();
@@ -58,20 +59,20 @@
         Fleet { port, hosts, replaced: AtomicUsize::new(0), behavior }
     }
 
-    /// What every host does from now on.
+    /// Sets what every host does from now on.
     pub fn set(&self, behavior: Behavior) {
         self.behavior.store(behavior as u8, Ordering::Relaxed);
     }
 
-    /// So many hosts leave, and as many others come: the entries of the list that change.
+    /// Replaces `count` hosts by as many new ones. Returns the list entries that change.
     pub fn replace(&self, count: usize) -> Vec<String> {
         let first = self.replaced.fetch_add(count, Ordering::Relaxed);
         let leaving = (first..first + count).map(|nth| self.entry(nth, "left"));
-        let coming = (first..first + count).map(|nth| self.entry(nth + self.hosts, "active"));
-        leaving.chain(coming).collect()
+        let joining = (first..first + count).map(|nth| self.entry(nth + self.hosts, "active"));
+        leaving.chain(joining).collect()
     }
 
-    /// The hosts as the list has them.
+    /// The list entries of the current hosts.
     pub fn entries(&self) -> Vec<String> {
         let first = self.replaced.load(Ordering::Relaxed);
         (first..first + self.hosts).map(|nth| self.entry(nth, "active")).collect()
--- a/balancer/tests/large_fleet/main.rs
+++ b/balancer/tests/large_fleet/main.rs
@@ -1,12 +1,12 @@
-//! The program before thousands of cache hosts, on a small share of a core: every request gets its
-//! final answer by its deadline, whatever a decision, a list or a pass over all hosts costs.
+//! The balancer with thousands of cache hosts, on a small share of a core: every request gets its
+//! final answer in time, whatever CPU time decisions, endpoint lists and sweeps of all hosts take.
 
 mod clients;
 #[path = "../../../tests/common/mod.rs"]
 mod common;
 mod core_share;
 mod fleet;
-mod held_up;
+mod process_stall;
 
 use std::time::Duration;
 
@@ -16,13 +16,13 @@
 use fleet::{Behavior, Fleet};
 
 const BINARY: &str = env!("CARGO_BIN_EXE_basaltwood-balancer");
-/// Sixteen times the usual size.
+/// Sixteen times the usual size of a fleet.
 const HOSTS: usize = 3_200;
-/// A final answer may come so long after its deadline and only earns nothing; later it is lost.
-/// Source: the operators' page on real days.
+/// How long after its deadline a final answer counts as lost; until then a late answer only earns
+/// no benefit. Source: the operators' page on real days.
 const LOST_AFTER: Duration = Duration::from_millis(500);
 
-/// One of 300 balancers, as on the operators' large days.
+/// The settings of one of 300 balancers, as on the operators' large days.
 fn settings() -> String {
     SETTINGS.replace("\"groupSize\":2", "\"groupSize\":300")
 }
@@ -31,10 +31,10 @@
     Program::start_by(BINARY, discovery.peer.address, &fleet.entries(), [192, 1024], &settings())
 }
 
-/// Each request comes to another host, so each needs a connection of its own. They are all served,
-/// and no host is blamed for what this balancer lets its own requests wait.
+/// Each request goes to a different host and needs a new connection. The time that requests wait in
+/// this balancer must not count against the hosts, so all requests are served.
 #[test]
-fn healthy_hosts_that_are_each_used_seldom_serve_every_request() {
+fn healthy_hosts_with_few_requests_each_serve_every_request() {
     let (fleet, discovery) = (Fleet::start(HOSTS), Discovery::start());
     let program = start(&fleet, &discovery);
 
@@ -44,19 +44,19 @@
     assert_eq!(outcomes.served, outcomes.sent, "{outcomes:?}");
 }
 
-/// No host can serve: each request is answered in time all the same.
+/// No host can serve a request, and still each request is answered in time.
 #[test]
 fn requests_are_answered_in_time_while_every_host_resets_them() {
     answers_in_time_while(|fleet, _| fleet.set(Behavior::Resets));
 }
 
-/// As after a partition that only this balancer sees: what it sent is not answered.
+/// No host answers, as after a partition that affects only this balancer.
 #[test]
 fn requests_are_answered_in_time_while_every_host_hangs() {
     answers_in_time_while(|fleet, _| fleet.set(Behavior::Hangs));
 }
 
-/// Hosts are replaced step by step, each step a change of the list.
+/// Hosts are replaced in steps, each a change of the endpoint list.
 #[test]
 fn requests_are_answered_in_time_while_hosts_are_replaced() {
     answers_in_time_while(|fleet, discovery| {
@@ -67,7 +67,7 @@
     });
 }
 
-fn answers_in_time_while(trouble: impl FnOnce(&Fleet, &Discovery) + Send) {
+fn answers_in_time_while(disrupt: impl FnOnce(&Fleet, &Discovery) + Send) {
     let (fleet, discovery) = (Fleet::start(HOSTS), Discovery::start());
     let program = start(&fleet, &discovery);
     let share = CoreShare::limit(program.id(), CoreShare::TENTH);
@@ -76,8 +76,8 @@
     let outcomes: Outcomes = std::thread::scope(|scope| {
         let outcomes = scope.spawn(|| load.run(&program.address));
         std::thread::sleep(Duration::from_secs(1));
-        trouble(&fleet, &discovery);
-        outcomes.join().expect("clients end")
+        disrupt(&fleet, &discovery);
+        outcomes.join().expect("the load ends")
     });
     drop(share);
 
--- a/balancer/tests/long_values.rs
+++ b/balancer/tests/long_values.rs
@@ -1,4 +1,4 @@
-//! Values past what is held whole, either way, over sockets.
+//! Values that are too long to be held in memory as a whole, in responses and in writes.
 
 #[path = "../../tests/common/mod.rs"]
 mod common;
@@ -13,8 +13,7 @@
 const BINARY: &str = env!("CARGO_BIN_EXE_basaltwood-balancer");
 const LONG: usize = 4 * 1024 * 1024;
 
-/// A host that gives each connection that brought a command to the test, which then writes the
-/// answer by hand.
+/// Starts a host that passes each command and its connection to the test, which writes the answer.
 fn manual_host() -> (SocketAddr, Receiver<(String, TcpStream)>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
@@ -43,10 +42,10 @@
     format!("*3\r\n${length}\r\n")
 }
 
-/// Reads so many bytes of a raw answer.
-fn read_bytes(client: &mut TcpStream, count: usize) -> Vec<u8> {
+/// Reads exactly `count` bytes.
+fn read_bytes(stream: &mut TcpStream, count: usize) -> Vec<u8> {
     let mut bytes = vec![0; count];
-    client.read_exact(&mut bytes).expect("they come");
+    stream.read_exact(&mut bytes).expect("enough bytes");
     bytes
 }
 
@@ -57,103 +56,99 @@
 }
 
 #[test]
-fn long_response_is_passed_on_as_it_comes_and_its_connection_is_reused() {
+fn long_response_is_streamed_and_its_connection_is_reused() {
     let (address, requests) = manual_host();
     let program = program_at(&[("a", address)], [48, 192]);
     let mut client = get(&program, "k", "c=once,d=900");
     let (_, mut host) = requests.recv().expect("a request");
-    host.write_all(format!("{}begin", head(LONG)).as_bytes()).expect("it is read");
+    host.write_all(format!("{}begin", head(LONG)).as_bytes()).expect("the balancer reads");
 
-    // The first bytes are there while the host still has nearly all.
+    // The client gets the first bytes before the host has sent the rest.
     let first = format!("${LONG}\r\nbegin");
     assert_eq!(read_bytes(&mut client, first.len()), first.as_bytes());
     assert!(program.metrics("edge_proxy_active 1").contains("ok{kind=\"once\"} 0"));
 
-    // Past its deadline too: only the first bytes are timed.
+    // The rest may come after the deadline, which applies to the first bytes only.
     let rest: Vec<u8> = (0..LONG - 5).map(|at| at as u8).collect();
-    let taken = spawn(move || {
+    let reader = spawn(move || {
         let all = read_bytes(&mut client, LONG - 5 + 2);
         (all, client)
     });
     for part in rest.chunks(300_001) {
-        host.write_all(part).expect("it is read");
+        host.write_all(part).expect("the balancer reads");
     }
-    // What follows the value comes in pieces too.
+    // The end of the response arrives byte by byte.
     for byte in b"\r\n$3\r\nhit\r\n$-1\r\n" {
-        host.write_all(&[*byte]).expect("it is read");
+        host.write_all(&[*byte]).expect("the balancer reads");
     }
 
-    let (all, mut client) = taken.join().expect("it ends");
-    assert!(all[..LONG - 5] == rest[..] && all.ends_with(b"\r\n"), "the value came as it was");
+    let (all, mut client) = reader.join().expect("the reader ends");
+    assert!(all[..LONG - 5] == rest[..] && all.ends_with(b"\r\n"), "the value arrives unchanged");
     assert!(program.metrics("edge_proxy_active 0").contains("ok{kind=\"once\"} 1"));
     program.wait_for_counter("attempts_succeeded", 1);
     client
         .write_all(b"*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk\r\n$3\r\nid2\r\n$12\r\nc=once,d=900\r\n")
-        .expect("open");
+        .expect("an open connection");
     let (_, mut host) = requests.recv().expect("a request");
-    host.write_all(b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n").expect("it is read");
+    host.write_all(b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n").expect("the balancer reads");
     assert_eq!(read_bytes(&mut client, 7), b"$1\r\nv\r\n");
     assert!(program.wait_for_counter("succeeded", 2).contains("connections_opened=1 connections_reused=1"));
 }
 
 #[test]
-fn host_that_breaks_off_midway_ends_the_client_connection_without_a_retry() {
+fn truncated_value_closes_the_client_connection_without_a_retry() {
     let (address, requests) = manual_host();
     let other = Peer::host(|_| hit("from b"));
     for category in ["read", "once"] {
         let program = program_at(&[("a", address), ("b", other.address)], [48, 192]);
-        // A key whose home is the first.
+        // The home of this key is host a.
         let mut client = get(&program, "k2", &format!("c={category},d=900"));
         let (_, mut host) = requests.recv().expect("a request");
-        host.write_all(format!("{}half", head(100_000)).as_bytes()).expect("it is read");
+        host.write_all(format!("{}half", head(100_000)).as_bytes()).expect("the balancer reads");
         assert_eq!(read_bytes(&mut client, 13), b"$100000\r\nhalf");
 
-        host.shutdown(std::net::Shutdown::Both).expect("open");
+        host.shutdown(std::net::Shutdown::Both).expect("an open connection");
         let mut rest = Vec::new();
         let _ = client.read_to_end(&mut rest);
-        assert!(rest.is_empty(), "it is never filled up");
+        assert!(rest.is_empty(), "the value is not padded to its length");
 
         let page = program.metrics(&format!("edge_proxy_errors{{kind=\"{category}\"}} 1"));
         assert!(page.contains("tries 1") && page.contains("active 0"), "{page}");
         program.wait_for_counter("values_truncated", 1);
     }
-    assert!(other.quiet());
+    assert!(other.quiet(), "host b gets no request");
 }
 
 #[test]
-fn clients_that_read_nothing_hold_one_window_each() {
+fn clients_that_do_not_read_hold_one_window_each() {
     let value = "v".repeat(LONG);
     let host = Peer::host(move |_| hit(&value));
     let program = program_at(&[("a", host.address)], [32, 192]);
-    let begun = format!("${LONG}\r\nv").len();
+    let beginning = format!("${LONG}\r\nv").len();
     let mut clients: Vec<TcpStream> = Vec::new();
     for nth in 0..40 {
         let mut client = get(&program, &format!("k{nth}"), "c=read,d=1900");
-        read_bytes(&mut client, begun);
+        read_bytes(&mut client, beginning);
         clients.push(client);
     }
 
-    // 160 MiB are on their way. One that leaves then frees its window, the others get all of
-    // theirs.
+    // 160 MiB are being streamed. A client that leaves frees its window, the others get their whole
+    // values.
     drop(clients.pop());
     for mut client in clients {
         assert!(read_bytes(&mut client, LONG - 1).iter().all(|&byte| byte == b'v'));
         assert_eq!(read_bytes(&mut client, 2), b"\r\n");
     }
-    assert!(program.memory() < 32, "{} MB", program.memory());
+    assert!(program.memory() < 32, "{} MB of memory in use", program.memory());
 }
 
-/// Begins a write of so many bytes, of which only the head is sent.
+/// Sends the head of a write of `length` bytes, without the value.
 fn begin_write(program: &Program, id: &str, length: usize) -> Client {
     let mut client = program.client();
     let facts = "c=put,d=1900,k=5c0f";
-    let (of_id, of_facts) = (id.len(), facts.len());
-    client.raw(
-        format!(
-            "*5\r\n$9\r\nCACHE.SET\r\n$1\r\nk\r\n${of_id}\r\n{id}\r\n${of_facts}\r\n{facts}\r\n${length}\r\n"
-        )
-        .as_bytes(),
-    );
+    let (id_length, facts_length) = (id.len(), facts.len());
+    let words = format!("${id_length}\r\n{id}\r\n${facts_length}\r\n{facts}\r\n${length}\r\n");
+    client.raw(format!("*5\r\n$9\r\nCACHE.SET\r\n$1\r\nk\r\n{words}").as_bytes());
     client
 }
 
@@ -165,7 +160,8 @@
     });
     let host = Peer::host(|_| miss());
     let program = program_at(&[("a", host.address), ("origin", origin.address)], [32, 192]);
-    // More than memory holds, and each has sent a part before any is whole.
+    // Together the values exceed the memory, and each writer has sent a part before any value is
+    // complete.
     let mut writers: Vec<(String, Client)> = (0..12)
         .map(|nth| {
             let mut client = begin_write(&program, &format!("id{nth}"), LONG);
@@ -175,16 +171,16 @@
         })
         .collect();
 
-    // Short ones have a part of their own.
+    // Short values have memory of their own.
     let mut short = begin_write(&program, "short", 3);
     short.raw(b"abc\r\n");
     assert_eq!(short.answer(), "3 of ab");
 
-    // Some never go on: their memory is given back.
+    // Two writers send no more: their memory is freed by the time limit.
     writers.drain(..2).for_each(|(_, mut client)| {
         assert_eq!(client.answer(), "-ERR Protocol error: no whole command in time");
     });
-    let ends: Vec<_> = writers
+    let threads: Vec<_> = writers
         .into_iter()
         .map(|(value, mut client)| {
             spawn(move || {
@@ -195,11 +191,11 @@
         })
         .collect();
 
-    for end in ends {
-        let (got, wanted) = end.join().expect("it ends");
-        assert_eq!(got, wanted);
+    for thread in threads {
+        let (answer, expected) = thread.join().expect("the writer ends");
+        assert_eq!(answer, expected);
     }
-    assert!(program.memory() < 32, "{} MB", program.memory());
+    assert!(program.memory() < 32, "{} MB of memory in use", program.memory());
 }
 
 #[test]
@@ -216,69 +212,71 @@
         })
         .collect();
 
-    // All 60 are under way, more than a part for them holds; each is served in order.
+    // All 60 writes are in progress, more than the memory for short values holds; they are served
+    // in order.
     for client in &mut writers {
         client.raw(&[b'x'; 59_000]);
         client.raw(b"\r\n");
     }
 
-    // An answer each; how many the origin bears at once is for the policy to say.
+    // Every writer gets an answer. How many the origin serves at once depends on the policy's
+    // limit.
     let answers: Vec<String> = writers.iter_mut().map(Client::answer).collect();
-    assert!(answers.iter().all(|got| got == "60000" || got.starts_with("-BUSY")), "{answers:?}");
-    assert!(answers.iter().filter(|got| *got == "60000").count() > 20, "{answers:?}");
+    assert!(answers.iter().all(|answer| answer == "60000" || answer.starts_with("-BUSY")), "{answers:?}");
+    assert!(answers.iter().filter(|answer| *answer == "60000").count() > 20, "{answers:?}");
 }
 
 #[test]
-fn value_that_can_never_fit_is_refused_at_its_head() {
+fn value_beyond_the_memory_limit_is_refused_at_its_head() {
     let host = Peer::host(|_| miss());
     let program = program_at(&[("a", host.address)], [8, 192]);
     for length in [LONG, LONG + 1, 60_000_000] {
-        let got = begin_write(&program, "id", length).answer();
-        assert!(got.starts_with("-ERR Protocol error: too long a"), "{length}: {got}");
+        let answer = begin_write(&program, "id", length).answer();
+        assert!(answer.starts_with("-ERR Protocol error: too long a"), "{length}: {answer}");
     }
-    let mut end = begin_write(&program, "id", 70_000);
-    end.raw(&vec![b'x'; 70_000]);
-    end.raw(b"xx");
-    assert_eq!(end.answer(), "-ERR Protocol error: a bulk string without its end");
+    let mut client = begin_write(&program, "id", 70_000);
+    client.raw(&vec![b'x'; 70_000]);
+    client.raw(b"xx");
+    assert_eq!(client.answer(), "-ERR Protocol error: a bulk string without its end");
 }
 
-/// A host that takes a connection and its first bytes, and no more until the test reads on.
-fn stuck_host() -> (SocketAddr, Receiver<TcpStream>) {
+/// Starts a host that reads the first 100 bytes of each connection and passes it to the test.
+fn stalled_host() -> (SocketAddr, Receiver<TcpStream>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
-    let (sender, begun) = channel();
+    let (sender, connections) = channel();
     spawn(move || {
         for mut stream in listener.incoming().flatten() {
             read_bytes(&mut stream, 100);
             let _ = sender.send(stream);
         }
     });
-    (address, begun)
+    (address, connections)
 }
 
-/// A write that is cut before its last byte never ran: its deadline has passed, or its client has
-/// left. The host sees the end of its connection before the whole, and nothing is tried again.
+/// A write is stopped before its last byte because its deadline passes or its client leaves. The
+/// host must not see a complete write, and there is no retry.
 #[test]
-fn write_cut_midway_is_seen_as_incomplete_by_its_host() {
-    for (client_leaves, ended) in [(false, "attempts_unreachable"), (true, "attempts_cancelled")] {
-        let (address, begun) = stuck_host();
+fn interrupted_write_is_incomplete_at_its_host_and_not_retried() {
+    for (client_leaves, counter) in [(false, "attempts_unreachable"), (true, "attempts_cancelled")] {
+        let (address, connections) = stalled_host();
         let program = program_at(&[("origin", address)], [64, 192]);
         let mut client = begin_write(&program, "id", LONG);
         client.raw(&vec![b'v'; LONG]);
         client.raw(b"\r\n");
-        let mut host = begun.recv().expect("it comes");
+        let mut host = connections.recv().expect("a connection to the host");
         if client_leaves {
             client.depart();
         } else {
             assert_eq!(client.answer(), "-ERR dead-lettered");
         }
 
-        let line = program.wait_for_counter(ended, 1);
+        let line = program.wait_for_counter(counter, 1);
         assert!(line.contains(" attempts=1 ") && line.contains(" attempts_timed_out=0 "), "{line}");
         let mut rest = Vec::new();
-        // It may end as a reset: what it is not is whole.
+        // The connection may be closed or reset, as long as the value is incomplete.
         let _ = host.read_to_end(&mut rest);
-        assert!(rest.len() < LONG, "{ended}: {} bytes came", rest.len());
-        assert!(begun.try_recv().is_err(), "and no other attempt");
+        assert!(rest.len() < LONG, "{counter}: the host got {} bytes", rest.len());
+        assert!(connections.try_recv().is_err(), "the host gets no other attempt");
     }
 }
--- a/balancer/tests/mixed_fleet.rs
+++ b/balancer/tests/mixed_fleet.rs
@@ -1,5 +1,5 @@
-//! A migration on sockets: one program with the settings of the old shape of deployment and one
-//! with those of the new, before the same hosts.
+//! A migration of settings: one balancer with the old settings and one with the new ones, in front
+//! of the same hosts.
 
 #[path = "../../tests/common/mod.rs"]
 mod common;
@@ -12,9 +12,9 @@
 
 const BINARY: &str = env!("CARGO_BIN_EXE_basaltwood-balancer");
 
-/// The new shape: one attempt at a time, late responses earn, a part of the result for what is in
-/// time, messages and probes.
-fn new_shape() -> String {
+/// The new settings: one attempt at a time, a benefit for late responses, a share of the objective
+/// for responses in time, messages between balancers, and probes.
+fn new_settings() -> String {
     let late = SETTINGS.replace("\"semantics\"", "\"tardyBenefit\":0.4,\"semantics\"");
     let limits =
         late.replace("\"mayDuplicate\":true", "\"mayDuplicate\":false,\"mayTell\":true,\"probes\":true");
@@ -24,8 +24,8 @@
     limits.replace("\"unheardOf\":{\"x\":1}", more)
 }
 
-/// A host that breaks its connection at the key `break` and else answers with its name. Counts the
-/// requests that it got and those that it broke: connections that close count as none.
+/// Starts a host that closes its connection on the key `break` and otherwise answers with its name.
+/// Returns its counts of all requests and of those that broke the connection.
 fn host(name: &'static str) -> (Peer, Arc<[AtomicU32; 2]>) {
     let counts: Arc<[AtomicU32; 2]> = Arc::default();
     let counted = counts.clone();
@@ -43,26 +43,26 @@
 }
 
 #[test]
-fn programs_with_old_and_new_settings_before_the_same_hosts_keep_the_rules() {
-    let ((a, at_a), (b, at_b), discovery) = (host("from a"), host("from b"), Discovery::start());
+fn balancers_with_old_and_new_settings_agree_on_the_same_hosts() {
+    let ((a, counts_a), (b, counts_b), discovery) = (host("from a"), host("from b"), Discovery::start());
     let known = [entry("a", a.address, "active"), entry("b", b.address, "active")];
     let old = Program::start_by(BINARY, discovery.peer.address, &known, [192, 1024], SETTINGS);
-    let new = Program::starting(BINARY, discovery.peer.address, &known, [192, 1024], &new_shape());
+    let new = Program::starting(BINARY, discovery.peer.address, &known, [192, 1024], &new_settings());
     let mut trace = vec![];
     for _ in 0..2 {
         let line = new.wait_for_log("allowed and not used");
-        trace.push(line.split_once("not used, ").expect("what").1.to_owned());
+        trace.push(line.split_once("not used, ").expect("the unused setting").1.to_owned());
     }
     let new = new.serving();
     let mut clients = [old.client(), new.client()];
 
-    // Homes are the same for both.
+    // Both balancers agree on the home of a key.
     for client in &mut clients {
         client.get(HOME_A, "id0", "c=read,d=2000");
         trace.push(format!("its home: {}", client.answer()));
     }
 
-    // Like traffic: what one gets the other gets.
+    // Both get the same traffic.
     let mut served = [0, 0];
     for nth in 0..100 {
         for (client, served) in clients.iter_mut().zip(&mut served) {
@@ -72,20 +72,20 @@
     }
     trace.push(format!("served of 100: {served:?}"));
 
-    // What may have run and must not run twice is answered at once, and no other host sees it.
+    // An at-most-once request that may have run is answered at once, and no other host gets it.
     for (client, name) in clients.iter_mut().zip(["old", "new"]) {
         client.get("break", &format!("once-{name}"), "c=once,d=2000");
         trace.push(format!("{name}, an at-most-once request whose connection broke: {}", client.answer()));
     }
-    let broken = at_a[1].load(Ordering::SeqCst) + at_b[1].load(Ordering::SeqCst);
-    assert_eq!(broken, 2, "each was sent once, wherever it went");
+    let broken = counts_a[1].load(Ordering::SeqCst) + counts_b[1].load(Ordering::SeqCst);
+    assert_eq!(broken, 2, "each of the two requests is sent once");
 
     discovery.publish(&[entry("a", a.address, "leaving"), entry("b", b.address, "active")]);
-    // Once both have the list, neither sends it anything more.
+    // Once both have applied the list, neither sends anything to the leaving host.
     for program in [&old, &new] {
         program.wait_for_counter("endpoint_lists", 2);
     }
-    let before = at_a[0].load(Ordering::SeqCst);
+    let before = counts_a[0].load(Ordering::SeqCst);
     for client in &mut clients {
         client.get(HOME_A, "after", "c=read,d=2000");
         assert_eq!(client.answer(), "from b");
@@ -94,7 +94,7 @@
             assert_eq!(client.answer(), "from b");
         }
     }
-    assert_eq!(at_a[0].load(Ordering::SeqCst), before, "nothing goes to a host that both know to leave");
+    assert_eq!(counts_a[0].load(Ordering::SeqCst), before, "no request goes to the leaving host");
 
     expect![[r#"
         messages between balancers: each decides alone
--- a/balancer/tests/sockets/commands.rs
+++ b/balancer/tests/sockets/commands.rs
@@ -1,4 +1,5 @@
-//! Commands and replies: what a request looks like at hosts, the order of replies, malformed input.
+//! Commands and replies: requests as hosts and origin receive them, the order of replies, malformed
+//! input.
 
 use expect_test::expect;
 
@@ -49,15 +50,15 @@
     client.raw(b"PING\r\n");
 
     let both = [host.next(), host.next()].concat();
-    assert!(both.contains("id1") && both.contains("id2"), "both were sent at once");
+    assert!(both.contains("id1") && both.contains("id2"), "both requests are sent at once: {both}");
 
-    release.send(()).expect("it waits");
+    release.send(()).expect("the host waits");
     let trace = [client.answer(), client.answer(), client.answer()];
 
     assert_eq!(trace, ["id1", "id2", "+PONG"]);
 }
 
-/// Commands that are answered with an error each, on a connection that stays open.
+/// Commands that are each answered with an error, on a connection that stays open.
 const MALFORMED_COMMANDS: [&[&str]; 11] = [
     &["CACHE.GET", "k"],
     &["CACHE.GET", "k", "id", "c=read"],
@@ -72,7 +73,7 @@
     &["CACHE.GET", "k", "id", "c=read,d=1e300"],
 ];
 
-/// Bytes after which a connection is closed.
+/// Inputs that violate the protocol, so that the connection is closed after an error.
 fn protocol_violations() -> Vec<String> {
     let long = "x".repeat(65 * 1024);
     let words = "$8000\r\n".to_owned() + &"x".repeat(8000) + "\r\n";
@@ -144,10 +145,10 @@
     first.get("slow", "id", "c=read,d=1500");
     let mut trace = vec![host.next(), second.command(&["CACHE.GET", "k", "id", "c=read,d=600"])];
 
-    release.send(()).expect("it waits");
+    release.send(()).expect("the host waits");
     trace.push(first.answer());
 
-    // Once that request has ended its id may be used again.
+    // Once the first request has ended, its id may be used again.
     trace.push(second.command(&["CACHE.GET", "k", "id", "c=read,d=600"]));
 
     expect![[r#"
--- a/balancer/tests/sockets/config.rs
+++ b/balancer/tests/sockets/config.rs
@@ -1,11 +1,11 @@
-//! The configuration at the start: what makes no sense ends the start with one line.
+//! Validation of the configuration at the start: an invalid one ends the program with one log line.
 
 use expect_test::expect;
 
 use crate::common::*;
 use crate::BINARY;
 
-/// A valid configuration with one more setting.
+/// A valid configuration with one setting added.
 fn config_with(setting: &str) -> String {
     format!(
         r#"{{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{{"categories":[
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn invalid_config_ends_the_start_with_one_line() {
+fn invalid_config_ends_the_program_with_one_line() {
     let mut lines = Vec::new();
     for text in [
         "{nonsense",
--- a/balancer/tests/sockets/discovery.rs
+++ b/balancer/tests/sockets/discovery.rs
@@ -1,4 +1,4 @@
-//! The watch of the endpoint list, and its move by a reload.
+//! The watch of the endpoint list, and its move to another discovery by a reload.
 
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
@@ -17,7 +17,7 @@
     let mut client = program.client();
     let mut get = |id: &str| client.command(&["CACHE.GET", HOME_A, id, "c=read,d=600"]);
 
-    // Discovery is silent so far.
+    // Discovery has not answered yet.
     let mut trace = vec![discovery.peer.next(), get("id1")];
 
     let invalid = [r#"{"instanceId":"c","hostPort":"::","lifecycle":"active"}"#, "7", r#"{"instanceId":[]}"#];
@@ -51,8 +51,8 @@
     .assert_eq(&trace.join("\n"));
 }
 
-/// What discovery would report to a balancer without an open call counts as reported. So each of
-/// many that are started together calls at once, however many there are.
+/// Discovery does not repeat changes that it would have reported while a balancer had no open call.
+/// So a balancer must call at once at its start, even if many are started together.
 #[test]
 fn start_among_many_balancers_calls_discovery_at_once() {
     let (a, b) = (Peer::host(|_| hit("from a")), Peer::host(|_| hit("from b")));
@@ -62,14 +62,15 @@
     let settings = SETTINGS.replace(r#""groupSize":2"#, r#""groupSize":300"#);
     let program = Program::start_by(BINARY, discovery.peer.address, &known, [192, 1024], &settings);
 
-    let began = Instant::now();
+    let started_at = Instant::now();
     program.wait_for_counter("endpoint_lists", 2);
-    // If calls were spread over all of them, this one's would come after several seconds.
-    assert!(began.elapsed() < Duration::from_millis(1_500), "it called after {:?}", began.elapsed());
+    // If the balancers' first calls were spread out, this one would come after several seconds.
+    let elapsed = started_at.elapsed();
+    assert!(elapsed < Duration::from_millis(1_500), "the list of discovery came after {elapsed:?}");
 
     let mut client = program.client();
     assert_eq!(client.command(&["CACHE.GET", HOME_A, "id1", "c=read,d=600"]), "from b");
-    assert!(a.quiet(), "nothing goes to the host that leaves");
+    assert!(a.quiet(), "no request goes to the leaving host");
 }
 
 #[test]
@@ -158,17 +159,17 @@
 
     program.reload_with(&old_address, "nonsense");
     trace.push(text_after(&program.wait_for_log("all stays as it is"), ".json: "));
-    assert!(old.peer.quiet(), "an invalid file ends no watch");
+    assert!(old.peer.quiet(), "the watch goes on after the reload of an invalid file");
 
     program.reload_with("nonsense", &new_address);
-    // The whole list is requested, and then its changes.
+    // The whole list is requested, then its changes.
     trace.extend([new.peer.next(), new.peer.next()]);
 
     new.publish(&[entry("b", b.address, "active")]);
     trace.push(new.peer.next());
     trace.push(client.command(&["CACHE.GET", HOME_A, "id2", "c=once,d=600"]));
 
-    release.send(()).expect("it waits");
+    release.send(()).expect("the host waits");
     // The old discovery sees its connection close once it holds no call.
     trace.extend([slow.answer(), old.peer.next()]);
 
@@ -207,10 +208,10 @@
 fn discovery_without_holds_is_not_called_in_a_busy_loop() {
     let discovery = Peer::http(|_| http_answer(200, r#"{"generation":9,"reset":false,"instances":[]}"#));
 
-    let began = Instant::now();
+    let started_at = Instant::now();
     let program = Program::start(BINARY, discovery.address, &[], 1024);
     (0..11).for_each(|_| drop(discovery.next()));
 
-    assert!(began.elapsed() >= Duration::from_millis(150), "ten calls in {:?}", began.elapsed());
+    assert!(started_at.elapsed() >= Duration::from_millis(150), "11 calls in {:?}", started_at.elapsed());
     assert_eq!(program.client().command(&["PING"]), "+PONG");
 }
--- a/balancer/tests/sockets/hosts.rs
+++ b/balancer/tests/sockets/hosts.rs
@@ -1,4 +1,5 @@
-//! Connections to cache hosts: reuse, invalid responses, retries, faults that are not the host's.
+//! Connections to cache hosts: reuse, invalid responses, retries, and faults that are not counted
+//! against the host.
 
 use std::time::Duration;
 
@@ -18,7 +19,7 @@
     client.depart();
     program.wait_for_counter("abandoned", 1);
 
-    release.send(()).expect("it waits");
+    release.send(()).expect("the host waits");
     program.wait_for_counter("attempts_succeeded", 1);
     assert_eq!(program.client().command(&["CACHE.GET", "k", "id2", "c=read,d=600"]), "v");
 
@@ -42,16 +43,16 @@
     type ReplyRule = fn(&str) -> Reply;
     let rules: [(&str, ReplyRule); 6] = [
         ("closes", |_| Reply::Last(String::new())),
-        ("half an answer", |_| Reply::Last("*3\r\n$9\r\nhalf".to_owned())),
+        ("partial response", |_| Reply::Last("*3\r\n$9\r\nhalf".to_owned())),
         ("error", |_| Reply::Text("-ERR failed\r\n".to_owned())),
         ("busy", |_| Reply::Text("-BUSY\r\n".to_owned())),
-        ("no answer", |_| Reply::Text("+OK\r\n".to_owned())),
+        ("unexpected reply", |_| Reply::Text("+OK\r\n".to_owned())),
         ("silent", |_| Reply::Nothing),
     ];
 
     for (name, rule) in rules {
         for category in ["read", "once"] {
-            // Each with a new process, so that what it learned from the first does not influence the second.
+            // Each category gets a new process, so that no evidence carries over from the other.
             let (a, b) = (Peer::host(rule), Peer::host(|_| hit("from b")));
             let program = program(&[("a", &a), ("b", &b)]);
             let mut client = program.client();
@@ -72,14 +73,14 @@
     expect![[r#"
         closes, read: from b, retried true
         closes, once: -ERR dead-lettered, retried false
-        half an answer, read: from b, retried true
-        half an answer, once: -ERR dead-lettered, retried false
+        partial response, read: from b, retried true
+        partial response, once: -ERR dead-lettered, retried false
         error, read: from b, retried true
         error, once: -ERR dead-lettered, retried false
         busy, read: from b, retried true
         busy, once: from b, retried true
-        no answer, read: from b, retried true
-        no answer, once: -ERR dead-lettered, retried false
+        unexpected reply, read: from b, retried true
+        unexpected reply, once: -ERR dead-lettered, retried false
         silent, read: -ERR dead-lettered, retried false
         silent, once: -ERR dead-lettered, retried false
         refused, once: from b"#]]
@@ -87,55 +88,55 @@
 }
 
 #[test]
-fn invalid_response_ends_its_attempt_at_once_and_a_whole_value_stands() {
+fn invalid_response_ends_its_attempt_at_once_but_a_complete_value_is_used() {
     let long = "x".repeat(5_000);
     let mut lines = Vec::new();
     for (name, answer) in [
-        ("noise without an end", "\u{10}noise"),
-        ("a line without an end", long.as_str()),
-        ("another kind of answer", ":5\r\n"),
+        ("noise without a line end", "\u{10}noise"),
+        ("a long line without its end", long.as_str()),
+        ("a reply of another type", ":5\r\n"),
         ("arrays in arrays", "*3\r\n*3\r\n*3\r\n"),
         ("a huge array", "*1000000000\r\n"),
         ("an array of nothing", "*0\r\n"),
         ("a negative length", "*3\r\n$-7\r\n$-1\r\n$-1\r\n"),
         ("a short length", "*3\r\n$4\r\nabcdefgh\r\n$-1\r\n$-1\r\n"),
         ("a huge length", "*3\r\n$3000000000\r\nv"),
-        ("noise for how it went", "*3\r\n$1\r\nv\r\n!\r\n$-1\r\n"),
-        ("noise for the load", "*3\r\n$1\r\nv\r\n$3\r\nhit\r\n!!!"),
+        ("noise in place of the result", "*3\r\n$1\r\nv\r\n!\r\n$-1\r\n"),
+        ("noise in place of the load", "*3\r\n$1\r\nv\r\n$3\r\nhit\r\n!!!"),
         ("a load of wrong length", "*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-9\r\n"),
         ("a second copy", "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n*3\r\n$1\r\nw\r\n$-1\r\n$-1\r\n"),
-        ("noise behind", "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n!!!"),
+        ("noise after the response", "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n!!!"),
     ] {
         let response = answer.to_owned();
         let (a, b) = (Peer::host(move |_| Reply::Text(response.clone())), Peer::host(|_| hit("from b")));
         let program = program(&[("a", &a), ("b", &b)]);
-        // If the attempt waited for its deadline, no time would be left for a retry.
+        // If the attempt ran until its deadline, no time would be left for a retry.
         let got = program.client().command(&["CACHE.GET", HOME_A, "id", "c=read,d=5000"]);
         assert!(a.next().contains("CACHE.GET"));
         lines.push(format!("{name}: {got}, its connection {}", a.next()));
     }
 
     expect![[r#"
-        noise without an end: from b, its connection closed
-        a line without an end: from b, its connection closed
-        another kind of answer: from b, its connection closed
+        noise without a line end: from b, its connection closed
+        a long line without its end: from b, its connection closed
+        a reply of another type: from b, its connection closed
         arrays in arrays: from b, its connection closed
         a huge array: from b, its connection closed
         an array of nothing: from b, its connection closed
         a negative length: from b, its connection closed
         a short length: from b, its connection closed
         a huge length: from b, its connection closed
-        noise for how it went: from b, its connection closed
-        noise for the load: v, its connection closed
+        noise in place of the result: from b, its connection closed
+        noise in place of the load: v, its connection closed
         a load of wrong length: v, its connection closed
         a second copy: v, its connection closed
-        noise behind: v, its connection closed"#]]
+        noise after the response: v, its connection closed"#]]
     .assert_eq(&lines.join("\n"));
 }
 
 #[test]
 fn idle_connection_closed_by_its_host_costs_no_request() {
-    // It answers once on each connection and then closes it without notice.
+    // The host answers once on each connection and then closes it without notice.
     let host = Peer::host(|_| Reply::Last("*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n".to_owned()));
     let program = program(&[("a", &host)]);
     let mut client = program.client();
@@ -175,13 +176,13 @@
 }
 
 #[test]
-fn process_stall_is_held_against_no_host() {
-    // On a slow machine the requests' deadlines may pass; such a round proves nothing.
+fn process_stall_is_not_held_against_a_host() {
+    // On a slow machine the requests' deadlines may pass; such a round is repeated.
     let answers = (0..5)
         .map(|_| requests_around_a_stall())
         .find(|answers| !answers.join(" ").contains("dead-lettered"));
 
-    assert_eq!(answers.expect("a round within its time"), ["v"; 6]);
+    assert_eq!(answers.expect("a round in which no deadline passes"), ["v"; 6]);
 }
 
 fn requests_around_a_stall() -> Vec<String> {
@@ -189,7 +190,8 @@
     let program = program(&[("a", &host)]);
     let mut client = program.client();
 
-    // Three in flight together, and then the process stalls for half of their time limit.
+    // Three requests are in flight, and then the process stalls for half of the attempts' time
+    // limit.
     for id in ["id1", "id2", "id3"] {
         client.get("slow", id, "c=read,d=1500");
     }
@@ -202,13 +204,13 @@
     program.signal("CONT");
     program.wait_for_counter("process_stalls", 1);
 
-    // A host suspected of silence would get one attempt at a time, and the others would be rejected.
+    // A suspected host would get one attempt at a time, and the other requests would be rejected.
     for id in ["id4", "id5", "id6"] {
         client.get("k", id, "c=read,d=1500");
     }
     program.wait_for_counter("requests", 6);
 
-    (0..3).for_each(|_| release.send(()).expect("it waits"));
+    (0..3).for_each(|_| release.send(()).expect("the host waits"));
     (0..6).map(|_| client.answer()).collect()
 }
 
--- a/balancer/tests/sockets/limits.rs
+++ b/balancer/tests/sockets/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of descriptors, memory and patience, and which clients are closed for them.
+//! Limits on descriptors, memory and time, and which clients are disconnected when one is reached.
 
 use std::io::Write;
 use std::sync::{Arc, Barrier};
@@ -10,32 +10,32 @@
 use crate::{program, selected_counters, BINARY};
 
 #[test]
-fn crowd_of_half_commands_is_shed_after_idle_clients() {
+fn clients_with_partial_commands_are_shed_after_idle_clients() {
     let host = Peer::host(|_| hit("v"));
     let known = [entry("a", host.address, "active")];
     let program = Program::start(BINARY, nowhere(), &known, 40);
 
     let mut idle = program.client();
     assert_eq!(idle.command(&["PING"]), "+PONG");
-    let mut halves: Vec<Client> = Vec::new();
+    let mut partial: Vec<Client> = Vec::new();
     for nth in 0..11 {
-        let mut half = program.client();
-        half.raw(if nth % 2 == 0 { b"*4\r\n$9\r\nCACHE" } else { b"" });
-        halves.push(half);
+        let mut client = program.client();
+        client.raw(if nth % 2 == 0 { b"*4\r\n$9\r\nCACHE" } else { b"" });
+        partial.push(client);
     }
     program.wait_for_counter("clients", 12);
 
-    // The limit is reached. The idle one is closed first, then the one that was silent longest.
+    // The limit is reached. The idle client is closed first, then the one that waited longest.
     let mut late: Vec<Client> = Vec::new();
     for nth in 0..2 {
         let mut client = program.client();
         assert_eq!(client.command(&["CACHE.GET", "k", &format!("id{nth}"), "c=once,d=600"]), "v");
-        // It begins another command, so that it does not count as idle.
+        // Begins another command, so that the client does not count as idle.
         client.raw(b"*");
         late.push(client);
     }
 
-    assert_eq!([idle.answer(), halves[0].answer()], ["closed", "closed"]);
+    assert_eq!([idle.answer(), partial[0].answer()], ["closed", "closed"]);
     assert!(program.wait_for_counter("clients_shed", 2).contains("clients_slow=0"));
 }
 
@@ -45,7 +45,7 @@
     let known = [entry("a", host.address, "active")];
     let program = Program::start(BINARY, nowhere(), &known, 40);
 
-    // More than the limit; each is served all the same, and an idle one is closed for it.
+    // More clients than the limit: each is served, and an idle one is closed to make room.
     let mut clients: Vec<Client> = Vec::new();
     for nth in 0..40 {
         let mut client = program.client();
@@ -57,40 +57,40 @@
 }
 
 #[test]
-fn silent_and_half_command_clients_are_closed_in_time() {
+fn clients_without_a_complete_first_command_are_closed_in_time() {
     let host = Peer::host(|_| hit("v"));
     let program = program(&[("a", &host)]);
 
-    let began = Instant::now();
-    let (mut silent, mut half, mut served) = (program.client(), program.client(), program.client());
-    half.raw(b"*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk");
+    let started_at = Instant::now();
+    let (mut silent, mut partial, mut served) = (program.client(), program.client(), program.client());
+    partial.raw(b"*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk");
     assert_eq!(served.command(&["CACHE.GET", "k", "id1", "c=read,d=600"]), "v");
 
-    let trace = [silent.answer(), half.answer(), half.answer()];
-    assert!(began.elapsed() < Duration::from_secs(3), "after {:?}", began.elapsed());
+    let trace = [silent.answer(), partial.answer(), partial.answer()];
+    assert!(started_at.elapsed() < Duration::from_secs(3), "closed after {:?}", started_at.elapsed());
     assert_eq!(trace, ["closed", "-ERR Protocol error: no whole command in time", "closed"]);
 
-    // A client that was served may be idle.
+    // A client that was served before may stay idle.
     assert_eq!(served.command(&["CACHE.GET", "k", "id2", "c=read,d=600"]), "v");
 }
 
 #[test]
-fn crowd_of_silent_clients_delays_no_other() {
+fn many_silent_clients_do_not_delay_another() {
     let host = Peer::host(|_| hit("v"));
     let known = [entry("a", host.address, "active")];
     let program = Program::start(BINARY, nowhere(), &known, 40);
 
     let silent: Vec<Client> = (0..60).map(|_| program.client()).collect();
 
-    let began = Instant::now();
+    let started_at = Instant::now();
     assert_eq!(program.client().command(&["CACHE.GET", "k", "id", "c=once,d=600"]), "v");
-    // Well before the silent ones are closed for their silence.
-    assert!(began.elapsed() < Duration::from_millis(1_700), "after {:?}", began.elapsed());
+    // Well before the silent clients are closed by their time limit.
+    assert!(started_at.elapsed() < Duration::from_millis(1_700), "served after {:?}", started_at.elapsed());
     drop(silent);
 }
 
 #[test]
-fn clients_holding_all_memory_block_no_other() {
+fn clients_holding_all_memory_do_not_block_another() {
     let host = Peer::host(|_| hit("v"));
     let known = [entry("a", host.address, "active")];
     let program = Program::start_by(BINARY, nowhere(), &known, [8, 256], SETTINGS);
@@ -98,27 +98,28 @@
     let value = "x".repeat(60_000);
     let holders: Vec<Client> = (0..50).map(|_| program.client()).collect();
     for client in &holders {
-        // All but the end of a value; the balancer need not read it.
-        client.writing.set_nonblocking(true).expect("a flag");
+        // Most of a value but not its end. The balancer may leave it unread, so this must not
+        // block.
+        client.writing.set_nonblocking(true).expect("a socket option");
         let head = "*5\r\n$9\r\nCACHE.SET\r\n$1\r\nk\r\n$2\r\nid\r\n$9\r\nc=put,d=5\r\n$64000\r\n";
         let _ = (&client.writing).write(format!("{head}{value}").as_bytes());
     }
 
-    let began = Instant::now();
+    let started_at = Instant::now();
     assert_eq!(program.client().command(&["CACHE.GET", "k", "id", "c=once,d=600"]), "v");
-    assert!(began.elapsed() < Duration::from_millis(1_700), "after {:?}", began.elapsed());
-    assert!(program.memory() < 16, "{} MB", program.memory());
+    assert!(started_at.elapsed() < Duration::from_millis(1_700), "served after {:?}", started_at.elapsed());
+    assert!(program.memory() < 16, "{} MB of memory in use", program.memory());
 }
 
 #[test]
 fn descriptors_held_by_hosts_are_not_reserved_again() {
-    // No host answers before all requests are in flight, which takes two descriptors each.
+    // No host answers before all requests are in flight, each of which takes two descriptors.
     const REQUESTS: usize = 14;
-    let all_out = Arc::new(Barrier::new(REQUESTS));
+    let all_in_flight = Arc::new(Barrier::new(REQUESTS));
     let host = |_| {
-        let all_out = all_out.clone();
+        let all_in_flight = all_in_flight.clone();
         Peer::host(move |_| {
-            all_out.wait();
+            all_in_flight.wait();
             hit("v")
         })
     };
@@ -137,7 +138,8 @@
 
 #[test]
 fn descriptor_shortage_is_not_held_against_a_host() {
-    // 16 connections, five of them with clients; discovery's is reserved. Eleven attempts take the rest.
+    // There are 16 connections besides discovery's, which is reserved. Clients hold five of them,
+    // and eleven attempts take the rest.
     let discovery = Discovery::start();
     let (release, wait) = gate();
     let origin = Peer::http(move |request| {
@@ -154,7 +156,7 @@
         origin.next();
     }
 
-    // Each of the attempts that it may have fails at once for want of a descriptor.
+    // Each attempt of this request fails at once because no descriptor is free.
     let refused = clients[4].command(&["CACHE.SET", "k", "id", "c=once,d=5000", "v"]);
 
     drop(release);
@@ -169,22 +171,22 @@
 }
 
 #[test]
-fn clients_not_reading_are_cut_off_within_the_memory_limit() {
+fn clients_not_reading_are_disconnected_within_the_memory_limit() {
     let host = Peer::host(|_| hit(&"v".repeat(60_000)));
     let program = program(&[("a", &host)]);
 
-    let word =
+    let command =
         |nth: u32| format!("*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk\r\n$5\r\n{nth:05}\r\n$13\r\nc=read,d=1500\r\n");
 
     let slow: Vec<Client> = (0..4).map(|_| program.client()).collect();
     for (nth, client) in (0..).zip(&slow) {
-        let commands: String = (nth * 2_000..(nth + 1) * 2_000).map(word).collect();
+        let commands: String = (nth * 2_000..(nth + 1) * 2_000).map(command).collect();
         // While a client reads no reply, the balancer stops reading its commands.
-        client.writing.set_nonblocking(true).expect("a flag");
+        client.writing.set_nonblocking(true).expect("a socket option");
         let _ = (&client.writing).write(commands.as_bytes());
     }
 
     assert_eq!(program.client().command(&["PING"]), "+PONG");
     program.wait_for_counter("clients_slow", 1);
-    assert!(program.memory() < 32, "{} MB of 192", program.memory());
+    assert!(program.memory() < 32, "{} MB of memory in use, of 192", program.memory());
 }
--- a/balancer/tests/sockets/main.rs
+++ b/balancer/tests/sockets/main.rs
@@ -1,5 +1,5 @@
-//! The program over sockets, by concern: it is started with stand-ins for what it connects to, and
-//! observed from their side.
+//! Runs the balancer with stand-ins for the services it connects to, and checks what they and its
+//! clients see on their sockets. One module per concern.
 
 mod commands;
 #[path = "../../../tests/common/mod.rs"]
@@ -15,14 +15,14 @@
 
 pub(crate) const BINARY: &str = env!("CARGO_BIN_EXE_basaltwood-balancer");
 
-/// The program with an initial endpoint list and a discovery that is never reachable.
+/// Starts the balancer with an initial endpoint list and an unreachable discovery.
 pub(crate) fn program(known: &[(&str, &Peer)]) -> Program {
     let known: Vec<String> = known.iter().map(|(name, peer)| entry(name, peer.address, "active")).collect();
     Program::start(BINARY, nowhere(), &known, 1024)
 }
 
-/// The counters with these names from a line of all counters.
+/// Selects the counters with these names from a log line of all counters.
 pub(crate) fn selected_counters(line: &str, names: &[&str]) -> String {
-    let of = |name: &&str| line.split(' ').find(|word| word.starts_with(&format!("{name}=")));
-    names.iter().filter_map(of).collect::<Vec<_>>().join(" ")
+    let counter = |name: &&str| line.split(' ').find(|word| word.starts_with(&format!("{name}=")));
+    names.iter().filter_map(counter).collect::<Vec<_>>().join(" ")
 }
--- a/balancer/tests/sockets/origin.rs
+++ b/balancer/tests/sockets/origin.rs
@@ -1,4 +1,4 @@
-//! Responses of the origin: which of them count.
+//! Which responses of the origin are accepted.
 
 use expect_test::expect;
 
@@ -6,7 +6,7 @@
 use crate::program;
 
 #[test]
-fn origin_response_counts_only_if_whole() {
+fn origin_response_is_accepted_only_if_complete() {
     let head = |status: &str, rest: &str| format!("HTTP/1.1 {status}\r\n{rest}");
     let answers = [
         head("200 OK", "Content-Length: 2\r\n\r\nok"),
--- a/balancer/tests/sockets/shutdown.rs
+++ b/balancer/tests/sockets/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end by SIGTERM.
+//! Shutdown by SIGTERM.
 
 use std::time::{Duration, Instant};
 
@@ -24,7 +24,7 @@
     trace.push(format!("late: {}", late.command(&["CACHE.GET", "k", "id2", "c=read,d=600"])));
     trace.push(format!("late: {}", late.answer()));
 
-    release.send(()).expect("it waits");
+    release.send(()).expect("the host waits");
     trace.push(format!("slow: {}", slow.answer()));
     trace.push(format!("slow: {}", slow.answer()));
     trace.push(format!("{:?}", program.ended().code()));
@@ -54,22 +54,22 @@
 }
 
 #[test]
-fn shutdown_does_not_wait_for_a_stalled_half_command() {
+fn shutdown_does_not_wait_for_a_stalled_partial_command() {
     let mut program = Program::start_by(BINARY, nowhere(), &[], [192, 1024], SETTINGS);
-    let (mut half, mut slow) = (program.client(), program.client());
-    assert_eq!(half.command(&["PING"]), "+PONG");
-    half.raw(b"*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk");
+    let (mut stalled, mut slow) = (program.client(), program.client());
+    assert_eq!(stalled.command(&["PING"]), "+PONG");
+    stalled.raw(b"*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk");
     slow.raw(b"*1\r\n$4\r\nPI");
 
-    let began = Instant::now();
+    let started_at = Instant::now();
     program.signal("TERM");
     program.wait_for_log("Draining");
 
     // A command that is still being sent is read to its end.
     slow.raw(b"NG\r\n");
 
-    assert_eq!([slow.answer(), half.answer()], ["+PONG", "closed"]);
+    assert_eq!([slow.answer(), stalled.answer()], ["+PONG", "closed"]);
     assert_eq!(program.ended().code(), Some(0));
-    // 0.6 s in which clients still come; the longest request would take 2 s more.
-    assert!(began.elapsed() < Duration::from_millis(2_300), "after {:?}", began.elapsed());
+    // New clients are accepted for 0.6 s; the longest request would take 2 s more.
+    assert!(started_at.elapsed() < Duration::from_millis(2_300), "exit after {:?}", started_at.elapsed());
 }
--- a/balancer/tests/stand_ins/mod.rs
+++ b/balancer/tests/stand_ins/mod.rs
@@ -1,7 +1,6 @@
-//! Stand-ins for tests of what happens while an attempt waits: hosts whose handshakes or responses
-//! are held back until the test releases them, clients that leave, and settings under which
-//! attempts wait.
-#![allow(dead_code)] // each test file uses its part
+//! Stand-ins for tests in which an attempt waits: hosts whose handshakes or responses are held back
+//! until the test releases them, clients that leave, and settings under which attempts wait.
+#![allow(dead_code)] // no test file uses all of them
 
 use std::io::Read;
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -13,21 +12,21 @@
 
 use crate::common::{entry, gate, gated_host, hit, Client, Peer, Program, Reply, SETTINGS};
 
-/// How a client leaves.
+/// How a client ends its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Departure {
     Closes,
     Resets,
 }
 
-/// Both ways in which a client leaves.
+/// All ways in which a client ends its connection.
 pub const EACH_DEPARTURE: [Departure; 2] = [Departure::Closes, Departure::Resets];
 
 impl Departure {
     pub fn apply(self, client: Client) {
         match self {
-            // A plain drop would not end it while a program that another test starts holds a copy
-            // of the handle.
+            // Dropping the client would not close the connection while a program that another test
+            // starts holds a copy of the descriptor.
             Departure::Closes => client.writing.shutdown(Shutdown::Both).expect("a socket"),
             Departure::Resets => {
                 SockRef::from(&client.writing).set_linger(Some(Duration::ZERO)).expect("a socket");
@@ -36,8 +35,8 @@
     }
 }
 
-/// Deadlines of many seconds for attempts and connections, and a balancer among 300: it opens one
-/// connection a second at a host that has just broken one.
+/// Settings with deadlines of many seconds for attempts and connections, of one balancer of 300: it
+/// opens one connection a second to a host that has just broken one.
 pub fn long_deadline_settings() -> String {
     let long = SETTINGS
         .replace("\"targetLatencyMs\":800.0,\"ttlMs\":2000.0", "\"targetLatencyMs\":9000.0,\"ttlMs\":9500.0");
@@ -45,8 +44,8 @@
         .replace("\"connectTimeoutMs\":250.0", "\"connectTimeoutMs\":8000.0")
 }
 
-/// A host that ends its connection at the key `break`: after that one connection a second may be
-/// opened there. It holds an response to the key `slow` back.
+/// Starts a host that closes its connection on the key `break`, after which one connection a second
+/// may be opened to it, and that holds back responses to the key `slow`.
 pub fn breaking_host() -> (Sender<()>, Peer) {
     let (release, wait) = gate();
     let peer = Peer::host(move |request| {
@@ -59,7 +58,7 @@
     (release, peer)
 }
 
-/// Four hosts that hold a response to a slow key back, and their entries in the list.
+/// Starts four hosts that hold back responses to slow keys. Returns them and their list entries.
 pub fn four_gated_hosts() -> (Vec<(Sender<()>, Peer)>, Vec<String>) {
     let hosts: Vec<(Sender<()>, Peer)> = (0..4).map(|_| gated_host()).collect();
     let known = ["a", "b", "c", "d"].iter().zip(&hosts);
@@ -67,9 +66,9 @@
     (hosts, known)
 }
 
-/// One attempt is in flight at such a host, on the only connection there, and its response is held
-/// back; the next connection may be opened after a second. Returns its client, and the trace so
-/// far.
+/// Brings an attempt in flight at a [`breaking_host`], on the only connection there, with its
+/// response held back; the next connection may be opened after a second. Returns the attempt's
+/// client and the trace so far.
 pub fn one_attempt_in_flight(program: &Program, a: &Peer) -> (Client, Vec<String>) {
     let (mut first, mut slow) = (program.client(), program.client());
     first.get("break", "id0", "c=read,d=9000");
@@ -79,10 +78,11 @@
     (slow, trace)
 }
 
-/// Listens and accepts nobody: what connects from now on stays in its handshake until the test
-/// accepts those before.
+/// A listener with a full backlog: a new connection stays in its handshake until the test accepts
+/// those before it.
 pub struct StalledListener {
     socket: Socket,
+    /// Connections that fill the backlog.
     fillers: Vec<TcpStream>,
     pub address: SocketAddr,
 }
@@ -92,30 +92,31 @@
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
         socket.listen(0).expect("it listens");
-        let address = socket.local_addr().expect("an address").as_socket().expect("of IPv4");
-        let short = Duration::from_millis(200);
-        let fillers = std::iter::from_fn(|| TcpStream::connect_timeout(&address, short).ok());
+        let address = socket.local_addr().expect("an address").as_socket().expect("an IPv4 address");
+        let timeout = Duration::from_millis(200);
+        let fillers = std::iter::from_fn(|| TcpStream::connect_timeout(&address, timeout).ok());
         StalledListener { fillers: fillers.take(64).collect(), socket, address }
     }
 
-    /// Accepts all that come, and reports those but the fillers, and the first byte that any of
-    /// them writes.
+    /// Accepts all connections. For those other than the fillers, the first receiver reports each
+    /// accept, and the second the first byte written on a connection.
     pub fn accept_all(self) -> (Receiver<SocketAddr>, Receiver<SocketAddr>) {
-        let (here, came) = channel();
-        let (tell, wrote) = channel();
+        let (accept_sender, accepted) = channel();
+        let (write_sender, wrote) = channel();
         thread::spawn(move || {
-            let own: Vec<SocketAddr> = self.fillers.iter().filter_map(|one| one.local_addr().ok()).collect();
+            let fillers: Vec<SocketAddr> =
+                self.fillers.iter().filter_map(|filler| filler.local_addr().ok()).collect();
             while let Ok((stream, from)) = self.socket.accept() {
-                let from = from.as_socket().expect("of IPv4");
-                let (mut stream, tell) = (TcpStream::from(stream), tell.clone());
-                if !own.contains(&from) {
-                    let _ = here.send(from);
+                let from = from.as_socket().expect("an IPv4 address");
+                let (mut stream, write_sender) = (TcpStream::from(stream), write_sender.clone());
+                if !fillers.contains(&from) {
+                    let _ = accept_sender.send(from);
                     thread::spawn(move || {
-                        stream.read(&mut [0]).is_ok_and(|read| read > 0).then(|| tell.send(from))
+                        stream.read(&mut [0]).is_ok_and(|read| read > 0).then(|| write_sender.send(from))
                     });
                 }
             }
         });
-        (came, wrote)
+        (accepted, wrote)
     }
 }
