--- a/balancer/src/downstream/command.rs
+++ b/balancer/src/downstream/command.rs
@@ -159,13 +159,13 @@
         key: Some(RingPosition::of(&String::from_utf8_lossy(key))),
         is_write,
         is_retry: fact(&facts, "r") == Some("1"),
-        deadline: arrived_at(shared) + (wait_ms * MICROS_PER_MS) as Micros,
+        deadline: earliest_arrival(shared) + (wait_ms * MICROS_PER_MS) as Micros,
     })
 }
 
 /// The earliest time at which a command read now may have arrived: it may have waited unread for
 /// as long as the event loop lagged.
-fn arrived_at(shared: &Shared) -> Micros {
+fn earliest_arrival(shared: &Shared) -> Micros {
     let lag = shared.loop_profile.lag().as_micros() as Micros;
     shared.clock.now() - if lag >= MIN_LAG { lag } else { 0 }
 }
--- a/balancer/src/downstream/connection.rs
+++ b/balancer/src/downstream/connection.rs
@@ -38,6 +38,7 @@
 /// accept; a value must make progress within it. Clients that send nothing or a partial command
 /// must not hold descriptors and memory that others need.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(2_600);
+
 /// How the input is handled in a step.
 struct ReadPlan {
     /// Further commands may be served.
--- a/balancer/src/requests.rs
+++ b/balancer/src/requests.rs
@@ -27,7 +27,7 @@
 pub enum FinalAnswer {
     /// The request succeeded with this value.
     Succeeded(Value),
-    /// The request was not run; a retry is harmless.
+    /// The request was not served; a retry is harmless.
     Rejected {
         /// The earliest time for a retry, counted from now.
         retry_after: Option<Micros>,
--- a/balancer/src/socket_table/tests.rs
+++ b/balancer/src/socket_table/tests.rs
@@ -26,7 +26,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let delivery_of = |bytes: usize| {
         let address = listener.local_addr().expect("an address");
-        let mut client = TcpStream::connect(address).expect("it listens");
+        let mut client = TcpStream::connect(address).expect("a listening socket");
         let (accepted, _) = listener.accept().expect("a client");
         client.set_nonblocking(true).expect("a socket");
         let _ = client.write(&vec![0; bytes]);
--- a/balancer/tests/stand_ins/mod.rs
+++ b/balancer/tests/stand_ins/mod.rs
@@ -91,7 +91,7 @@
     pub fn start() -> StalledListener {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
-        socket.listen(0).expect("it listens");
+        socket.listen(0).expect("a listening socket");
         let address = socket.local_addr().expect("an address").as_socket().expect("an IPv4 address");
         let timeout = Duration::from_millis(200);
         let fillers = std::iter::from_fn(|| TcpStream::connect_timeout(&address, timeout).ok());
