--- a/membership/src/schedule.rs
+++ b/membership/src/schedule.rs
@@ -4,48 +4,50 @@
 
 use crate::WatchError;
 
-/// The longest time from the beginning of a call to the beginning of the next, whatever the outcome
-/// of the call. A change counts as delivered 6 s after discovery had it and could be reached, and
-/// an answer may take 2 s: so a call has to begin in the 4 s before that, less 0.1 s for what is
-/// not counted here. Source: the operators' page on real days.
+/// The longest time from the start of a call to the start of the next, whatever the call's outcome.
+/// A change counts as delivered 6 s after discovery has it and is reachable, and an answer may take
+/// 2 s, so a call has to start within the first 4 s. 0.1 s of these is left for delays that the
+/// schedule does not count. Source: the operators' page on real days.
 pub const MAX_CALL_INTERVAL: Micros = 3_900_000;
 
-/// The longest time that a call may take, from its dial to the last byte of its answer. The rest of
-/// [`MAX_CALL_INTERVAL`] is for the pause.
+/// The longest time that a call may take, from its dial to the last byte of its answer. The pause
+/// gets the rest of [`MAX_CALL_INTERVAL`].
 const MAX_CALL_TIMEOUT: Micros = 3_600_000;
 
-/// How long discovery may hold a call while nothing changes.
+/// The longest time that discovery may hold a call while the list does not change.
 const MAX_HOLD: Micros = 3_000_000;
 
 /// Holds are requested in whole tenths of a second.
 const HOLD_STEP: Micros = 100_000;
 
-/// The first response timeout. It doubles with each failed call, so that many balancers can't keep
-/// a slow discovery busy with calls that they have given up. What is added here is taken from the
-/// call's hold.
+/// The response timeout of the first call. It doubles with each failed call, so that many balancers
+/// can't keep a slow discovery busy with calls that they have abandoned. The call's hold becomes
+/// shorter by the same time.
 const FIRST_RESPONSE_TIMEOUT: Micros = 500_000;
 
-/// The response timeout grows no further than this.
+/// The upper bound of the response timeout.
 const MAX_RESPONSE_TIMEOUT: Micros = 3_000_000;
 
-/// The first timeout of a call for the full list, which discovery does not hold.
+/// The timeout of the first call for the full list; it doubles with each failed call. Discovery
+/// does not hold such a call.
 const FIRST_FULL_LIST_TIMEOUT: Micros = 2_000_000;
 
-/// The shortest first pause after a failed call: few balancers may call often.
+/// The shortest first pause after a failed call, before jitter. It applies to small groups of
+/// balancers, which may call often.
 const MIN_PAUSE: Micros = 100_000;
 
-/// The longest pause after a call without an answer.
+/// The longest pause after a call without an answer, before jitter.
 const MAX_PAUSE_AFTER_TIMEOUT: Micros = 300_000;
 
-/// Added to the first pause after a refusal for each balancer of the group, so that the calls are
-/// spread: a discovery that gets more calls than it serves still works on those that it has refused
-/// already, and has to become idle first.
+/// The first pause after a refusal is this long for each balancer of the group, which spreads the
+/// calls: a discovery that gets more calls than it can serve still works on calls that it has
+/// refused already, and has to become idle first.
 const PAUSE_PER_BALANCER: Micros = 60_000;
 
-/// Pauses and timeouts double no more often than this, which keeps the shift in range.
+/// The maximum number of doublings of a pause or timeout, which keeps the shift in range.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// What a schedule depends on, fixed for the life of the process.
+/// The parameters of a schedule, fixed for the life of the process.
 #[derive(Clone, Copy, Debug)]
 pub struct WatchConfig {
     /// The seed of the jitter.
@@ -54,15 +56,14 @@
     pub balancers: u32,
     /// The version of the list that is known at the start.
     pub known_version: Option<u64>,
-    /// How long a draining host may still get requests.
+    /// How long a host may still get requests after it began to drain.
     pub drain_grace: Micros,
 }
 
 /// When to call discovery, and with which timeouts. All spans are in microseconds.
 pub struct WatchSchedule {
     rng: SeededRng,
-    /// The first pause after a call that was answered without a list: a refusal, or an invalid
-    /// answer.
+    /// The first pause after a call that was refused or answered with an invalid list.
     first_pause_after_refusal: Micros,
     /// The longest pause after a call without an answer.
     max_pause_after_timeout: Micros,
@@ -83,7 +84,7 @@
         }
     }
 
-    /// The version after which the next call asks for changes; the full list where there is none.
+    /// The version from which the next call asks for changes. `None`: it asks for the full list.
     pub fn known_version(&self) -> Option<u64> {
         self.known_version
     }
@@ -102,22 +103,22 @@
         }
     }
 
-    /// How long the connection may take to come up; also how long the answer may take after the
-    /// hold.
+    /// How long the connection may take to be established, and how long the answer may take after
+    /// the hold.
     pub fn response_timeout(&self) -> Micros {
         self.backed_off(FIRST_RESPONSE_TIMEOUT).min(MAX_RESPONSE_TIMEOUT)
     }
 
-    /// How long discovery may hold a call whose dial took `dial_time`: whole tenths of a second.
+    /// How long discovery may hold a call whose dial took `dial_time`, in whole tenths of a second.
     pub fn hold_for(&self, dial_time: Micros) -> Micros {
         let time_left = self.call_timeout() - self.response_timeout() - dial_time;
         let hold = time_left.clamp(0, MAX_HOLD);
         hold - hold % HOLD_STEP
     }
 
-    /// The call brought changes up to `version`, or with `full_list` everything there is.
+    /// Reports a call that returned the changes up to `version`, or the full list if `full_list`.
     ///
-    /// An answer whose version is lower than the known one, which another discovery may give, is
+    /// Changes up to a version lower than the known one, as another discovery may send them, are
     /// incomplete: the next call asks for the full list.
     pub fn succeeded(&mut self, version: u64, full_list: bool) {
         let incomplete = !full_list && self.known_version.is_some_and(|known| version < known);
@@ -125,7 +126,7 @@
         self.consecutive_failures = 0;
     }
 
-    /// The call failed after `call_duration`. Returns the pause before the next call.
+    /// Reports a call that failed after `call_duration`. Returns the pause before the next call.
     ///
     /// The pause doubles with each failure and is drawn from its upper half. The call and its pause
     /// together take no longer than [`MAX_CALL_INTERVAL`].
@@ -140,28 +141,28 @@
             WatchError::Unavailable { retry_after: Some(retry_after), .. } => pause.max(*retry_after),
             _ => pause,
         };
-        // However late a refusal comes, the next call must not be late.
+        // The next call must not be late, even if the refusal was.
         let time_left = MAX_CALL_INTERVAL - call_duration;
         pause.min(time_left.max(MIN_PAUSE / 2))
     }
 
-    /// Discovery has another address from now on.
+    /// Reports that discovery's address has changed.
     ///
-    /// The next call is due at once, since the new address has refused nothing yet. It asks for the
-    /// full list: the new address may number its versions otherwise, and would hold a call from a
-    /// version that it never had, though there is news.
+    /// The next call is due at once, since the new address has refused no call yet. It asks for the
+    /// full list: the new address may number its versions differently, and would hold a call from a
+    /// version that it never had even if it has changes.
     pub fn discovery_moved(&mut self) {
         self.consecutive_failures = 0;
         self.known_version = None;
     }
 
-    /// The pause after this failed call before jitter.
+    /// The pause after this failed call, before jitter.
     fn pause_limit(&self, error: &WatchError) -> Micros {
         match error {
-            // The news that an unanswered call missed counts as delivered by now, and so does what
-            // discovery has to say once it is reachable again. One more call overloads nobody: the
-            // pause is not spread over the balancers, and is no longer than half of the drain
-            // grace.
+            // Changes that an unanswered call missed count as delivered by now, and so do changes
+            // that discovery has when it becomes reachable again. One more call does not overload
+            // it: the pause does not grow with the number of balancers, and is at most half of the
+            // drain grace.
             WatchError::TimedOut(_) => self.backed_off(MIN_PAUSE).min(self.max_pause_after_timeout),
             WatchError::Unavailable { .. } | WatchError::InvalidResponse(_) => {
                 self.backed_off(self.first_pause_after_refusal).min(MAX_CALL_INTERVAL)
@@ -169,7 +170,7 @@
         }
     }
 
-    /// The span, doubled for each consecutive failure.
+    /// `span`, doubled for each consecutive failure.
     fn backed_off(&self, span: Micros) -> Micros {
         span << self.consecutive_failures.min(MAX_DOUBLINGS)
     }
--- a/membership/tests/delivery_deadline.rs
+++ b/membership/tests/delivery_deadline.rs
@@ -1,6 +1,5 @@
-//! A change counts as delivered 6 s after discovery had it and could be reached, whatever was
-//! refused, unanswered, given up or invalid before: by then the list is in force, at every
-//! balancer.
+//! A changed list has to be in force at every balancer 6 s after discovery has it and is reachable,
+//! whatever calls were refused, unanswered, abandoned or answered invalidly before.
 
 use basaltwood::types::Micros;
 use basaltwood_membership::{WatchConfig, WatchError, WatchSchedule, MAX_CALL_INTERVAL};
@@ -10,22 +9,23 @@
 const SECOND: Micros = 1_000_000;
 const DELIVERY_DEADLINE: Micros = 6 * SECOND;
 
-/// What happens to a call that is made before discovery can be reached. Times are in milliseconds
-/// from the call's beginning.
+/// The outcome of a call that is made before discovery is reachable. Times are in milliseconds from
+/// the start of the call.
 #[derive(Clone, Debug)]
 enum CallOutcome {
-    /// Its connection does not come up.
+    /// The connection is not established.
     DialTimedOut,
-    /// Its connection comes up after `dial`, and nothing comes on it, or an answer that only drips.
+    /// The connection is established after `dial`, and no complete answer arrives: nothing at all,
+    /// or an answer that comes byte by byte.
     NoAnswer { dial: Micros },
     /// Discovery closes the connection.
     Closed { after: Micros },
     /// Discovery refuses the call.
     Refused { after: Micros, retry_after: Option<Micros> },
-    /// The answer can't be used.
+    /// The answer is invalid.
     InvalidResponse { after: Micros },
-    /// The answer brings no change, at the end of the call's hold or right away where it is not
-    /// held.
+    /// The answer contains no change. It comes at the end of the call's hold, or at once if the
+    /// call is not held.
     Unchanged { late: Micros },
 }
 
@@ -45,15 +45,15 @@
     WatchError::TimedOut("no answer".to_owned())
 }
 
-/// How long the call takes with this outcome, and its error; none where it succeeds with nothing
-/// new.
-fn play(schedule: &WatchSchedule, outcome: &CallOutcome) -> (Micros, Option<WatchError>) {
+/// Returns how long the call takes with this outcome, and its error; `None` if it succeeds without
+/// a change.
+fn simulate_call(schedule: &WatchSchedule, outcome: &CallOutcome) -> (Micros, Option<WatchError>) {
     let call_timeout = schedule.call_timeout();
     match *outcome {
         CallOutcome::DialTimedOut => (schedule.response_timeout().min(call_timeout), Some(timed_out())),
         CallOutcome::NoAnswer { dial } => {
             let hold = schedule.hold_for(dial * MS);
-            assert!(hold + dial * MS <= call_timeout, "the dial takes a part of the call's own time");
+            assert!(hold + dial * MS <= call_timeout, "hold and dial together exceed the call timeout");
             (call_timeout, Some(timed_out()))
         }
         CallOutcome::Closed { after } => ((after * MS).min(call_timeout), Some(timed_out())),
@@ -77,18 +77,18 @@
     }
 }
 
-/// What a balancer's calls came to.
+/// The result of simulating one balancer's calls.
 struct Delivery {
     /// When the changed list is in force.
     in_force_at: Micros,
-    /// The longest time between the beginnings of two calls.
+    /// The longest time between the starts of two calls.
     longest_interval: Micros,
 }
 
-/// One balancer from its start. Discovery has the change and can be reached from `reachable_at` on:
-/// a call that is open then keeps its outcome, and each one after it is answered after
-/// `answer_time`.
-fn deliver(
+/// Simulates one balancer from its start. Discovery has the change and is reachable from
+/// `reachable_at` on: a call that is open then keeps its outcome, and each later call is answered
+/// after `answer_time`.
+fn simulate_delivery(
     config: WatchConfig,
     outcomes: &[CallOutcome],
     reachable_at: Micros,
@@ -100,14 +100,14 @@
     for outcome in outcomes.iter().cycle() {
         let call_timeout = schedule.call_timeout();
         let time_to_answer = schedule.hold_for(0) + schedule.response_timeout();
-        assert!(time_to_answer <= call_timeout, "a held call has time to be answered");
+        assert!(time_to_answer <= call_timeout, "a held call has no time left for its answer");
         if now >= reachable_at {
-            // The answer may be any within the bound, and the call has to be open for as long.
-            assert!(call_timeout >= answer_time, "given up after {call_timeout} us");
+            // The call has to stay open for any answer time within the bound.
+            assert!(call_timeout >= answer_time, "call timed out after {call_timeout} us");
             return Delivery { in_force_at: now + answer_time, longest_interval };
         }
-        let (call_duration, error) = play(&schedule, outcome);
-        // The change would have ended the hold.
+        let (call_duration, error) = simulate_call(&schedule, outcome);
+        // The change ends the hold.
         let held_until_change = now + call_duration >= reachable_at && call_duration < call_timeout;
         if error.is_none() && held_until_change {
             return Delivery { in_force_at: reachable_at.max(now) + answer_time, longest_interval };
@@ -122,7 +122,7 @@
         longest_interval = longest_interval.max(call_duration + pause);
         now += call_duration + pause;
     }
-    unreachable!("the outcomes repeat")
+    unreachable!("the outcomes repeat without end")
 }
 
 proptest! {
@@ -141,19 +141,19 @@
         let config = WatchConfig { seed, balancers, known_version, drain_grace: grace * MS };
         let reachable_at = reachable_at * MS;
 
-        let delivery = deliver(config, &outcomes, reachable_at, answer_time * MS);
+        let delivery = simulate_delivery(config, &outcomes, reachable_at, answer_time * MS);
 
         let delay = delivery.in_force_at - reachable_at;
-        prop_assert!(delay <= DELIVERY_DEADLINE, "in force {delay} us after it could be reached");
+        prop_assert!(delay <= DELIVERY_DEADLINE, "in force {delay} us after discovery became reachable");
         let interval = delivery.longest_interval;
-        prop_assert!(interval <= MAX_CALL_INTERVAL + 50 * MS, "{interval} us between two calls");
+        prop_assert!(interval <= MAX_CALL_INTERVAL + 50 * MS, "{interval} us between two call starts");
     }
 }
 
-/// The worst that the property may meet, by hand: a call whose answer drips, begun just before
-/// discovery can be reached.
+/// The worst case of the property above: a call whose answer comes byte by byte, started just
+/// before discovery becomes reachable.
 #[test]
-fn dripping_answer_after_any_number_of_refusals_is_given_up_in_time() {
+fn dripping_answer_after_refusals_times_out_before_the_deadline() {
     for refusals in 0..12 {
         // Given
         let outcomes: Vec<CallOutcome> = (0..refusals)
@@ -162,19 +162,19 @@
             .collect();
         let config =
             WatchConfig { seed: 7, balancers: 14_000, known_version: Some(41), drain_grace: 9 * SECOND };
-        let last_begins_at = begin_of_call_after(refusals, config);
+        let last_start = start_of_call_after(refusals, config);
 
         // When
-        let delivery = deliver(config, &outcomes, last_begins_at + 1, 2 * SECOND);
+        let delivery = simulate_delivery(config, &outcomes, last_start + 1, 2 * SECOND);
 
         // Then
-        let delay = delivery.in_force_at - last_begins_at;
+        let delay = delivery.in_force_at - last_start;
         assert!(delay <= DELIVERY_DEADLINE, "after {refusals} refusals: {delay} us");
     }
 }
 
-/// When the call begins that follows so many refusals, each of which took 10 ms.
-fn begin_of_call_after(refusals: usize, config: WatchConfig) -> Micros {
+/// The start time of the call after `refusals` refused calls that took 10 ms each.
+fn start_of_call_after(refusals: usize, config: WatchConfig) -> Micros {
     let mut schedule = WatchSchedule::new(config);
     let refused = WatchError::Unavailable { cause: "status 503".to_owned(), retry_after: Some(90 * SECOND) };
     (0..refusals).map(|_| 10 * MS + schedule.failed(&refused, 10 * MS)).sum()
--- a/membership/tests/schedule.rs
+++ b/membership/tests/schedule.rs
@@ -1,5 +1,5 @@
-//! Calls for the list: one balancer's pauses, and the sum over many that were started in one
-//! instant.
+//! Calls for the list: the pauses of one balancer, and the sum over many balancers that start at
+//! the same instant.
 
 use std::collections::BTreeSet;
 
@@ -10,7 +10,7 @@
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 
-// News from discovery counts as delivered after 6 s, and an answer may take 2 s.
+// A change counts as delivered after 6 s, and an answer may take 2 s.
 const _: () = assert!(MAX_CALL_INTERVAL + 2 * SECOND < 6 * SECOND);
 
 fn schedule(seed: u64, balancers: u32) -> WatchSchedule {
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn pauses_after_refusals_grow_and_fall_back_with_the_first_success() {
+fn pauses_after_refusals_grow_and_are_reset_by_a_success() {
     let mut schedule = schedule(3, 2);
     let mut trace = Vec::new();
     let mut failed = |schedule: &mut WatchSchedule, error: WatchError| {
@@ -62,23 +62,23 @@
     .assert_eq(&trace.join("\n"));
 }
 
-/// How long a refusal takes to come.
+/// The time from a call to its refusal.
 const REFUSED_AFTER: Micros = 30 * MS;
 /// When the simulation ends.
 const END: Micros = 120 * SECOND;
 
-/// What a discovery met that serves one call in 10 ms, and refuses a call that would wait longer
+/// The load on a discovery that serves one call in 10 ms and refuses calls that would wait longer
 /// than 2 s.
 struct StartResult {
-    /// The calls in the busiest tenth of a second.
+    /// The number of calls in the busiest 100 ms.
     max_calls_per_100_ms: usize,
-    /// When the last balancer has its first answer; none where one has none at the end.
+    /// When the last balancer has its first answer; `None` if a balancer has none at the end.
     all_served_after: Option<Micros>,
-    /// The longest time that a balancer had no call open.
+    /// The longest time for which a balancer had no call open.
     longest_pause: Micros,
 }
 
-/// Balancers that all call in the instant of their start.
+/// Simulates balancers that all start, and make their first call, at the same instant.
 fn start_together(balancers: u32) -> StartResult {
     let mut schedules: Vec<WatchSchedule> =
         (0..balancers).map(|nth| schedule(u64::from(nth), balancers)).collect();
@@ -92,7 +92,7 @@
         calls_per_100_ms[(now / (100 * MS)) as usize] += 1;
         let refuses = free_at - now > 2 * SECOND;
         if refuses {
-            // Even a refusal takes discovery a tenth of what an answer does.
+            // Discovery needs a tenth of the time of an answer for a refusal.
             free_at += MS;
             let pause = schedules[nth].failed(&refused(), REFUSED_AFTER);
             longest_pause = longest_pause.max(pause);
@@ -110,10 +110,10 @@
 }
 
 #[test]
-fn balancers_started_in_one_instant_all_get_the_list() {
+fn balancers_started_at_the_same_instant_all_get_the_list() {
     let mut table =
         vec!["balancers  calls in 100 ms  all served after  longest with no call open".to_owned()];
-    // The last: 14,000 before 15 discoveries.
+    // The last number: 14,000 balancers on 15 discoveries.
     for balancers in [1, 2, 20, 100, 200, 300, 900, 934] {
         let result = start_together(balancers);
 
@@ -166,10 +166,10 @@
     .assert_eq(&lines.join("\n"));
 }
 
-/// A call that gets no answer from its beginning on, to a discovery that then takes 2 s to answer.
-/// The news counts as delivered 6 s after.
+/// Discovery has a change from the start of a call that it never answers, and takes 2 s to answer
+/// the next one. The change counts as delivered after 6 s.
 #[test]
-fn news_missed_by_an_unanswered_call_arrives_before_it_counts_as_delivered() {
+fn change_missed_by_an_unanswered_call_arrives_before_it_counts_as_delivered() {
     let timed_out = WatchError::TimedOut("no answer".to_owned());
     for (balancers, grace) in [(1, 250), (6, 300), (300, 1_000), (900, 1_500)] {
         for seed in 0..50 {
@@ -178,18 +178,19 @@
             let call_timeout = schedule.call_timeout();
             let pause = schedule.failed(&timed_out, call_timeout);
 
-            // The grace is not used.
+            // The drain grace comes on top of the 6 s and is not needed.
             let answered_after = call_timeout + pause + 2 * SECOND;
             assert!(answered_after <= 6 * SECOND, "{balancers} balancers: {answered_after} us");
         }
     }
 }
 
-/// News that discovery has when it is reachable again counts at once: however long it was down, no
-/// pause outlasts the grace, and a call that is open then is waited for.
+/// Changes that discovery has when it becomes reachable again count as delivered at once. So
+/// however long it was down, no pause is longer than half of the drain grace, and calls stay open
+/// for long.
 #[test]
-fn pauses_while_discovery_is_down_never_outlast_the_grace() {
-    let closed = WatchError::TimedOut("it closed the connection".to_owned());
+fn pauses_while_discovery_is_down_are_at_most_half_of_the_drain_grace() {
+    let closed = WatchError::TimedOut("connection closed".to_owned());
     let mut lines = Vec::new();
     for grace in [250, 300, 1_000, 8_000] {
         let mut schedule = schedule_with_grace(5, 300, grace * MS);
@@ -200,7 +201,7 @@
             pauses.push(schedule.failed(&closed, 10 * MS));
         }
         let longest = pauses.iter().copied().max().unwrap_or(0);
-        assert!(longest <= grace / 2 * MS, "{longest} us of {grace} ms");
+        assert!(longest <= grace / 2 * MS, "a pause of {longest} us at a grace of {grace} ms");
         let first_timeouts = call_timeouts[..6].join(" ");
         lines.push(format!("{grace}: pauses up to {} ms, calls open for {first_timeouts}", longest / MS));
     }
--- a/membership/tests/start_times.rs
+++ b/membership/tests/start_times.rs
@@ -1,4 +1,4 @@
-//! Starts by a wall clock that is stepped, on a clock that is not.
+//! Starts given by a wall clock that is stepped, converted to a monotonic clock.
 
 use basaltwood::types::Micros;
 use basaltwood_membership::StartTimes;
@@ -6,10 +6,10 @@
 
 const SECOND: Micros = 1_000_000;
 const HOUR: Micros = 3_600 * SECOND;
-/// The Unix time at the zero of the process's clock.
+/// The Unix time at which the process's clock is 0.
 const EPOCH: Micros = 1_800_000_000 * SECOND;
-/// What news of a start may take to arrive.
-const NEWS_DELAY: Micros = 6 * SECOND;
+/// The longest time until a start is listed.
+const MAX_CHANGE_DELAY: Micros = 6 * SECOND;
 
 /// A wall clock that is stepped once.
 #[derive(Clone, Copy, Debug)]
@@ -24,7 +24,8 @@
     }
 }
 
-fn listed(times: &mut StartTimes, clock: WallClock, now: Micros) {
+/// Reads a list of changes that names no host.
+fn read_empty_list(times: &mut StartTimes, clock: WallClock, now: Micros) {
     times.read_wall_clock(now, clock.unix(now));
     times.list_read(now, None);
 }
@@ -33,10 +34,10 @@
 fn start_is_kept_when_the_wall_clock_is_stepped_after_it_was_listed() {
     let clock = WallClock { stepped_at: 10 * SECOND, step: -HOUR };
     let mut times = StartTimes::new();
-    listed(&mut times, clock, 0);
+    read_empty_list(&mut times, clock, 0);
     let start = clock.unix(SECOND);
     let before = times.start_of("a", start, 2 * SECOND);
-    listed(&mut times, clock, 20 * SECOND);
+    read_empty_list(&mut times, clock, 20 * SECOND);
     assert_eq!(before, SECOND);
     assert_eq!(times.start_of("a", start, 20 * SECOND), before);
 }
@@ -45,26 +46,27 @@
 fn start_in_the_future_is_now() {
     let clock = WallClock { stepped_at: 0, step: 0 };
     let mut times = StartTimes::new();
-    listed(&mut times, clock, 0);
+    read_empty_list(&mut times, clock, 0);
     assert_eq!(times.start_of("a", clock.unix(2 * HOUR), 5 * SECOND), 5 * SECOND);
 }
 
 #[test]
-fn host_that_left_the_list_is_placed_anew() {
+fn start_of_a_host_that_left_the_list_is_converted_anew() {
     let clock = WallClock { stepped_at: 10 * SECOND, step: HOUR };
     let mut times = StartTimes::new();
-    listed(&mut times, clock, 0);
+    read_empty_list(&mut times, clock, 0);
     let start = clock.unix(0);
     assert_eq!(times.start_of("a", start, SECOND), 0);
     times.forget("a");
-    listed(&mut times, clock, 20 * SECOND);
-    // By either reading it is older than the last list without it: it may have been started anew.
+    read_empty_list(&mut times, clock, 20 * SECOND);
+    // By both offsets it is older than the last list without it, so the host may have restarted.
     assert_eq!(times.start_of("a", start, 30 * SECOND), 30 * SECOND);
 }
 
 proptest! {
-    /// A host that starts while this process watches is never taken for older than it is, but for
-    /// what a reading of the clock may be off, nor for younger by more than news may take.
+    /// The converted start of a host that starts while this process runs is not before its start,
+    /// except for the error of a clock reading, and not later than its start by more than a change
+    /// may take to arrive.
     #[test]
     fn new_start_is_never_older_than_it_is(
         step_seconds in -4_000i64..4_000,
@@ -79,32 +81,32 @@
         let mut times = StartTimes::new();
         let mut now = 0;
         while now < known_at {
-            listed(&mut times, clock, now);
+            read_empty_list(&mut times, clock, now);
             now += list_interval_ms * 1_000;
         }
         times.read_wall_clock(now, clock.unix(now));
-        let placed = times.start_of("a", clock.unix(start), now);
+        let converted = times.start_of("a", clock.unix(start), now);
         let tolerance = SECOND / 2;
-        prop_assert!(placed >= start - tolerance, "placed at {placed}, started at {start}");
-        prop_assert!(placed <= now, "placed in the future");
-        let may_be_late = NEWS_DELAY + list_interval_ms * 1_000;
-        prop_assert!(placed <= start + may_be_late, "placed at {placed}, started at {start}");
+        prop_assert!(converted >= start - tolerance, "converted to {converted}, started at {start}");
+        prop_assert!(converted <= now, "converted to a time in the future");
+        let max_delay = MAX_CHANGE_DELAY + list_interval_ms * 1_000;
+        prop_assert!(converted <= start + max_delay, "converted to {converted}, started at {start}");
     }
 }
 
-/// A host restarts, and its machine's clock was set back by an hour: it is cold all the same.
+/// A host whose machine's clock was set back by an hour restarts: it is treated as cold.
 #[test]
 fn start_that_changes_in_the_list_is_no_older_than_the_last_list() {
     let clock = WallClock { stepped_at: 0, step: 0 };
     let mut times = StartTimes::new();
-    listed(&mut times, clock, 0);
+    read_empty_list(&mut times, clock, 0);
     times.listed_without_start("a");
     times.start_of("b", clock.unix(0), SECOND);
-    listed(&mut times, clock, 20 * SECOND);
+    read_empty_list(&mut times, clock, 20 * SECOND);
     let an_hour_ago = clock.unix(21 * SECOND) - HOUR;
     for host in ["a", "b"] {
         assert_eq!(times.start_of(host, an_hour_ago, 21 * SECOND), 21 * SECOND, "{host}");
     }
-    // A host that is new to the list may have run for long.
+    // A host that is new in the list may have been running for any time.
     assert_eq!(times.start_of("c", an_hour_ago, 21 * SECOND), 21 * SECOND - HOUR);
 }
