--- a/balancer/src/admin.rs
+++ b/balancer/src/admin.rs
@@ -1,5 +1,5 @@
-//! The admin interface: one request per connection, answered at once without waiting for any client
-//! or host.
+//! The admin interface: one request per connection, answered without waiting for any client or
+//! host.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -22,30 +22,30 @@
 use crate::read;
 use crate::shared::Shared;
 
-/// Callers that may be connected at a time.
+/// The number of callers that may be connected at a time.
 const MAX_CALLERS: usize = 10;
-/// Descriptors reserved for this interface: the listener, the callers, and one that is accepted and
-/// not yet counted as a caller.
+/// The number of descriptors reserved for this interface: for the listener, the callers, and one
+/// accepted connection that does not count as a caller yet.
 pub const RESERVED_DESCRIPTORS: usize = MAX_CALLERS + 2;
-/// How long a caller is safe from eviction: its request may be on its way.
+/// How long a caller can't be evicted: its request may be on its way.
 const MIN_CALLER_TIME: Duration = Duration::from_millis(50);
 /// The time in which a whole request must arrive.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// The time for writing the answer and for the caller to close. Closing over unread bytes would
-/// reset the connection, and the answer could be lost.
+/// The time for writing the answer and for the caller to close. Closing while bytes are unread
+/// would reset the connection, and the answer could be lost.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 /// The pause after a failed accept, for example when descriptors are short.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// HTTP's "Request Timeout".
+/// The HTTP status "Request Timeout".
 const STATUS_REQUEST_TIMEOUT: u16 = 408;
-/// HTTP's "Request Header Fields Too Large".
+/// The HTTP status "Request Header Fields Too Large".
 const STATUS_HEAD_TOO_LARGE: u16 = 431;
 
-/// Serves operators on their own listener.
+/// Serves the operators' requests on a listener of its own.
 pub struct AdminServer {
     shared: Rc<Shared>,
     phase: Rc<watch::Sender<Phase>>,
-    /// Connected callers, the oldest in front.
+    /// Connected callers, the oldest first.
     callers: RefCell<VecDeque<Caller>>,
     next_caller: Cell<u64>,
 }
@@ -56,7 +56,7 @@
     task: AbortHandle,
 }
 
-/// Removes a caller from the connected ones when its task ends or is aborted.
+/// Removes a caller from [`AdminServer::callers`] when its task ends or is aborted.
 struct CallerGuard {
     server: Rc<AdminServer>,
     number: u64,
@@ -69,12 +69,12 @@
 }
 
 impl AdminServer {
-    /// An interface that reads and changes this phase.
+    /// A server that reads and changes `phase`.
     pub fn new(shared: Rc<Shared>, phase: Rc<watch::Sender<Phase>>) -> Rc<AdminServer> {
         Rc::new(AdminServer { shared, phase, callers: RefCell::default(), next_caller: Cell::new(0) })
     }
 
-    /// Accepts for ever.
+    /// Accepts callers; never returns.
     pub async fn accept(self: Rc<AdminServer>, listener: TcpListener) {
         loop {
             match listener.accept().await {
@@ -83,7 +83,7 @@
                     self.clone().connected(stream);
                 }
                 Err(cause) => {
-                    log::warn!("accept at mgmt: {cause}");
+                    log::warn!("admin interface (mgmt): accept failed: {cause}");
                     sleep(ACCEPT_RETRY_INTERVAL).await;
                 }
             }
@@ -97,15 +97,15 @@
         self.callers.borrow_mut().push_back(Caller { number, accepted_at: Instant::now(), task });
     }
 
-    /// Evicts the oldest caller until one more may connect: callers that send nothing stay for
-    /// seconds, and must not keep others out.
+    /// Evicts the oldest callers until one more may connect: callers that send nothing stay for
+    /// [`REQUEST_TIMEOUT`], and must not keep others out.
     async fn evict_callers(&self) {
         while self.is_full() {
             let oldest = self.callers.borrow().front().map(|caller| caller.accepted_at);
             if let Some(accepted_at) = oldest {
                 sleep_until(accepted_at + MIN_CALLER_TIME).await;
             }
-            // Callers may have left during the wait.
+            // Callers may have left in the meantime.
             if self.is_full() {
                 let oldest = self.callers.borrow_mut().pop_front();
                 oldest.inspect(|oldest| oldest.task.abort());
@@ -124,7 +124,7 @@
             Ok(None) => return,
             Err(_) => response(STATUS_REQUEST_TIMEOUT, ""),
         };
-        // A caller that does not read its answer loses it.
+        // The answer is dropped if the caller does not read it in time.
         let _ = timeout(LINGER_TIMEOUT, send_and_close(&mut stream, &answer)).await;
     }
 
@@ -150,14 +150,14 @@
             return response(503, "not now\n");
         }
         if current != next {
-            log::info!("{next:?}");
+            log::info!("phase: {next:?}");
             self.phase.send_replace(next);
         }
         response(200, "done\n")
     }
 }
 
-/// The request, or why it is refused; none if the caller closed before it was whole.
+/// Reads a request; an error if it is refused, `None` if the caller closed before it was complete.
 async fn read_request(stream: &mut TcpStream) -> Option<Result<AdminRequest, AdminRequestError>> {
     let mut buffer = Buffer::new(MAX_REQUEST_BYTES);
     loop {
@@ -166,7 +166,7 @@
         }
         match read(stream, &mut buffer).await {
             Ok(1..) => {}
-            // The buffer is full and holds no whole request.
+            // The buffer is full and contains no complete request.
             Err(cause) if cause.kind() == io::ErrorKind::InvalidData => {
                 return Some(Err(AdminRequestError { status: STATUS_HEAD_TOO_LARGE, allow: None }));
             }
--- a/balancer/src/clock.rs
+++ b/balancer/src/clock.rs
@@ -7,7 +7,7 @@
 #[cfg(test)]
 mod tests;
 
-/// The clock that all times within the process refer to.
+/// The clock of all times within the process.
 pub struct Clock {
     start: Instant,
 }
@@ -23,19 +23,19 @@
         self.start.elapsed().as_micros() as Micros
     }
 
-    /// A time on this clock as the runtime's instant.
+    /// Converts a time on this clock to tokio's `Instant`.
     pub fn at(&self, time: Micros) -> tokio::time::Instant {
         (self.start + duration(time)).into()
     }
 
-    /// The Unix time that the wall clock shows now. It may be stepped at any moment: no span is
-    /// measured by it.
+    /// The Unix time that the wall clock shows now. The wall clock may be stepped at any moment, so
+    /// it must not be used to measure durations.
     pub fn unix_now(&self) -> Micros {
         SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |unix| unix.as_micros() as Micros)
     }
 }
 
-/// Converts a span of time for the runtime; a negative one becomes zero.
+/// Converts a span of time to a `Duration`; a negative span becomes zero.
 pub fn duration(micros: Micros) -> Duration {
     Duration::from_micros(u64::try_from(micros).unwrap_or(0))
 }
--- a/balancer/src/config.rs
+++ b/balancer/src/config.rs
@@ -13,9 +13,10 @@
 use crate::discovery::EndpointList;
 use crate::io_errors::FaultOrigin;
 
-/// The map of regions, from the working directory, unless `$BASALTWOOD_REGIONS` names another file.
+/// The map of regions, relative to the working directory, unless `$BASALTWOOD_REGIONS` names
+/// another file.
 const DEFAULT_REGION_MAP: &str = "deploy/regions.toml";
-/// The range of `limits.memory_mb`, in MB.
+/// Valid values of `limits.memory_mb`.
 const MEMORY_MB: std::ops::Range<f64> = 8.0..1e9;
 /// The smallest `limits.sockets` that a process can serve with.
 const MIN_SOCKETS: usize = 32;
@@ -44,7 +45,7 @@
         cause: InvalidConfig,
     },
     /// The map of regions exists, or was named, and can't be read.
-    #[error("{file}: {cause}: mend $BASALTWOOD_REGIONS or the file, or remove both")]
+    #[error("{file}: {cause}: correct $BASALTWOOD_REGIONS or the file, or remove both")]
     UnreadableRegionMap {
         /// The map's file.
         file: String,
@@ -57,22 +58,22 @@
 }
 
 impl ConfigError {
-    /// Whether the file could not be had for the moment, and may be a moment later: this process or
-    /// its machine lacks something, or the file is being replaced.
-    pub fn is_momentary(&self) -> bool {
+    /// Whether a later attempt may succeed: this process or its machine lacks descriptors or
+    /// memory, or the file is being replaced.
+    pub fn is_temporary(&self) -> bool {
         let is_missing = self.io_cause().is_some_and(|cause| cause.kind() == io::ErrorKind::NotFound);
         is_missing || self.is_shortage()
     }
 
-    /// Whether this process or its machine lacks something for the moment. A file that is missing
-    /// at the start will not come by itself.
+    /// Whether this process or its machine temporarily lacks descriptors or memory. Excludes a
+    /// missing file: at the start it will not appear by itself.
     pub fn is_shortage(&self) -> bool {
         self.io_cause().is_some_and(|cause| {
             cause.kind() != io::ErrorKind::PermissionDenied && FaultOrigin::of(cause) != FaultOrigin::Peer
         })
     }
 
-    /// The system's error, where a file could not be had.
+    /// The system's error, if a file could not be read.
     fn io_cause(&self) -> Option<&io::Error> {
         match self {
             ConfigError::Unreadable { cause, .. } | ConfigError::UnreadableRegionMap { cause, .. } => {
@@ -86,11 +87,11 @@
 /// What is wrong in the configuration file, or in a variable of the environment that belongs to it.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidConfig {
-    /// The file is no JSON, or a field has the wrong type.
+    /// The file is not JSON, or a field has the wrong type.
     #[error(transparent)]
     Json(#[from] serde_path_to_error::Error<serde_json::Error>),
     /// A field that should hold an address with a port.
-    #[error("{field} {text:?} is no address with a port")]
+    #[error("{field} {text:?} is not an IP address with a port")]
     Address {
         /// The field's name in the file.
         field: &'static str,
@@ -98,12 +99,12 @@
         text: String,
     },
     /// `PROXY_INHERITED_FD` is not a number.
-    #[error("PROXY_INHERITED_FD {text:?} is no descriptor's number")]
+    #[error("PROXY_INHERITED_FD {text:?} is not the number of a descriptor")]
     Descriptor {
         /// What it holds.
         text: String,
     },
-    /// The limits are too small to serve within.
+    /// The limits are too small to serve with.
     #[error("limits: at least 8 MB and 32 sockets are needed")]
     Limits,
     /// The operators' settings object is invalid.
@@ -141,7 +142,7 @@
 }
 
 impl ResourceLimits {
-    fn suffice(&self) -> bool {
+    fn are_sufficient(&self) -> bool {
         MEMORY_MB.contains(&self.memory_mb) && self.sockets >= MIN_SOCKETS
     }
 
@@ -160,8 +161,8 @@
     pub discovery: SocketAddr,
     /// The address of the admin interface, if there is one.
     pub admin: Option<SocketAddr>,
-    /// The descriptor of the clients' listening socket, if the platform holds it and the process
-    /// inherits it.
+    /// The descriptor of the clients' listening socket, if the process inherits it from the
+    /// platform.
     pub inherited_descriptor: Option<u16>,
     /// A folder that all processes of this balancer share.
     pub shared_folder: Option<PathBuf>,
@@ -171,14 +172,15 @@
     pub max_sockets: usize,
     /// The hosts to use until discovery answers.
     pub known_endpoints: EndpointList,
-    /// The parameters of the policy and the connection pools. Its number of balancers counts those
-    /// that send to the same hosts: the own region's, if the map of regions gives their number.
+    /// The parameters of the policy and the connection pools. `policy.balancers` is the number of
+    /// balancers that send to the same hosts: those of the own region, if the map of regions gives
+    /// their number.
     pub policy: PolicyConfig,
     /// The number of balancers that call the same discovery.
     pub fleet_size: u32,
-    /// None if the operators gave no map of regions.
+    /// `None` if the operators gave no map of regions.
     pub region_map: Option<RegionMap>,
-    /// The deployment's names with the ids that the policy uses for them.
+    /// The deployment's names, with the ids that the policy uses for them.
     pub names: NameTable,
     /// Limits on connections and open requests.
     pub runtime_limits: RuntimeLimits,
@@ -203,12 +205,12 @@
     }
 
     fn parse(text: &str) -> Result<Config, InvalidConfig> {
-        // With its path, as a line and column are of no help in a file of one line.
+        // Errors name the field's path, as a line and column do not help in a file of one line.
         let reader = &mut serde_json::Deserializer::from_str(text);
         let file: ConfigFile = serde_path_to_error::deserialize(reader)?;
         let admin = file.admin.or_else(|| env_variable("PROXY_MGMT"));
         let admin = admin.map(|text| parse_address("mgmt", &text)).transpose()?;
-        if !file.limits.suffice() {
+        if !file.limits.are_sufficient() {
             return Err(InvalidConfig::Limits);
         }
         let policy = policy_config(&file.settings, &file.seed)?;
@@ -251,17 +253,17 @@
     let seed = u64::from_str_radix(seed, 16).unwrap_or_else(|_| RingPosition::of(seed).0);
     let mut policy = settings.policy_config(seed)?;
     for capability in settings.ignored_capabilities() {
-        log::info!("allowed and not used, {capability}");
+        log::info!("settings: allowed and not used, {capability}");
     }
-    // RESP2 has no way to cancel: the connection would have to be closed, the host would work on
-    // all the same, and the next attempt would wait for a new connection. So an attempt that the
-    // policy could cancel runs to its end, and its outcome counts for what it is.
+    // RESP2 has no way to cancel: the connection would have to be closed, the host would still
+    // finish the work, and the next attempt would wait for a new connection. So an attempt that the
+    // policy could cancel runs to its end, and its real outcome counts.
     policy.capabilities.cancellation = false;
     Ok(policy)
 }
 
-/// Reads the operators' map of regions; none if no file is named and there is none at the default
-/// path.
+/// Reads the operators' map of regions. `None` if no file is named and no file exists at the
+/// default path.
 fn read_region_map(named: Option<String>) -> Result<Option<RegionMap>, ConfigError> {
     let file = named.as_deref().unwrap_or(DEFAULT_REGION_MAP);
     match std::fs::read_to_string(file) {
--- a/balancer/src/discovery/client.rs
+++ b/balancer/src/discovery/client.rs
@@ -17,17 +17,17 @@
 use crate::socket_io::write_all;
 use crate::upstream::{self, UpstreamConnection};
 
-/// The longest list that is read.
+/// The largest list that is read, in bytes.
 const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
-/// Buffer space for a response's head, beside the list.
+/// Buffer space for a response's head, in addition to the list.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 
 /// Discovery at one address.
 pub struct DiscoveryClient<'a> {
     address: SocketAddr,
-    /// Told what parsing a list takes.
+    /// Records the time that parsing a list takes.
     profile: &'a LoopProfile,
-    /// Closed when a call fails.
+    /// Kept from call to call; closed when a call fails.
     connection: Option<UpstreamConnection>,
 }
 
@@ -37,8 +37,8 @@
         DiscoveryClient { address, profile, connection: None }
     }
 
-    /// Fetches the changes since the version that the schedule knows, or the whole list if it knows
-    /// none. The schedule's timeouts count from `began`.
+    /// Fetches the changes since the schedule's known version, or the whole list if it has none.
+    /// The schedule's timeouts count from `began`.
     ///
     /// # Errors
     /// [`WatchError`] if discovery refuses, does not answer in time, or sends an invalid response.
@@ -58,7 +58,7 @@
     async fn call(&mut self, schedule: &WatchSchedule, began: Instant) -> Result<EndpointList, WatchError> {
         let connection = match &mut self.connection {
             Some(open) => open,
-            none => none.insert(connect(self.address, schedule, began).await?),
+            closed => closed.insert(connect(self.address, schedule, began).await?),
         };
         let path = request_path(schedule, began);
         let request = http::encode_request("GET", &path, &self.address.to_string(), &[], None);
@@ -66,7 +66,9 @@
         let UpstreamConnection { stream, buffer, .. } = connection;
         let answer = match timeout_at(call_ends, exchange(stream, buffer, &request)).await {
             Ok(answer) => answer?,
-            Err(_) => return Err(WatchError::TimedOut("it is silent".to_owned())),
+            Err(_) => {
+                return Err(WatchError::TimedOut("no complete answer within the call timeout".to_owned()))
+            }
         };
         buffer.consume(answer.consumed);
         if !answer.keep_alive {
@@ -82,14 +84,14 @@
     began: Instant,
 ) -> Result<UpstreamConnection, WatchError> {
     let until = began + duration(schedule.response_timeout().min(schedule.call_timeout()));
-    // Without a permit of the budget, which leaves a descriptor aside for this connection: drains
-    // must be read even while clients and hosts hold all other descriptors.
+    // This needs no permit: the budget reserves a descriptor for it, so that drains are read even
+    // while clients and hosts hold all other descriptors.
     let stream = upstream::connect(address, until).await.map_err(connection_failed)?;
     Ok(UpstreamConnection::new(stream, None, MAX_BODY_BYTES + MAX_HEAD_BYTES))
 }
 
-/// The path of the whole list, or of the changes since the known version, which discovery holds
-/// until there are some.
+/// The path of the whole list, or of the changes since the known version. Discovery holds the
+/// latter call until there are changes.
 fn request_path(schedule: &WatchSchedule, began: Instant) -> String {
     let Some(version) = schedule.known_version() else { return "/v1/servers".to_owned() };
     let connecting_took = began.elapsed().as_micros() as Micros;
@@ -106,7 +108,7 @@
     loop {
         let bytes_read = read(stream, buffer).await.map_err(connection_failed)?;
         if bytes_read == 0 {
-            return Err(WatchError::TimedOut("it closed the connection".to_owned()));
+            return Err(WatchError::TimedOut("connection closed before the answer was complete".to_owned()));
         }
         let answer = http::parse_response(buffer.bytes(), MAX_BODY_BYTES)
             .map_err(|error| WatchError::InvalidResponse(error.to_string()))?;
@@ -116,7 +118,7 @@
     }
 }
 
-/// A connection failure counts as no answer: the known version still holds.
+/// A failed connection counts as no answer: the known version is still valid.
 fn connection_failed(cause: io::Error) -> WatchError {
     WatchError::TimedOut(cause.to_string())
 }
@@ -125,7 +127,7 @@
     match answer.status {
         200 => serde_json::from_slice(&answer.body)
             .map_err(|cause| WatchError::InvalidResponse(cause.to_string())),
-        // Overloaded or broken: calling again at once would make that worse.
+        // Discovery is overloaded or broken, and a call at once would add to its load.
         429 | 500.. => {
             let retry_after = answer.retry_after.map(|seconds| Micros::from(seconds) * 1_000_000);
             Err(WatchError::Unavailable { cause: format!("status {}", answer.status), retry_after })
--- a/balancer/src/discovery/endpoints.rs
+++ b/balancer/src/discovery/endpoints.rs
@@ -15,20 +15,20 @@
 
 /// Valid start times, in ms since 1970.
 const START_MS: std::ops::Range<f64> = 0.0..1e15;
-/// Valid weights; any other counts as not given.
+/// Valid weights; any other one is ignored.
 const WEIGHTS: std::ops::Range<f64> = 1e-3..1e6;
-/// Entries that are parsed in one stretch.
+/// The number of entries that are parsed without yielding to other tasks.
 const ENTRIES_PER_SLICE: usize = 256;
-/// How much of an invalid entry the log shows.
+/// The number of characters of an invalid entry that the log shows.
 const MAX_LOGGED_CHARS: usize = 200;
 
-/// The list, or changes to it, as discovery writes it. Entries are parsed one by one, so that an
-/// invalid one does not invalidate the others, and thousands of them keep nothing else waiting.
+/// The list, or changes to it, in discovery's JSON. Entries are parsed one by one, so that an
+/// invalid entry does not invalidate the others, and thousands of entries do not delay other tasks.
 #[derive(Default, Deserialize)]
 pub struct EndpointList {
     /// The list's version.
     generation: u64,
-    /// The list is complete, not a change to the previous one.
+    /// Whether the list is complete, not a change to the previous one.
     #[serde(default)]
     reset: bool,
     #[serde(default)]
@@ -66,72 +66,72 @@
 enum InvalidInstance {
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    #[error("unknown lifecycle {0}")]
+    #[error("unknown lifecycle {0:?}: expected \"active\", \"leaving\" or \"left\"")]
     Lifecycle(String),
-    #[error("{0:?} is no address with a port")]
+    #[error("hostPort {0:?} is not an IP address with a port")]
     Address(String),
-    #[error("an absurd start")]
+    #[error("startedAtMs is not a time in ms since 1970, from 0 to below 1e15")]
     Start,
 }
 
-/// An entry's fields beside name, zone and lifecycle.
+/// The fields of an entry other than name, zone and lifecycle.
 #[derive(Clone)]
 pub struct HostDetails {
-    /// None only for hosts that get no new attempts.
+    /// `None` only for hosts that get no new attempts.
     address: Option<SocketAddr>,
-    /// On this process's clock.
+    /// When the host started, on this process's clock.
     started_at: Option<Micros>,
     weight: Option<f64>,
     cell: Option<u32>,
 }
 
-/// Which listed hosts form this balancer's ring.
+/// Selects the listed hosts that form this balancer's ring.
 pub type HostRegions = Regions<HostDetails>;
 
-/// A list whose entries are parsed.
+/// A list with its entries parsed.
 struct ParsedList {
     version: u64,
     hosts: Vec<ListedHost<HostDetails>>,
     read_at: Micros,
 }
 
-/// Applies a list in one stretch, at the start; `whole` if it is complete. Returns the list's version.
+/// Applies a list without yielding, for the start; `whole` if it is complete. Returns its version.
 pub fn apply_list(shared: &Shared, list: EndpointList, whole: bool) -> u64 {
-    let read_at = start_reading(shared);
-    let hosts = list.instances.iter().filter_map(|entry| valid_host(shared, entry, read_at)).collect();
-    put_in_force(shared, ParsedList { version: list.generation, hosts, read_at }, whole)
+    let read_at = read_clocks(shared);
+    let hosts = list.instances.iter().filter_map(|entry| parse_or_log(shared, entry, read_at)).collect();
+    apply_parsed_list(shared, ParsedList { version: list.generation, hosts, read_at }, whole)
 }
 
-/// The same while requests are served, which go on between slices of the entries.
+/// Applies a list while requests are served: yields to them between slices of the entries.
 pub async fn apply_list_in_slices(shared: &Shared, list: EndpointList, whole: bool) -> u64 {
-    let read_at = start_reading(shared);
+    let read_at = read_clocks(shared);
     let mut hosts = Vec::with_capacity(list.instances.len());
     for slice in list.instances.chunks(ENTRIES_PER_SLICE) {
-        let parse = || slice.iter().filter_map(|entry| valid_host(shared, entry, read_at));
+        let parse = || slice.iter().filter_map(|entry| parse_or_log(shared, entry, read_at));
         shared.loop_profile.timed(Stage::ListParsed, || hosts.extend(parse()));
         yield_now().await;
     }
     let parsed = ParsedList { version: list.generation, hosts, read_at };
-    shared.loop_profile.timed(Stage::ListApplied, || put_in_force(shared, parsed, whole))
+    shared.loop_profile.timed(Stage::ListApplied, || apply_parsed_list(shared, parsed, whole))
 }
 
-/// The time that a list's entries are read by.
-fn start_reading(shared: &Shared) -> Micros {
+/// Reads the wall clock for the start times of a list. Returns the time at which the list is read.
+fn read_clocks(shared: &Shared) -> Micros {
     let now = shared.clock.now();
     shared.start_times.borrow_mut().read_wall_clock(now, shared.clock.unix_now());
     now
 }
 
-/// Puts a list in force; `whole` if it is complete. Returns the list's version.
+/// Applies a parsed list; `whole` if it is complete. Returns its version.
 ///
-/// In this order: the regions choose the ring's hosts; names get numbers and upstream connections
-/// their addresses; the policy takes the endpoints; attempts that wait for a connection to a host
-/// that accepts nothing more end unsent; requests that something was decided for are woken; what is
-/// known of hosts that are gone is freed.
-fn put_in_force(shared: &Shared, list: ParsedList, whole: bool) -> u64 {
+/// The order of the steps: the regions select the ring's hosts; hosts get their ids and upstream
+/// connections their addresses; the policy takes the endpoints; attempts that wait for a connection
+/// to a host that accepts no more attempts end unsent; requests with a new decision are woken; the
+/// data of hosts that are gone is freed.
+fn apply_parsed_list(shared: &Shared, list: ParsedList, whole: bool) -> u64 {
     let ParsedList { version, hosts, read_at } = list;
     let now = shared.clock.now();
-    note_starts(shared, &hosts, whole, read_at);
+    update_start_times(shared, &hosts, whole, read_at);
     let listed = hosts.len();
     // Hosts outside the ring get no id, so no connection and no memory.
     let hosts = match &shared.regions {
@@ -141,7 +141,7 @@
     let endpoints: Vec<Endpoint> = hosts.into_iter().map(|host| register(shared, host)).collect();
     shared.counters.endpoint_lists.add();
     shared.router.borrow_mut().update_endpoints(now, whole, endpoints);
-    // Before any request's task runs, and also for hosts that are missing in a complete list.
+    // Has to come before any request's task runs; covers hosts that a complete list lacks.
     shared.upstreams.update_accepting_hosts(|host| shared.router.borrow().accepts_attempts(host));
     shared.wake_requests();
     forget_released_hosts(shared);
@@ -153,8 +153,8 @@
     version
 }
 
-/// An entry, if it is valid; another one is counted and logged.
-fn valid_host(shared: &Shared, entry: &RawValue, now: Micros) -> Option<ListedHost<HostDetails>> {
+/// Parses an entry. An invalid one is counted and logged.
+fn parse_or_log(shared: &Shared, entry: &RawValue, now: Micros) -> Option<ListedHost<HostDetails>> {
     match parse_instance(shared, entry, now) {
         Ok(host) => Some(host),
         Err(cause) => {
@@ -166,8 +166,9 @@
     }
 }
 
-/// Closes the list for [`StartTimes`](basaltwood_membership::StartTimes): what is gone is forgotten.
-fn note_starts(shared: &Shared, hosts: &[ListedHost<HostDetails>], whole: bool, now: Micros) {
+/// Reports the list to [`StartTimes`](basaltwood_membership::StartTimes), which forgets hosts that
+/// are gone.
+fn update_start_times(shared: &Shared, hosts: &[ListedHost<HostDetails>], whole: bool, now: Micros) {
     let mut start_times = shared.start_times.borrow_mut();
     let all_hosts = whole.then(|| hosts.iter().map(|host| &*host.host).collect::<BTreeSet<&str>>());
     start_times.list_read(now, all_hosts.as_ref());
@@ -176,7 +177,7 @@
     }
 }
 
-/// The updates of hosts that are in the ring, or leave it.
+/// Returns the updates of hosts that are in the ring, or leave it.
 fn keep_ring_hosts(
     shared: &Shared,
     regions: &mut HostRegions,
@@ -189,11 +190,11 @@
             RegionEvent::UnknownZone(zone) => {
                 shared.counters.regions_zones_unnamed.add();
                 let zone = zone.as_deref().map_or("no zone".to_owned(), |zone| format!("zone {zone:?}"));
-                log::warn!("regions: the list has hosts of {zone}, which no region names: not used here");
+                log::warn!("regions: hosts with {zone} in the list are not used: no region has this zone");
             }
             RegionEvent::RingChanged { before, now } => {
                 shared.counters.regions_rings.add();
-                log::warn!("regions: the ring is region {now:?} from now on, {before:?} before");
+                log::warn!("regions: the ring changes from region {before:?} to region {now:?}");
             }
         }
     }
@@ -202,7 +203,7 @@
     update.entries
 }
 
-/// Assigns the host its id, and passes its address to the upstream connections.
+/// Assigns an id to the host, and passes its address to the upstream connections.
 fn register(shared: &Shared, host: ListedHost<HostDetails>) -> Endpoint {
     let ListedHost { host: name, zone, origin, lifecycle, details } = host;
     let endpoint = shared.names.borrow_mut().endpoint(&settings::EndpointRecord {
@@ -218,17 +219,17 @@
         shared.upstreams.update_host(endpoint.host, address, origin);
     }
     if lifecycle != Lifecycle::Up {
-        let ends = if lifecycle == Lifecycle::Draining { "leaving" } else { "left" };
-        log::debug!("host {} ({name}) is {ends}", endpoint.host.0);
+        let state = if lifecycle == Lifecycle::Draining { "leaving" } else { "left" };
+        log::debug!("host {} ({name}) is {state}", endpoint.host.0);
     }
     Endpoint { origin, ..endpoint }
 }
 
-/// Frees all memory of hosts that are gone: hosts are replaced all day.
+/// Frees all memory of hosts that are gone: without it memory would grow as hosts are replaced.
 fn forget_released_hosts(shared: &Shared) {
     for host in shared.router.borrow().released_hosts() {
         let mut names = shared.names.borrow_mut();
-        // The policy names every free id, also those that were released before.
+        // The policy returns every free id, including those that were released before.
         if names.hosts.release(host.0) {
             if let Some(regions) = &shared.regions {
                 regions.borrow_mut().forget(names.hosts.name(host.0));
@@ -246,7 +247,7 @@
 ) -> Result<ListedHost<HostDetails>, InvalidInstance> {
     let instance = match serde_json::from_str::<Instance>(entry.get()) {
         Ok(instance) => instance,
-        Err(cause) => ending_instance(entry).ok_or(cause)?,
+        Err(cause) => parse_drain_or_removal(entry).ok_or(cause)?,
     };
     let lifecycle = match instance.lifecycle.as_str() {
         "active" => Lifecycle::Up,
@@ -275,16 +276,16 @@
     })
 }
 
-/// Reads no more than name and lifecycle from an entry that drains or removes a host. Such an entry
-/// counts even if other fields are invalid: losing a drain would break rule 3.
-fn ending_instance(entry: &RawValue) -> Option<Instance> {
+/// Reads only name and lifecycle of an entry that drains or removes a host. Such an entry applies
+/// even if other fields are invalid: if it were lost, a draining host would still get requests.
+fn parse_drain_or_removal(entry: &RawValue) -> Option<Instance> {
     let value: serde_json::Value = serde_json::from_str(entry.get()).ok()?;
     let text = |name: &str| value.get(name)?.as_str().map(str::to_owned);
     let lifecycle = text("lifecycle").filter(|lifecycle| lifecycle != "active")?;
     Some(Instance { instance_id: text("instanceId")?, lifecycle, ..Instance::default() })
 }
 
-/// A host's start time on this process's clock; 0 ms counts as not given.
+/// Returns a host's start time on this process's clock; 0 ms means that it is not given.
 fn start_time(shared: &Shared, instance: &Instance, now: Micros) -> Result<Option<Micros>, InvalidInstance> {
     let Some(ms) = instance.started_at_ms.filter(|&ms| ms != 0.0) else {
         shared.start_times.borrow_mut().listed_without_start(&instance.instance_id);
--- a/balancer/src/discovery/mod.rs
+++ b/balancer/src/discovery/mod.rs
@@ -1,7 +1,7 @@
-//! The list of hosts, watched at discovery from start to exit. The configuration's known list is
-//! used until discovery answers.
+//! Watches the list of hosts at discovery from start to exit. Until discovery answers, the known
+//! list of the configuration is used.
 //!
-//! [`client`] makes one call, [`endpoints`] parses and applies a list, [`watch`] is the loop.
+//! [`client`] makes one call, [`endpoints`] parses and applies a list, [`watch`] repeats the calls.
 
 mod client;
 mod endpoints;
--- a/balancer/src/discovery/watch.rs
+++ b/balancer/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! The watch loop: calls discovery as long as the process lives, and applies each list.
+//! The watch loop: calls discovery until the process exits, and applies each list.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,8 +14,8 @@
 use crate::clock::duration;
 use crate::shared::Shared;
 
-/// The shortest time from the start of one call to the start of the next: a discovery that does not
-/// hold calls must not keep the balancer busy.
+/// The shortest time from the start of a successful call to the start of the next: limits the load
+/// if discovery does not hold calls.
 const MIN_CALL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The watch of the list, at discovery's current address.
@@ -50,8 +50,9 @@
         ListWatch { shared, address, schedule }
     }
 
-    /// Watches for ever. When discovery's address changes, the current call is cancelled and its
-    /// connection closed, so that lists of two discoveries never mix.
+    /// Runs until the sender of the address is dropped. When discovery's address changes, the
+    /// current call is cancelled and its connection closed, so that lists of two discoveries never
+    /// mix.
     pub async fn run(mut self) {
         loop {
             let address = *self.address.borrow_and_update();
@@ -73,7 +74,7 @@
 }
 
 impl WatchAt<'_> {
-    /// Alternates between call and pause, for ever.
+    /// Alternates between call and pause; never returns.
     async fn run(mut self) {
         loop {
             self.state = match self.state {
@@ -86,10 +87,10 @@
         }
     }
 
-    /// Makes one call; returns when the next one is due.
+    /// Makes one call; returns the time at which the next one is due.
     async fn call(&mut self) -> Instant {
         let began = Instant::now();
-        log::debug!("asks discovery from {:?}", self.schedule.known_version());
+        log::debug!("asks discovery from version {:?}", self.schedule.known_version());
         match self.client.fetch(self.schedule, began).await {
             Ok(list) => {
                 self.succeeded(list).await;
@@ -119,7 +120,8 @@
             WatchError::TimedOut(_) => counters.discovery_timeouts.add(),
             WatchError::InvalidResponse(_) => counters.discovery_invalid.add(),
         }
-        // Only the first failure of a series: a discovery that is down must not fill the log.
+        // Only the first failure in a row is logged, so that a discovery outage does not fill the
+        // log.
         if self.schedule.consecutive_failures() == 0 {
             log::warn!("discovery: {}; the list stays as it is", error.cause());
         }
--- a/balancer/src/io_errors.rs
+++ b/balancer/src/io_errors.rs
@@ -1,25 +1,25 @@
-//! Errors of system calls, sorted by whose fault they are.
+//! Classifies errors of system calls by their origin.
 
 use std::io::{self, ErrorKind};
 
-/// Whose fault an error is.
+/// The origin of an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultOrigin {
-    /// The call was interrupted: it is made again at once.
+    /// The call was interrupted by a signal and can be repeated at once.
     Interrupted,
-    /// This machine lacks something for the moment: descriptors, memory, ports, a route.
+    /// This machine temporarily lacks descriptors, memory, ports, a route or the like.
     LocalShortage,
-    /// The peer, or the way to it.
+    /// The peer, or the network path to it.
     Peer,
 }
 
-/// Whether an error says that no descriptor is left, here or on the whole machine.
+/// Whether an error means that the process or the machine has no free descriptor.
 pub fn lacks_descriptors(error: &io::Error) -> bool {
     matches!(error.raw_os_error(), Some(libc::EMFILE | libc::ENFILE))
 }
 
 impl FaultOrigin {
-    /// Whose fault this error is, by the numbers that Linux documents for sockets and files.
+    /// Classifies an error by the numbers that Linux documents for sockets and files.
     pub fn of(error: &io::Error) -> FaultOrigin {
         if error.kind() == ErrorKind::Interrupted {
             return FaultOrigin::Interrupted;
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -1,8 +1,7 @@
-//! The balancer on sockets: clients, cache hosts, origin and discovery around the decisions of
-//! `basaltwood`.
+//! The balancer's I/O: its connections to clients, cache hosts, origin and discovery.
 //!
-//! A program calls [`run`], which reads its [`Config`] and serves until a signal ends it. This
-//! crate decides nothing about requests.
+//! A program calls [`run`], which reads its [`Config`] and serves until a signal ends it. All
+//! decisions about requests are made by the crate `basaltwood`.
 
 mod admin;
 mod budget;
@@ -41,23 +40,23 @@
 pub use listener::{InheritedError, ListenError};
 pub use process::StartError;
 
-/// Why [`run`] ended other than by a signal. Displayed, it is one line.
+/// Why [`run`] failed. Displayed, it is one line.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The runtime could not be built.
-    #[error("the runtime: {0}")]
+    /// The tokio runtime could not be built.
+    #[error("the runtime could not be built: {0}")]
     Runtime(io::Error),
     /// The process could not start.
     #[error(transparent)]
     Start(#[from] StartError),
     /// A background task panicked. Open requests got their final answers before the end.
-    #[error("a part of the balancer failed; it ends")]
+    #[error("a background task failed, so the balancer ends")]
     TaskFailed,
 }
 
-/// Reads the configuration and serves until a signal to end (SIGTERM, SIGINT), on a runtime of its
-/// own in this thread. Signals are taken up from the first moment on: one that comes while the
-/// configuration is read counts once the process serves.
+/// Reads the configuration and serves until SIGTERM or SIGINT, on a runtime of its own in this
+/// thread. Signal handlers are registered first: a signal that arrives while the configuration is
+/// read takes effect once the process serves.
 ///
 /// # Errors
 /// [`RunError`] if the process can't start, or if a background task fails.
@@ -71,7 +70,7 @@
     })
 }
 
-/// Reads once into a connection's buffer; 0 at the end of the stream. It is cancel safe.
+/// Reads once into a connection's buffer; returns 0 at the end of the stream. Cancel safe.
 async fn read(from: &mut (impl AsyncRead + TcpSocket + Unpin), buffer: &mut Buffer) -> io::Result<usize> {
     socket_io::read_buf(from, buffer.unfilled()?).await
 }
--- a/balancer/src/lifecycle.rs
+++ b/balancer/src/lifecycle.rs
@@ -3,30 +3,30 @@
 /// A phase of the process. Signals and admin requests lead from one to the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Reads its configuration and begins to listen.
+    /// The process reads its configuration and begins to listen.
     Starting,
-    /// Takes and answers requests.
+    /// Requests are accepted and answered.
     Serving,
     /// Operators drain this balancer: requests are still served, and each connection is closed
-    /// after its next answer. It can be left for `Serving` again.
+    /// after its next answer. Operators can return to `Serving`.
     LameDuck,
-    /// After a signal to end: accepts and answers for a while, and closes connections once they
-    /// have been served.
+    /// After SIGTERM or SIGINT: connections are still accepted for a limited time, and each is
+    /// closed after its next answer.
     Draining,
-    /// After a signal to end, if another process accepts: each connection is closed after its next
-    /// answer.
+    /// After SIGTERM or SIGINT, if another process accepts: each connection is closed after its
+    /// next answer.
     Takeover,
-    /// Nothing new is accepted; connections are closed as soon as no answer is owed on them.
+    /// No connection is accepted; each is closed as soon as all its requests are answered.
     Closing,
-    /// All open requests have got their final answers and new ones are rejected; connections are
-    /// closed once those answers are written.
+    /// All open requests have got their final answers, and new ones are rejected. Connections are
+    /// closed once these answers are written.
     Flushing,
     /// No connection is left.
     Ended,
 }
 
 impl Phase {
-    /// Whether clients are to be sent to other balancers.
+    /// Whether connections are closed after an answer, so that clients go to other balancers.
     pub fn drains_clients(self) -> bool {
         !matches!(self, Phase::Starting | Phase::Serving)
     }
--- a/balancer/src/listener.rs
+++ b/balancer/src/listener.rs
@@ -1,5 +1,5 @@
-//! Listening sockets: bound by this process, or held by the platform and inherited by every process
-//! of the balancer.
+//! Listening sockets: bound by this process, or inherited from the platform, which passes the same
+//! socket to every process of the balancer.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 
 use crate::io_errors::FaultOrigin;
 
-/// The length of the system's queue of connections that wait to be accepted.
+/// The length of the kernel's queue of connections to accept.
 const BACKLOG: u32 = 1024;
 
 /// Why the process can't listen. Displayed, it is one line that names the field or variable at
@@ -38,14 +38,14 @@
 }
 
 impl ListenError {
-    /// Whether this process or its machine lacks descriptors or memory for the moment.
+    /// Whether this process or its machine temporarily lacks descriptors or memory.
     pub fn is_shortage(&self) -> bool {
         let cause = match self {
             ListenError::Bind { cause, .. } => cause,
             ListenError::Inherited { cause: InheritedError::Io(cause), .. } => cause,
             ListenError::Inherited { .. } => return false,
         };
-        // An address that another program has, or that is none of this machine's, stays so.
+        // Permanent: another program or another machine has the address, or it is forbidden.
         let is_address = matches!(
             cause.kind(),
             io::ErrorKind::AddrInUse | io::ErrorKind::AddrNotAvailable | io::ErrorKind::PermissionDenied
@@ -57,13 +57,13 @@
 /// What is wrong with an inherited descriptor.
 #[derive(Debug, thiserror::Error)]
 pub enum InheritedError {
-    /// It is closed, or a file, or another kind of socket.
-    #[error("it is no socket that listens")]
+    /// It is closed, or a file, or a socket that does not listen.
+    #[error("the descriptor is not a listening socket")]
     NotListening,
     /// It listens at another address than the configured one.
-    #[error("it listens on {actual}, not on {configured}")]
+    #[error("the socket listens on {actual}, but the configuration says {configured}")]
     OtherAddress {
-        /// The address it listens at.
+        /// The address that the socket listens on.
         actual: SocketAddr,
         /// The address that the configuration gives.
         configured: SocketAddr,
@@ -73,7 +73,7 @@
     Io(#[from] io::Error),
 }
 
-/// Binds and listens at the address from this field of the configuration.
+/// Binds a socket and listens on the address that this field of the configuration gives.
 ///
 /// # Errors
 /// [`ListenError::Bind`] if the system refuses.
@@ -83,17 +83,17 @@
 
 fn bind_and_listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    // So that a restarted process can bind at once.
+    // Lets a restarted process bind at once.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(BACKLOG)
 }
 
-/// Takes the listening socket that was inherited as this descriptor. Never shut it down: that would
-/// end it for every process that holds it.
+/// Takes the listening socket that was inherited as this descriptor. It must not be shut down: that
+/// would stop it for every process that holds it.
 ///
 /// # Errors
-/// [`ListenError::Inherited`] if the descriptor is not a socket that listens at this address.
+/// [`ListenError::Inherited`] if the descriptor is not a socket that listens on this address.
 pub fn inherited(descriptor: u16, address: SocketAddr) -> Result<TcpListener, ListenError> {
     take_inherited(descriptor, address).map_err(|cause| ListenError::Inherited { descriptor, cause })
 }
@@ -105,7 +105,7 @@
     std::env::set_var("LISTEN_FDS_FIRST_FD", descriptor.to_string());
     let taken = ListenFd::from_env().take_tcp_listener(0);
     std::env::remove_var("LISTEN_FDS_FIRST_FD");
-    // Anything may be open under this number, also a file of the platform.
+    // The descriptor may be anything, for example a file of the platform.
     let listener = taken.ok().flatten().ok_or(InheritedError::NotListening)?;
     if !SockRef::from(&listener).is_listener().unwrap_or(false) {
         return Err(InheritedError::NotListening);
--- a/balancer/src/logging.rs
+++ b/balancer/src/logging.rs
@@ -1,8 +1,8 @@
-//! The program's log: lines for people, or JSON lines for machines, with the same fields.
+//! The program's log: plain text or JSON lines, with the same fields.
 //!
-//! `RUST_LOG` sets the level (`info` unless it says otherwise). At `info` stands what is rare: phases,
-//! configurations, hosts that change. At `debug` stands what happens to each request, attempt and
-//! connection, so that any of them can be followed by its number.
+//! `RUST_LOG` sets the level; the default is `info`. Rare events are logged at `info`: phases,
+//! configurations, lists of hosts. The events of each request, attempt and connection are logged at
+//! `debug`, so that any of them can be followed by its number.
 
 use std::io::{self, Write};
 
@@ -14,11 +14,11 @@
 #[cfg(test)]
 mod tests;
 
-/// `json` for JSON lines; anything else for lines for people.
+/// The environment variable for the log's format: `json` for JSON lines, anything else for text.
 const FORMAT_VARIABLE: &str = "BASALTWOOD_LOG_FORMAT";
 const JSON_FORMAT: &str = "json";
 
-/// Sets the log up, once for the process.
+/// Sets up the log. Call it once per process.
 pub fn init() {
     let mut builder = Builder::from_env(Env::default().default_filter_or("info"));
     if std::env::var(FORMAT_VARIABLE).is_ok_and(|format| format == JSON_FORMAT) {
@@ -30,7 +30,7 @@
     builder.init();
 }
 
-/// One line: time, level, module and message, and the record's own fields beside them.
+/// Writes one line: time, level, module and message, and the record's own fields.
 fn write_json(out: &mut impl Write, time: &str, record: &Record) -> io::Result<()> {
     let mut fields = Fields(Map::new());
     let _ = record.key_values().visit(&mut fields);
@@ -42,7 +42,7 @@
     writeln!(out, "{}", Json::Object(line))
 }
 
-/// The fields of a record as JSON: numbers and truth values as they are, anything else as text.
+/// Collects the fields of a record as JSON: numbers and booleans as such, anything else as text.
 struct Fields(Map<String, Json>);
 
 impl<'kvs> VisitSource<'kvs> for Fields {
--- a/balancer/src/loop_profile.rs
+++ b/balancer/src/loop_profile.rs
@@ -1,8 +1,8 @@
-//! What the event loop's time goes to, second by second: how late it is, what its costly stages
-//! took, and how requests ended. All on the process's one thread, so counts are plain cells.
+//! Profiles the event loop second by second: how late it was, how long its costly stages took, and
+//! how requests ended. The process has a single thread, so the counts need no synchronisation.
 //!
-//! A second in which the loop was late or requests were refused leaves a line at `info`, any other
-//! one at `debug`. A single stage that takes long leaves a line of its own.
+//! Each second is logged: at `info` if the loop was late or requests were refused, otherwise at
+//! `debug`. A single run of a stage that takes long is logged in a line of its own.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -11,21 +11,21 @@
 use basaltwood::types::EndReason;
 use tokio::time::Instant;
 
-/// A period of the profile.
+/// The time that one line of the profile covers.
 const PERIOD: Duration = Duration::from_secs(1);
-/// A loop that is later than this is worth a line at `info`.
+/// A period in which the loop was at least this late is logged at `info`.
 const NOTABLE_LAG: Duration = Duration::from_millis(50);
-/// So is a single run of a stage that takes longer than this.
+/// A single run of a stage that takes at least this long is logged at `info`.
 const NOTABLE_STAGE: Duration = Duration::from_millis(50);
 
-/// What the loop does that may cost more in a larger fleet.
+/// The parts of the loop's work whose cost may grow with the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// The policy decides on a request, or takes the end of an attempt.
+    /// The policy decides on a request, or processes the end of an attempt.
     Decision,
     /// An endpoint list is parsed.
     ListParsed,
-    /// An endpoint list is put in force.
+    /// An endpoint list is applied.
     ListApplied,
     /// The policy's periodic pass.
     Sweep,
@@ -36,7 +36,7 @@
 const STAGES: [Stage; 5] =
     [Stage::Decision, Stage::ListParsed, Stage::ListApplied, Stage::Sweep, Stage::Pools];
 
-/// How often a stage ran, and for how long.
+/// The number and the duration of a stage's runs in a period.
 #[derive(Clone, Copy, Debug, Default)]
 struct StageCost {
     runs: u64,
@@ -44,12 +44,12 @@
     longest: Duration,
 }
 
-/// One period.
+/// The measurements of one period.
 #[derive(Default)]
 struct Window {
     stages: [StageCost; STAGES.len()],
     max_lag: Duration,
-    /// Requests refused or failed, by reason.
+    /// The number of requests refused or failed, by reason.
     ended: BTreeMap<&'static str, u64>,
 }
 
@@ -63,30 +63,30 @@
     }
 }
 
-/// What the state of the process adds to the line of a period.
+/// The state of the process that is logged with each period.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadSnapshot {
     /// Requests without a final answer, or with attempts in flight.
     pub open_requests: usize,
     /// Listed hosts.
     pub hosts_listed: usize,
-    /// Listed hosts that are avoided.
+    /// Listed hosts that are ejected.
     pub hosts_ejected: usize,
     /// Listed hosts in slow start.
     pub hosts_warming_up: usize,
     /// Keys read from several holders.
     pub hot_keys: usize,
-    /// Hosts that selections have looked at since the start.
+    /// Hosts that were considered in selections since the start.
     pub hosts_assessed: u64,
     /// Attempts begun since the start.
     pub attempts: u64,
-    /// Connections to hosts that stand or are being opened.
+    /// Connections to hosts, open or being opened.
     pub connections: usize,
     /// Connections opened since the start.
     pub connections_opened: u64,
-    /// Checkouts put off since the start because too many connections were being opened.
+    /// Checkouts delayed since the start because too many connections were being opened.
     pub connects_throttled: u64,
-    /// Checkouts refused since the start: descriptors, or an open circuit.
+    /// Checkouts refused since the start for lack of descriptors or by an open circuit.
     pub connects_refused: u64,
 }
 
@@ -106,7 +106,7 @@
 }
 
 impl LoopProfile {
-    /// Runs a stage, and notes what it took.
+    /// Runs a stage and records its duration.
     pub fn timed<T>(&self, stage: Stage, run: impl FnOnce() -> T) -> T {
         let began = Instant::now();
         let result = run();
@@ -121,30 +121,31 @@
         result
     }
 
-    /// The loop's timer came.
-    pub fn timer_came(&self) {
+    /// Records the loop's lag. Has to be called when the loop's timer fires.
+    pub fn record_lag(&self) {
         let lag = self.lag();
         let mut window = self.window.borrow_mut();
         window.max_lag = window.max_lag.max(lag);
     }
 
-    /// The loop's timer is to come then.
+    /// Sets the time at which the loop's next timer is due.
     pub fn set_due(&self, due_at: Instant) {
         self.due_at.set(due_at);
     }
 
-    /// How late the loop's timer is now. What is read now may have waited unread for so long.
+    /// How late the loop's timer is now. Data that is read now may have waited unread for this
+    /// time.
     pub fn lag(&self) -> Duration {
         self.due_at.get().elapsed()
     }
 
-    /// A request got a final answer that is not a success.
+    /// Counts a request whose final answer is not a success.
     pub fn note_end(&self, reason: EndReason) {
         *self.window.borrow_mut().ended.entry(reason.name()).or_default() += 1;
     }
 
-    /// Ends the period where it is over, and returns the most that the loop was late in it; `snapshot`
-    /// is asked for what its line shows.
+    /// If the period is over, logs it and returns the loop's largest lag in it. `snapshot` is
+    /// called only if the line is logged.
     pub fn end_period(&self, snapshot: impl FnOnce() -> LoadSnapshot) -> Option<Duration> {
         let now = Instant::now();
         if now < self.began_at.get() + PERIOD {
--- a/balancer/src/main.rs
+++ b/balancer/src/main.rs
@@ -1,4 +1,4 @@
-//! The balancer as a program: sets up the log and runs the library.
+//! The balancer program: sets up the log and runs the library.
 
 use std::process::ExitCode;
 
@@ -9,7 +9,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(cause) => {
-            // Printed whatever the log's level: the one line that tells why the program ends.
+            // Printed at any log level, as the one line that says why the program ends.
             eprintln!("basaltwood-balancer: {cause}");
             ExitCode::FAILURE
         }
--- a/balancer/src/panics.rs
+++ b/balancer/src/panics.rs
@@ -1,4 +1,4 @@
-//! A panic in a task ends that task alone: what it owed is seen to by whoever started it.
+//! Turns a panic in a task into an error, so that the task's owner can complete its requests.
 
 use std::any::Any;
 use std::future::{poll_fn, Future};
@@ -9,13 +9,13 @@
 #[cfg(test)]
 mod tests;
 
-/// What a panic said.
+/// The message of a panic.
 #[derive(Debug, thiserror::Error)]
 #[error("panicked: {0}")]
 pub struct Panicked(String);
 
 impl Panicked {
-    /// Of the payload that a panic leaves.
+    /// Takes the message from a panic's payload.
     pub fn of(payload: &(dyn Any + Send)) -> Panicked {
         let text = payload.downcast_ref::<&str>().map(|text| (*text).to_owned());
         let text = text.or_else(|| payload.downcast_ref::<String>().cloned());
@@ -23,10 +23,10 @@
     }
 }
 
-/// Runs a future to its end, or to its panic.
+/// Runs a future until it completes or panics.
 ///
 /// # Errors
-/// [`Panicked`], with the future dropped.
+/// [`Panicked`] if the future panicked; it is dropped then.
 pub async fn catch_panic<F: Future>(future: F) -> Result<F::Output, Panicked> {
     let mut future = pin!(future);
     poll_fn(|context| {
--- a/balancer/src/panics/tests.rs
+++ b/balancer/src/panics/tests.rs
@@ -1,4 +1,4 @@
-//! Panics before and after a future has waited.
+//! Futures that complete, and futures that panic after waiting.
 
 use std::cell::Cell;
 
@@ -10,12 +10,12 @@
 }
 
 #[test]
-fn future_that_ends_gives_its_output() {
+fn completed_future_returns_its_output() {
     assert_eq!(run(catch_panic(async { 7 })).expect("no panic"), 7);
 }
 
 #[test]
-fn panic_after_a_wait_is_an_error_and_drops_what_the_future_held() {
+fn panic_after_a_wait_is_an_error_and_drops_the_future() {
     struct SetOnDrop<'a>(&'a Cell<bool>);
     impl Drop for SetOnDrop<'_> {
         fn drop(&mut self) {
--- a/balancer/src/process/limit_sharing.rs
+++ b/balancer/src/process/limit_sharing.rs
@@ -1,5 +1,5 @@
-//! Keeps this process within its share of the limits while another process of the same balancer
-//! lives.
+//! Keeps this process within its share of the balancer's limits while another process of the same
+//! balancer runs.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,12 +10,12 @@
 use crate::shared::Shared;
 use crate::takeover::{LimitShare, ProcessSlot};
 
-/// Between two checks whether another process lives.
+/// The time between two checks for another process.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// How often learned limits are recorded for a successor.
 const RECORD_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Shares the limits with the other process of this balancer.
+/// Checks for another process of this balancer, and applies this process's share of the limits.
 pub struct LimitSharing {
     shared: Rc<Shared>,
     slot: ProcessSlot,
@@ -23,7 +23,7 @@
     max_sockets: usize,
     /// The memory limit of both processes.
     memory_bytes: usize,
-    /// The share in force; none before the first check.
+    /// The share that is applied; `None` before the first check.
     share: Option<LimitShare>,
     recorded_at: Instant,
 }
@@ -39,7 +39,7 @@
         LimitSharing { shared, slot, max_sockets, memory_bytes, share: None, recorded_at: Instant::now() }
     }
 
-    /// Checks for the other process periodically, for ever.
+    /// Checks for the other process periodically; never returns.
     pub async fn run(mut self) {
         loop {
             self.check();
@@ -49,8 +49,8 @@
 
     fn check(&mut self) {
         let share = self.slot.limit_share();
-        // While two processes live no record is written: the old one has learned more, and its last
-        // record stays valid as long as it is useful.
+        // No record is written while two processes run: the old process has learned more than the
+        // new one, and its last record stays valid while the old process runs.
         if share == LimitShare::Alone && self.recorded_at.elapsed() >= RECORD_INTERVAL {
             self.record_limits();
         }
@@ -63,15 +63,15 @@
     fn record_limits(&mut self) {
         self.recorded_at = Instant::now();
         let record = handover::encode(&self.shared.router.borrow().learned_limits());
-        // Without a record the successor learns anew; a full disk must not end this process.
+        // Without a record the successor only has to learn anew, so a full disk is not fatal.
         if let Err(cause) = self.slot.write_record(&record) {
-            log::debug!("learned limits are not recorded: {cause}");
+            log::debug!("learned limits could not be recorded: {cause}");
         }
     }
 
     fn apply(&mut self, share: LimitShare) {
         self.share = Some(share);
-        log::info!("of the limits: {share:?}");
+        log::info!("share of the limits: {share:?}");
         let sockets = share.of(self.max_sockets);
         self.shared.budget.set_limits(sockets, share.of(self.memory_bytes));
         self.shared.upstreams.set_max_connections(sockets);
--- a/balancer/src/process/mod.rs
+++ b/balancer/src/process/mod.rs
@@ -1,10 +1,11 @@
-//! The process from start to exit, phase by phase: named states of one object.
+//! The process from start to exit, as a sequence of phases.
 //!
-//! [`start`] assembles it; [`tasks`], [`reload`] and [`limit_sharing`] run in the background.
+//! [`start`] assembles the process; [`tasks`], [`reload`] and [`limit_sharing`] are its background
+//! tasks.
 
 mod limit_sharing;
-mod patience;
 mod reload;
+mod retry;
 mod signals;
 mod start;
 mod tasks;
@@ -26,40 +27,40 @@
 pub use signals::Signals;
 pub use start::StartError;
 
-/// How long clients are accepted after SIGTERM, as they keep connecting for a while.
+/// How long connections are accepted after SIGTERM: clients still connect during this time.
 const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(600);
-/// Operators kill a balancer no sooner than this after the time for answers.
+/// Operators kill a balancer at the earliest when this time has passed after `answer_time`.
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// How long before that kill every open request gets its final answer: a request with a longer
-/// deadline needs one too, and the last answers have to be written.
+/// How long before that kill every open request gets its final answer, even if its deadline is
+/// later. The time is needed to write these answers.
 const FLUSH_TIME: Duration = Duration::from_millis(200);
 
-/// A process that listens and does not serve yet.
+/// A process that listens but does not serve yet.
 pub struct Process {
     shared: Rc<Shared>,
     listener: TcpListener,
     signals: Rc<Signals>,
     shutdown: Shutdown,
-    /// Discovery's address, for the watch.
+    /// Passes discovery's address to the watch.
     discovery: watch::Sender<SocketAddr>,
-    /// Background tasks. None ends before the exit unless it panics.
+    /// Background tasks. They run until the exit unless one panics.
     tasks: JoinSet<()>,
 }
 
-/// The phases from the signal to end to the exit.
+/// The phases from the signal that ends the process to the exit.
 struct Shutdown {
     phase: Rc<watch::Sender<Phase>>,
-    /// The phase that a signal to end starts.
+    /// The phase that begins with that signal.
     first_phase: Phase,
     /// How long accepted requests may take to be answered.
     answer_time: Duration,
 }
 
 impl Process {
-    /// Serves until a signal to end, or until a background task fails, and then shuts down.
+    /// Serves until SIGTERM or SIGINT, or until a background task ends, and then shuts down.
     ///
     /// # Errors
-    /// [`RunError::TaskFailed`].
+    /// [`RunError::TaskFailed`] if a background task ended.
     pub async fn run(self) -> Result<(), RunError> {
         let Process { shared, listener, signals, shutdown, discovery, mut tasks } = self;
         shutdown.enter(Phase::Serving);
@@ -70,8 +71,7 @@
         let outcome = tokio::select! {
             () = signals.terminate.recv() => Ok(()),
             () = signals.interrupt.recv() => Ok(()),
-            // Without its timers or its list the balancer would serve badly, and nobody would
-            // notice.
+            // Without its timers or its list of hosts the balancer would serve badly and unnoticed.
             _ = tasks.join_next() => Err(RunError::TaskFailed),
         };
         shutdown.run(&shared).await;
@@ -83,14 +83,14 @@
 impl Shutdown {
     fn enter(&self, next: Phase) {
         self.phase.send_replace(next);
-        log::info!("{next:?}");
+        log::info!("phase: {next:?}");
     }
 
     /// Goes through the remaining phases, until no client is connected.
     async fn run(&self, shared: &Shared) {
         self.enter(self.first_phase);
         let deadline = Instant::now() + self.answer_time + KILL_DELAY - FLUSH_TIME;
-        // In a takeover there is no hurry, and commands that have arrived in part are read to their
+        // A takeover skips `Closing`: there is time to read partially received commands to their
         // end.
         if self.first_phase == Phase::Draining {
             sleep_until(deadline.min(Instant::now() + ACCEPT_AFTER_SIGTERM)).await;
@@ -100,7 +100,7 @@
             self.enter(Phase::Flushing);
             shared.router.borrow_mut().shut_down(shared.clock.now());
             shared.wake_requests();
-            // Only clients that don't read their answers are left; their connections time out.
+            // Clients that remain don't read their answers; their connections time out.
             self.connections_closed().await;
         }
         self.enter(Phase::Ended);
--- a/balancer/src/process/patience.rs
+++ b/balancer/src/process/retry.rs
@@ -1,20 +1,20 @@
-//! Tries again what this machine lacks for the moment.
+//! Retries operations that failed for a temporary reason, such as a lack of descriptors.
 
 use std::fmt::Display;
 use std::time::Duration;
 
 use tokio::time::{sleep, Instant};
 
-/// Between two tries.
+/// The time between two calls.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Calls until it succeeds, fails for good, or has failed for so long.
+/// Repeats `call` until it succeeds, fails with a permanent error, or `span` has passed.
 ///
 /// # Errors
-/// The last one.
+/// The error of the last call.
 pub async fn retry_for<T, E: Display>(
     span: Duration,
-    is_momentary: impl Fn(&E) -> bool,
+    is_temporary: impl Fn(&E) -> bool,
     mut call: impl FnMut() -> Result<T, E>,
 ) -> Result<T, E> {
     let give_up_at = Instant::now() + span;
@@ -24,7 +24,7 @@
             Ok(value) => return Ok(value),
             Err(cause) => cause,
         };
-        if !is_momentary(&cause) || Instant::now() >= give_up_at {
+        if !is_temporary(&cause) || Instant::now() >= give_up_at {
             return Err(cause);
         }
         if is_first {
--- a/balancer/src/process/signals.rs
+++ b/balancer/src/process/signals.rs
@@ -1,7 +1,8 @@
-//! The signals that the process handles: a flag for each, and one pipe that wakes whoever reads it.
+//! The signals that the process handles. Each has a flag; one pipe wakes the task that reads the
+//! flags.
 //!
-//! The runtime's own handlers panic where the read of their pipe is interrupted. Here it is made
-//! again.
+//! Tokio's own signal handling panics if the read of its pipe is interrupted. Here the read is
+//! repeated.
 
 use std::io::{self, ErrorKind};
 use std::os::unix::net::UnixStream as StdUnixStream;
@@ -16,28 +17,28 @@
 use tokio::sync::Notify;
 use tokio::time::sleep;
 
-/// Between two tries to read the pipe where its read failed for the moment.
+/// The time until the pipe is read again after a failed read.
 const RETRY_INTERVAL: Duration = Duration::from_millis(5);
-/// Bytes of the pipe that are read at a time; each stands for a signal.
+/// The number of bytes that are read from the pipe at a time; each byte stands for one signal.
 const READ_BYTES: usize = 64;
 
-/// One signal, whenever it comes. Those that come before it is asked for count as one.
+/// A signal to wait for. Several that arrive before [`Signal::recv`] count as one.
 #[derive(Clone, Default)]
 pub struct Signal {
-    came: Arc<AtomicBool>,
+    arrived: Arc<AtomicBool>,
     wakeup: Rc<Notify>,
 }
 
 impl Signal {
-    fn register(number: i32, wakes: &StdUnixStream) -> io::Result<Signal> {
+    fn register(number: i32, writer: &StdUnixStream) -> io::Result<Signal> {
         let signal = Signal::default();
-        // In this order: the flag is set before the pipe wakes its reader.
-        flag::register(number, signal.came.clone())?;
-        pipe::register(number, wakes.try_clone()?)?;
+        // Handlers run in order of registration: the flag is set before the pipe wakes its reader.
+        flag::register(number, signal.arrived.clone())?;
+        pipe::register(number, writer.try_clone()?)?;
         Ok(signal)
     }
 
-    /// Waits until the signal has come since this last returned.
+    /// Waits until the signal has arrived since this last returned.
     pub async fn recv(&self) {
         self.wakeup.notified().await;
     }
@@ -45,23 +46,23 @@
 
 /// The signals that the process handles.
 pub struct Signals {
-    /// SIGTERM.
+    /// SIGTERM: shut down.
     pub terminate: Signal,
-    /// SIGINT.
+    /// SIGINT: shut down.
     pub interrupt: Signal,
-    /// SIGUSR1.
+    /// SIGUSR1: log the counters.
     pub print_counters: Signal,
-    /// SIGHUP.
+    /// SIGHUP: reload the configuration.
     pub reload: Signal,
     pipe: UnixStream,
 }
 
 impl Signals {
-    /// Registers the handlers. Until then SIGHUP would end the program, so this comes before
-    /// anything else.
+    /// Registers the handlers. Without them SIGHUP ends the program, so this has to be the first
+    /// step of the start.
     ///
     /// # Errors
-    /// The system's error if a handler or the pipe can't be had.
+    /// The system's error if a handler can't be registered or the pipe can't be created.
     pub fn register() -> io::Result<Signals> {
         let (reader, writer) = StdUnixStream::pair()?;
         reader.set_nonblocking(true)?;
@@ -74,7 +75,8 @@
         })
     }
 
-    /// Wakes those that wait for a signal, for ever. Nothing is received without it.
+    /// Wakes the tasks that wait for a signal; never returns. [`Signal::recv`] returns only while
+    /// this runs.
     pub async fn deliver(self: Rc<Signals>) {
         let mut bytes = [0; READ_BYTES];
         loop {
@@ -82,7 +84,7 @@
             match readable.and_then(|()| self.pipe.try_read(&mut bytes)) {
                 Ok(1..) => self.wake(),
                 Err(cause) if cause.kind() == ErrorKind::WouldBlock => {}
-                // The handlers hold the other end: it is never closed.
+                // The handlers keep the other end open, so this is a failed read.
                 Ok(_) | Err(_) => sleep(RETRY_INTERVAL).await,
             }
         }
@@ -90,7 +92,7 @@
 
     fn wake(&self) {
         for signal in [&self.terminate, &self.interrupt, &self.print_counters, &self.reload] {
-            if signal.came.swap(false, Ordering::Relaxed) {
+            if signal.arrived.swap(false, Ordering::Relaxed) {
                 signal.wakeup.notify_one();
             }
         }
--- a/balancer/src/process/start.rs
+++ b/balancer/src/process/start.rs
@@ -1,5 +1,5 @@
-//! The phase `Starting`: assembles the process, with the configuration's known list in force from
-//! the first request on.
+//! The phase `Starting`: assembles the process, and applies the known list of the configuration
+//! before the first request.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 use tokio::task::JoinSet;
 
 use super::limit_sharing::LimitSharing;
-use super::patience::retry_for;
+use super::retry::retry_for;
 use super::{tasks, Process, Shutdown, Signals};
 use crate::admin::{self, AdminServer};
 use crate::budget::ResourceBudget;
@@ -30,13 +30,13 @@
 use crate::takeover::{LimitShare, ProcessSlot};
 use crate::upstream::Upstreams;
 
-/// At shutdown requests are answered as long as the longest deadline allows, and no longer than
-/// this.
+/// The upper bound of the time for open requests at shutdown, which is otherwise the longest time
+/// limit of the request classes.
 const MAX_ANSWER_TIME: Duration = Duration::from_millis(3_000);
 
-/// What this machine lacks at the start is waited for so long: nine in ten processes have to be ready
-/// within 10 s. Source: the operators' page on real days.
-const START_PATIENCE: Duration = Duration::from_secs(8);
+/// How long the start waits for descriptors or memory that this machine lacks: nine in ten
+/// processes have to be ready within 10 s. Source: the operators' page on real days.
+const START_RETRY_TIME: Duration = Duration::from_secs(8);
 
 /// Why the process can't start. Displayed, it is one line.
 #[derive(Debug, thiserror::Error)]
@@ -44,23 +44,22 @@
     /// The configuration can't be read.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// It can't listen.
+    /// An address can't be listened on.
     #[error(transparent)]
     Listen(#[from] ListenError),
-    /// A signal handler or a socket's address could not be had.
+    /// A signal handler could not be registered, or a socket's address could not be read.
     #[error(transparent)]
     System(#[from] io::Error),
 }
 
 impl Process {
-    /// Reads the configuration, assembles the process and listens. What this machine lacks for the
-    /// moment is waited for.
+    /// Reads the configuration, assembles the process and listens. While this machine temporarily
+    /// lacks descriptors or memory, it waits and tries again.
     ///
-    /// # Errors
-    /// [`StartError`] if the configuration can't be used, if it can't listen, or if a system call
-    /// fails.
+    /// # Errors [`StartError`] if the configuration can't be used, if an address can't be listened
+    /// on, or if a system call fails.
     pub async fn start(signals: Signals) -> Result<Process, StartError> {
-        let config = retry_for(START_PATIENCE, ConfigError::is_shortage, Config::read).await?;
+        let config = retry_for(START_RETRY_TIME, ConfigError::is_shortage, Config::read).await?;
         Process::assemble(config, signals).await
     }
 
@@ -108,7 +107,7 @@
 }
 
 async fn bind(field: &'static str, address: SocketAddr) -> Result<TcpListener, ListenError> {
-    retry_for(START_PATIENCE, ListenError::is_shortage, || listener::bind(field, address)).await
+    retry_for(START_RETRY_TIME, ListenError::is_shortage, || listener::bind(field, address)).await
 }
 
 impl Shutdown {
@@ -126,9 +125,9 @@
     }
 }
 
-/// The budget at the start. If another process of this balancer may live, it covers the descriptors
-/// that this one leaves free, until [`LimitSharing`] finds out; and half of the memory, as a part
-/// of the memory budget is fixed at the start.
+/// The budget at the start. If another process of this balancer may be running, the budget covers
+/// only the descriptors that the other one leaves free, until [`LimitSharing`] has checked; and
+/// half of the memory, as a part of the memory budget is fixed at the start.
 fn resource_budget(config: &Config) -> Rc<ResourceBudget> {
     let (sockets, memory_bytes) = match config.inherited_descriptor {
         Some(_) => (LimitShare::Beginning.of(config.max_sockets), LimitShare::Half.of(config.memory_bytes)),
@@ -147,7 +146,7 @@
     })
 }
 
-/// The state that connections and requests will share.
+/// Creates the state that connections and requests share.
 fn shared_state(
     policy: &PolicyConfig,
     names: NameTable,
@@ -162,10 +161,10 @@
     Shared::new(policy, names, limits.max_open_requests, upstreams, clock, counters, budget)
 }
 
-/// Starts with the concurrency limits that the predecessor has learned.
+/// Restores the concurrency limits that the predecessor has learned.
 fn restore_limits(shared: &Shared, slot: &ProcessSlot) {
     match slot.read_record() {
         Ok(limits) => shared.router.borrow_mut().restore_limits(shared.clock.now(), limits),
-        Err(cause) => log::warn!("{cause}; it begins with no learned limits"),
+        Err(cause) => log::warn!("learned limits can't be read: {cause}; it begins with no learned limits"),
     }
 }
--- a/balancer/src/process/tasks.rs
+++ b/balancer/src/process/tasks.rs
@@ -1,4 +1,4 @@
-//! Background tasks: printing counters, timers.
+//! Background tasks: logging the counters, and the timers of connections and policy.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,10 +9,10 @@
 use crate::loop_profile::Stage;
 use crate::shared::Shared;
 
-/// The longest time from one tick to the next.
+/// The longest time between two ticks.
 const MAX_TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Prints the counters at each signal.
+/// Logs the counters at each signal.
 pub async fn print_counters(shared: Rc<Shared>, signal: Signal) {
     loop {
         signal.recv().await;
@@ -20,7 +20,7 @@
     }
 }
 
-/// Each change of a host's state, with what speaks against it.
+/// Logs each change of a host's state, with the evidence of failure.
 fn log_host_changes(shared: &Shared) {
     for change in shared.router.borrow_mut().take_host_changes() {
         log::debug!(
@@ -35,11 +35,11 @@
 }
 
 /// Runs the timers of the connections and then of the policy. The order matters: a stall of this
-/// process itself must be noticed before it is taken for the silence of hosts.
+/// process has to be detected before the policy sees it as silent hosts.
 pub async fn tick(shared: Rc<Shared>) {
     loop {
         let profile = &shared.loop_profile;
-        profile.timer_came();
+        profile.record_lag();
         profile.timed(Stage::Pools, || shared.upstreams.tick());
         shared.process_upstream_events();
         let due = profile.timed(Stage::Sweep, || shared.router.borrow_mut().tick(shared.clock.now()));
--- a/balancer/src/takeover.rs
+++ b/balancer/src/takeover.rs
@@ -1,8 +1,9 @@
-//! How two processes of one balancer share its limits while one replaces the other.
+//! Shares a balancer's limits between two of its processes while one replaces the other.
 //!
-//! Each holds a slot: a locked file in a folder that both see. A lock ends with its process even if
-//! that is killed, whereas a file with a process id would be left behind. A process that is alone
-//! records the concurrency limits that it has learned, and its successor starts with them.
+//! Each process holds a slot: a locked file in a shared folder. The lock ends with its process even
+//! if the process is killed, whereas a file with a process id would be left behind. A process that
+//! runs alone records the concurrency limits that it has learned, and its successor starts with
+//! them.
 
 use std::cell::Cell;
 use std::fs::{File, OpenOptions, TryLockError};
@@ -17,29 +18,30 @@
 #[cfg(test)]
 mod tests;
 
-/// How long a new process keeps to what the old one left free, which needs that time to get down to
-/// half.
+/// How long a new process uses only the limits that the old one leaves free. The old process needs
+/// this time to reduce its usage to half.
 const SETTLING_TIME: Duration = Duration::from_millis(500);
-/// The age past which a record is from before a crash, or from an unrelated process.
+/// The largest age of a usable record. An older one is from before a crash, or from an unrelated
+/// process.
 const MAX_RECORD_AGE: Duration = Duration::from_secs(3);
-/// How often a slot is tried: it may be locked for a moment while the other process checks it.
+/// The number of attempts to acquire a slot: the other process locks it briefly to check it.
 const ACQUIRE_ATTEMPTS: u32 = 20;
-/// Between two tries.
+/// The time between two attempts.
 const ACQUIRE_INTERVAL: Duration = Duration::from_millis(2);
 
-/// How much of the balancer's limits this process may use.
+/// The share of the balancer's limits that this process may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitShare {
-    /// No other process lives: all but the share that a new one starts with.
+    /// No other process runs: all but the share that a new one starts with.
     Alone,
-    /// This process has just started beside another: what that one leaves free.
+    /// This process has just started beside another one: the share that the other leaves free.
     Beginning,
-    /// Two processes live, or it is unknown whether they do.
+    /// Two processes run, or it is unknown whether they do.
     Half,
 }
 
 impl LimitShare {
-    /// This share of a limit.
+    /// The value of this share of the limit `whole`.
     pub fn of(self, whole: usize) -> usize {
         match self {
             LimitShare::Alone => whole - whole / 3,
@@ -51,21 +53,21 @@
 
 /// The slot of this process among the processes of its balancer.
 pub struct ProcessSlot {
-    /// None if no slot could be acquired.
+    /// `None` if no slot could be acquired.
     held: Option<HeldSlot>,
-    /// The file of learned limits; none without a folder.
+    /// The file of learned limits; `None` without a folder.
     record: Option<PathBuf>,
     started_at: Instant,
-    /// As it was found last.
+    /// The result of the last check; `None` before the first.
     last_share: Cell<Option<LimitShare>>,
 }
 
 struct HeldSlot {
-    /// Which of the two.
+    /// The slot's number, 0 or 1.
     number: usize,
-    /// Locked as long as it is open.
+    /// This slot's file, locked while it is open.
     _own: File,
-    /// The slot of the other process.
+    /// The file of the other slot.
     other: PathBuf,
 }
 
@@ -76,7 +78,7 @@
     NoFolder,
     #[error("{}: {cause}", path.display())]
     Unusable { path: PathBuf, cause: io::Error },
-    #[error("both slots in {} are taken", folder.display())]
+    #[error("both slots in {} are held by other processes", folder.display())]
     AllTaken { folder: PathBuf },
 }
 
@@ -90,9 +92,9 @@
 
 #[derive(Debug, thiserror::Error)]
 enum UnusableRecord {
-    #[error("too old to be of use, or from the future")]
+    #[error("the record is older than {} s, or its time is in the future", MAX_RECORD_AGE.as_secs())]
     TooOld,
-    #[error("too long a record")]
+    #[error("the record is longer than {} bytes", handover::MAX_RECORD_BYTES)]
     TooLong,
     #[error(transparent)]
     Unreadable(#[from] io::Error),
@@ -102,7 +104,7 @@
 
 impl ProcessSlot {
     /// Acquires a slot of the balancer that listens at this address. Without a slot it is unknown
-    /// whether another process lives, so this one uses half of the limits.
+    /// whether another process runs, so this one uses half of the limits.
     pub fn acquire(folder: Option<&Path>, address: SocketAddr) -> ProcessSlot {
         let started_at = Instant::now();
         let held = HeldSlot::acquire(folder, address)
@@ -124,9 +126,9 @@
         std::fs::rename(&unfinished, record)
     }
 
-    /// Where a record is written before it replaces the one that is there: a file that no other
-    /// process writes, which only the holder of this slot is. None without a slot: another process
-    /// may record then.
+    /// The file to which a record is written before it replaces the present one. Its name contains
+    /// the slot's number, so that only the slot's holder writes it. `None` without a slot: another
+    /// process may be writing records then.
     fn unfinished_record(&self) -> Option<PathBuf> {
         let held = self.held.as_ref()?;
         let mut name = self.record.as_ref()?.file_name()?.to_owned();
@@ -134,31 +136,32 @@
         Some(self.record.as_ref()?.with_file_name(name))
     }
 
-    /// Whether another process of this balancer lives.
-    fn other_lives(&self) -> bool {
+    /// Whether another process of this balancer is running.
+    fn other_is_running(&self) -> bool {
         self.held.as_ref().is_some_and(|held| matches!(try_lock(&held.other), Ok(None)))
     }
 
-    /// The limits that another process has recorded; empty if there is no record. One that lives
-    /// recorded until this one came; of one that has ended a record counts for [`MAX_RECORD_AGE`].
+    /// Returns the limits that another process has recorded; empty if there is no record. The
+    /// record of a running process is always current, since it recorded until this process started.
+    /// The record of a process that has ended is valid for [`MAX_RECORD_AGE`].
     ///
     /// # Errors
     /// [`RecordFileError`] if there is a record that can't be used.
     pub fn read_record(&self) -> Result<Vec<LearnedLimit>, RecordFileError> {
         let Some(path) = &self.record else { return Ok(Vec::new()) };
         let Ok(metadata) = std::fs::metadata(path) else { return Ok(Vec::new()) };
-        read_record(path, &metadata, self.other_lives())
+        read_record(path, &metadata, self.other_is_running())
             .map_err(|cause| RecordFileError { path: path.clone(), cause })
     }
 
-    /// The share of the limits to use now, by whether another process holds the other slot.
+    /// The share of the limits to use now; depends on whether another process holds the other slot.
     pub fn limit_share(&self) -> LimitShare {
         let Some(held) = &self.held else { return LimitShare::Half };
         let share = match try_lock(&held.other) {
             Ok(Some(_)) => LimitShare::Alone,
             Ok(None) if self.started_at.elapsed() < SETTLING_TIME => LimitShare::Beginning,
             Ok(None) => LimitShare::Half,
-            // It is unknown for the moment: all stays as it was.
+            // The check failed, for example for want of a descriptor: the share stays as it was.
             Err(_) => self.last_share.get().unwrap_or(LimitShare::Beginning),
         };
         self.last_share.set(Some(share));
@@ -184,7 +187,7 @@
     }
 }
 
-/// Locks a slot's file as long as the result is open; none if another process holds it.
+/// Locks a slot's file while the result is open; `None` if another process holds the lock.
 fn try_lock(path: &Path) -> io::Result<Option<File>> {
     let file = OpenOptions::new().create(true).truncate(false).write(true).open(path)?;
     match file.try_lock() {
@@ -197,15 +200,15 @@
 fn read_record(
     path: &Path,
     metadata: &std::fs::Metadata,
-    writer_lives: bool,
+    writer_is_running: bool,
 ) -> Result<Vec<LearnedLimit>, UnusableRecord> {
-    // The wall clock tells a file's age only while it is not stepped: one from the future may be of
-    // any age.
+    // The wall clock gives a file's age only while the clock is not stepped: a file from the future
+    // may have any age.
     let age = match metadata.modified()?.elapsed() {
         Ok(age) => age,
         Err(ahead) => ahead.duration(),
     };
-    if !writer_lives && age > MAX_RECORD_AGE {
+    if !writer_is_running && age > MAX_RECORD_AGE {
         return Err(UnusableRecord::TooOld);
     }
     if metadata.len() > handover::MAX_RECORD_BYTES as u64 {
--- a/balancer/tests/admin.rs
+++ b/balancer/tests/admin.rs
@@ -1,4 +1,4 @@
-//! The admin interface from outside the program: readiness, metrics and lame-duck mode.
+//! The admin interface seen from outside the process: readiness, metrics and lame-duck mode.
 
 #[path = "../../tests/common/mod.rs"]
 mod common;
@@ -14,7 +14,7 @@
 
 const BINARY: &str = env!("CARGO_BIN_EXE_basaltwood-balancer");
 
-/// A program with an admin interface, before these hosts.
+/// A balancer with an admin interface and these hosts.
 fn program_with_admin(hosts: &[(&str, &Peer)]) -> Program {
     let known: Vec<String> = hosts.iter().map(|(name, peer)| entry(name, peer.address, "active")).collect();
     Program::managed(BINARY, &known, [192, 1024])
@@ -24,7 +24,7 @@
 const LAME_DUCK_OFF: &str = "POST /_lameduck/off HTTP/1.1\r\n\r\n";
 const READY: &str = "GET /_ready HTTP/1.1\r\n\r\n";
 
-/// One command for each outcome, and how its answer begins.
+/// One command for each outcome, and the beginning of its answer.
 const COMMANDS_AND_ANSWERS: [([&str; 3], &str); 7] = [
     (["CACHE.GET", "k", "c=read,d=900"], "v"),
     (["CACHE.GET", "lacked", "c=once,d=900"], "fetched"),
@@ -57,13 +57,13 @@
         let answer = client.command(&[name, key, &format!("id{nth}"), facts]);
         assert!(answer.starts_with(expected), "{command:?}: {answer}");
     }
-    // A request whose client goes counts as no outcome, and is no longer active.
+    // A request whose client has disconnected counts as no outcome, and is no longer active.
     let mut departing = program.client();
     departing.get("slow", "gone", "c=read,d=1500");
     program.metrics("edge_proxy_active 1");
     drop(departing);
     let page = program.metrics("edge_proxy_active 0");
-    release.send(()).expect("it waits");
+    release.send(()).expect("the host waits");
     expect![[r#"
         ok{kind="read"} 2
         ok{kind="put"} 0
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn silent_host_counts_as_ejected_until_it_is_tried_again() {
+fn silent_host_counts_as_ejected_until_it_is_probed() {
     let (silent, healthy) = (Peer::host(|_| Reply::Nothing), Peer::host(|_| hit("v")));
     let program = program_with_admin(&[("a", &silent), ("b", &healthy)]);
 
@@ -99,27 +99,27 @@
         program.client().command(&["CACHE.GET", "k2", &format!("id{nth}"), "c=read,d=300"]);
     }
     assert!(program.metrics("edge_proxy_pool_ejected 1").contains("pool_size 2"));
-    // After a while it is tried again, so it is not ejected.
+    // It is probed after a pause and is no longer ejected.
     program.metrics("edge_proxy_pool_ejected 0");
 }
 
 #[test]
-fn silent_callers_beyond_the_limit_keep_no_other_caller_out() {
+fn silent_callers_beyond_the_limit_do_not_block_other_callers() {
     let host = Peer::host(|_| hit("v"));
     let program = program_with_admin(&[("a", &host)]);
     let silent: Vec<TcpStream> = (0..40)
         .map(|nth| {
-            let mut stream = TcpStream::connect(&program.mgmt).expect("it listens");
+            let mut stream = TcpStream::connect(&program.mgmt).expect("the admin interface listens");
             let partial = if nth % 2 == 0 { "" } else { "GET /_va" };
-            stream.write_all(partial.as_bytes()).expect("it is taken");
+            stream.write_all(partial.as_bytes()).expect("the caller writes");
             stream
         })
         .collect();
 
     assert_eq!(program.call(READY).0, 200);
-    // A caller that sends byte by byte and closes its sending side is answered too.
-    let mut pieces = TcpStream::connect(&program.mgmt).expect("it listens");
-    READY.bytes().for_each(|byte| pieces.write_all(&[byte]).expect("it is taken"));
+    // A caller that sends single bytes and then closes its sending side is answered too.
+    let mut pieces = TcpStream::connect(&program.mgmt).expect("the admin interface listens");
+    READY.bytes().for_each(|byte| pieces.write_all(&[byte]).expect("the caller writes"));
     pieces.shutdown(Shutdown::Write).expect("open");
     let mut answer = String::new();
     pieces.read_to_string(&mut answer).expect("an answer");
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn lame_duck_mode_closes_connections_after_an_answer_and_can_be_left() {
+fn lame_duck_mode_closes_connections_after_an_answer_until_it_is_switched_off() {
     let (release, host) = gated_host();
     let mut program = program_with_admin(&[("a", &host)]);
     let (mut idle, mut silent, mut busy) = (program.client(), program.client(), program.client());
@@ -139,22 +139,22 @@
     host.next();
     assert_eq!([program.call(LAME_DUCK_ON).0, program.call(LAME_DUCK_ON).0], [200, 200]);
     let mut trace = vec![idle.answer()];
-    // Clients that connect during it are served and closed; open requests are answered.
+    // Clients that connect in lame-duck mode are served and closed; open requests are answered.
     let mut late = program.client();
     trace.extend([late.command(&["PING"]), late.answer()]);
     let mut late = program.client();
     trace.extend([late.command(&["CACHE.GET", "k", "id2", "c=read,d=900"]), late.answer()]);
-    release.send(()).expect("it waits");
+    release.send(()).expect("the host waits");
     trace.extend([busy.answer(), busy.answer(), silent.answer()]);
     trace.push(program.call(READY).0.to_string());
-    // Left, and left once more, it serves as before.
+    // Switched off once and twice, it serves as before.
     trace.push(program.call(LAME_DUCK_OFF).0.to_string());
     let mut returning = program.client();
     trace.push(returning.command(&["PING"]));
     trace.push(returning.command(&["CACHE.GET", "k", "id3", "c=read,d=900"]));
     trace.push(program.call(LAME_DUCK_OFF).0.to_string());
     trace.push(returning.command(&["PING"]));
-    // SIGTERM in lame-duck mode ends the program as ever.
+    // SIGTERM in lame-duck mode ends the process as usual.
     program.call(LAME_DUCK_ON);
     program.signal("TERM");
     trace.push(format!("{:?}", program.ended().code()));
@@ -179,7 +179,7 @@
 
 #[test]
 fn pipelining_client_in_lame_duck_mode_is_closed_in_time() {
-    // Each request takes a while, so that there is always another one open.
+    // Each request takes 20 to 140 ms, so that there is always another one open.
     let host = Peer::host(|command| {
         let digits = command.bytes().filter(u8::is_ascii_digit);
         let sum = digits.fold(0, |sum, digit| sum + u64::from(digit - b'0'));
@@ -231,7 +231,7 @@
             client
         })
         .collect();
-    // Three of them that lost an attempt leave the fourth suspected too.
+    // Once three hosts of the zone have lost an attempt, the fourth is suspected too.
     assert!(program.metrics("edge_proxy_pool_ejected 4").contains("pool_size 5"));
     drop(waiting);
 }
@@ -251,7 +251,7 @@
         lines.push(format!("{code:?} {}", cause.rsplit(".json: ").next().unwrap_or("")));
     }
     expect![[r#"
-        Some(1) mgmt "ADDRESS" is no address with a port
+        Some(1) mgmt "ADDRESS" is not an IP address with a port
         Some(1) mgmt on ADDRESS: Address already in use (os error 98)"#]]
     .assert_eq(&lines.join("\n"));
 }
--- a/balancer/tests/sockets/discovery.rs
+++ b/balancer/tests/sockets/discovery.rs
@@ -39,7 +39,7 @@
         GET /v1/servers?from=1&hold_ms=3000
         from a
         GET /v1/servers?from=2&hold_ms=3000
-        list entry {"instanceId":"c","hostPort":"::","lifecycle":"active"}: "::" is no address with a port
+        list entry {"instanceId":"c","hostPort":"::","lifecycle":"active"}: hostPort "::" is not an IP address with a port
         list entry 7: invalid type: integer `7`, expected struct Instance at line 1 column 1
         list entry {"instanceId":[]}: invalid type: sequence, expected a string at line 1 column 14
         from b
@@ -175,7 +175,7 @@
     expect![[r#"
         GET /v1/servers?from=1&hold_ms=3000
         CACHE.GET slow id1 c=once,d=..
-        discovery "nonsense" is no address with a port; all stays as it is
+        discovery "nonsense" is not an IP address with a port; all stays as it is
         GET /v1/servers
         GET /v1/servers?from=1&hold_ms=3000
         GET /v1/servers?from=2&hold_ms=3000
--- a/balancer/tests/sockets/shutdown.rs
+++ b/balancer/tests/sockets/shutdown.rs
@@ -47,8 +47,8 @@
         slow: v
         slow: closed
         Some(0)
-        Closing
-        Ended
+        phase: Closing
+        phase: Ended
         requests=2 succeeded=2"#]]
     .assert_eq(&trace.join("\n"));
 }
--- a/balancer/tests/takeover.rs
+++ b/balancer/tests/takeover.rs
@@ -1,5 +1,5 @@
-//! A process of a balancer is replaced by another that inherits the clients' listening socket: no
-//! request is lost, and both together keep to the balancer's limits.
+//! Replaces a balancer process by another one that inherits the clients' listening socket: no
+//! request is lost, and both processes together stay within the balancer's limits.
 
 #[path = "../../tests/common/mod.rs"]
 mod common;
@@ -19,7 +19,7 @@
 const LAME_DUCK_ON: &str = "POST /_lameduck/on HTTP/1.1\r\n\r\n";
 const READY: &str = "GET /_ready HTTP/1.1\r\n\r\n";
 
-/// A platform that holds the clients' listening socket, and starts processes that inherit it.
+/// Holds the clients' listening socket, and starts processes that inherit it.
 struct Platform {
     listener: TcpListener,
     folder: PathBuf,
@@ -67,22 +67,21 @@
     served: u32,
 }
 
-/// Sends one request after another until `stop`, on a new connection whenever the old one was
-/// closed after an answer. Clients with an even name use each connection once, the others keep
-/// theirs.
-fn steady_client(address: String, name: usize, stop: Arc<AtomicBool>) -> JoinHandle<LoadResult> {
+/// Sends one request after another until `stop`. Clients with an even number use each connection
+/// once; the others keep theirs until it is closed after an answer.
+fn steady_client(address: String, number: usize, stop: Arc<AtomicBool>) -> JoinHandle<LoadResult> {
     spawn(move || {
-        let keeps_connection = !name.is_multiple_of(2);
+        let keeps_connection = !number.is_multiple_of(2);
         let (mut unexpected, mut served, mut sent) = (Vec::new(), 0, 0);
         let mut client = Client::at(&address);
         while !stop.load(Ordering::Relaxed) {
             sent += 1;
-            let id = format!("c{name}-{sent}");
+            let id = format!("c{number}-{sent}");
             let command = ["CACHE.GET", "k", &id, "c=once,d=900"];
             let mut answer = client.command(&command);
             if answer == "closed" && keeps_connection {
-                // A close may cross a request on a kept connection. It was not read, so it is sent
-                // once more.
+                // The balancer may close a kept connection while a request is on its way. The
+                // request was not read, so it is sent again.
                 client = Client::at(&address);
                 answer = client.command(&command);
             }
@@ -106,7 +105,8 @@
     let platform = Platform::new("replaced", &[("a", &host)]);
     let mut old = platform.start();
     let stop = Arc::new(AtomicBool::new(false));
-    let clients: Vec<_> = (0..6).map(|name| steady_client(old.address.clone(), name, stop.clone())).collect();
+    let clients: Vec<_> =
+        (0..6).map(|number| steady_client(old.address.clone(), number, stop.clone())).collect();
     for _ in 0..3 {
         let new = platform.start();
         new.wait_for_log("Beginning");
@@ -121,11 +121,11 @@
     stop.store(true, Ordering::Relaxed);
     let mut served = 0;
     for client in clients {
-        let result = client.join().expect("it ends");
+        let result = client.join().expect("the client ends");
         assert_eq!(result.unexpected, Vec::<String>::new());
         served += result.served;
     }
-    // A process that is killed leaves nothing behind that hinders the next one.
+    // A process that is killed leaves nothing behind that blocks the next one.
     drop(old);
     let next = platform.start();
     next.wait_for_log("Alone");
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn connections_open_or_idle_at_a_takeover_are_answered_before_they_close() {
+fn takeover_closes_connections_only_after_their_requests_are_answered() {
     let (release, host) = gated_host();
     let platform = Platform::new("in-hand", &[("a", &host)]);
     let mut old = platform.start();
@@ -157,10 +157,10 @@
     let new = platform.start();
     old.signal("TERM");
     old.wait_for_log("Takeover");
-    // From now on the new process answers, and is not in lame-duck mode.
+    // From here on the new process answers, and it is not in lame-duck mode.
     let mut late = new.client();
     let mut trace = vec![late.command(&["PING"]), late.command(&["CACHE.GET", "k", "id2", "c=once,d=900"])];
-    release.send(()).expect("it waits");
+    release.send(()).expect("the host waits");
     trace.extend([slow.answer(), slow.answer(), format!("{:?}", old.ended().code())]);
     trace.push(late.command(&["CACHE.GET", "k", "id3", "c=once,d=900"]));
     assert_eq!(trace, ["+PONG", "v", "v", "closed", "Some(0)", "v"]);
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn inherited_descriptor_that_is_not_our_listener_ends_the_start_with_one_line() {
+fn inherited_descriptor_other_than_the_listener_ends_the_start_with_one_line() {
     let platform = Platform::new("wrong", &[]);
     let other = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let actual = other.local_addr().expect("an address").to_string();
@@ -188,13 +188,13 @@
         let code = program.ended().code();
         let line = program.remaining_log().pop().expect("a line");
         let line = line.replace(&actual, "ACTUAL").replace(&configured, "CONFIGURED");
-        let cause = line.split_once("PROXY_INHERITED_FD").expect("it names the variable").1;
+        let cause = line.split_once("PROXY_INHERITED_FD").expect("the variable's name").1;
         lines.push(format!("{code:?} {cause}"));
     }
     expect![[r#"
-        Some(1)  5: it listens on ACTUAL, not on CONFIGURED
-        Some(1)  9: it is no socket that listens
-        Some(1)  "five" is no descriptor's number"#]]
+        Some(1)  5: the socket listens on ACTUAL, but the configuration says CONFIGURED
+        Some(1)  9: the descriptor is not a listening socket
+        Some(1)  "five" is not the number of a descriptor"#]]
     .assert_eq(&lines.join("\n"));
 }
 
@@ -207,10 +207,10 @@
     std::fs::write(&record, "nonsense").expect("a file");
     let program = Program::inheriting(BINARY, &platform.config, &platform.listener, &platform.folder);
     program.wait_for_log("a record that is not whole; it begins with no learned limits");
-    // Once a second the program records its limits, atomically.
+    // The process records its limits once a second, atomically.
     let began = Instant::now();
     while std::fs::read(&record).is_ok_and(|bytes| bytes == b"nonsense") {
-        assert!(began.elapsed() < Duration::from_secs(15), "nothing was recorded");
+        assert!(began.elapsed() < Duration::from_secs(15), "no limits were recorded");
         std::thread::yield_now();
     }
     let bytes = std::fs::read(&record).expect("a record");
