--- a/balancer/tests/config.rs
+++ b/balancer/tests/config.rs
@@ -1,5 +1,5 @@
-//! What the library reads from the environment. The only test of its process, whose environment it
-//! sets.
+//! The configuration that the library reads from the environment. This file contains a single test,
+//! since it sets its process's environment.
 
 #[path = "../../tests/common/mod.rs"]
 mod common;
@@ -7,8 +7,8 @@
 use basaltwood_balancer::Config;
 use common::managed;
 
-/// Limits and rates are sums over the balancers that send to the same hosts; all of the fleet call
-/// discovery.
+/// Limits and rates are shared by the balancers that send to the same hosts, whereas the whole
+/// fleet calls discovery.
 #[test]
 fn balancers_in_the_region_map_replace_the_fleet_size_for_the_policy_only() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -23,7 +23,7 @@
         let text = format!("own = \"north\"\n[[region]]\nname = \"north\"\n{map}");
         let file = if map.is_empty() { "".into() } else { write("regions.toml", &text) };
         std::env::set_var("BASALTWOOD_REGIONS", file);
-        let config = Config::read().expect("it is valid");
+        let config = Config::read().expect("a valid configuration");
         seen.push((config.region_map.is_some(), config.policy.balancers, config.fleet_size));
     }
 
--- a/balancer/tests/endings.rs
+++ b/balancer/tests/endings.rs
@@ -1,5 +1,5 @@
-//! What is still owed when something ends: the process, or a client's connection. Each race is forced
-//! over sockets, and the program is observed from its peers' side.
+//! Open requests when the process shuts down or a client disconnects. Each race is forced over
+//! sockets, and the balancer is observed from its peers' side.
 
 #[path = "../../tests/common/mod.rs"]
 mod common;
@@ -15,14 +15,14 @@
 
 const BINARY: &str = env!("CARGO_BIN_EXE_basaltwood-balancer");
 
-/// Releases up to `count` requests that a host holds back.
+/// Releases up to `count` responses that a host holds back.
 fn release_up_to(release: &Sender<()>, count: u32) {
     for _ in 0..count {
         let _ = release.send(());
     }
 }
 
-/// Requests may take longer than the process has after SIGTERM.
+/// Settings under which requests may take longer than the process has after SIGTERM.
 fn settings_with_long_time_limits() -> String {
     SETTINGS.replace("\"ttlMs\":2000.0", "\"ttlMs\":9000.0,\"tardyBenefit\":1.0")
 }
@@ -31,7 +31,7 @@
     Program::start_by(BINARY, nowhere(), &[entry("a", host.address, "active")], limits, settings)
 }
 
-/// Operators kill a balancer 0.7 s after the longest time limit, and after 3.7 s where that is longer.
+/// Operators kill a balancer 0.7 s after the longest time limit, but at most 3.7 s after SIGTERM.
 /// Requests still open at hung hosts are answered before that: idempotent ones are rejected,
 /// at-most-once ones fail.
 #[test]
@@ -49,13 +49,13 @@
     program.signal("TERM");
     program.wait_for_log("Flushing");
 
-    // The final answers come, and then each connection closes.
+    // Each client gets its final answer, and then its connection is closed.
     let mut trace = sent.to_vec();
     trace.extend([read.answer(), once.answer(), read.answer(), once.answer()]);
     trace.push(format!("{:?}", program.ended().code()));
 
-    // The phase begins 3.5 s after the signal; the bound has to be below the 9 s that the requests may
-    // take.
+    // The phase `Flushing` begins 3.5 s after the signal; the bound has to be below the 9 s that
+    // the requests may take.
     assert!(began.elapsed() < Duration::from_secs(8), "ended after {:?}", began.elapsed());
 
     expect![[r#"
@@ -69,14 +69,14 @@
     .assert_eq(&trace.join("\n"));
 }
 
-/// Clients that the kernel had accepted before the listener closed, and that waited for descriptors.
+/// The kernel has accepted clients before the listener closes, and they wait for descriptors.
 #[test]
 fn shutdown_answers_clients_not_yet_accepted() {
     let (hosts, known) = four_gated_hosts();
     let mut program =
         Program::start_by(BINARY, nowhere(), &known, [192, 32], &settings_with_long_time_limits());
 
-    // As many clients as the limit allows, each owed an answer.
+    // As many clients as the limit allows, each with an open request.
     let mut accepted: Vec<Client> = (0..8).map(|_| program.client()).collect();
     for (nth, client) in accepted.iter_mut().enumerate() {
         client.get(&format!("slow{nth}"), &format!("in{nth}"), "c=once,d=9000");
@@ -94,16 +94,16 @@
     hosts.iter().for_each(|host| release_up_to(&host.0, 8));
     let mut answers: Vec<String> = accepted.iter_mut().chain(&mut waiting).map(Client::answer).collect();
 
-    // Each gets a final answer; short of descriptors it may be a rejection, but never a bare close.
+    // Each gets a final answer: for lack of descriptors possibly a rejection, never just a close.
     answers.retain(|answer| answer != "v" && !answer.starts_with("-BUSY"));
     assert!(answers.is_empty(), "{answers:?}");
     assert!(program.ended().success());
 }
 
-/// A client sends more commands than are begun at a time and leaves: those in flight are abandoned,
-/// and the others are never begun.
+/// A client sends more commands than may be open at a time and disconnects: those in flight are
+/// abandoned, and the others are never begun.
 #[test]
-fn departed_client_has_no_further_request_begun() {
+fn commands_of_a_departed_client_are_not_begun() {
     EACH_DEPARTURE.into_iter().for_each(departs_with_many_commands_sent);
 }
 
@@ -113,23 +113,27 @@
 
     let mut client = program.client();
     (0..100).for_each(|nth| client.get("slow", &format!("id{nth}"), "c=read,d=1900"));
-    // One has reached its host; what was only decided when its client leaves is not sent at all.
+    // One has reached its host. Attempts that are decided but unsent when the client leaves are not
+    // sent.
     host.next();
 
     departure.apply(client);
     let line = program.wait_for_counter("abandoned", 1);
-    assert!(line.contains(" attempts_succeeded=0 "), "nothing was answered yet: {line}");
+    assert!(line.contains(" attempts_succeeded=0 "), "no attempt was answered yet: {line}");
 
     release_up_to(&release, 100);
-    // Attempts in flight run on, and their responses go to nobody.
+    // Attempts in flight run to their end, and their responses are dropped.
     program.wait_for_counter("attempts_succeeded", 1);
 
     assert_eq!(program.client().command(&["PING"]), "+PONG");
     let line = program.wait_for_counter("requests", 32);
-    assert!(line.contains(" requests=32 "), "as many as may be open at a time, and none after: {line}");
+    assert!(
+        line.contains(" requests=32 "),
+        "as many requests as may be open at a time, and no further one: {line}"
+    );
 }
 
-/// After `QUIT` nothing more is read of a connection; its close is noticed all the same.
+/// After `QUIT` a connection is no longer read, but its close is still detected.
 #[test]
 fn departure_after_quit_abandons_the_request() {
     EACH_DEPARTURE.into_iter().for_each(departs_after_quit);
@@ -150,10 +154,10 @@
     drop(release);
 }
 
-/// A client that shuts down only its writing side can't be distinguished from one that has closed
-/// until something is written to it: it counts as departed.
+/// Before anything is written to a client, one that has shut down only its sending side can't be
+/// distinguished from one that has closed: it counts as departed.
 #[test]
-fn client_that_ends_its_sending_counts_as_departed() {
+fn client_that_shuts_down_its_sending_side_counts_as_departed() {
     let (release, host) = gated_host();
     let program = program(&host, [192, 1024], SETTINGS);
 
@@ -161,7 +165,7 @@
     client.get("slow", "id", "c=read,d=1900");
     host.next();
 
-    client.writing.shutdown(Shutdown::Write).expect("it ends");
+    client.writing.shutdown(Shutdown::Write).expect("the client shuts down");
 
     assert_eq!(client.answer(), "closed");
     let line = program.wait_for_counter("abandoned", 1);
@@ -169,22 +173,23 @@
     drop(release);
 }
 
-/// Replies that are ready are written all the same, in case the client still reads.
+/// Replies that are ready are written even so, as the client may still read.
 #[test]
-fn client_that_quits_and_ends_its_sending_gets_ready_replies() {
+fn client_that_quits_and_shuts_down_its_sending_side_gets_ready_replies() {
     let host = Peer::host(|_| hit("v"));
     let program = program(&host, [192, 1024], SETTINGS);
 
     let mut client = program.client();
     client.raw(b"PING\r\nQUIT\r\n");
-    client.writing.shutdown(Shutdown::Write).expect("it ends");
+    client.writing.shutdown(Shutdown::Write).expect("the client shuts down");
 
     assert_eq!([client.answer(), client.answer(), client.answer()], ["+PONG", "+OK", "closed"]);
 }
 
-/// SIGTERM twice with a reload before and after: it ends as usual, with all replies written.
+/// SIGTERM twice, with a reload before and after: the process ends as usual, with all replies
+/// written.
 #[test]
-fn second_sigterm_and_reloads_leave_the_shutdown_as_it_is() {
+fn second_sigterm_and_reloads_do_not_change_the_shutdown() {
     let (release, host) = gated_host();
     let mut program = program(&host, [192, 1024], SETTINGS);
 
@@ -202,12 +207,12 @@
     program.signal("TERM");
     program.signal("HUP");
 
-    release.send(()).expect("it waits");
+    release.send(()).expect("the host waits");
     assert_eq!([client.answer(), client.answer()], ["v", "closed"]);
     assert!(program.ended().success());
 }
 
-/// Requests that are in the socket when the signal is handled are read before their connection closes.
+/// Requests in a socket's buffer when the signal is handled are read before the connection closes.
 #[test]
 fn requests_received_before_the_signal_is_handled_are_answered() {
     let (_release, host) = gated_host();
@@ -230,7 +235,7 @@
     assert!(program.ended().success());
 }
 
-/// While a value waits for memory that another client holds, nothing is read of its connection.
+/// While a client's value waits for memory that another client holds, its connection is not read.
 #[test]
 fn departure_while_a_value_waits_for_memory_abandons_the_request() {
     EACH_DEPARTURE.into_iter().for_each(departs_while_its_value_waits);
@@ -240,19 +245,19 @@
     let (release, host) = gated_host();
     let program = program(&host, [8, 1024], SETTINGS);
 
-    let half = |client: &mut Client, id: &str| {
+    let send_half = |client: &mut Client, id: &str| {
         let head =
             format!("*5\r\n$9\r\nCACHE.SET\r\n$1\r\nk\r\n${}\r\n{id}\r\n$10\r\nc=put,d=900\r\n", id.len());
         client.raw(format!("{}${}\r\n", head.replace("$10", "$11"), 2_600_000).as_bytes());
     };
 
     let (mut holder, mut departing) = (program.client(), program.client());
-    half(&mut holder, "id1");
+    send_half(&mut holder, "id1");
     assert_eq!(program.client().command(&["PING"]), "+PONG");
 
     departing.get("slow", "id2", "c=read,d=1900");
     host.next();
-    half(&mut departing, "id3");
+    send_half(&mut departing, "id3");
     assert_eq!(program.client().command(&["PING"]), "+PONG");
 
     departure.apply(departing);
@@ -262,8 +267,8 @@
     drop((release, holder));
 }
 
-/// So many unread bytes that they fill the client's window: its close comes behind them, and is
-/// noticed.
+/// Unread bytes fill the client's TCP window, and its close comes behind them: it is still
+/// detected.
 #[test]
 fn departure_behind_a_full_window_abandons_the_requests() {
     let (release, host) = gated_host();
@@ -271,8 +276,8 @@
 
     let mut client = program.client();
 
-    // As many as may wait, then 168 kB: more than the kernel holds (128 kB), and less than that plus
-    // what is read ahead (80 kB).
+    // As many requests as may be open, then 168 kB: more than the kernel buffers (128 kB), and less
+    // than that plus what the balancer reads ahead (80 kB).
     let mut bytes = Vec::new();
     for nth in 0..32 {
         bytes.extend(encoded_get(&format!("slow-{nth}"), nth));
@@ -285,7 +290,7 @@
     host.next();
     client.depart();
 
-    // The host's first concurrency limit admits six, and they are abandoned while in flight.
+    // The host's initial concurrency limit admits six requests, which are abandoned in flight.
     let line = program.wait_for_counter("abandoned", 6);
     assert!(line.contains(" attempts_timed_out=0 ") && line.contains(" requests=32 "), "{line}");
     drop(release);
--- a/balancer/tests/host_churn.rs
+++ b/balancer/tests/host_churn.rs
@@ -1,6 +1,6 @@
-//! A day on which hosts and clients are replaced thousands of times: what is kept of one that has
-//! gone is freed, so that memory levels off. Tables by host, by connection, by id and by key all
-//! count into it.
+//! Hosts and clients are replaced thousands of times: the data of those that are gone has to be
+//! freed, so that memory stops growing. This covers the tables by host, by connection, by id and by
+//! key.
 
 #[path = "../../tests/common/mod.rs"]
 mod common;
@@ -8,15 +8,16 @@
 use common::*;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_basaltwood-balancer");
-/// Hosts in each list; the next list replaces all of them.
+/// The number of hosts in each list; the next list replaces all of them.
 const HOSTS: usize = 24;
-/// Lists after the first one.
+/// The number of lists after the first one.
 const LISTS: usize = 160;
-/// After so many lists memory has reached what the present hosts, clients and keys need.
+/// The number of lists after which memory has reached what the present hosts, clients and keys
+/// need.
 const SETTLED: usize = 40;
 
 #[test]
-fn memory_after_thousands_of_replaced_hosts_and_clients_is_level() {
+fn memory_does_not_grow_with_replaced_hosts_and_clients() {
     let host = Peer::host(|_| hit("v"));
     let discovery = Discovery::start();
     let hosts = |round: usize| -> Vec<String> {
@@ -33,7 +34,7 @@
         }
         drop(clients);
         discovery.publish(&hosts(round));
-        // Its next call shows that it has read this list.
+        // The balancer's next call shows that it has read this list.
         while !discovery.peer.next().contains(&format!("from={}&", round + 1)) {}
         if round == SETTLED {
             settled = (program.memory_kb(), program.descriptors());
--- a/balancer/tests/regions/fleet.rs
+++ b/balancer/tests/regions/fleet.rs
@@ -1,4 +1,4 @@
-//! Hosts in zones, programs with a map of regions, and stand-ins that watch for connections.
+//! Hosts in zones, balancers with a map of regions, and stand-ins that detect connections.
 
 use std::collections::BTreeSet;
 use std::io::{BufReader, ErrorKind, Write};
@@ -27,7 +27,7 @@
     entry(name, address, lifecycle).replace(r#""zone":"a""#, &format!(r#""zone":"{zone}""#))
 }
 
-/// The configuration of a program with an admin interface.
+/// The configuration of a balancer with an admin interface.
 pub fn config(discovery: SocketAddr, known: &[String], settings: &str) -> String {
     let text = managed(known, [192, 1024]).replace("127.0.0.1:1\"", &format!("{discovery}\""));
     text.replace(SETTINGS, settings)
@@ -43,14 +43,14 @@
     program.serving()
 }
 
-/// The map with this minimum of hosts in the north.
+/// [`MAP`] with this minimum of hosts in the region `north`.
 pub fn map_with_min_hosts(hosts: u32) -> String {
     MAP.replace(r#"zones = ["n1", "n2"]"#, &format!("zones = [\"n1\", \"n2\"]\nhosts = {hosts}"))
 }
 
-/// The same entry for a host that has just started.
+/// `entry` for a host that has just started.
 pub fn just_started(entry: &str) -> String {
-    let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).expect("a time after it");
+    let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).expect("a time after 1970");
     entry.replace(r#""startedAtMs":0"#, &format!(r#""startedAtMs":{}"#, since.as_millis()))
 }
 
@@ -58,12 +58,12 @@
     Peer::host(move |_| hit(name))
 }
 
-/// Waits until the list of this version has been read, which the next call shows.
+/// Waits until the next call shows that the list of this version has been read.
 pub fn wait_until_read(discovery: &Peer, version: usize) {
     while !discovery.next().contains(&format!("from={version}&")) {}
 }
 
-/// A listener that answers nobody, and knows whether somebody connected.
+/// A listener that never answers, and detects whether a client has connected.
 pub struct UntouchedListener {
     listener: TcpListener,
     pub address: SocketAddr,
@@ -82,7 +82,7 @@
     }
 }
 
-/// A host that refuses connections until it is opened, and counts those it has accepted.
+/// A host that refuses connections until it is opened, and counts the connections it has accepted.
 pub struct RefusingHost {
     socket: Socket,
     pub address: SocketAddr,
@@ -97,8 +97,8 @@
         RefusingHost { socket, address, accepted: Arc::default() }
     }
 
-    /// From now on it answers every key with its name. Returns how many connections it has
-    /// accepted.
+    /// Accepts connections, and answers every key with `name`. Returns the counter of accepted
+    /// connections.
     pub fn opened(self, name: &'static str) -> Arc<AtomicU32> {
         self.socket.listen(128).expect("it listens");
         let (listener, accepted) = (TcpListener::from(self.socket), self.accepted.clone());
@@ -120,9 +120,9 @@
     }
 }
 
-/// The names of the hosts that answer reads of many keys, which are repeated until all awaited ones
-/// have answered. Others that answer are in it too, but not rejections that are not awaited: if the
-/// machine stalls for a moment, attempts time out, and their host is avoided for a while.
+/// Reads many keys until all awaited answers have come, and returns all answers, which are the
+/// names of the hosts that answered. Rejections are left out unless they are awaited: if the
+/// machine stalls, attempts time out and their host is ejected until it is probed.
 pub fn answering_hosts(program: &Program, awaited: &[&str]) -> String {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let (began, mut client) = (Instant::now(), program.client());
--- a/balancer/tests/regions/hosts.rs
+++ b/balancer/tests/regions/hosts.rs
@@ -1,4 +1,4 @@
-//! Hosts that move between regions, drain, change one by one, or can't be reached.
+//! Hosts that move between regions, drain, change one by one, or are unreachable.
 
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Condvar, Mutex};
@@ -11,7 +11,7 @@
 use crate::stand_ins::{breaking_host, one_attempt_in_flight, patient_settings};
 
 #[test]
-fn hosts_outside_the_own_region_are_never_connected_to() {
+fn hosts_outside_the_own_region_get_no_connections() {
     let (a, b) =
         (host_named("a"), Peer::host(|command| if command.contains("lacked") { miss() } else { hit("b") }));
     let outside = [UntouchedListener::start(), UntouchedListener::start(), UntouchedListener::start()];
@@ -30,7 +30,7 @@
     discovery.publish(&known);
     wait_until_read(&discovery.peer, 2);
     trace.push(answering_hosts(&program, &["a", "b"]));
-    // For a key whose home is b: its value comes from the origin, which is in the south.
+    // A key with home b that misses there: its value comes from the origin, which is in the south.
     let missing = (0..60).map(|nth| format!("lacked{nth}"));
     let mut client = program.client();
     let fetched = missing.enumerate().any(|(nth, key)| {
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn drain_of_a_ring_host_with_any_zone_in_its_entry_is_honoured() {
+fn drain_of_a_ring_host_is_honoured_with_any_zone_in_its_entry() {
     for invalid in [
         r#"{"instanceId":"a","lifecycle":"leaving"}"#,
         r#"{"instanceId":"a","zone":"absurd","hostPort":"::","lifecycle":"left"}"#,
@@ -85,8 +85,8 @@
     }
 }
 
-/// One attempt is in flight at `a`, and others wait there, when the list moves it to another
-/// region.
+/// One attempt is in flight at `a`, and others wait for a connection to it, when the list moves `a`
+/// to another region.
 #[test]
 fn host_moved_out_of_the_ring_gets_no_further_attempts() {
     let (release, a) = breaking_host();
@@ -102,12 +102,12 @@
     let b_up = zoned_entry("b", "n2", b.address, "active");
     discovery.publish(&[zoned_entry("a", "s1", a.address, "active"), b_up.clone()]);
     trace.extend([read.answer(), once.answer()]);
-    release.send(()).expect("it waits");
+    release.send(()).expect("the host waits");
     trace.extend([slow.answer(), a.next()]);
     let line = program.wait_for_counter("attempts_not_sent", 2);
     assert!(line.contains(" attempts_not_sent=2 ") && line.contains(" regions_hosts_out=1 "), "{line}");
     trace.push(answering_hosts(&program, &["from b"]));
-    assert!(a.quiet(), "nothing was sent after it was moved out");
+    assert!(a.quiet(), "no attempt was sent after the host was moved out");
     expect![[r#"
         CACHE.GET break id0 c=read,d=..
         closed
@@ -156,7 +156,8 @@
     .assert_eq(&trace.join("\n"));
 }
 
-/// Changes that name one host each: the other hosts are known when the ring changes to them.
+/// Each change names one host. The other hosts have to be known when the ring changes to their
+/// region.
 #[test]
 fn list_changes_of_single_hosts_have_the_same_effect_as_whole_lists() {
     let (a, b) = (host_named("a"), host_named("b"));
@@ -181,7 +182,7 @@
         (zoned_entry("c", "n1", a.address, "active"), "a"),
         (zoned_entry("d", "n1", a.address, "active"), "a"),
         (zoned_entry("d", "n1", a.address, "left"), "a"),
-        // A host that was forgotten has nothing left to drain.
+        // A drain of a host that was forgotten has no effect.
         (r#"{"instanceId":"d","lifecycle":"leaving"}"#.to_owned(), "a"),
         (r#"{"instanceId":"d","lifecycle":"left"}"#.to_owned(), "a"),
         (zoned_entry("c", "", a.address, "leaving"), "b"),
@@ -211,11 +212,11 @@
     .assert_eq(&trace.join("\n"));
 }
 
-/// The own region's hosts are up by the list and unreachable, one hangs and one refuses, while the
-/// other region's host would answer: each request ends for its client in time, nothing is sent to
-/// the other region, and the own region serves again once its hosts answer.
+/// The own region's hosts are up in the list but unreachable: one hangs and one refuses. The other
+/// region's host would answer. Each request has to end in time, the other region gets no
+/// connection, and the own region serves again once its hosts answer.
 #[test]
-fn unreachable_region_fails_in_time_without_the_other_and_serves_again() {
+fn unreachable_region_fails_in_time_without_use_of_another_and_serves_again() {
     let hangs = Arc::new((Mutex::new(false), Condvar::new()));
     let shared = hangs.clone();
     let a = Peer::host(move |_| {
@@ -238,11 +239,12 @@
     for (nth, client) in clients.iter_mut().enumerate() {
         client.get(&format!("k{nth}"), &format!("cut{nth}"), "c=read,d=400");
     }
-    let cut: Vec<String> = clients.iter_mut().map(Client::answer).collect();
+    let answers: Vec<String> = clients.iter_mut().map(Client::answer).collect();
     let took = began.elapsed();
-    let refused = cut.iter().filter(|answer| answer.starts_with("-BUSY") || *answer == "-ERR dead-lettered");
-    trace.push(format!("cut: {} of {} without a value", refused.count(), cut.len()));
-    assert!(took < Duration::from_secs(2), "requests of 0.4 s took {took:?}");
+    let refused =
+        answers.iter().filter(|answer| answer.starts_with("-BUSY") || *answer == "-ERR dead-lettered");
+    trace.push(format!("unreachable: {} of {} without a value", refused.count(), answers.len()));
+    assert!(took < Duration::from_secs(2), "requests with a deadline of 0.4 s took {took:?}");
     *hangs.0.lock().expect("a lock") = false;
     hangs.1.notify_all();
     b.opened("b");
@@ -250,16 +252,16 @@
     let line = program.wait_for_counter("requests", 24);
     trace.extend(line.split(' ').filter(|word| word.starts_with("regions_rings")).map(str::to_owned));
     assert_eq!(accepted.load(Ordering::SeqCst), 0, "a connection was opened to the other region");
-    // The other region could have answered all the time.
-    let mut there = Client::at(&address.to_string());
-    there.get("k", "id", "c=read,d=400");
-    trace.push(format!("over there: {}, by connection {}", there.answer(), accepted.load(Ordering::SeqCst)));
-    println!("cut for {took:?}, in all {:?}", began.elapsed());
+    // The other region could have answered throughout.
+    let mut other = Client::at(&address.to_string());
+    other.get("k", "id", "c=read,d=400");
+    trace.push(format!("other region: {}, connection {}", other.answer(), accepted.load(Ordering::SeqCst)));
+    println!("unreachable for {took:?}, total {:?}", began.elapsed());
     expect![[r#"
         a
-        cut: 24 of 24 without a value
+        unreachable: 24 of 24 without a value
         a b
         regions_rings=0
-        over there: *3, by connection 1"#]]
+        other region: *3, connection 1"#]]
     .assert_eq(&trace.join("\n"));
 }
--- a/balancer/tests/regions/main.rs
+++ b/balancer/tests/regions/main.rs
@@ -1,5 +1,5 @@
-//! Rings by region on sockets: with an operators' map, which hosts are used, and which are never
-//! connected to.
+//! Regions on sockets: which hosts are used under an operators' map, and to which no connection is
+//! opened.
 
 #[path = "../../../tests/common/mod.rs"]
 mod common;
--- a/balancer/tests/regions/maps.rs
+++ b/balancer/tests/regions/maps.rs
@@ -1,4 +1,4 @@
-//! The operators' map: where it is read, what is refused, and how its versions show.
+//! The operators' map: the path it is read from, refused maps, and the display of its version.
 
 use std::path::Path;
 
@@ -33,8 +33,8 @@
     .assert_eq(&lines.join("\n"));
 }
 
-/// Without a file at the default path there are no regions; a file there counts though no variable
-/// names it.
+/// Without a file at the default path there are no regions. A file at the default path is used even
+/// if no variable names it.
 #[test]
 fn region_map_at_the_default_path_is_read_from_the_working_directory() {
     let (a, b) = (host_named("a"), host_named("b"));
@@ -53,9 +53,10 @@
 }
 
 /// A zone is moved from the north to the south, and some balancers have the old map and others the
-/// new one: each uses its own ring, and a drain of the host that both use is honoured by both.
+/// new one. Each uses the ring of its own map, and a drain of a host is honoured by all that use
+/// it.
 #[test]
-fn balancers_with_maps_of_two_versions_use_each_its_own_ring() {
+fn balancers_with_different_map_versions_each_use_their_own_ring() {
     let (a, b, c) = (host_named("a"), host_named("b"), host_named("c"));
     let discovery = Discovery::start();
     let list = |lifecycle_of_b: &str| {
@@ -74,7 +75,8 @@
         trace.extend(metrics.lines().filter(|line| line.starts_with("regions_map")).map(str::to_owned));
         trace.push(answering_hosts(program, awaited));
     }
-    // The metric of a host that nobody uses shows when this list has been applied.
+    // The metric of unnamed hosts, here one that no ring has, shows when this list has been
+    // applied.
     let drained = [list("leaving"), vec![zoned_entry("x", "x1", nowhere(), "active")]].concat();
     discovery.publish(&drained);
     for program in &programs {
@@ -85,7 +87,7 @@
         programs.iter().zip(["a", "a", "c"]).map(|(program, awaited)| answering_hosts(program, &[awaited])),
     );
     let later: Vec<String> = std::iter::from_fn(|| b.seen()).filter(|seen| seen != "closed").collect();
-    assert!(later.is_empty(), "{later:?} came after its drain");
+    assert!(later.is_empty(), "{later:?} arrived after the host's drain");
     expect![[r#"
         regions_map{version="6289afb4"} 1
         a b
@@ -99,7 +101,7 @@
     .assert_eq(&trace.join("\n"));
 }
 
-/// In the log's line at the start, and as a metric.
+/// The version is shown in a log line at the start and as a metric.
 #[test]
 fn copies_of_one_map_for_different_regions_show_the_same_version() {
     let a = host_named("a");
@@ -112,7 +114,7 @@
         let program = program.serving();
         let metrics = program.metrics("edge_proxy_regions_hosts_ring 1");
         let metric = metrics.lines().find(|line| line.starts_with("regions_map")).expect("a metric");
-        format!("{} / {metric}", line.split_once("regions: ").expect("its part").1)
+        format!("{} / {metric}", line.split_once("regions: ").expect("the regions' part").1)
     };
     let south = MAP.replace("own = \"north\"", "# The south's copy.\nown = \"south\"");
     let other = MAP.replace("\"n2\"", "\"n3\"");
@@ -123,7 +125,7 @@
     .assert_eq(&[MAP, &south, &other].map(versions).join("\n"));
 }
 
-/// A refusal without the program's name and the file's.
+/// A refusal without the names of the program and the file.
 fn refusal(line: &str) -> String {
     text_after(&text_after(line, "basaltwood-balancer: "), ".toml")
 }
--- a/balancer/tests/regions/minimum.rs
+++ b/balancer/tests/regions/minimum.rs
@@ -1,4 +1,4 @@
-//! Regions that lose hosts and regain them, with and without a minimum of hosts.
+//! Regions that lose and regain hosts, with and without a minimum number of hosts.
 
 use expect_test::expect;
 
@@ -8,8 +8,8 @@
 const SIX: [&str; 6] = ["n0", "n1", "n2", "n3", "n4", "n5"];
 const SOUTH: [&str; 2] = ["s0", "s1"];
 
-/// The hosts that serve while these of the north's six are up, one list after another, with all of
-/// them up at first; and the counters of regions.
+/// Starts with all six hosts of the north up, and applies lists in which only the named ones are
+/// up. Returns the hosts that serve after each list, and the counters of regions.
 fn trace_of_six_hosts(map: &str, lists: &[&[&str]]) -> String {
     let (north, south) = (SIX.map(host_named), SOUTH.map(host_named));
     let discovery = Discovery::start();
@@ -53,8 +53,7 @@
     .assert_eq(&trace_of_six_hosts(MAP, &lists));
 }
 
-/// With a minimum the next region serves until so many hosts are up, and again once there are
-/// fewer.
+/// With a minimum of hosts, the next region serves whenever fewer are up.
 #[test]
 fn region_below_its_minimum_of_hosts_is_served_by_the_next() {
     let lists = [
@@ -84,8 +83,8 @@
     .assert_eq(&trace_of_six_hosts(&map_with_min_hosts(4), &lists));
 }
 
-/// The first host that is up again gets all of the region's keys, and is limited to its minimum
-/// capacity: the other requests are rejected.
+/// The first host that is up again gets all keys of the region, but is limited to its minimum
+/// capacity: requests beyond it are rejected.
 #[test]
 fn region_back_with_one_cold_host_rejects_what_exceeds_its_capacity() {
     let (a, b) = (host_named("a"), host_named("b"));
@@ -106,9 +105,9 @@
     .assert_eq(&trace.join("\n"));
 }
 
-/// The same region with a minimum of hosts: nothing goes to its first one.
+/// With a minimum of hosts, the first host that is up again gets no connection.
 #[test]
-fn first_cold_host_below_the_minimum_is_not_connected_to() {
+fn first_cold_host_of_a_region_below_its_minimum_gets_no_connection() {
     let (first, b) = (UntouchedListener::start(), host_named("b"));
     let discovery = Discovery::start();
     let south = zoned_entry("b", "s1", b.address, "active");
--- a/balancer/tests/starts.rs
+++ b/balancer/tests/starts.rs
@@ -1,5 +1,5 @@
-//! Starts under adverse conditions: processes that start while neither discovery nor hosts answer,
-//! and idle clients that hold the descriptors while discovery is down.
+//! Starts while neither discovery nor hosts answer, and the return of discovery while idle clients
+//! hold the descriptors.
 
 #[path = "../../tests/common/mod.rs"]
 mod common;
@@ -15,20 +15,21 @@
 
 const BINARY: &str = env!("CARGO_BIN_EXE_basaltwood-balancer");
 
-/// A process that listens, with the address of its admin interface read from the log.
+/// Waits until the process serves, and reads the address of its admin interface from the log.
 fn serving(mut program: Program) -> Program {
     program.wait_for_admin();
     program.serving()
 }
 
-/// The configuration of a program with an admin interface, with discovery at this address.
+/// The configuration of a balancer with an admin interface and discovery at this address.
 fn config_with_discovery(known: &[String], discovery: SocketAddr) -> String {
     let config = managed(known, [192, 64]);
     config.replace(r#""discovery":"127.0.0.1:1""#, &format!(r#""discovery":"{discovery}""#))
 }
 
-/// Nine in ten restarted processes must be ready within 10 s. Discovery is silent, every host
-/// hangs, and all start at once: a start that waited for any of them would never be ready.
+/// Nine in ten restarted processes have to be ready within 10 s. Discovery is silent, every host
+/// hangs, and all processes start at once: one that waited for discovery or a host would never be
+/// ready.
 #[test]
 fn forty_processes_started_at_once_with_silent_peers_are_ready_in_time() {
     const PROCESSES: usize = 40;
@@ -52,11 +53,11 @@
     assert!(nine_in_ten < Duration::from_secs(10), "{ready_after:?}");
 }
 
-/// While discovery is down, more idle clients than are allowed hold every descriptor that clients
-/// may, and they reconnect when closed. At discovery's return the list is applied in time, admin
-/// requests are answered, and requests get their attempts.
+/// While discovery is down, idle clients hold all descriptors that clients may use, and reconnect
+/// when they are closed. When discovery answers again, the list has to be applied in time, admin
+/// requests answered, and attempts sent.
 #[test]
-fn crowd_of_idle_clients_delays_neither_list_nor_admin_nor_attempts() {
+fn idle_clients_at_the_limit_delay_neither_list_nor_admin_nor_attempts() {
     let discovery_up = Arc::new(AtomicBool::new(false));
     let is_up = discovery_up.clone();
     let (a, b) = (Peer::host(|_| hit("from a")), Peer::host(|_| hit("from b")));
@@ -69,8 +70,8 @@
     let known = [entry("a", a.address, "active"), entry("b", b.address, "active")];
     let program = serving(Program::with_config(BINARY, &config_with_discovery(&known, discovery.address)));
     let stop = Arc::new(AtomicBool::new(false));
-    let crowd = || thread::spawn(idle_clients(program.address.clone(), stop.clone()));
-    let crowds: Vec<_> = (0..4).map(|_| crowd()).collect();
+    let spawn_clients = || thread::spawn(idle_clients(program.address.clone(), stop.clone()));
+    let threads: Vec<_> = (0..4).map(|_| spawn_clients()).collect();
     program.wait_for_counter("clients", 200);
 
     discovery_up.store(true, Ordering::Relaxed);
@@ -79,18 +80,18 @@
     assert!(since.elapsed() < Duration::from_secs(6), "the list came after {:?}", since.elapsed());
 
     assert_eq!(program.call("GET /_ready HTTP/1.1\r\n\r\n").0, 200);
-    // Idle clients make way for one that sends a request.
+    // Idle clients are closed in favour of one that sends a request.
     for nth in 0..4 {
         let (key, id) = (format!("k{nth}"), format!("id{nth}"));
         assert_eq!(program.client().command(&["CACHE.GET", &key, &id, "c=read,d=1900"]), "from b");
     }
-    assert!(a.quiet(), "nothing goes to the host that leaves");
+    assert!(a.quiet(), "the draining host gets no attempts");
     stop.store(true, Ordering::Relaxed);
-    crowds.into_iter().for_each(|crowd| crowd.join().expect("it stops"));
+    threads.into_iter().for_each(|thread| thread.join().expect("the clients stop"));
 }
 
-/// Idle clients, half of them after a `PING`, that reconnect whenever they are closed, until
-/// `stop`.
+/// Runs idle clients until `stop`. Half of them send a `PING` first, and all reconnect whenever
+/// they are closed.
 fn idle_clients(address: String, stop: Arc<AtomicBool>) -> impl FnOnce() {
     move || {
         let connect = |nth: usize| {
@@ -112,7 +113,7 @@
                     *client = connect(nth);
                 }
             }
-            // Often enough that a freed descriptor is taken at once.
+            // Short enough that a freed descriptor is taken at once.
             thread::sleep(Duration::from_millis(2));
         }
     }
