--- a/balancer/src/config.rs
+++ b/balancer/src/config.rs
@@ -95,18 +95,25 @@
     Address {
         /// The field's name in the file.
         field: &'static str,
-        /// What it holds.
+        /// The field's text.
         text: String,
     },
     /// `PROXY_INHERITED_FD` is not a number.
     #[error("PROXY_INHERITED_FD {text:?} is not the number of a descriptor")]
     Descriptor {
-        /// What it holds.
+        /// The variable's text.
         text: String,
     },
-    /// The limits are too small to serve with.
-    #[error("limits: at least 8 MB and 32 sockets are needed")]
-    Limits,
+    /// The limits are too small to serve with, or out of range.
+    #[error(
+        "limits: memory_mb has to be in 8..1e9 and sockets at least 32, found {memory_mb} and {sockets}"
+    )]
+    Limits {
+        /// The value of `limits.memory_mb`.
+        memory_mb: f64,
+        /// The value of `limits.sockets`.
+        sockets: usize,
+    },
     /// The operators' settings object is invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
@@ -211,7 +218,8 @@
         let admin = file.admin.or_else(|| env_variable("PROXY_MGMT"));
         let admin = admin.map(|text| parse_address("mgmt", &text)).transpose()?;
         if !file.limits.are_sufficient() {
-            return Err(InvalidConfig::Limits);
+            let ResourceLimits { memory_mb, sockets } = file.limits;
+            return Err(InvalidConfig::Limits { memory_mb, sockets });
         }
         let policy = policy_config(&file.settings, &file.seed)?;
         Ok(Config {
--- a/balancer/src/listener.rs
+++ b/balancer/src/listener.rs
@@ -32,7 +32,7 @@
     Inherited {
         /// The descriptor's number.
         descriptor: u16,
-        /// What is wrong with it.
+        /// What is wrong with the descriptor.
         cause: InheritedError,
     },
 }
@@ -57,10 +57,10 @@
 /// What is wrong with an inherited descriptor.
 #[derive(Debug, thiserror::Error)]
 pub enum InheritedError {
-    /// It is closed, or a file, or a socket that does not listen.
+    /// The descriptor is closed, a file, or a socket that does not listen.
     #[error("the descriptor is not a listening socket")]
     NotListening,
-    /// It listens at another address than the configured one.
+    /// The socket listens on another address than the configured one.
     #[error("the socket listens on {actual}, but the configuration says {configured}")]
     OtherAddress {
         /// The address that the socket listens on.
--- a/balancer/src/process/mod.rs
+++ b/balancer/src/process/mod.rs
@@ -29,10 +29,10 @@
 
 /// How long connections are accepted after SIGTERM: clients still connect during this time.
 const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(600);
-/// Operators kill a balancer at the earliest when this time has passed after `answer_time`.
+/// Operators kill a balancer no earlier than this after the end of [`Shutdown::answer_time`].
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// How long before that kill every open request gets its final answer, even if its deadline is
-/// later. The time is needed to write these answers.
+/// How long before the operators' kill every open request gets its final answer, even if its
+/// deadline is later. The time is needed to write these answers.
 const FLUSH_TIME: Duration = Duration::from_millis(200);
 
 /// A process that listens but does not serve yet.
--- a/balancer/src/process/start.rs
+++ b/balancer/src/process/start.rs
@@ -44,7 +44,7 @@
     /// The configuration can't be read.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// An address can't be listened on.
+    /// The process can't listen on an address.
     #[error(transparent)]
     Listen(#[from] ListenError),
     /// A signal handler could not be registered, or a socket's address could not be read.
@@ -56,8 +56,9 @@
     /// Reads the configuration, assembles the process and listens. While this machine temporarily
     /// lacks descriptors or memory, it waits and tries again.
     ///
-    /// # Errors [`StartError`] if the configuration can't be used, if an address can't be listened
-    /// on, or if a system call fails.
+    /// # Errors
+    /// [`StartError`] if the configuration can't be used, if the process can't listen on an
+    /// address, or if a system call fails.
     pub async fn start(signals: Signals) -> Result<Process, StartError> {
         let config = retry_for(START_RETRY_TIME, ConfigError::is_shortage, Config::read).await?;
         Process::assemble(config, signals).await
--- a/balancer/tests/endings.rs
+++ b/balancer/tests/endings.rs
@@ -31,9 +31,9 @@
     Program::start_by(BINARY, nowhere(), &[entry("a", host.address, "active")], limits, settings)
 }
 
-/// Operators kill a balancer 0.7 s after the longest time limit, but at most 3.7 s after SIGTERM.
-/// Requests still open at hung hosts are answered before that: idempotent ones are rejected,
-/// at-most-once ones fail.
+/// After SIGTERM operators wait for the longest time limit and 0.7 s, at most 3.7 s, and then kill
+/// the balancer. Requests still open at hung hosts are answered before that: idempotent ones are
+/// rejected, at-most-once ones fail.
 #[test]
 fn shutdown_gives_every_open_request_its_final_answer() {
     let host = Peer::host(|_| Reply::Nothing);
--- a/membership/tests/schedule.rs
+++ b/membership/tests/schedule.rs
@@ -178,7 +178,7 @@
             let call_timeout = schedule.call_timeout();
             let pause = schedule.failed(&timed_out, call_timeout);
 
-            // The drain grace comes on top of the 6 s and is not needed.
+            // The bound holds without the drain grace.
             let answered_after = call_timeout + pause + 2 * SECOND;
             assert!(answered_after <= 6 * SECOND, "{balancers} balancers: {answered_after} us");
         }
@@ -186,8 +186,8 @@
 }
 
 /// Changes that discovery has when it becomes reachable again count as delivered at once. So
-/// however long it was down, no pause is longer than half of the drain grace, and calls stay open
-/// for long.
+/// however long it was down, no pause may be longer than half of the drain grace, and the timeout
+/// of calls does not change.
 #[test]
 fn pauses_while_discovery_is_down_are_at_most_half_of_the_drain_grace() {
     let closed = WatchError::TimedOut("connection closed".to_owned());
--- a/membership/tests/start_times.rs
+++ b/membership/tests/start_times.rs
@@ -68,7 +68,7 @@
     /// except for the error of a clock reading, and not later than its start by more than a change
     /// may take to arrive.
     #[test]
-    fn new_start_is_never_older_than_it_is(
+    fn converted_start_is_never_before_the_start(
         step_seconds in -4_000i64..4_000,
         stepped_at in 0i64..60,
         started_at in 1i64..60,
