--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -256,7 +256,7 @@
         mailboxes: &mut Mailboxes,
     ) {
         let now = mailboxes.now;
-        let request = self.requests.get_mut(&id).expect("it was admitted");
+        let request = self.requests.get_mut(&id).expect("the request was admitted");
         let key = request.key;
         let attempt = AttemptKey { request: id, number: request.start_attempt(host, now, is_budgeted) };
         let timeout = request.expires_at - now;
--- a/src/mailboxes.rs
+++ b/src/mailboxes.rs
@@ -101,7 +101,7 @@
     /// Takes the next message out of its mailbox; `None` if all are empty.
     pub(crate) fn next(&mut self) -> Option<Delivery<Status>> {
         if let Some(host) = self.receivers.pop_front() {
-            let message = self.hosts[host.index()].pop_front().expect("each receiver stands for a message");
+            let message = self.hosts[host.index()].pop_front().expect("each receiver has a message");
             return Some(Delivery::ToHost(host, message));
         }
         self.dispatcher.pop_front().map(Delivery::ToDispatcher)
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -204,7 +204,7 @@
             if self.host_statuses[host.index()].is_origin() {
                 break;
             }
-            self.requests.get_mut(&id).expect("it is open").tried.push(host);
+            self.requests.get_mut(&id).expect("the request is open").tried.push(host);
         }
         if self.requests[&id].in_flight.is_empty() {
             self.close(id, true, reason, mailboxes);
--- a/src/policy/host.rs
+++ b/src/policy/host.rs
@@ -28,7 +28,8 @@
     pub fn mark_gone_if_dropped(&mut self) {
         if self.is_dropped && !self.is_seen_alive() {
             self.is_dropped = false;
-            self.status.endpoint.as_mut().expect("it was listed").lifecycle = Lifecycle::Gone;
+            self.status.endpoint.as_mut().expect("a dropped host was listed before").lifecycle =
+                Lifecycle::Gone;
         }
     }
 
--- a/src/send_windows.rs
+++ b/src/send_windows.rs
@@ -94,6 +94,6 @@
         if self.windows.get(&of).is_none_or(|window| now - window.began_at >= window_length) {
             self.windows.insert(of, Window { began_at: now, sent: 0.0, rounding: rounding() });
         }
-        self.windows.get_mut(&of).expect("it was put there just now")
+        self.windows.get_mut(&of).expect("the window was inserted above")
     }
 }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -46,7 +46,7 @@
     play: Play,
     config: PolicyConfig,
     /// One that has had no request yet is as it was at its start: it is made with its first.
-    fleets: BTreeMap<u32, Fleet>,
+    instances: BTreeMap<u32, TestBalancer>,
     hot_key: String,
     rng: SeededRng,
     in_flight: VecDeque<InFlight>,
@@ -68,7 +68,7 @@
         let mut simulation = Simulation {
             play,
             config: PolicyConfig { balancers: play.balancers, ..policy_config() },
-            fleets: BTreeMap::new(),
+            instances: BTreeMap::new(),
             hot_key: String::new(),
             rng: SeededRng::new(11),
             in_flight: VecDeque::new(),
@@ -76,9 +76,9 @@
             nowhere: 0,
             next_request_at: 0,
         };
-        let is_at_cold_host = |key: &String| simulation.start(0, false).served(key)[0] == HostId(4);
+        let is_at_cold_host = |key: &String| simulation.start(0, false).serve(key)[0] == HostId(4);
         let hot_key = keys(500).into_iter().find(is_at_cold_host);
-        simulation.hot_key = hot_key.expect("a key");
+        simulation.hot_key = hot_key.expect("a key has the cold host as its home");
         simulation
     }
 
@@ -92,9 +92,9 @@
         (0..HOSTS).map(|host| Endpoint { started_at: started_at(host), ..endpoint(host) }).collect()
     }
 
-    fn start(&self, balancer: u32, cold: bool) -> Fleet {
+    fn start(&self, balancer: u32, cold: bool) -> TestBalancer {
         let config = PolicyConfig { seed: u64::from(balancer) + 1, ..self.config.clone() };
-        Fleet::new(&config, self.list(cold))
+        TestBalancer::new(&config, self.list(cold))
     }
 
     fn tick(&mut self, tick: i64) {
@@ -105,9 +105,11 @@
         self.end_attempts(now);
         // Of thousands each is swept seldomer, as often as it evaluates.
         let sweep = if self.play.balancers > 1_000 { 250 } else { 50 };
-        for (_, fleet) in self.fleets.iter_mut().filter(|fleet| (tick + i64::from(*fleet.0)) % sweep == 0) {
-            fleet.now = now;
-            fleet.handle(PolicyEvent::TimerFired(Timer::Sweep));
+        for (_, instance) in
+            self.instances.iter_mut().filter(|instance| (tick + i64::from(*instance.0)) % sweep == 0)
+        {
+            instance.now = now;
+            instance.handle(PolicyEvent::TimerFired(Timer::Sweep));
         }
         let mean_gap = 1_000_000 / Micros::from(self.play.requests_per_s);
         while self.next_request_at <= now {
@@ -120,22 +122,23 @@
 
     fn start_hosts_anew(&mut self, now: Micros) {
         if self.play.fresh {
-            self.fleets.clear();
+            self.instances.clear();
             self.in_flight.clear();
         }
         let endpoints = self.list(true);
-        for fleet in self.fleets.values_mut() {
-            fleet.now = now;
-            fleet.handle(PolicyEvent::Endpoints { complete: true, endpoints: endpoints.clone() });
+        for instance in self.instances.values_mut() {
+            instance.now = now;
+            instance.handle(PolicyEvent::Endpoints { complete: true, endpoints: endpoints.clone() });
         }
     }
 
     fn end_attempts(&mut self, now: Micros) {
         while self.in_flight.front().is_some_and(|next| next.ends_at <= now) {
-            let InFlight { balancer, request, host, .. } = self.in_flight.pop_front().expect("there is one");
-            let fleet = self.fleets.get_mut(&balancer).expect("it has a request");
-            fleet.now = now;
-            fleet.attempt_ended(request, 0, host, AttemptOutcome::Succeeded, 60 * MS);
+            let InFlight { balancer, request, host, .. } =
+                self.in_flight.pop_front().expect("an attempt is due");
+            let instance = self.instances.get_mut(&balancer).expect("the balancer has a request in flight");
+            instance.now = now;
+            instance.attempt_ended(request, 0, host, AttemptOutcome::Succeeded, 60 * MS);
         }
     }
 
@@ -148,12 +151,12 @@
         let reads_hot_key = hot && now >= AT && self.rng.draw().is_multiple_of(10);
         let drawn_key = format!("key-{}", self.rng.draw() % 20_000);
         let key = if reads_hot_key { &self.hot_key } else { &drawn_key };
-        if !self.fleets.contains_key(&balancer) {
-            self.fleets.insert(balancer, self.start(balancer, now >= AT));
+        if !self.instances.contains_key(&balancer) {
+            self.instances.insert(balancer, self.start(balancer, now >= AT));
         }
-        let fleet = self.fleets.get_mut(&balancer).expect("it was started");
-        fleet.now = now;
-        let (request, actions) = fleet.request(READ, key);
+        let instance = self.instances.get_mut(&balancer).expect("the balancer was started");
+        instance.now = now;
+        let (request, actions) = instance.request(READ, key);
         match attempted(&actions).first() {
             Some(&host) => {
                 self.in_flight.push_back(InFlight { ends_at: now + 60 * MS, balancer, request, host });
@@ -226,7 +229,10 @@
             })
         };
         let lines: Vec<_> = balancers.iter().map(line).collect();
-        lines.into_iter().map(|line| line.join().expect("it is played")).collect::<String>()
+        lines
+            .into_iter()
+            .map(|line| line.join().expect("the simulation thread does not panic"))
+            .collect::<String>()
     });
     let how = if unequal { "unequal" } else { "equal" };
     let title = format!("{requests_per_s} requests/s, {how} traffic");
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Shared by all tests: [`policy`] for decisions, [`peers`] and [`program`] for sockets.
-#![allow(dead_code, unused_imports)] // each test file uses its part: one on sockets needs no policy
+//! Helpers for all tests: [`policy`] for decisions, [`peers`] and [`program`] for sockets.
+#![allow(dead_code, unused_imports)] // each test file uses only some of the helpers
 
 mod peers;
 mod policy;
--- a/tests/common/peers.rs
+++ b/tests/common/peers.rs
@@ -1,4 +1,4 @@
-//! For sockets: stand-ins for what the balancer speaks with.
+//! Stand-ins for the hosts, origins and discovery that the balancer connects to.
 
 use std::fmt::Write as _;
 use std::io::{self, BufRead, BufReader, Write as _};
@@ -8,20 +8,20 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long an event may take to come before a test fails.
+/// How long a test waits for an event before it fails.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// What a stand-in replies to a request.
+/// The reply of a stand-in to a request.
 pub enum Reply {
     Text(String),
-    /// The last on this connection.
+    /// The text, after which the connection is closed.
     ThenClose(String),
     Nothing,
-    /// Byte by byte, with so long between them.
+    /// The text byte by byte, with this pause before each byte.
     Trickle(String, Duration),
 }
 
-/// Something the balancer speaks with: it reports each request to the test and replies by a rule.
+/// A stand-in that reports each request to the test and replies by a rule.
 pub struct Peer {
     pub address: SocketAddr,
     seen: Receiver<String>,
@@ -39,41 +39,42 @@
         Peer::start(read_http, Arc::new(rule), false)
     }
 
-    /// With `once`, a request that is repeated word for word on its connection is reported once.
-    fn start(read: Reader, rule: Rule, once: bool) -> Peer {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("an address");
+    /// With `dedup`, a request that is repeated unchanged on its connection is reported once.
+    fn start(read: Reader, rule: Rule, dedup: bool) -> Peer {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+        let address = listener.local_addr().expect("the address is known");
         let (tell, seen) = channel();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (tell, rule) = (tell.clone(), rule.clone());
-                thread::spawn(move || serve_connection(stream, read, &rule, &tell, once));
+                thread::spawn(move || serve_connection(stream, read, &rule, &tell, dedup));
             }
         });
         Peer { address, seen }
     }
 
-    /// The next request, or `closed` once a connection is at its end.
+    /// Waits for the next request; `closed` stands for the end of a connection.
     pub fn next(&self) -> String {
-        self.seen.recv_timeout(TEST_TIMEOUT).expect("nothing came")
+        self.seen.recv_timeout(TEST_TIMEOUT).expect("a request arrives in time")
     }
 
+    /// Whether no further request has come; takes the next request if one has.
     pub fn received_nothing(&self) -> bool {
         self.try_next().is_none()
     }
 
-    /// What has come by now, if anything has.
+    /// The next request, if one has come.
     pub fn try_next(&self) -> Option<String> {
         self.seen.try_recv().ok()
     }
 }
 
-fn serve_connection(stream: TcpStream, read: Reader, rule: &Rule, tell: &Sender<String>, once: bool) {
-    let mut writing = stream.try_clone().expect("a second handle");
+fn serve_connection(stream: TcpStream, read: Reader, rule: &Rule, tell: &Sender<String>, dedup: bool) {
+    let mut writing = stream.try_clone().expect("the socket handle can be duplicated");
     let mut reading = BufReader::new(stream);
     let mut before = String::new();
     while let Ok(request) = read(&mut reading) {
-        if !once || before != request {
+        if !dedup || before != request {
             let _ = tell.send(request.clone());
         }
         before.clone_from(&request);
@@ -95,7 +96,8 @@
             break;
         }
     }
-    // A plain drop would not end it while a program that another test starts holds a copy of the handle.
+    // Dropping the stream would leave the connection open while a program that another test starts
+    // holds a copy of the handle.
     let _ = writing.shutdown(Shutdown::Both);
     let _ = tell.send("closed".to_owned());
 }
@@ -114,17 +116,18 @@
     Ok(String::from_utf8_lossy(&bytes).into_owned())
 }
 
-/// A command's words with a space between, the time to wait as `d=..`: it differs from run to run.
+/// The words of a command, joined by spaces. The time to wait is replaced by `d=..`, as it differs
+/// between runs.
 pub fn read_command(from: &mut BufReader<TcpStream>) -> io::Result<String> {
     let head = read_line(from)?;
-    let count: usize = head[1..].parse().expect("an array");
+    let count: usize = head[1..].parse().expect("the command is an array");
     let words: Vec<String> = (0..count).map(|_| read_bulk(from)).collect::<io::Result<_>>()?;
     Ok(without_wait(&words.join(" ")))
 }
 
 pub fn read_bulk(from: &mut impl BufRead) -> io::Result<String> {
     let head = read_line(from)?;
-    let length = head[1..].parse::<usize>().expect("a bulk string");
+    let length = head[1..].parse::<usize>().expect("the element is a bulk string");
     let mut text = read_exact(from, length + 2)?;
     text.truncate(length);
     Ok(text)
@@ -149,7 +152,7 @@
             break;
         }
         if let Some(count) = line.strip_prefix("Content-Length: ") {
-            length = count.parse().expect("a length");
+            length = count.parse().expect("Content-Length is a number");
         }
         if line.starts_with("X-") {
             let _ = write!(text, " | {}", without_wait(&line));
@@ -165,18 +168,18 @@
     let released = Mutex::new(released);
     let wait = move |request: &str| {
         if request.contains("slow") {
-            let _ = released.lock().expect("a lock").recv();
+            let _ = released.lock().expect("the lock is not poisoned").recv();
         }
     };
     (release, wait)
 }
 
-/// Nothing listens there.
+/// An address that nothing listens on.
 pub fn unreachable_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
 
-/// A host behind such a gate that has a value for every key.
+/// A host behind a [`gate`] that has a value for every key.
 pub fn gated_host() -> (Sender<()>, Peer) {
     let (release, wait) = gate();
     let host = Peer::host(move |request| {
@@ -186,7 +189,7 @@
     (release, host)
 }
 
-/// A key whose home host of a and b is a.
+/// A key whose home is host a in a fleet of hosts a and b.
 pub const HOME_A: &str = "k2";
 
 /// A cache host's answer with a value.
@@ -202,7 +205,7 @@
     Reply::Text(format!("HTTP/1.1 {status} so\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
 }
 
-/// An entry of the list, as discovery writes it.
+/// An entry of the endpoint list in discovery's format.
 pub fn entry(name: &str, address: SocketAddr, lifecycle: &str) -> String {
     let kind = if name == "origin" { "origin" } else { "box" };
     format!(
@@ -210,8 +213,9 @@
     )
 }
 
-/// Discovery: holds a watch until the test publishes a new list, or the hold is over. A repeated
-/// unchanged watch is reported once, so that no trace depends on how long a test takes.
+/// A stand-in for discovery. It holds a watch until the test publishes a new list or the hold time
+/// ends. A repeated unchanged watch is reported once, so that traces do not depend on the duration
+/// of a test.
 pub struct Discovery {
     pub peer: Peer,
     state: Arc<(Mutex<PublishedLists>, Condvar)>,
@@ -226,10 +230,12 @@
             let parameter =
                 |name: &str| request.split_once(name).and_then(|found| number(found.1)).unwrap_or(0);
             let (from, hold) = (parameter("from="), Duration::from_millis(parameter("hold_ms=")));
-            let held = shared
-                .1
-                .wait_timeout_while(shared.0.lock().expect("a lock"), hold, |now| now.version() <= from);
-            http_answer(200, &held.expect("a lock").0.since(from))
+            let held = shared.1.wait_timeout_while(
+                shared.0.lock().expect("the lock is not poisoned"),
+                hold,
+                |now| now.version() <= from,
+            );
+            http_answer(200, &held.expect("the lock is not poisoned").0.since(from))
         };
         let peer = Peer::start(read_http, Arc::new(rule), true);
         Discovery { peer, state }
@@ -239,24 +245,29 @@
         self.add(true, entries);
     }
 
-    /// Only some entries are new.
+    /// Publishes only the entries that changed.
     pub fn publish_changes(&self, entries: &[String]) {
         self.add(false, entries);
     }
 
     fn add(&self, whole: bool, entries: &[String]) {
-        self.state.0.lock().expect("a lock").lists.push(PublishedList { whole, entries: entries.join(",") });
+        self.state
+            .0
+            .lock()
+            .expect("the lock is not poisoned")
+            .lists
+            .push(PublishedList { whole, entries: entries.join(",") });
         self.state.1.notify_all();
     }
 }
 
 struct PublishedList {
-    /// It is the whole list, not a change.
+    /// Whether this is the complete list rather than a change.
     whole: bool,
     entries: String,
 }
 
-/// All lists so far; the first one is of version 2.
+/// All lists published so far; the first one has version 2.
 #[derive(Default)]
 struct PublishedLists {
     lists: Vec<PublishedList>,
@@ -267,7 +278,8 @@
         1 + self.lists.len() as u64
     }
 
-    /// The answer to one who has this version: the last whole list since, and the changes after it.
+    /// The answer to a client that has this version: the last complete list since then, and the
+    /// changes after it.
     fn since(&self, version: u64) -> String {
         let news = &self.lists[(version.max(1) as usize - 1).min(self.lists.len())..];
         let news = &news[news.iter().rposition(|list| list.whole).unwrap_or(0)..];
--- a/tests/common/policy.rs
+++ b/tests/common/policy.rs
@@ -1,4 +1,4 @@
-//! For decisions: a small fleet, events in, a printed trace of the actions out.
+//! Helpers for tests of decisions: the policy of one balancer, and traces of its actions.
 
 use std::fmt::Write as _;
 
@@ -10,7 +10,7 @@
 pub const KEYED: RequestClassId = RequestClassId(1);
 pub const ONCE: RequestClassId = RequestClassId(2);
 
-/// One idempotent, one with an idempotency key and one at-most-once class; four balancers.
+/// Four balancers, and three classes: idempotent, with an idempotency key, and at-most-once.
 pub fn policy_config() -> PolicyConfig {
     let class = |priority_weight, retry_safety| RequestClass {
         latency_objective: 800 * MS,
@@ -63,20 +63,21 @@
     }
 }
 
-pub struct Fleet {
+/// The policy of one balancer with its own clock and request numbers.
+pub struct TestBalancer {
     policy: Policy,
     pub now: Micros,
     next: u32,
 }
 
-impl Fleet {
-    pub fn new(config: &PolicyConfig, hosts: Vec<Endpoint>) -> Fleet {
-        let mut fleet = Fleet { policy: Policy::new(config), now: 0, next: 0 };
-        fleet.handle(PolicyEvent::Endpoints { complete: true, endpoints: hosts });
-        fleet
+impl TestBalancer {
+    pub fn new(config: &PolicyConfig, hosts: Vec<Endpoint>) -> TestBalancer {
+        let mut balancer = TestBalancer { policy: Policy::new(config), now: 0, next: 0 };
+        balancer.handle(PolicyEvent::Endpoints { complete: true, endpoints: hosts });
+        balancer
     }
 
-    /// Takes one event; the actions without those for the sweep's timer.
+    /// Handles one event; returns the actions, except for the timers of sweeps.
     pub fn handle(&mut self, event: PolicyEvent) -> Vec<PolicyAction> {
         let mut actions = Vec::new();
         self.policy.handle(self.now, event, &mut actions);
@@ -84,8 +85,8 @@
         actions
     }
 
-    /// How many hosts get nothing now but what probes for their return.
-    pub fn avoided(&self) -> usize {
+    /// The number of hosts that currently get nothing but probes.
+    pub fn ejected(&self) -> usize {
         self.policy.pool_size().ejected
     }
 
@@ -94,10 +95,10 @@
     }
 
     pub fn request(&mut self, class: RequestClassId, key: &str) -> (RequestId, Vec<PolicyAction>) {
-        self.request_of(class, key, None)
+        self.request_of_tenant(class, key, None)
     }
 
-    pub fn request_of(
+    pub fn request_of_tenant(
         &mut self,
         class: RequestClassId,
         key: &str,
@@ -106,7 +107,7 @@
         self.request_within(class, key, tenant, 2_000 * MS)
     }
 
-    /// A request whose client waits for so long.
+    /// Submits a request whose client waits for `wait`.
     pub fn request_within(
         &mut self,
         class: RequestClassId,
@@ -128,7 +129,7 @@
         (request, self.handle(event))
     }
 
-    /// The attempt of a request that went as `attempt` to `host` ends, `over` where it was answered.
+    /// Reports the end of an attempt; one that succeeded finishes its request.
     pub fn attempt_ended(
         &mut self,
         request: RequestId,
@@ -147,8 +148,8 @@
         })
     }
 
-    /// A request that is answered after a tenth of a second at each host it goes to; those hosts.
-    pub fn served(&mut self, key: &str) -> Vec<HostId> {
+    /// Submits a read that every host it is sent to answers after 100 ms; returns those hosts.
+    pub fn serve(&mut self, key: &str) -> Vec<HostId> {
         let (request, actions) = self.request(READ, key);
         self.now += 100 * MS;
         let hosts = attempted(&actions);
@@ -158,8 +159,8 @@
         hosts
     }
 
-    /// Lets time pass with its sweeps; the actions they brought.
-    pub fn pass(&mut self, span: Micros) -> Vec<PolicyAction> {
+    /// Advances the time, with a sweep every 50 ms; returns the actions of the sweeps.
+    pub fn advance(&mut self, span: Micros) -> Vec<PolicyAction> {
         let until = self.now + span;
         let mut actions = Vec::new();
         while self.now + 50 * MS <= until {
@@ -179,7 +180,7 @@
     actions.iter().filter_map(host).collect()
 }
 
-/// Actions in a line of plain words.
+/// The actions as one line of text.
 pub fn trace(actions: &[PolicyAction]) -> String {
     let mut text = String::new();
     for action in actions {
@@ -203,22 +204,22 @@
     text
 }
 
-/// A balancer before so many hosts.
-pub fn fleet(hosts: u32) -> Fleet {
-    Fleet::new(&policy_config(), (0..hosts).map(endpoint).collect())
+/// A balancer, one of four, in front of `hosts` hosts.
+pub fn balancer(hosts: u32) -> TestBalancer {
+    TestBalancer::new(&policy_config(), (0..hosts).map(endpoint).collect())
 }
 
-/// So many keys.
+/// The keys `key-0`, `key-1` and so on.
 pub fn keys(count: u32) -> Vec<String> {
     (0..count).map(|key| format!("key-{key}")).collect()
 }
 
-/// The hosts that so many keys are read from, each served.
-pub fn homes(fleet: &mut Fleet, count: u32) -> Vec<HostId> {
-    keys(count).iter().map(|key| fleet.served(key)[0]).collect()
+/// The hosts that serve reads of the first `count` keys.
+pub fn homes(balancer: &mut TestBalancer, count: u32) -> Vec<HostId> {
+    keys(count).iter().map(|key| balancer.serve(key)[0]).collect()
 }
 
-/// One of `balancers` that share so many hosts: of hundreds each sees little.
-pub fn large(balancers: u32, hosts: u32) -> Fleet {
-    Fleet::new(&PolicyConfig { balancers, ..policy_config() }, (0..hosts).map(endpoint).collect())
+/// One of `balancers` that share the hosts; each of hundreds of balancers sees little traffic.
+pub fn one_of_many(balancers: u32, hosts: u32) -> TestBalancer {
+    TestBalancer::new(&PolicyConfig { balancers, ..policy_config() }, (0..hosts).map(endpoint).collect())
 }
--- a/tests/common/program.rs
+++ b/tests/common/program.rs
@@ -1,4 +1,4 @@
-//! For sockets: the program started as operators start it, and its clients.
+//! Helpers for tests over sockets: the program, started as operators start it, and its clients.
 
 use std::fmt::Write as _;
 use std::io::{self, BufRead, BufReader, Read as _, Write as _};
@@ -27,16 +27,16 @@
     child: Child,
     log: Receiver<String>,
     pub address: String,
-    /// Where operators call; empty where none can.
+    /// The address of the admin interface; empty without one.
     pub mgmt: String,
     config_file: PathBuf,
 }
 
 fn address_in(line: &str) -> String {
-    line.rsplit(' ').next().expect("an address").to_owned()
+    line.rsplit(' ').next().expect("the address is known").to_owned()
 }
 
-/// The rest of the line behind the mark, or the whole line where the mark is missing.
+/// The rest of the line after the mark, or the whole line if it does not contain the mark.
 pub fn text_after(line: &str, mark: &str) -> String {
     line.split_once(mark).map_or(line, |found| found.1).to_owned()
 }
@@ -72,12 +72,12 @@
         self.mgmt = address_in(&self.wait_for_log("mgmt on"));
     }
 
-    /// Starts it and waits until it serves.
+    /// Starts the program and waits until it serves.
     pub fn start(binary: &str, discovery: SocketAddr, known: &[String], sockets: u32) -> Program {
         Program::start_with(binary, discovery, known, [192, sockets], SETTINGS)
     }
 
-    /// The same by other settings, with so many MB and descriptors.
+    /// Like `start`, with other settings and limits (memory in MB, descriptors).
     pub fn start_with(
         binary: &str,
         discovery: SocketAddr,
@@ -88,7 +88,7 @@
         Program::spawn(binary, discovery, known, limits, settings).serving()
     }
 
-    /// The same, with all of its log still to be read.
+    /// Like `start_with`, without waiting until the program serves: its whole log can be read.
     pub fn spawn(
         binary: &str,
         discovery: SocketAddr,
@@ -99,7 +99,7 @@
         Program::spawn_with_env(binary, discovery, known, limits, settings, &[])
     }
 
-    /// The same with more variables in its environment.
+    /// Like `spawn`, with additional environment variables.
     pub fn spawn_with_env(
         binary: &str,
         discovery: SocketAddr,
@@ -110,10 +110,13 @@
     ) -> Program {
         let mut command = Command::new(binary);
         command.envs(environment.iter().copied());
-        Program::spawned(command, Program::write_config(&config_text(discovery, known, limits, settings)))
+        Program::from_command(
+            command,
+            Program::write_config(&config_text(discovery, known, limits, settings)),
+        )
     }
 
-    /// With an address for operators beside the clients' one.
+    /// Starts the program with an admin interface and waits until it serves.
     pub fn managed(binary: &str, known: &[String], limits: [u32; 2]) -> Program {
         let mut program = Program::with_config(binary, &managed_config(known, limits));
         program.wait_for_admin();
@@ -126,20 +129,20 @@
         self
     }
 
-    /// A call of an operator: the status and the body.
+    /// Sends a request to the admin interface; returns the status and the body.
     pub fn call(&self, text: &str) -> (u16, String) {
-        let mut stream = TcpStream::connect(&self.mgmt).expect("it listens");
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
-        stream.write_all(text.as_bytes()).expect("it is taken");
+        let mut stream = TcpStream::connect(&self.mgmt).expect("the address accepts connections");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("the read time-out can be set");
+        stream.write_all(text.as_bytes()).expect("the bytes can be sent");
         let mut answer = String::new();
-        stream.read_to_string(&mut answer).expect("an answer");
+        stream.read_to_string(&mut answer).expect("the answer can be read");
         let status = answer.split(' ').nth(1).and_then(|status| status.parse().ok());
         let body = answer.split_once("\r\n\r\n").map_or("", |found| found.1);
         (status.unwrap_or_else(|| panic!("no status in {answer:?}")), body.to_owned())
     }
 
-    /// The metrics without their comments and without the one that is a time, once they contain this
-    /// line.
+    /// Waits until the metrics contain this line; returns them without comments and without the lag
+    /// of the event loop, which varies.
     pub fn metrics(&self, what: &str) -> String {
         let began = Instant::now();
         loop {
@@ -156,45 +159,46 @@
     }
 
     pub fn with_config(binary: &str, text: &str) -> Program {
-        Program::spawned(Command::new(binary), Program::write_config(text))
+        Program::from_command(Command::new(binary), Program::write_config(text))
     }
 
-    /// The same with an operators' map of regions.
+    /// Like `with_config`, with a map of regions.
     pub fn with_regions(binary: &str, text: &str, map: &str) -> Program {
         let config_file = Program::write_config(text);
         let file = config_file.with_extension("toml");
-        std::fs::write(&file, map).expect("a file");
+        std::fs::write(&file, map).expect("the file can be written");
         let mut command = Command::new(binary);
         command.env("BASALTWOOD_REGIONS", file);
-        Program::spawned(command, config_file)
+        Program::from_command(command, config_file)
     }
 
-    /// The same from another working directory, with nothing named.
+    /// Like `with_config`, from another working directory.
     pub fn with_config_in(binary: &str, text: &str, folder: &Path) -> Program {
         let mut command = Command::new(binary);
         command.current_dir(folder);
-        Program::spawned(command, Program::write_config(text))
+        Program::from_command(command, Program::write_config(text))
     }
 
-    /// By a configuration that the test has written itself.
+    /// Starts the program with a configuration file that the test has written.
     pub fn with_config_file(binary: &str, config_file: &Path) -> Program {
-        Program::spawned(Command::new(binary), config_file.to_owned())
+        Program::from_command(Command::new(binary), config_file.to_owned())
     }
 
     fn write_config(text: &str) -> PathBuf {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let name = format!("basaltwood-{}-{}.json", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
         let config_file = std::env::temp_dir().join(name);
-        std::fs::write(&config_file, text).expect("a file");
+        std::fs::write(&config_file, text).expect("the file can be written");
         config_file
     }
 
-    /// As a platform starts it that holds the clients' listening socket: inherited as descriptor 5.
+    /// Starts the program as a platform does that holds the clients' listening socket: inherited as
+    /// descriptor 5.
     pub fn inheriting(binary: &str, text: &str, listener: &TcpListener, folder: &Path) -> Program {
         Program::inheriting_as(binary, text, listener, folder, "5")
     }
 
-    /// The same with another descriptor number in the environment.
+    /// Like `inheriting`, with another descriptor number in the environment.
     pub fn inheriting_as(
         binary: &str,
         text: &str,
@@ -202,31 +206,31 @@
         folder: &Path,
         named: &str,
     ) -> Program {
-        let held = OwnedFd::from(listener.try_clone().expect("a second handle"));
+        let held = OwnedFd::from(listener.try_clone().expect("the socket handle can be duplicated"));
         let mut command = Command::new("sh");
         command.args(["-c", "exec \"$0\" 5<&0 </dev/null", binary]).stdin(Stdio::from(held));
         command.env("PROXY_INHERITED_FD", named).env("TMPDIR", folder);
-        Program::spawned(command, Program::write_config(text))
+        Program::from_command(command, Program::write_config(text))
     }
 
-    fn spawned(mut command: Command, config_file: PathBuf) -> Program {
+    fn from_command(mut command: Command, config_file: PathBuf) -> Program {
         command.env("PROXY_CONFIG", &config_file).env("RUST_LOG", "info").stderr(Stdio::piped());
-        let mut child = command.spawn().expect("the program starts");
-        let lines = BufReader::new(child.stderr.take().expect("its log")).lines();
+        let mut child = command.spawn().expect("the program can be started");
+        let lines = BufReader::new(child.stderr.take().expect("stderr is piped")).lines();
         let (tell, log) = channel();
         thread::spawn(move || lines.map_while(Result::ok).all(|line| tell.send(line).is_ok()));
         Program { child, log, address: String::new(), mgmt: String::new(), config_file }
     }
 
-    /// Replaces one part of its configuration file by another and sends SIGHUP.
+    /// Replaces a part of the configuration file and sends SIGHUP.
     pub fn reload_with(&self, part: &str, by: &str) {
-        let text = std::fs::read_to_string(&self.config_file).expect("its file");
+        let text = std::fs::read_to_string(&self.config_file).expect("the configuration file can be read");
         assert!(text.contains(part), "{part} is not in {text}");
-        std::fs::write(&self.config_file, text.replace(part, by)).expect("a file");
+        std::fs::write(&self.config_file, text.replace(part, by)).expect("the file can be written");
         self.signal("HUP");
     }
 
-    /// The next line of the log that holds this.
+    /// Waits for the next log line that contains this text.
     pub fn wait_for_log(&self, what: &str) -> String {
         loop {
             let line = self.log.recv_timeout(TEST_TIMEOUT).unwrap_or_else(|_| panic!("no line with {what}"));
@@ -236,7 +240,7 @@
         }
     }
 
-    /// Its counters, once this one shows so much or more.
+    /// Waits until a counter has at least this value; returns the log line with all counters.
     pub fn wait_for_counter(&self, name: &str, minimum: u64) -> String {
         let began = Instant::now();
         loop {
@@ -244,14 +248,14 @@
             let line = self.wait_for_log("counters");
             let mut words = line.split(' ').filter_map(|word| word.split_once('='));
             let count = words.find(|word| word.0 == name).and_then(|word| word.1.parse::<u64>().ok());
-            if count.expect("such a counter") >= minimum {
+            if count.expect("the counter is in the log line") >= minimum {
                 return line;
             }
             assert!(began.elapsed() < TEST_TIMEOUT, "{name} is not {minimum} in {line}");
         }
     }
 
-    /// All that is left of the log once the program has ended.
+    /// The unread log lines, up to the end of the program.
     pub fn remaining_log(&self) -> Vec<String> {
         self.log.iter().collect()
     }
@@ -259,32 +263,34 @@
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         let sent = Command::new("sh").args(["-c", "kill -$0 $1", name, &id]).status();
-        assert!(sent.expect("a shell").success());
+        assert!(sent.expect("the shell can be run").success());
     }
 
-    /// The number of its process.
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// How many descriptors it holds.
+    /// The number of open descriptors.
     pub fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("it runs").count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("the program is running").count()
     }
 
-    /// The peak of its resident memory so far, in MB.
+    /// The peak of the resident memory so far, in MB.
     pub fn memory(&self) -> u32 {
         self.memory_kb() / 1024
     }
 
     pub fn memory_kb(&self) -> u32 {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
-        let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("a figure");
-        line.trim().trim_end_matches(" kB").parse::<u32>().expect("a number")
+        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
+            .expect("the program is running");
+        let line =
+            status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("the status file has VmHWM");
+        line.trim().trim_end_matches(" kB").parse::<u32>().expect("VmHWM is a number")
     }
 
     pub fn wait_for_exit(&mut self) -> ExitStatus {
-        self.child.wait().expect("it ends")
+        self.child.wait().expect("the exit status can be read")
     }
 
     pub fn client(&self) -> Client {
@@ -296,7 +302,7 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let ended = self.child.wait();
-        // When a test fails, the program's log is printed.
+        // If the test fails, the program's log is printed.
         if thread::panicking() {
             eprintln!("the program: {ended:?}");
             self.remaining_log().iter().for_each(|line| eprintln!("{line}"));
@@ -313,27 +319,30 @@
 
 impl Client {
     pub fn at(address: &str) -> Client {
-        let stream = TcpStream::connect(address).expect("it listens");
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
-        Client { reading: BufReader::new(stream.try_clone().expect("a second handle")), writing: stream }
+        let stream = TcpStream::connect(address).expect("the address accepts connections");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("the read time-out can be set");
+        Client {
+            reading: BufReader::new(stream.try_clone().expect("the socket handle can be duplicated")),
+            writing: stream,
+        }
     }
 
-    /// Leaves, at once: a plain drop would not end the connection while a program that another test
-    /// is just starting holds a copy of the handle.
+    /// Ends the connection at once. Dropping the stream would leave it open while a program that
+    /// another test starts holds a copy of the handle.
     pub fn disconnect(self) {
-        self.writing.shutdown(Shutdown::Both).expect("a socket");
+        self.writing.shutdown(Shutdown::Both).expect("the socket is open");
     }
 
-    /// Whether the other side has ended the connection by now.
+    /// Whether the program has ended the connection.
     pub fn is_closed(&self) -> bool {
-        self.writing.set_nonblocking(true).expect("a socket");
+        self.writing.set_nonblocking(true).expect("the socket mode can be set");
         let over = matches!(self.writing.peek(&mut [0]), Ok(0));
-        self.writing.set_nonblocking(false).expect("a socket");
+        self.writing.set_nonblocking(false).expect("the socket mode can be set");
         over
     }
 
     pub fn raw(&mut self, bytes: &[u8]) {
-        self.writing.write_all(bytes).expect("it is taken");
+        self.writing.write_all(bytes).expect("the bytes can be sent");
     }
 
     pub fn send(&mut self, words: &[&str]) {
@@ -348,9 +357,11 @@
         self.send(&["CACHE.GET", key, id, facts]);
     }
 
-    /// One answer: a value as it is, anything else as its line, `closed` at the end.
+    /// Reads one answer: the value, or the line of any other reply; `closed` at the end of the
+    /// connection.
     pub fn answer(&mut self) -> String {
-        // A read with a time-out is not begun again by itself where something interrupted it: that is no end.
+        // An interrupted read is not the end of the connection. With a time-out set, it is not
+        // restarted automatically.
         let first = loop {
             match self.reading.fill_buf() {
                 Ok(bytes) => break bytes.first().copied(),
--- a/tests/decisions/endpoints.rs
+++ b/tests/decisions/endpoints.rs
@@ -17,7 +17,7 @@
         } else {
             vec![endpoint(0)]
         };
-        let mut fleet = Fleet::new(&config, hosts);
+        let mut balancer = TestBalancer::new(&config, hosts);
         let event = match way {
             "change" => PolicyEvent::Endpoints {
                 complete: false,
@@ -33,9 +33,9 @@
             },
             _ => PolicyEvent::Endpoints { complete: true, endpoints: Vec::new() },
         };
-        fleet.handle(event);
+        balancer.handle(event);
         let class = if config.capabilities.cache_aside { ONCE } else { READ };
-        lines += &format!("{way}: {}\n", trace(&fleet.request(class, "k").1));
+        lines += &format!("{way}: {}\n", trace(&balancer.request(class, "k").1));
     }
 
     expect![[r#"
@@ -55,34 +55,34 @@
             capabilities: Capabilities { keeps_dropped_hosts, ..policy_config().capabilities },
             ..policy_config()
         };
-        let mut fleet = Fleet::new(&config, (0..4).map(endpoint).collect());
-        let fleet_of = |fleet: &mut Fleet| {
+        let mut balancer = TestBalancer::new(&config, (0..4).map(endpoint).collect());
+        let homes_of = |balancer: &mut TestBalancer| {
             let mut homes: Vec<u32> =
-                keys(60).iter().flat_map(|key| fleet.served(key)).map(|host| host.0).collect();
+                keys(60).iter().flat_map(|key| balancer.serve(key)).map(|host| host.0).collect();
             homes.sort();
             homes.dedup();
             format!("{homes:?}")
         };
-        let mut line = fleet_of(&mut fleet);
+        let mut line = homes_of(&mut balancer);
         let drains = Endpoint { lifecycle: Lifecycle::Draining, ..endpoint(3) };
-        fleet.handle(PolicyEvent::Endpoints { complete: false, endpoints: vec![drains] });
-        fleet.handle(PolicyEvent::Endpoints { complete: true, endpoints: Vec::new() });
-        line += &format!(", emptied {}", fleet_of(&mut fleet));
+        balancer.handle(PolicyEvent::Endpoints { complete: false, endpoints: vec![drains] });
+        balancer.handle(PolicyEvent::Endpoints { complete: true, endpoints: Vec::new() });
+        line += &format!(", emptied {}", homes_of(&mut balancer));
         // One that is really gone loses what it is sent, and is left until the list names it again.
         let mut lost = 0;
         for key in keys(300) {
-            let (request, actions) = fleet.request(READ, &key);
+            let (request, actions) = balancer.request(READ, &key);
             for (attempt, &host) in attempted(&actions).iter().enumerate() {
                 let outcome =
                     if host == HostId(1) { AttemptOutcome::Unreachable } else { AttemptOutcome::Succeeded };
                 lost += usize::from(host == HostId(1));
-                fleet.attempt_ended(request, attempt as u32, host, outcome, MS);
+                balancer.attempt_ended(request, attempt as u32, host, outcome, MS);
             }
-            fleet.pass(50 * MS);
+            balancer.advance(50 * MS);
         }
-        line += &format!(", one gone {} after {lost} attempts", fleet_of(&mut fleet));
-        fleet.handle(PolicyEvent::Endpoints { complete: true, endpoints: (0..3).map(endpoint).collect() });
-        line += &format!(", listed again {}", fleet_of(&mut fleet));
+        line += &format!(", one gone {} after {lost} attempts", homes_of(&mut balancer));
+        balancer.handle(PolicyEvent::Endpoints { complete: true, endpoints: (0..3).map(endpoint).collect() });
+        line += &format!(", listed again {}", homes_of(&mut balancer));
         lines.push(line);
     }
 
@@ -95,7 +95,7 @@
 #[test]
 fn discovery_failed_is_watched_again_and_same_events_give_same_actions() {
     let run = || {
-        let mut fleet = Fleet::new(
+        let mut balancer = TestBalancer::new(
             &PolicyConfig {
                 capabilities: Capabilities { polls_discovery: true, ..policy_config().capabilities },
                 ..policy_config()
@@ -108,11 +108,11 @@
             PolicyEvent::TimerFired(Timer::Watch),
             PolicyEvent::DiscoveryFailed,
         ] {
-            let actions = fleet.handle(event);
+            let actions = balancer.handle(event);
             lines += &format!("{}\n", trace(&actions));
         }
-        fleet.handle(PolicyEvent::Endpoints { complete: true, endpoints: (0..5).map(endpoint).collect() });
-        let homes: Vec<u32> = homes(&mut fleet, 12).iter().map(|home| home.0).collect();
+        balancer.handle(PolicyEvent::Endpoints { complete: true, endpoints: (0..5).map(endpoint).collect() });
+        let homes: Vec<u32> = homes(&mut balancer, 12).iter().map(|home| home.0).collect();
         lines + &format!("homes {homes:?}")
     };
 
--- a/tests/decisions/host_health.rs
+++ b/tests/decisions/host_health.rs
@@ -9,22 +9,22 @@
 
 #[test]
 fn host_silent_is_ejected_and_returns_warming_up() {
-    let mut fleet = fleet(4);
+    let mut balancer = balancer(4);
     let silent = HostId(2);
-    let homes = homes(&mut fleet, 60);
+    let homes = homes(&mut balancer, 60);
     let own: Vec<String> =
         keys(60).into_iter().zip(homes).filter(|(_, home)| *home == silent).map(|(key, _)| key).collect();
     let mut lines = format!("{} keys\n", own.len());
-    let (request, actions) = fleet.request(READ, &own[0]);
-    let (_, more) = fleet.request(READ, &own[1]);
+    let (request, actions) = balancer.request(READ, &own[0]);
+    let (_, more) = balancer.request(READ, &own[1]);
     lines += &format!("two of them: {}; {}\n", trace(&actions), trace(&more));
-    lines += &format!("within 750 ms: {}\n", trace(&fleet.pass(750 * MS)));
-    lines += &format!("then: {}\n", trace(&fleet.request(READ, &own[0]).1));
-    fleet.attempt_ended(request, 0, silent, AttemptOutcome::TimedOut, 798 * MS);
-    fleet.pass(3_000 * MS);
+    lines += &format!("within 750 ms: {}\n", trace(&balancer.advance(750 * MS)));
+    lines += &format!("then: {}\n", trace(&balancer.request(READ, &own[0]).1));
+    balancer.attempt_ended(request, 0, silent, AttemptOutcome::TimedOut, 798 * MS);
+    balancer.advance(3_000 * MS);
     for span in [0, 5_000, 5_000] {
-        fleet.pass(span * MS);
-        let kept = own.iter().filter(|key| fleet.served(key).first() == Some(&silent)).count();
+        balancer.advance(span * MS);
+        let kept = own.iter().filter(|key| balancer.serve(key).first() == Some(&silent)).count();
         lines += &format!("then: {kept} of its keys\n");
     }
 
@@ -42,32 +42,32 @@
 
 #[test]
 fn host_losing_single_answers_keeps_keys_and_limit() {
-    let mut fleet = fleet(4);
+    let mut balancer = balancer(4);
     let home = HostId(2);
     let (mut lost, mut elsewhere, mut requests) = (VecDeque::new(), 0, 0);
-    let own: Vec<String> = keys(400).into_iter().filter(|key| fleet.served(key)[0] == home).collect();
-    fleet.pass(2_000 * MS);
+    let own: Vec<String> = keys(400).into_iter().filter(|key| balancer.serve(key)[0] == home).collect();
+    balancer.advance(2_000 * MS);
     for round in 0..100 {
         let mut out: Vec<RequestId> = Vec::new();
         for key in own.iter().cycle().skip(round * 6).take(6) {
-            let (request, actions) = fleet.request(READ, key);
+            let (request, actions) = balancer.request(READ, key);
             requests += 1;
             elsewhere += usize::from(attempted(&actions) != [home]);
             out.push(request);
         }
-        let sent = fleet.now;
+        let sent = balancer.now;
         // Now and then an answer never comes; that request is in flight until it is given up.
         if round % 5 == 0 {
             lost.push_back((out.remove(round % 6), sent));
         }
-        elsewhere += attempted(&fleet.pass(50 * MS)).len();
+        elsewhere += attempted(&balancer.advance(50 * MS)).len();
         out.iter().for_each(|&request| {
-            drop(fleet.attempt_ended(request, 0, home, AttemptOutcome::Succeeded, 50 * MS))
+            drop(balancer.attempt_ended(request, 0, home, AttemptOutcome::Succeeded, 50 * MS))
         });
-        while lost.front().is_some_and(|&(_, sent)| fleet.now - sent >= 798 * MS) {
-            let (request, sent) = lost.pop_front().expect("it was just seen");
-            let elapsed = fleet.now - sent;
-            fleet.attempt_ended(request, 0, home, AttemptOutcome::TimedOut, elapsed);
+        while lost.front().is_some_and(|&(_, sent)| balancer.now - sent >= 798 * MS) {
+            let (request, sent) = lost.pop_front().expect("a lost attempt is due");
+            let elapsed = balancer.now - sent;
+            balancer.attempt_ended(request, 0, home, AttemptOutcome::TimedOut, elapsed);
         }
     }
 
@@ -77,13 +77,13 @@
 
 #[test]
 fn hosts_mostly_hung_load_moves_to_those_that_answer() {
-    let mut fleet = fleet(5);
+    let mut balancer = balancer(5);
     let hung = |host: HostId| host.0 < 4;
     let mut sent = Vec::new();
     for round in 0..12 {
         let mut out = Vec::new();
         for key in keys(10) {
-            let (request, actions) = fleet.request(READ, &format!("{key}-{round}"));
+            let (request, actions) = balancer.request(READ, &format!("{key}-{round}"));
             out.extend(
                 attempted(&actions)
                     .into_iter()
@@ -92,10 +92,10 @@
             );
         }
         for &(request, attempt, host) in out.iter().filter(|attempt| !hung(attempt.2)) {
-            fleet.attempt_ended(request, attempt, host, AttemptOutcome::Succeeded, 60 * MS);
+            balancer.attempt_ended(request, attempt, host, AttemptOutcome::Succeeded, 60 * MS);
         }
-        let retries: Vec<_> = fleet
-            .pass(750 * MS)
+        let retries: Vec<_> = balancer
+            .advance(750 * MS)
             .iter()
             .filter_map(|action| match action {
                 PolicyAction::StartAttempt { request, host, .. } => Some((*request, 1, *host)),
@@ -105,7 +105,7 @@
         out.extend(retries);
         for &(request, attempt, host) in &out {
             let outcome = if hung(host) { AttemptOutcome::TimedOut } else { AttemptOutcome::Succeeded };
-            fleet.attempt_ended(request, attempt, host, outcome, 750 * MS);
+            balancer.attempt_ended(request, attempt, host, outcome, 750 * MS);
         }
         let to_hung = out.iter().filter(|attempt| hung(attempt.2)).count();
         sent.push((to_hung, out.len() - to_hung));
@@ -119,15 +119,15 @@
 
 #[test]
 fn quiet_balancer_one_timeout_lowers_key_share_of_host() {
-    let mut fleet = large(900, 100);
-    let homes = homes(&mut fleet, 2_000);
+    let mut balancer = one_of_many(900, 100);
+    let homes = homes(&mut balancer, 2_000);
     let jammed = HostId(7);
     let own: Vec<_> = keys(2_000).into_iter().zip(homes).filter(|(_, home)| *home == jammed).collect();
-    let (request, _) = fleet.request(READ, &own[0].0);
-    fleet.pass(800 * MS);
-    fleet.attempt_ended(request, 0, jammed, AttemptOutcome::TimedOut, 798 * MS);
-    fleet.pass(10_000 * MS);
-    let kept = own.iter().filter(|(key, _)| fleet.served(key)[0] == jammed).count();
+    let (request, _) = balancer.request(READ, &own[0].0);
+    balancer.advance(800 * MS);
+    balancer.attempt_ended(request, 0, jammed, AttemptOutcome::TimedOut, 798 * MS);
+    balancer.advance(10_000 * MS);
+    let kept = own.iter().filter(|(key, _)| balancer.serve(key)[0] == jammed).count();
 
     expect!["keeps 11 of 26 keys"].assert_eq(&format!("keeps {kept} of {} keys", own.len()));
 }
@@ -139,17 +139,17 @@
     let mut lines = String::new();
     for balancers in [1, 2, 20, 100, 900] {
         for others in [0, 1] {
-            let mut fleet = large(balancers, 8);
-            let home = fleet.served("k")[0];
-            fleet.pass(300 * MS);
-            let (request, _) = fleet.request(READ, "k");
+            let mut balancer = one_of_many(balancers, 8);
+            let home = balancer.serve("k")[0];
+            balancer.advance(300 * MS);
+            let (request, _) = balancer.request(READ, "k");
             // Others that are out are witnesses of their own, sent later than this one.
-            fleet.now += 600 * MS;
-            let more: Vec<_> = (0..others).map(|_| fleet.request(READ, "k")).collect();
-            fleet.now += 198 * MS;
-            fleet.attempt_ended(request, 0, home, AttemptOutcome::TimedOut, 798 * MS);
-            fleet.handle(PolicyEvent::TimerFired(Timer::Sweep));
-            let next = fleet.request(READ, "k").1;
+            balancer.now += 600 * MS;
+            let more: Vec<_> = (0..others).map(|_| balancer.request(READ, "k")).collect();
+            balancer.now += 198 * MS;
+            balancer.attempt_ended(request, 0, home, AttemptOutcome::TimedOut, 798 * MS);
+            balancer.handle(PolicyEvent::TimerFired(Timer::Sweep));
+            let next = balancer.request(READ, "k").1;
             let is_selected = attempted(&next).first() == Some(&home);
             lines += &format!(
                 "{balancers} balancers, {} more in flight: selected again {is_selected}\n",
@@ -179,26 +179,26 @@
     let mut lines = String::new();
     for balancers in [2, 20, 100, 900] {
         for (what, hung) in [("a zone", 20), ("three hosts of it", 6)] {
-            let mut fleet = large(balancers, 20);
+            let mut balancer = one_of_many(balancers, 20);
             let zone = |host: HostId| host.0 % 2 == 1;
             let (mut lost, mut left, mut back) = (0, 0, 0);
             // One request each 80 ms: a host is met every second or two.
             let mut out: VecDeque<(Micros, RequestId, HostId, AttemptOutcome)> = VecDeque::new();
             for round in 0..200 {
-                fleet.pass(80 * MS);
+                balancer.advance(80 * MS);
                 let silent = |host: HostId| zone(host) && host.0 < hung && (50..150).contains(&round);
-                let due = out.iter().filter(|next| next.0 <= fleet.now).copied().collect::<Vec<_>>();
-                out.retain(|next| next.0 > fleet.now);
+                let due = out.iter().filter(|next| next.0 <= balancer.now).copied().collect::<Vec<_>>();
+                out.retain(|next| next.0 > balancer.now);
                 for (at, request, host, outcome) in due {
                     let elapsed = if outcome == AttemptOutcome::Succeeded { 60 * MS } else { 798 * MS };
-                    fleet.now = fleet.now.max(at);
-                    fleet.attempt_ended(request, 0, host, outcome, elapsed);
+                    balancer.now = balancer.now.max(at);
+                    balancer.attempt_ended(request, 0, host, outcome, elapsed);
                 }
-                let (request, actions) = fleet.request(READ, &format!("key-{}", round * 7 % 61));
+                let (request, actions) = balancer.request(READ, &format!("key-{}", round * 7 % 61));
                 let Some(&host) = attempted(&actions).first() else { continue };
                 let outcome = if silent(host) { AttemptOutcome::TimedOut } else { AttemptOutcome::Succeeded };
                 out.push_back((
-                    fleet.now + if silent(host) { 798 * MS } else { 60 * MS },
+                    balancer.now + if silent(host) { 798 * MS } else { 60 * MS },
                     request,
                     host,
                     outcome,
@@ -232,31 +232,33 @@
 fn host_silent_stays_ejected_for_the_send_interval() {
     let mut lines = Vec::new();
     for apart in [200, 2_000, 12_000] {
-        let mut fleet = fleet(4);
-        let key =
-            keys(200).into_iter().find(|key| fleet.served(key) == [HostId(2)]).expect("a key of its own");
+        let mut balancer = balancer(4);
+        let key = keys(200)
+            .into_iter()
+            .find(|key| balancer.serve(key) == [HostId(2)])
+            .expect("a key has host 2 as its home");
         let others: Vec<String> =
-            keys(40).into_iter().filter(|key| fleet.served(key) != [HostId(2)]).take(3).collect();
+            keys(40).into_iter().filter(|key| balancer.serve(key) != [HostId(2)]).take(3).collect();
         // Each host is met once in that time.
-        let round = |fleet: &mut Fleet| {
-            others.iter().for_each(|other| drop(fleet.served(other)));
-            fleet.pass(apart * MS - 400 * MS * i64::from(apart > 400));
+        let round = |balancer: &mut TestBalancer| {
+            others.iter().for_each(|other| drop(balancer.serve(other)));
+            balancer.advance(apart * MS - 400 * MS * i64::from(apart > 400));
         };
         for _ in 0..60_000 / apart {
-            fleet.served(&key);
-            round(&mut fleet);
+            balancer.serve(&key);
+            round(&mut balancer);
         }
-        let (request, _) = fleet.request(READ, &key);
+        let (request, _) = balancer.request(READ, &key);
         // It goes elsewhere meanwhile, and is answered there.
-        for (nth, host) in (1..).zip(attempted(&fleet.pass(800 * MS))) {
-            fleet.attempt_ended(request, nth, host, AttemptOutcome::Succeeded, 100 * MS);
+        for (nth, host) in (1..).zip(attempted(&balancer.advance(800 * MS))) {
+            balancer.attempt_ended(request, nth, host, AttemptOutcome::Succeeded, 100 * MS);
         }
-        fleet.attempt_ended(request, 0, HostId(2), AttemptOutcome::TimedOut, 800 * MS);
-        let silent = fleet.now;
-        while fleet.avoided() > 0 && fleet.now - silent < 40_000 * MS {
-            fleet.pass(250 * MS);
+        balancer.attempt_ended(request, 0, HostId(2), AttemptOutcome::TimedOut, 800 * MS);
+        let silent = balancer.now;
+        while balancer.ejected() > 0 && balancer.now - silent < 40_000 * MS {
+            balancer.advance(250 * MS);
         }
-        lines.push(format!("met each {apart} ms: left for {} ms more", (fleet.now - silent) / MS));
+        lines.push(format!("met each {apart} ms: left for {} ms more", (balancer.now - silent) / MS));
     }
 
     expect![[r#"
@@ -269,23 +271,23 @@
 /// A host is left for one attempt that timed out, and is back as cold: how many of its 100 keys it
 /// gets after it has answered three reads after so long each.
 fn kept_after(answers: Micros) -> usize {
-    let mut fleet = fleet(4);
+    let mut balancer = balancer(4);
     let keys = keys(800);
-    let homes: Vec<HostId> = keys.iter().map(|key| fleet.served(key)[0]).collect();
+    let homes: Vec<HostId> = keys.iter().map(|key| balancer.serve(key)[0]).collect();
     let at_home = keys.iter().zip(&homes).filter(|(_, home)| **home == HostId(2));
     let own: Vec<&String> = at_home.map(|(key, _)| key).take(100).collect();
-    let (request, actions) = fleet.request(READ, own[0]);
+    let (request, actions) = balancer.request(READ, own[0]);
     assert_eq!(attempted(&actions), [HostId(2)]);
-    fleet.pass(700 * MS);
-    fleet.attempt_ended(request, 0, HostId(2), AttemptOutcome::TimedOut, 700 * MS);
-    fleet.pass(2_300 * MS);
+    balancer.advance(700 * MS);
+    balancer.attempt_ended(request, 0, HostId(2), AttemptOutcome::TimedOut, 700 * MS);
+    balancer.advance(2_300 * MS);
     let mut answered = 0;
     for key in &own {
-        let (request, actions) = fleet.request(READ, key);
+        let (request, actions) = balancer.request(READ, key);
         let Some(&host) = attempted(&actions).first() else { continue };
         let elapsed = if host == HostId(2) { answers } else { 100 * MS };
-        fleet.now += elapsed;
-        fleet.attempt_ended(request, 0, host, AttemptOutcome::Succeeded, elapsed);
+        balancer.now += elapsed;
+        balancer.attempt_ended(request, 0, host, AttemptOutcome::Succeeded, elapsed);
         answered += u32::from(host == HostId(2));
         if answered == 3 {
             break;
@@ -293,10 +295,10 @@
     }
     // Asked for and dropped, so that nothing more is learned meanwhile.
     let mut goes_there = |key: &&&String| {
-        let (request, actions) = fleet.request(READ, key);
-        fleet.handle(PolicyEvent::ClientGone { request });
+        let (request, actions) = balancer.request(READ, key);
+        balancer.handle(PolicyEvent::ClientGone { request });
         let host = attempted(&actions).first().copied();
-        host.map(|host| fleet.attempt_ended(request, 0, host, AttemptOutcome::Cancelled, 0));
+        host.map(|host| balancer.attempt_ended(request, 0, host, AttemptOutcome::Cancelled, 0));
         host == Some(HostId(2))
     };
     own.iter().filter(|key| goes_there(key)).count()
--- a/tests/decisions/large_fleets.rs
+++ b/tests/decisions/large_fleets.rs
@@ -38,7 +38,7 @@
     }
 
     /// Time goes on, timers run.
-    fn pass(&mut self, span: Micros) {
+    fn advance(&mut self, span: Micros) {
         self.now += span;
         self.router.tick(self.now);
     }
@@ -47,7 +47,7 @@
     fn lose_hosts(&mut self, is_lost: impl Fn(HostId) -> bool) {
         for _ in 0..20 {
             (0..100).for_each(|_| self.end_one_request(&is_lost));
-            self.pass(60 * MS);
+            self.advance(60 * MS);
         }
     }
 
@@ -148,7 +148,7 @@
         let _ = fleet.router.attempt_ended(fleet.now, request, AttemptNumber(0), AttemptOutcome::Unreachable);
     }
     let before = fleet.router.selection_work();
-    fleet.pass(60 * MS);
+    fleet.advance(60 * MS);
     let after = fleet.router.selection_work();
     assert!(fleet.avoided_part() > 0.9, "{}", fleet.avoided_part());
     let hosts = after.hosts - before.hosts;
--- a/tests/decisions/limits.rs
+++ b/tests/decisions/limits.rs
@@ -1,4 +1,4 @@
-//! What is rejected: the limits of hosts, of the fleet and of tenants.
+//! What is rejected: the limits of hosts, of the balancer and of tenants.
 
 use basaltwood::types::*;
 use expect_test::expect;
@@ -8,25 +8,25 @@
 /// What 40 pairs of requests that give up after `wait`, each with a request that is served between,
 /// do to their home.
 fn left_after(wait: Micros, first: bool) -> String {
-    let mut fleet = fleet(4);
+    let mut balancer = balancer(4);
     let home = HostId(2);
-    let own: Vec<String> = keys(400).into_iter().filter(|key| fleet.served(key)[0] == home).collect();
-    fleet.pass(2_000 * MS);
+    let own: Vec<String> = keys(400).into_iter().filter(|key| balancer.serve(key)[0] == home).collect();
+    balancer.advance(2_000 * MS);
     let (mut elsewhere, mut rejected) = (0, 0);
     for round in 0..40 {
         let requests: Vec<(RequestId, Vec<PolicyAction>)> =
-            own.iter().cycle().skip(round * 2).take(2).map(|key| fleet.request(READ, key)).collect();
+            own.iter().cycle().skip(round * 2).take(2).map(|key| balancer.request(READ, key)).collect();
         elsewhere += requests
             .iter()
             .filter(|(_, actions)| attempted(actions).iter().any(|host| *host != home))
             .count();
         rejected += requests.iter().filter(|(_, actions)| attempted(actions).is_empty()).count();
-        let (sent, attempt) = (fleet.now, AttemptNumber(0));
+        let (sent, attempt) = (balancer.now, AttemptNumber(0));
         for &(request, _) in requests.iter().filter(|_| first) {
-            fleet.handle(PolicyEvent::NewConnection { request, attempt, host: home });
+            balancer.handle(PolicyEvent::NewConnection { request, attempt, host: home });
         }
-        elsewhere += attempted(&fleet.pass(wait)).len();
-        let elapsed = fleet.now - sent;
+        elsewhere += attempted(&balancer.advance(wait)).len();
+        let elapsed = balancer.now - sent;
         for (request, actions) in requests {
             let ended = PolicyEvent::AttemptEnded {
                 request,
@@ -37,16 +37,19 @@
                 finished: true,
             };
             if attempted(&actions) == [home] {
-                fleet.handle(ended);
+                balancer.handle(ended);
             }
         }
-        fleet.served(&own[round % own.len()]);
+        balancer.serve(&own[round % own.len()]);
     }
-    let limit = fleet
+    let limit = balancer
         .learned_limits()
         .into_iter()
         .find(|learned_limits| learned_limits.position == endpoint(home.0).position);
-    format!("elsewhere {elsewhere}, rejected {rejected}, limit {:.1}", limit.expect("it is up").limit)
+    format!(
+        "elsewhere {elsewhere}, rejected {rejected}, limit {:.1}",
+        limit.expect("the home host is up").limit
+    )
 }
 
 #[test]
@@ -70,19 +73,19 @@
 
 #[test]
 fn concurrency_limit_jam_at_start_is_not_taken_for_minimum_latency() {
-    let mut fleet = fleet(1);
+    let mut balancer = balancer(1);
     let mut admitted = Vec::new();
     for round in 0..6 {
         let mut out = Vec::new();
         for nth in 0..20 {
-            let (request, actions) = fleet.request(READ, &format!("{round}-{nth}"));
+            let (request, actions) = balancer.request(READ, &format!("{round}-{nth}"));
             out.extend(attempted(&actions).iter().map(|_| request));
         }
-        fleet.pass(750 * MS);
+        balancer.advance(750 * MS);
         for &request in &out {
-            fleet.attempt_ended(request, 0, HostId(0), AttemptOutcome::Succeeded, 750 * MS);
+            balancer.attempt_ended(request, 0, HostId(0), AttemptOutcome::Succeeded, 750 * MS);
         }
-        fleet.pass(250 * MS);
+        balancer.advance(250 * MS);
         admitted.push(out.len());
     }
 
@@ -92,10 +95,10 @@
 
 #[test]
 fn home_full_spills_to_one_host_then_rejects() {
-    let mut fleet = fleet(4);
+    let mut balancer = balancer(4);
     let mut lines = String::new();
     for nth in 0..14 {
-        lines += &format!("{nth}: {}\n", trace(&fleet.request(READ, "k").1));
+        lines += &format!("{nth}: {}\n", trace(&balancer.request(READ, "k").1));
     }
 
     expect![[r#"
@@ -119,10 +122,13 @@
 
 #[test]
 fn tenant_over_quota_leaves_capacity_for_others() {
-    let mut fleet = fleet(1);
+    let mut balancer = balancer(1);
     let mut count = |tenant, requests| -> usize {
         (0..requests)
-            .map(|nth| attempted(&fleet.request_of(READ, &format!("{nth}"), Some(TenantId(tenant))).1).len())
+            .map(|nth| {
+                attempted(&balancer.request_of_tenant(READ, &format!("{nth}"), Some(TenantId(tenant))).1)
+                    .len()
+            })
             .sum()
     };
     let (flood, other) = (count(0, 30), count(1, 30));
@@ -140,19 +146,19 @@
             config.capabilities.cache_aside = true;
             let mut hosts: Vec<_> = (0..100).map(endpoint).collect();
             hosts.push(Endpoint { origin: true, ..endpoint(100) });
-            let mut fleet = Fleet::new(&config, hosts);
+            let mut balancer = TestBalancer::new(&config, hosts);
             let mut sent = Vec::new();
             for round in 0..10 {
                 let class = if write { ONCE } else { READ };
                 let requests: Vec<_> =
-                    (0..4).map(|nth| fleet.request(class, &format!("{round}-{nth}"))).collect();
-                fleet.pass(800 * MS);
+                    (0..4).map(|nth| balancer.request(class, &format!("{round}-{nth}"))).collect();
+                balancer.advance(800 * MS);
                 let out = requests.iter().flat_map(|(request, actions)| {
                     attempted(actions).into_iter().map(|host| (*request, host))
                 });
                 let out: Vec<_> = out.collect();
                 for &(request, host) in &out {
-                    fleet.attempt_ended(request, 0, host, AttemptOutcome::TimedOut, 798 * MS);
+                    balancer.attempt_ended(request, 0, host, AttemptOutcome::TimedOut, 798 * MS);
                 }
                 sent.push(out.len());
             }
@@ -170,33 +176,33 @@
     .assert_eq(&lines);
 }
 
-/// A balancer among so many whose part of the limit of the fleet is some four attempts at once,
+/// A balancer among so many whose part of the limit of the balancer is some four attempts at once,
 /// while its requests need two on average: how many of them are out at a time, and of a thousand
 /// how many are rejected.
 fn at_its_mean(balancers: u32) -> String {
-    let mut fleet = large(balancers, (balancers * 3 / 10).max(1));
+    let mut balancer = one_of_many(balancers, (balancers * 3 / 10).max(1));
     let mut rng = SeededRng::new(3);
     let mut out: Vec<(Micros, RequestId, HostId)> = Vec::new();
     let (mut came, mut rejected, mut in_flight_total) = (0, 0, 0);
     for step in 0..6_000 {
         // A slow answer: the limit learns its level by such.
         for (_, request, host) in
-            out.extract_if(.., |sent| fleet.now - sent.0 >= 300 * MS).collect::<Vec<_>>()
+            out.extract_if(.., |sent| balancer.now - sent.0 >= 300 * MS).collect::<Vec<_>>()
         {
-            fleet.attempt_ended(request, 0, host, AttemptOutcome::Succeeded, 300 * MS);
+            balancer.attempt_ended(request, 0, host, AttemptOutcome::Succeeded, 300 * MS);
         }
         if rng.draw() % 1_000 < 65 {
-            let (request, actions) = fleet.request(READ, &format!("{step}"));
+            let (request, actions) = balancer.request(READ, &format!("{step}"));
             let sent = attempted(&actions);
-            out.extend(sent.iter().map(|&host| (fleet.now, request, host)));
+            out.extend(sent.iter().map(|&host| (balancer.now, request, host)));
             // The first seconds are the limit's own.
             let counts = usize::from(step >= 2_000);
             (came, rejected) = (came + counts, rejected + counts * usize::from(sent.is_empty()));
         }
         in_flight_total += out.len();
-        fleet.now += 10 * MS;
+        balancer.now += 10 * MS;
         if step % 5 == 0 {
-            fleet.handle(PolicyEvent::TimerFired(Timer::Sweep));
+            balancer.handle(PolicyEvent::TimerFired(Timer::Sweep));
         }
     }
     format!("{balancers}: {:.1} out, {} rejected", in_flight_total as f64 / 6_000.0, rejected * 1_000 / came)
@@ -216,7 +222,7 @@
     .assert_eq(&lines.join("\n"));
 }
 
-/// Clients that give up early and come again at once would have every host of a large fleet work
+/// Clients that give up early and come again at once would have every host of a large balancer work
 /// for nobody.
 #[test]
 fn request_that_cannot_wait_for_minimum_latency_is_rejected_unsent() {
@@ -225,35 +231,35 @@
         ..policy_config()
     };
     let origin = Endpoint { origin: true, ..endpoint(9) };
-    let mut fleet = Fleet::new(&cache_aside, vec![endpoint(0), endpoint(1), origin]);
+    let mut balancer = TestBalancer::new(&cache_aside, vec![endpoint(0), endpoint(1), origin]);
     let mut lines = Vec::new();
-    let ask = |fleet: &mut Fleet, lines: &mut Vec<String>, class, wait| {
-        let (request, actions) = fleet.request_within(class, "key", None, wait * MS);
+    let ask = |balancer: &mut TestBalancer, lines: &mut Vec<String>, class, wait| {
+        let (request, actions) = balancer.request_within(class, "key", None, wait * MS);
         lines.push(format!("waits {wait} ms: {}", trace(&actions)));
         attempted(&actions).first().map(|&host| (request, host))
     };
     // Before anything was answered nobody knows what can't be waited for.
-    if let Some((request, host)) = ask(&mut fleet, &mut lines, READ, 30) {
-        fleet.attempt_ended(request, 0, host, AttemptOutcome::Succeeded, 30 * MS);
+    if let Some((request, host)) = ask(&mut balancer, &mut lines, READ, 30) {
+        balancer.attempt_ended(request, 0, host, AttemptOutcome::Succeeded, 30 * MS);
     }
     // Hits in 100 ms, fetches in 60.
     for round in 0..60 {
-        fleet.served(&format!("key-{round}"));
-        let (request, _) = fleet.request(ONCE, "written");
-        fleet.now += 60 * MS;
-        fleet.attempt_ended(request, 0, HostId(9), AttemptOutcome::Succeeded, 60 * MS);
-        fleet.pass(100 * MS);
+        balancer.serve(&format!("key-{round}"));
+        let (request, _) = balancer.request(ONCE, "written");
+        balancer.now += 60 * MS;
+        balancer.attempt_ended(request, 0, HostId(9), AttemptOutcome::Succeeded, 60 * MS);
+        balancer.advance(100 * MS);
     }
     for wait in [30, 90, 120] {
-        ask(&mut fleet, &mut lines, READ, wait);
+        ask(&mut balancer, &mut lines, READ, wait);
     }
-    ask(&mut fleet, &mut lines, ONCE, 40);
-    ask(&mut fleet, &mut lines, ONCE, 80);
+    ask(&mut balancer, &mut lines, ONCE, 40);
+    ask(&mut balancer, &mut lines, ONCE, 80);
     // A miss that leaves too little for a fetch is not fetched for nobody.
     for (wait, elapsed) in [(150, 100), (200, 100)] {
-        if let Some((request, host)) = ask(&mut fleet, &mut lines, READ, wait) {
-            fleet.now += elapsed * MS;
-            let actions = fleet.attempt_ended(request, 0, host, AttemptOutcome::Miss, elapsed * MS);
+        if let Some((request, host)) = ask(&mut balancer, &mut lines, READ, wait) {
+            balancer.now += elapsed * MS;
+            let actions = balancer.attempt_ended(request, 0, host, AttemptOutcome::Miss, elapsed * MS);
             lines.push(format!("  a miss after {elapsed} ms: {}", trace(&actions)));
         }
     }
@@ -275,17 +281,17 @@
 /// One of a hundred balancers before an origin in a jam, in through mode: every answer is an error
 /// that took so long. How many may be out at a time after some seconds of it.
 fn after_errors(elapsed: Micros) -> usize {
-    let mut fleet = large(100, 20);
+    let mut balancer = one_of_many(100, 20);
     let keys = keys(20);
     for round in 0..40 {
-        let (request, actions) = fleet.request(READ, &keys[round % 20]);
-        fleet.pass(elapsed.max(50 * MS));
+        let (request, actions) = balancer.request(READ, &keys[round % 20]);
+        balancer.advance(elapsed.max(50 * MS));
         for (attempt, host) in attempted(&actions).into_iter().enumerate() {
-            fleet.attempt_ended(request, attempt as u32, host, AttemptOutcome::Error, elapsed);
+            balancer.attempt_ended(request, attempt as u32, host, AttemptOutcome::Error, elapsed);
         }
-        fleet.pass(50 * MS);
+        balancer.advance(50 * MS);
     }
-    (0..20).filter(|&nth| !attempted(&fleet.request(READ, &format!("other-{nth}")).1).is_empty()).count()
+    (0..20).filter(|&nth| !attempted(&balancer.request(READ, &format!("other-{nth}")).1).is_empty()).count()
 }
 
 #[test]
--- a/tests/decisions/retries.rs
+++ b/tests/decisions/retries.rs
@@ -20,10 +20,10 @@
     let mut lines = String::new();
     for (name, class) in [("idempotent", READ), ("idempotency-key", KEYED), ("at-most-once", ONCE)] {
         for outcome in outcomes {
-            let mut fleet = fleet(4);
-            let (request, actions) = fleet.request(class, "k");
-            fleet.now += 50 * MS;
-            let next = fleet.attempt_ended(request, 0, attempted(&actions)[0], outcome, 50 * MS);
+            let mut balancer = balancer(4);
+            let (request, actions) = balancer.request(class, "k");
+            balancer.now += 50 * MS;
+            let next = balancer.attempt_ended(request, 0, attempted(&actions)[0], outcome, 50 * MS);
             lines += &format!("{name} {outcome:?}: {}\n", trace(&next));
         }
     }
@@ -59,17 +59,19 @@
 
 #[test]
 fn request_attempts_exhausted_fails_once() {
-    let mut fleet = fleet(6);
-    let (request, mut actions) = fleet.request(READ, "k");
+    let mut balancer = balancer(6);
+    let (request, mut actions) = balancer.request(READ, "k");
     let mut lines = String::new();
     for attempt in 0..4 {
         let Some(&host) = attempted(&actions).first() else { break };
-        fleet.now += 10 * MS;
-        actions = fleet.attempt_ended(request, attempt, host, AttemptOutcome::Error, 10 * MS);
+        balancer.now += 10 * MS;
+        actions = balancer.attempt_ended(request, attempt, host, AttemptOutcome::Error, 10 * MS);
         lines += &format!("{}\n", trace(&actions));
     }
-    lines +=
-        &format!("late: {}", trace(&fleet.attempt_ended(request, 0, HostId(0), AttemptOutcome::TimedOut, 0)));
+    lines += &format!(
+        "late: {}",
+        trace(&balancer.attempt_ended(request, 0, HostId(0), AttemptOutcome::TimedOut, 0))
+    );
 
     expect![[r#"
         attempt h3 for 788
@@ -82,11 +84,11 @@
 fn idempotency_key_outside_scope_or_window_is_not_retried() {
     let mut lines = String::new();
     for after in [100, 990] {
-        let mut fleet = fleet(6);
-        let (request, actions) = fleet.request(KEYED, "k");
+        let mut balancer = balancer(6);
+        let (request, actions) = balancer.request(KEYED, "k");
         let first = attempted(&actions)[0];
-        fleet.now += after * MS;
-        let next = fleet.attempt_ended(request, 0, first, AttemptOutcome::ConnectionLost, after * MS);
+        balancer.now += after * MS;
+        let next = balancer.attempt_ended(request, 0, first, AttemptOutcome::ConnectionLost, after * MS);
         lines += &format!("first {first:?}, after {after} ms: {}\n", trace(&next));
     }
 
@@ -99,32 +101,32 @@
 
 #[test]
 fn key_failing_everywhere_gets_one_attempt_and_no_host_is_blamed() {
-    let mut fleet = fleet(4);
+    let mut balancer = balancer(4);
     let mut lines = Vec::new();
     // Every attempt of this request gets an error; how many it had, and how it ended.
-    let fails = |fleet: &mut Fleet, key: &str| {
-        let (request, mut actions) = fleet.request(READ, key);
+    let fails = |balancer: &mut TestBalancer, key: &str| {
+        let (request, mut actions) = balancer.request(READ, key);
         let (mut attempts, mut last) = (0, Vec::new());
         while let Some(&host) = attempted(&actions).first() {
-            actions = fleet.attempt_ended(request, attempts, host, AttemptOutcome::Error, MS);
+            actions = balancer.attempt_ended(request, attempts, host, AttemptOutcome::Error, MS);
             attempts += 1;
             last = actions.clone();
         }
         format!("{attempts} attempts, {}", trace(&last))
     };
     for nth in 0..8 {
-        let line = fails(&mut fleet, "bad");
-        fleet.pass(100 * MS);
+        let line = fails(&mut balancer, "bad");
+        balancer.advance(100 * MS);
         lines.push(format!("bad {nth}: {line}, good requests at {} hosts", {
-            let mut homes = homes(&mut fleet, 60);
+            let mut homes = homes(&mut balancer, 60);
             homes.sort();
             homes.dedup();
             homes.len()
         }));
     }
     // A value ends it: the key is as good as any.
-    fleet.served("bad");
-    lines.push(format!("after a value: {}", fails(&mut fleet, "bad")));
+    balancer.serve("bad");
+    lines.push(format!("after a value: {}", fails(&mut balancer, "bad")));
 
     expect![[r#"
         bad 0: 2 attempts, fail, good requests at 4 hosts
@@ -141,7 +143,7 @@
 
 #[test]
 fn host_failing_everything_is_found_among_failing_requests() {
-    let mut fleet = fleet(4);
+    let mut balancer = balancer(4);
     let ill = HostId(2);
     let mut lines = Vec::new();
     for round in 0..4 {
@@ -149,13 +151,13 @@
         for nth in 0..120 {
             // Each third request gets an error wherever it goes, and its key comes once.
             let bad = nth % 3 == 0;
-            let (request, mut actions) = fleet.request(READ, &format!("{round}-{nth}"));
+            let (request, mut actions) = balancer.request(READ, &format!("{round}-{nth}"));
             let (mut attempt, mut served) = (0, false);
             while let Some(&host) = attempted(&actions).first() {
-                fleet.pass(50 * MS);
+                balancer.advance(50 * MS);
                 let fails = bad || host == ill;
                 at_ill += usize::from(!bad && host == ill);
-                actions = fleet.attempt_ended(
+                actions = balancer.attempt_ended(
                     request,
                     attempt,
                     host,
@@ -182,7 +184,7 @@
 
 #[test]
 fn host_rejecting_everything_is_left_and_unreached_attempts_are_refunded() {
-    let mut busy = fleet(3);
+    let mut busy = balancer(3);
     let drains = HostId(1);
     // It drains, and the list does not say so. More requests than the budget of further attempts has.
     let (mut selected, mut given_up) = (0, 0);
@@ -198,13 +200,13 @@
             host = next;
         }
         given_up += usize::from(host == drains);
-        busy.pass(50 * MS);
+        busy.advance(50 * MS);
         if host != drains {
             busy.attempt_ended(request, attempt, host, AttemptOutcome::Succeeded, 50 * MS);
         }
     }
     let mut lines = format!("selected {selected} times in 20 s, {given_up} requests given up\n");
-    let mut refused = fleet(9);
+    let mut refused = balancer(9);
     let (request, mut actions) = refused.request(READ, "k");
     let mut attempts = 0;
     while let Some(&host) = attempted(&actions).first() {
@@ -222,26 +224,28 @@
 
 #[test]
 fn request_without_host_or_origin_is_answered_at_once() {
-    let mut lines = format!("no host: {}\n", trace(&fleet(0).request(READ, "k").1));
+    let mut lines = format!("no host: {}\n", trace(&balancer(0).request(READ, "k").1));
     let cache_aside = PolicyConfig {
         capabilities: Capabilities { cache_aside: true, ..policy_config().capabilities },
         ..policy_config()
     };
-    let mut fleet = Fleet::new(&cache_aside, vec![endpoint(0)]);
-    let (request, _) = fleet.request(READ, "k");
+    let mut balancer = TestBalancer::new(&cache_aside, vec![endpoint(0)]);
+    let (request, _) = balancer.request(READ, "k");
     lines += &format!(
         "miss, no origin: {}\n",
-        trace(&fleet.attempt_ended(request, 0, HostId(0), AttemptOutcome::Miss, MS))
+        trace(&balancer.attempt_ended(request, 0, HostId(0), AttemptOutcome::Miss, MS))
     );
-    lines += &format!("write, no origin: {}\n", trace(&fleet.request(ONCE, "k").1));
-    fleet.handle(PolicyEvent::Endpoints {
+    lines += &format!("write, no origin: {}\n", trace(&balancer.request(ONCE, "k").1));
+    balancer.handle(PolicyEvent::Endpoints {
         complete: false,
         endpoints: vec![Endpoint { origin: true, ..endpoint(1) }],
     });
-    let (request, _) = fleet.request(READ, "k");
-    lines +=
-        &format!("miss: {}\n", trace(&fleet.attempt_ended(request, 0, HostId(0), AttemptOutcome::Miss, MS)));
-    lines += &format!("write: {}", trace(&fleet.request(ONCE, "k").1));
+    let (request, _) = balancer.request(READ, "k");
+    lines += &format!(
+        "miss: {}\n",
+        trace(&balancer.attempt_ended(request, 0, HostId(0), AttemptOutcome::Miss, MS))
+    );
+    lines += &format!("write: {}", trace(&balancer.request(ONCE, "k").1));
 
     expect![[r#"
         no host: reject, retry after 400
@@ -262,19 +266,21 @@
     };
     let mut lines = String::new();
     for (name, class) in [("idempotent", READ), ("idempotency-key", KEYED), ("at-most-once", ONCE)] {
-        let mut fleet = Fleet::new(&one, (0..4).map(endpoint).collect());
-        let key =
-            keys(200).into_iter().find(|key| fleet.served(key) == [HostId(2)]).expect("a key of its own");
-        let (request, _) = fleet.request(class, &key);
-        let silence = trace(&fleet.pass(600 * MS));
-        lines += &format!("{name}: {} left, {silence}", fleet.avoided());
-        let mut actions = fleet.attempt_ended(request, 0, HostId(2), AttemptOutcome::TimedOut, 600 * MS);
+        let mut balancer = TestBalancer::new(&one, (0..4).map(endpoint).collect());
+        let key = keys(200)
+            .into_iter()
+            .find(|key| balancer.serve(key) == [HostId(2)])
+            .expect("a key has host 2 as its home");
+        let (request, _) = balancer.request(class, &key);
+        let silence = trace(&balancer.advance(600 * MS));
+        lines += &format!("{name}: {} left, {silence}", balancer.ejected());
+        let mut actions = balancer.attempt_ended(request, 0, HostId(2), AttemptOutcome::TimedOut, 600 * MS);
         let mut attempt = 0;
         while let Some(&host) = attempted(&actions).first() {
             lines += &format!("; {}", trace(&actions));
             attempt += 1;
-            fleet.now += 50 * MS;
-            actions = fleet.attempt_ended(request, attempt, host, AttemptOutcome::TimedOut, 50 * MS);
+            balancer.now += 50 * MS;
+            actions = balancer.attempt_ended(request, attempt, host, AttemptOutcome::TimedOut, 50 * MS);
         }
         lines += &format!("; {}\n", trace(&actions));
     }
--- a/tests/decisions/ring.rs
+++ b/tests/decisions/ring.rs
@@ -7,13 +7,13 @@
 
 #[test]
 fn ring_host_leaves_or_returns_only_its_keys_move() {
-    let mut fleet = fleet(6);
-    let before = homes(&mut fleet, 120);
+    let mut balancer = balancer(6);
+    let before = homes(&mut balancer, 120);
     let gone = Endpoint { lifecycle: Lifecycle::Draining, ..endpoint(2) };
-    fleet.handle(PolicyEvent::Endpoints { complete: false, endpoints: vec![gone] });
-    let without = homes(&mut fleet, 120);
-    fleet.handle(PolicyEvent::Endpoints { complete: false, endpoints: vec![endpoint(2)] });
-    let after = homes(&mut fleet, 120);
+    balancer.handle(PolicyEvent::Endpoints { complete: false, endpoints: vec![gone] });
+    let without = homes(&mut balancer, 120);
+    balancer.handle(PolicyEvent::Endpoints { complete: false, endpoints: vec![endpoint(2)] });
+    let after = homes(&mut balancer, 120);
     let own = before.iter().filter(|&&home| home == HostId(2)).count();
     let moved = before.iter().zip(&without).filter(|(a, b)| a != b).count();
 
@@ -28,7 +28,7 @@
 fn ring_host_of_double_weight_gets_more_keys() {
     let mut hosts: Vec<_> = (0..4).map(endpoint).collect();
     hosts[1].weight = 2.0;
-    let homes = homes(&mut Fleet::new(&policy_config(), hosts), 400);
+    let homes = homes(&mut TestBalancer::new(&policy_config(), hosts), 400);
     let counts: Vec<_> =
         (0..4).map(|host| homes.iter().filter(|&&home| home == HostId(host)).count()).collect();
 
@@ -37,21 +37,21 @@
 
 #[test]
 fn hot_key_read_repeatedly_is_spread_over_three_holders() {
-    let mut busy = fleet(9);
-    let spread = |fleet: &mut Fleet, rounds: u32, hot: u32| {
+    let mut busy = balancer(9);
+    let spread = |balancer: &mut TestBalancer, rounds: u32, hot: u32| {
         let mut hosts: Vec<HostId> = Vec::new();
         for round in 0..rounds {
             // They overlap, so that the least busy holder changes.
-            let requests: Vec<_> = (0..hot).map(|_| fleet.request(READ, "hot")).collect();
-            fleet.now += 50 * MS;
+            let requests: Vec<_> = (0..hot).map(|_| balancer.request(READ, "hot")).collect();
+            balancer.now += 50 * MS;
             for (request, actions) in requests {
                 let host = attempted(&actions)[0];
                 hosts.push(host);
-                fleet.attempt_ended(request, 0, host, AttemptOutcome::Succeeded, 50 * MS);
+                balancer.attempt_ended(request, 0, host, AttemptOutcome::Succeeded, 50 * MS);
             }
             for key in 0..10 {
-                fleet.served(&format!("cold-{}", round * 10 + key));
-                fleet.handle(PolicyEvent::TimerFired(Timer::Sweep));
+                balancer.serve(&format!("cold-{}", round * 10 + key));
+                balancer.handle(PolicyEvent::TimerFired(Timer::Sweep));
             }
         }
         hosts.sort_unstable();
@@ -60,8 +60,8 @@
     };
     let at_first = spread(&mut busy, 1, 4);
     let later = spread(&mut busy, 8, 4);
-    let twice = spread(&mut fleet(9), 1, 2);
-    let quiet = spread(&mut fleet(9), 8, 1);
+    let twice = spread(&mut balancer(9), 1, 2);
+    let quiet = spread(&mut balancer(9), 8, 1);
 
     expect!["at first 1, later 3, at a quiet balancer met twice 1, eight times 3"].assert_eq(&format!(
         "at first {at_first}, later {later}, at a quiet balancer met twice {twice}, eight times {quiet}"
@@ -72,15 +72,15 @@
 fn hot_key_in_large_fleet_gets_more_than_three_holders() {
     let mut line = String::new();
     for hosts in [10, 100] {
-        let mut fleet = large(2, hosts);
+        let mut balancer = one_of_many(2, hosts);
         for round in 0..200 {
-            fleet.served("hot");
+            balancer.serve("hot");
             for key in 0..3 {
-                fleet.served(&format!("cold-{}", 3 * round + key));
+                balancer.serve(&format!("cold-{}", 3 * round + key));
             }
-            fleet.handle(PolicyEvent::TimerFired(Timer::Sweep));
+            balancer.handle(PolicyEvent::TimerFired(Timer::Sweep));
         }
-        let mut read: Vec<_> = (0..300).flat_map(|_| fleet.served("hot")).collect();
+        let mut read: Vec<_> = (0..300).flat_map(|_| balancer.serve("hot")).collect();
         read.sort_unstable();
         read.dedup();
         line += &format!("{hosts} hosts: {} holders; ", read.len());
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -10,23 +10,23 @@
 #[test]
 fn slow_start_host_gets_growing_share_within_budget() {
     let mut hosts: Vec<_> = (0..4).map(endpoint).collect();
-    let mut fleet = Fleet::new(&policy_config(), hosts.clone());
-    let warm = homes(&mut fleet, 100).iter().filter(|&&home| home == HostId(3)).count();
-    hosts[3].started_at = Some(fleet.now);
-    fleet.handle(PolicyEvent::Endpoints { complete: true, endpoints: hosts });
+    let mut balancer = TestBalancer::new(&policy_config(), hosts.clone());
+    let warm = homes(&mut balancer, 100).iter().filter(|&&home| home == HostId(3)).count();
+    hosts[3].started_at = Some(balancer.now);
+    balancer.handle(PolicyEvent::Endpoints { complete: true, endpoints: hosts });
     let mut line = format!("warm {warm}");
     for _ in 0..3 {
-        fleet.handle(PolicyEvent::TimerFired(Timer::Sweep));
-        let cold = homes(&mut fleet, 100).iter().filter(|&&home| home == HostId(3)).count();
+        balancer.handle(PolicyEvent::TimerFired(Timer::Sweep));
+        let cold = homes(&mut balancer, 100).iter().filter(|&&home| home == HostId(3)).count();
         line += &format!(", then {cold}");
     }
 
     expect!["warm 28, then 21, then 28, then 28"].assert_eq(&line);
 
-    // A fleet that is cold as a whole: the rest is rejected, whatever is requested.
+    // A balancer that is cold as a whole: the rest is rejected, whatever is requested.
     let cold = (0..2).map(|host| Endpoint { started_at: Some(0), ..endpoint(host) }).collect();
-    let mut fleet = Fleet::new(&policy_config(), cold);
-    let sent: usize = keys(50).iter().map(|key| attempted(&fleet.request(READ, key).1).len()).sum();
+    let mut balancer = TestBalancer::new(&policy_config(), cold);
+    let sent: usize = keys(50).iter().map(|key| attempted(&balancer.request(READ, key).1).len()).sum();
 
     expect!["sent 4 of 50 at once"].assert_eq(&format!("sent {sent} of 50 at once"));
 }
@@ -44,7 +44,7 @@
     hot: bool,
     replaced: bool,
     hot_key: String,
-    fleets: Vec<Fleet>,
+    instances: Vec<TestBalancer>,
     rng: SeededRng,
     in_flight: VecDeque<InFlight>,
     /// When and where each attempt was sent.
@@ -68,17 +68,18 @@
     fn new(cold: &SlowStart, balancers: u32, hot: bool, replaced: bool) -> HostsStartedAnew {
         let config = PolicyConfig { balancers, slow_start: cold.clone(), ..policy_config() };
         let hosts: Vec<_> = (0..PLAYED_HOSTS).map(endpoint).collect();
-        let start = |seed: u64| Fleet::new(&PolicyConfig { seed, ..config.clone() }, hosts.clone());
-        let mut fleets: Vec<Fleet> = (0..u64::from(balancers)).map(start).collect();
-        let mut is_at_cold_host = |key: &String| fleets[0].served(key)[0] == HostId(4);
-        let hot_key = keys(500).into_iter().find(&mut is_at_cold_host).expect("a key");
-        fleets[0] = start(900);
+        let start = |seed: u64| TestBalancer::new(&PolicyConfig { seed, ..config.clone() }, hosts.clone());
+        let mut instances: Vec<TestBalancer> = (0..u64::from(balancers)).map(start).collect();
+        let mut is_at_cold_host = |key: &String| instances[0].serve(key)[0] == HostId(4);
+        let hot_key =
+            keys(500).into_iter().find(&mut is_at_cold_host).expect("a key has the cold host as its home");
+        instances[0] = start(900);
         HostsStartedAnew {
             config,
             hot,
             replaced,
             hot_key,
-            fleets,
+            instances,
             rng: SeededRng::new(5),
             in_flight: VecDeque::new(),
             attempts: Vec::new(),
@@ -98,18 +99,19 @@
             self.replace_first(now);
         }
         while self.in_flight.front().is_some_and(|next| next.ends_at <= now) {
-            let InFlight { balancer, request, host, .. } = self.in_flight.pop_front().expect("there is one");
-            self.fleets[balancer].now = now;
-            self.fleets[balancer].attempt_ended(request, 0, host, AttemptOutcome::Succeeded, 60 * MS);
+            let InFlight { balancer, request, host, .. } =
+                self.in_flight.pop_front().expect("an attempt is due");
+            self.instances[balancer].now = now;
+            self.instances[balancer].attempt_ended(request, 0, host, AttemptOutcome::Succeeded, 60 * MS);
         }
         let due = |nth: usize| (tick + nth as i64) % 50 == 0;
-        for (_, fleet) in self.fleets.iter_mut().enumerate().filter(|(nth, _)| due(*nth)) {
-            fleet.now = now;
+        for (_, instance) in self.instances.iter_mut().enumerate().filter(|(nth, _)| due(*nth)) {
+            instance.now = now;
             if now / (50 * MS) == STARTED_ANEW_AT / (50 * MS) {
                 let endpoints = HostsStartedAnew::list();
-                fleet.handle(PolicyEvent::Endpoints { complete: true, endpoints });
+                instance.handle(PolicyEvent::Endpoints { complete: true, endpoints });
             }
-            fleet.handle(PolicyEvent::TimerFired(Timer::Sweep));
+            instance.handle(PolicyEvent::TimerFired(Timer::Sweep));
         }
         self.request(now);
     }
@@ -118,12 +120,12 @@
     /// ends what it has in flight.
     fn replace_first(&mut self, now: Micros) {
         let config = PolicyConfig { seed: 901, ..self.config.clone() };
-        let mut new = Fleet::new(&config, HostsStartedAnew::list());
+        let mut new = TestBalancer::new(&config, HostsStartedAnew::list());
         new.now = now;
-        new.handle(PolicyEvent::LimitsLearned(self.fleets[0].learned_limits()));
-        let old = std::mem::replace(&mut self.fleets[0], new);
-        self.fleets.push(old);
-        let last = self.fleets.len() - 1;
+        new.handle(PolicyEvent::LimitsLearned(self.instances[0].learned_limits()));
+        let old = std::mem::replace(&mut self.instances[0], new);
+        self.instances.push(old);
+        let last = self.instances.len() - 1;
         let of_old = self.in_flight.iter_mut().filter(|attempt| attempt.balancer == 0);
         of_old.for_each(|attempt| attempt.balancer = last);
     }
@@ -133,8 +135,8 @@
         let drawn_key = format!("key-{}", self.rng.draw() % 20_000);
         let reads_hot_key = self.hot && now >= STARTED_ANEW_AT && self.rng.draw().is_multiple_of(10);
         let key = if reads_hot_key { &self.hot_key } else { &drawn_key };
-        self.fleets[balancer].now = now;
-        let (request, actions) = self.fleets[balancer].request(READ, key);
+        self.instances[balancer].now = now;
+        let (request, actions) = self.instances[balancer].request(READ, key);
         match attempted(&actions).first() {
             Some(&host) => {
                 self.in_flight.push_back(InFlight { ends_at: now + 60 * MS, balancer, request, host });
@@ -252,14 +254,14 @@
 fn slow_start_host_gets_no_overflow() {
     let mut hosts: Vec<_> = (0..4).map(endpoint).collect();
     hosts[2].started_at = Some(0);
-    let mut fleet = Fleet::new(&policy_config(), hosts);
-    fleet.pass(300 * MS);
-    let requests: Vec<_> = (0..60).map(|key| fleet.request(READ, &format!("k{key}"))).collect();
+    let mut balancer = TestBalancer::new(&policy_config(), hosts);
+    balancer.advance(300 * MS);
+    let requests: Vec<_> = (0..60).map(|key| balancer.request(READ, &format!("k{key}"))).collect();
     let mut counts = [0; 2];
     for (request, actions) in requests {
         let Some(&host) = attempted(&actions).first() else { continue };
         counts[0] += usize::from(host == HostId(2));
-        let retries = fleet.attempt_ended(request, 0, host, AttemptOutcome::Rejected, 5 * MS);
+        let retries = balancer.attempt_ended(request, 0, host, AttemptOutcome::Rejected, 5 * MS);
         counts[1] += attempted(&retries).iter().filter(|&&host| host == HostId(2)).count();
     }
 
--- a/tests/mixed.rs
+++ b/tests/mixed.rs
@@ -66,7 +66,7 @@
 }
 
 struct Move {
-    kinds: [Vec<Fleet>; 2],
+    kinds: [Vec<TestBalancer>; 2],
     free_at: Vec<Micros>,
     in_flight: Vec<InFlight>,
     requests: BTreeMap<RequestKey, Taken>,
@@ -87,10 +87,11 @@
 
     fn new(shapes: [PolicyConfig; 2]) -> Move {
         let hosts: Vec<Endpoint> = (0..HOSTS).map(endpoint).collect();
-        let fleet = |config: &PolicyConfig, seed: u32| {
-            Fleet::new(&PolicyConfig { seed: u64::from(seed), ..config.clone() }, hosts.clone())
+        let balancer = |config: &PolicyConfig, seed: u32| {
+            TestBalancer::new(&PolicyConfig { seed: u64::from(seed), ..config.clone() }, hosts.clone())
         };
-        let kind = |nth: usize| (0..EACH).map(|seed| fleet(&shapes[nth], 10 * nth as u32 + seed)).collect();
+        let kind =
+            |nth: usize| (0..EACH).map(|seed| balancer(&shapes[nth], 10 * nth as u32 + seed)).collect();
         Move {
             kinds: [kind(0), kind(1)],
             free_at: vec![0; HOSTS as usize],
@@ -120,7 +121,7 @@
     }
 
     fn taken(&mut self, key: RequestKey) -> &mut Taken {
-        self.requests.get_mut(&key).expect("a request that was taken")
+        self.requests.get_mut(&key).expect("the request was submitted")
     }
 
     /// Whether an attempt that starts keeps the rules.
@@ -193,8 +194,8 @@
                 let in_time = taken.class == READ.0 && now - taken.at <= 800 * MS;
                 self.served[kind].1 += u32::from(in_time);
             }
-            let fleet = &mut self.kinds[kind][nth];
-            fleet.now = now;
+            let balancer = &mut self.kinds[kind][nth];
+            balancer.now = now;
             let finished = finished || outcome == AttemptOutcome::Succeeded;
             let event = PolicyEvent::AttemptEnded {
                 request,
@@ -204,20 +205,20 @@
                 outcome,
                 finished,
             };
-            let actions = fleet.handle(event);
+            let actions = balancer.handle(event);
             self.carry_out(kind, nth, now, actions);
         }
         for kind in 0..2 {
             for nth in 0..EACH as usize {
-                let fleet = &mut self.kinds[kind][nth];
-                fleet.now = now;
+                let balancer = &mut self.kinds[kind][nth];
+                balancer.now = now;
                 let mut actions = Vec::new();
                 if now == DRAIN_AT || now == START_AT {
                     let endpoints = (0..HOSTS).map(|host| Move::listed_at(host, now)).collect();
-                    actions.extend(fleet.handle(PolicyEvent::Endpoints { complete: true, endpoints }));
+                    actions.extend(balancer.handle(PolicyEvent::Endpoints { complete: true, endpoints }));
                 }
                 if (now / MS + 7 * nth as i64) % 50 == 0 {
-                    actions.extend(fleet.handle(PolicyEvent::TimerFired(Timer::Sweep)));
+                    actions.extend(balancer.handle(PolicyEvent::TimerFired(Timer::Sweep)));
                 }
                 self.carry_out(kind, nth, now, actions);
             }
--- a/tests/doors.rs
+++ b/tests/send_rules.rs
@@ -117,7 +117,7 @@
     fn take(&mut self, id: RequestId, actions: Vec<RequestAction>) {
         for action in actions {
             let (now, retry_after_max) = (self.now, 400 * MS);
-            let request = self.requests.get_mut(&id).expect("it is open");
+            let request = self.requests.get_mut(&id).expect("the request is open");
             match action {
                 RequestAction::StartAttempt { attempt, host, deadline, send_by } => {
                     assert!(send_by <= deadline);
@@ -162,8 +162,8 @@
     }
 
     fn attempt(&mut self, key: AttemptKey) -> &mut Attempt {
-        let request = self.requests.get_mut(&key.request).expect("it is open");
-        request.attempts.get_mut(&key.number.0).expect("it was started")
+        let request = self.requests.get_mut(&key.request).expect("the request is open");
+        request.attempts.get_mut(&key.number.0).expect("the attempt was started")
     }
 
     fn ended(&mut self, key: AttemptKey, outcome: AttemptOutcome) {
@@ -226,7 +226,7 @@
             Step::ClientLeaves { nth } => {
                 let open: Vec<RequestId> = self.requests.keys().copied().collect();
                 if let Some(&id) = open.get(nth % open.len().max(1)) {
-                    self.requests.get_mut(&id).expect("it is open").client_left = true;
+                    self.requests.get_mut(&id).expect("the request is open").client_left = true;
                     let actions = self.router.client_gone(self.now, id);
                     self.take(id, actions);
                 }
