--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,6 +1,6 @@
-//! Cold hosts under the sum of what all balancers send: what a host was given in a window against
-//! what it bears by the operators' page, N + 2 x root of N + 2, N being what the settings allow it
-//! then.
+//! The load on cold hosts from all balancers together, in simulation. A host must get less in a
+//! window than the bound on the operators' page, N + 2 * sqrt(N) + 2, where N is what the settings
+//! allow the host at that time.
 
 mod common;
 
@@ -12,47 +12,48 @@
 use expect_test::expect;
 
 const HOSTS: u32 = 12;
-/// When hosts are started anew, and for how long it is looked at what they get.
-const AT: Micros = 6_000 * MS;
-const FOR: Micros = 9_000 * MS;
+/// When the hosts are restarted.
+const RESTART_AT: Micros = 6_000 * MS;
+/// The time after the restart for which their load is measured.
+const OBSERVED_FOR: Micros = 9_000 * MS;
 
-/// So many requests a second over all balancers, and all hosts together bear just as many when they
-/// are warm.
+/// The parameters of a simulation.
 #[derive(Clone, Copy)]
-struct Play {
+struct Scenario {
     balancers: u32,
+    /// Requests per second over all balancers, which is also the capacity of all warm hosts.
     requests_per_s: u32,
-    /// One balancer of eight has five times the traffic of each other.
-    unequal: bool,
-    /// A tenth of all reads turns to one key of a cold host in the instant of the start.
-    hot: bool,
-    /// All hosts are started anew, and not one in four.
-    all: bool,
-    /// All balancers are started anew in that instant too.
-    fresh: bool,
+    /// Whether one balancer in eight has five times the traffic of each other one.
+    unequal_traffic: bool,
+    /// Whether a tenth of all reads goes to a single key of a cold host from the restart on.
+    with_hot_key: bool,
+    /// Whether all hosts are restarted, rather than one in four.
+    restart_all: bool,
+    /// Whether all balancers are restarted with the hosts.
+    restart_balancers: bool,
 }
 
 struct Outcome {
-    /// The most that a cold host got in a window, over what it bears then.
-    most: f64,
-    /// What cold hosts got of what they may get by the settings, over all windows.
-    mean: f64,
-    /// The part of the requests that went nowhere.
-    nowhere: f64,
+    /// The highest load of a cold host in a window, as a fraction of its bound.
+    max_load: f64,
+    /// The mean over all windows of the fraction that cold hosts got of what the settings allow.
+    mean_use: f64,
+    /// The fraction of the requests that were not sent.
+    unsent: f64,
 }
 
-/// A play under way: its balancers, what is in flight, and what the hosts got.
+/// The state of a simulation.
 struct Simulation {
-    play: Play,
+    scenario: Scenario,
     config: PolicyConfig,
-    /// One that has had no request yet is as it was at its start: it is made with its first.
+    /// The balancers by number; each is created at its first request.
     instances: BTreeMap<u32, TestBalancer>,
     hot_key: String,
     rng: SeededRng,
     in_flight: VecDeque<InFlight>,
-    /// When and where each attempt was sent.
+    /// The send time and the host of each attempt.
     attempts: Vec<(Micros, HostId)>,
-    nowhere: u32,
+    unsent: u32,
     next_request_at: Micros,
 }
 
@@ -64,16 +65,16 @@
 }
 
 impl Simulation {
-    fn new(play: Play) -> Simulation {
+    fn new(scenario: Scenario) -> Simulation {
         let mut simulation = Simulation {
-            play,
-            config: PolicyConfig { balancers: play.balancers, ..policy_config() },
+            scenario,
+            config: PolicyConfig { balancers: scenario.balancers, ..policy_config() },
             instances: BTreeMap::new(),
             hot_key: String::new(),
             rng: SeededRng::new(11),
             in_flight: VecDeque::new(),
             attempts: Vec::new(),
-            nowhere: 0,
+            unsent: 0,
             next_request_at: 0,
         };
         let is_at_cold_host = |key: &String| simulation.start(0, false).serve(key)[0] == HostId(4);
@@ -82,50 +83,50 @@
         simulation
     }
 
-    fn is_started_anew(&self, host: u32) -> bool {
-        self.play.all || host.is_multiple_of(4)
+    fn is_restarted(&self, host: u32) -> bool {
+        self.scenario.restart_all || host.is_multiple_of(4)
     }
 
-    /// The endpoint list before or after the start.
-    fn list(&self, cold: bool) -> Vec<Endpoint> {
-        let started_at = |host: u32| Some(AT).filter(|_| cold && self.is_started_anew(host));
+    /// The endpoint list before the restart, or after it if `cold`.
+    fn endpoints(&self, cold: bool) -> Vec<Endpoint> {
+        let started_at = |host: u32| Some(RESTART_AT).filter(|_| cold && self.is_restarted(host));
         (0..HOSTS).map(|host| Endpoint { started_at: started_at(host), ..endpoint(host) }).collect()
     }
 
     fn start(&self, balancer: u32, cold: bool) -> TestBalancer {
         let config = PolicyConfig { seed: u64::from(balancer) + 1, ..self.config.clone() };
-        TestBalancer::new(&config, self.list(cold))
+        TestBalancer::new(&config, self.endpoints(cold))
     }
 
     fn tick(&mut self, tick: i64) {
         let now = tick * MS;
-        if now == AT {
-            self.start_hosts_anew(now);
+        if now == RESTART_AT {
+            self.restart_hosts(now);
         }
         self.end_attempts(now);
-        // Of thousands each is swept seldomer, as often as it evaluates.
-        let sweep = if self.play.balancers > 1_000 { 250 } else { 50 };
+        // With thousands of balancers, each sweeps only as often as it evaluates.
+        let sweep = if self.scenario.balancers > 1_000 { 250 } else { 50 };
         for (_, instance) in
             self.instances.iter_mut().filter(|instance| (tick + i64::from(*instance.0)) % sweep == 0)
         {
             instance.now = now;
             instance.handle(PolicyEvent::TimerFired(Timer::Sweep));
         }
-        let mean_gap = 1_000_000 / Micros::from(self.play.requests_per_s);
+        let mean_gap = 1_000_000 / Micros::from(self.scenario.requests_per_s);
         while self.next_request_at <= now {
-            // As they come by chance: the gaps are drawn, with this mean.
+            // Poisson arrivals: the gaps are exponentially distributed.
             let drawn = self.rng.fraction();
             self.next_request_at += ((1.0 - drawn).ln() * -(mean_gap as f64)) as Micros;
             self.request(now);
         }
     }
 
-    fn start_hosts_anew(&mut self, now: Micros) {
-        if self.play.fresh {
+    fn restart_hosts(&mut self, now: Micros) {
+        if self.scenario.restart_balancers {
             self.instances.clear();
             self.in_flight.clear();
         }
-        let endpoints = self.list(true);
+        let endpoints = self.endpoints(true);
         for instance in self.instances.values_mut() {
             instance.now = now;
             instance.handle(PolicyEvent::Endpoints { complete: true, endpoints: endpoints.clone() });
@@ -143,16 +144,16 @@
     }
 
     fn request(&mut self, now: Micros) {
-        let Play { balancers, unequal, hot, .. } = self.play;
+        let Scenario { balancers, unequal_traffic, with_hot_key, .. } = self.scenario;
         let mut balancer = (self.rng.draw() % u64::from(balancers)) as u32;
-        if unequal && balancers >= 8 && self.rng.draw() % 12 < 5 {
+        if unequal_traffic && balancers >= 8 && self.rng.draw() % 12 < 5 {
             balancer -= balancer % 8;
         }
-        let reads_hot_key = hot && now >= AT && self.rng.draw().is_multiple_of(10);
+        let reads_hot_key = with_hot_key && now >= RESTART_AT && self.rng.draw().is_multiple_of(10);
         let drawn_key = format!("key-{}", self.rng.draw() % 20_000);
         let key = if reads_hot_key { &self.hot_key } else { &drawn_key };
         if !self.instances.contains_key(&balancer) {
-            self.instances.insert(balancer, self.start(balancer, now >= AT));
+            self.instances.insert(balancer, self.start(balancer, now >= RESTART_AT));
         }
         let instance = self.instances.get_mut(&balancer).expect("the balancer was started");
         instance.now = now;
@@ -162,43 +163,43 @@
                 self.in_flight.push_back(InFlight { ends_at: now + 60 * MS, balancer, request, host });
                 self.attempts.push((now, host));
             }
-            None => self.nowhere += u32::from(now >= AT),
+            None => self.unsent += u32::from(now >= RESTART_AT),
         }
     }
 
-    /// What the cold hosts got in each window, against what they bear.
+    /// Compares the load of the cold hosts in each window with the bound.
     fn outcome(&self) -> Outcome {
         let cold = &self.config.slow_start;
-        let requests_per_s = f64::from(self.play.requests_per_s);
+        let requests_per_s = f64::from(self.scenario.requests_per_s);
         let normal = requests_per_s * cold.overload_window as f64 / 1e6 / f64::from(HOSTS);
-        let (mut most, mut mean, mut windows) = (0.0_f64, 0.0, 0.0);
-        for host in (0..HOSTS).filter(|&host| self.is_started_anew(host)) {
-            let there = self.attempts.iter().filter(|sent| sent.1 == HostId(host) && sent.0 >= AT);
+        let (mut max_load, mut mean_use, mut windows) = (0.0_f64, 0.0, 0.0);
+        for host in (0..HOSTS).filter(|&host| self.is_restarted(host)) {
+            let there = self.attempts.iter().filter(|sent| sent.1 == HostId(host) && sent.0 >= RESTART_AT);
             let times: Vec<Micros> = there.map(|sent| sent.0).collect();
-            let mut from = AT;
-            while from + cold.overload_window <= AT + FOR {
+            let mut from = RESTART_AT;
+            while from + cold.overload_window <= RESTART_AT + OBSERVED_FOR {
                 let window = from..from + cold.overload_window;
                 let got = times.iter().filter(|&at| window.contains(at)).count() as f64;
-                let capacity = cold.minimum_capacity(from + cold.overload_window / 2 - AT);
+                let capacity = cold.minimum_capacity(from + cold.overload_window / 2 - RESTART_AT);
                 let allowed = cold.overload_multiple * capacity * normal;
-                most = most.max(got / (allowed + 2.0 * allowed.sqrt() + 2.0));
-                (mean, windows) = (mean + got / allowed, windows + 1.0);
+                max_load = max_load.max(got / (allowed + 2.0 * allowed.sqrt() + 2.0));
+                (mean_use, windows) = (mean_use + got / allowed, windows + 1.0);
                 from += 100 * MS;
             }
         }
-        let came = requests_per_s * FOR as f64 / 1e6;
-        Outcome { most, mean: mean / windows, nowhere: f64::from(self.nowhere) / came }
+        let requests = requests_per_s * OBSERVED_FOR as f64 / 1e6;
+        Outcome { max_load, mean_use: mean_use / windows, unsent: f64::from(self.unsent) / requests }
     }
 }
 
-fn played(play: Play) -> Outcome {
-    let mut simulation = Simulation::new(play);
-    (0..(AT + FOR) / MS).for_each(|tick| simulation.tick(tick));
+fn simulate(scenario: Scenario) -> Outcome {
+    let mut simulation = Simulation::new(scenario);
+    (0..(RESTART_AT + OBSERVED_FOR) / MS).for_each(|tick| simulation.tick(tick));
     simulation.outcome()
 }
 
-/// Whether there is a hot key, whether all hosts are started anew, and all balancers too.
-const KINDS: [(bool, bool, bool); 6] = [
+/// The variants of a scenario: with a hot key, with all hosts restarted, with balancers restarted.
+const VARIANTS: [(bool, bool, bool); 6] = [
     (false, false, false),
     (true, false, false),
     (false, true, false),
@@ -207,25 +208,32 @@
     (true, true, true),
 ];
 
-/// A line for each number of balancers, each outcome under what a host bears.
-fn table(requests_per_s: u32, balancers: &[u32], unequal: bool) -> String {
+/// A table with a line for each number of balancers; asserts that each load is below the bound.
+fn table(requests_per_s: u32, balancers: &[u32], unequal_traffic: bool) -> String {
     let lines = thread::scope(|scope| {
         let line = |&balancers: &u32| {
             scope.spawn(move || {
-                let of = |&(hot, all, fresh): &(bool, bool, bool)| {
-                    let outcome = played(Play { balancers, requests_per_s, unequal, hot, all, fresh });
+                let outcome_of = |&(with_hot_key, restart_all, restart_balancers): &(bool, bool, bool)| {
+                    let outcome = simulate(Scenario {
+                        balancers,
+                        requests_per_s,
+                        unequal_traffic,
+                        with_hot_key,
+                        restart_all,
+                        restart_balancers,
+                    });
                     assert!(
-                        outcome.most < 0.85,
-                        "{balancers}, {requests_per_s}, {unequal}, {hot}, {all}, {fresh}: {}",
-                        outcome.most
+                        outcome.max_load < 0.85,
+                        "{balancers}, {requests_per_s}, {unequal_traffic}, {with_hot_key}, {restart_all}, {restart_balancers}: {}",
+                        outcome.max_load
                     );
                     outcome
                 };
-                let all: Vec<Outcome> = KINDS.iter().map(of).collect();
-                let most: Vec<String> = all.iter().map(|one| format!("{:.2}", one.most)).collect();
-                let means = format!("{:.2}  {:.2}", all[0].mean, all[2].mean);
-                let nowhere = format!("{:.2}  {:.2}", all[0].nowhere, all[2].nowhere);
-                format!("{balancers:<9}  {}   {means}  {nowhere}\n", most.join("  "))
+                let all: Vec<Outcome> = VARIANTS.iter().map(outcome_of).collect();
+                let max_load: Vec<String> = all.iter().map(|one| format!("{:.2}", one.max_load)).collect();
+                let means = format!("{:.2}  {:.2}", all[0].mean_use, all[2].mean_use);
+                let unsent = format!("{:.2}  {:.2}", all[0].unsent, all[2].unsent);
+                format!("{balancers:<9}  {}   {means}  {unsent}\n", max_load.join("  "))
             })
         };
         let lines: Vec<_> = balancers.iter().map(line).collect();
@@ -234,20 +242,21 @@
             .map(|line| line.join().expect("the simulation thread does not panic"))
             .collect::<String>()
     });
-    let how = if unequal { "unequal" } else { "equal" };
+    let how = if unequal_traffic { "unequal" } else { "equal" };
     let title = format!("{requests_per_s} requests/s, {how} traffic");
     let columns = "balancers  some  hot   all   hot   fresh both   mean  all   none  all";
     format!("{title}\n{columns}\n{lines}")
 }
 
-/// The bound of the operators' page is 1. Columns: the most where one host in four is started anew,
-/// with a hot key, where all are, with a hot key, and where all balancers are started with them;
-/// the mean of what the settings allow, and the part of the requests that went nowhere, each for
-/// some and for all.
+/// Loads are fractions of the bound on the operators' page. Columns: the highest load with one host
+/// in four restarted, without and with a hot key; with all hosts restarted, without and with a hot
+/// key; with all balancers restarted as well, for some hosts and for all with a hot key. Then the
+/// mean use of what the settings allow and the fraction of unsent requests, each for some hosts and
+/// for all.
 #[test]
-fn slow_start_sum_of_all_balancers_stays_under_what_a_host_bears() {
+fn slow_start_load_of_all_balancers_stays_below_bound_of_host() {
     let equal = table(40, &[1, 2, 20, 30, 300, 14_000], false);
-    let unequal = table(40, &[20, 30, 300, 14_000], true);
+    let unequal_traffic = table(40, &[20, 30, 300, 14_000], true);
     let busy = table(300, &[30, 300, 14_000], false);
 
     expect![[r#"
@@ -271,5 +280,5 @@
         300        0.27  0.48  0.65  0.74  0.25  0.71   0.23  0.50  0.00  0.15
         14000      0.06  0.13  0.50  0.79  0.04  0.80   0.04  0.33  0.00  0.43
     "#]]
-    .assert_eq(&(equal + &unequal + &busy));
+    .assert_eq(&(equal + &unequal_traffic + &busy));
 }
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -1,4 +1,4 @@
-//! Hosts that warm up: what they get, and that all balancers together overload none.
+//! The load on hosts that are warming up: it grows, and all balancers together overload no host.
 
 use std::collections::VecDeque;
 
@@ -31,26 +31,27 @@
     expect!["sent 4 of 50 at once"].assert_eq(&format!("sent {sent} of 50 at once"));
 }
 
-const STARTED_ANEW_AT: Micros = 8_000 * MS;
+/// When the hosts are restarted.
+const RESTART_AT: Micros = 8_000 * MS;
 
-const PLAYED_HOSTS: u32 = 25;
+const HOSTS: u32 = 25;
 
-/// Some thousand requests a second over all balancers, 25 hosts each with as much as it can bear,
-/// six of which are then started anew; with `hot`, a tenth of all reads turns to one key of such a
-/// host in the same instant. Where one is `replaced`, another process takes over from the first
-/// balancer in the midst of the warming.
-struct HostsStartedAnew {
+/// A simulation of 1,000 requests per second over all balancers, which load 25 hosts to their
+/// capacity. Six of the hosts are restarted at `RESTART_AT`.
+struct Simulation {
     config: PolicyConfig,
-    hot: bool,
-    replaced: bool,
+    /// Whether a tenth of all reads goes to a single key of a cold host from the restart on.
+    with_hot_key: bool,
+    /// Whether a successor process takes over from the first balancer while the hosts warm up.
+    takeover: bool,
     hot_key: String,
     instances: Vec<TestBalancer>,
     rng: SeededRng,
     in_flight: VecDeque<InFlight>,
-    /// When and where each attempt was sent.
+    /// The send time and the host of each attempt.
     attempts: Vec<(Micros, HostId)>,
-    /// The part of the requests that went nowhere.
-    nowhere: f64,
+    /// The fraction of the requests that were not sent.
+    unsent: f64,
 }
 
 struct InFlight {
@@ -60,43 +61,43 @@
     host: HostId,
 }
 
-fn is_started_anew(host: u32) -> bool {
+fn is_restarted(host: u32) -> bool {
     host.is_multiple_of(4) && host > 0
 }
 
-impl HostsStartedAnew {
-    fn new(cold: &SlowStart, balancers: u32, hot: bool, replaced: bool) -> HostsStartedAnew {
+impl Simulation {
+    fn new(cold: &SlowStart, balancers: u32, with_hot_key: bool, takeover: bool) -> Simulation {
         let config = PolicyConfig { balancers, slow_start: cold.clone(), ..policy_config() };
-        let hosts: Vec<_> = (0..PLAYED_HOSTS).map(endpoint).collect();
+        let hosts: Vec<_> = (0..HOSTS).map(endpoint).collect();
         let start = |seed: u64| TestBalancer::new(&PolicyConfig { seed, ..config.clone() }, hosts.clone());
         let mut instances: Vec<TestBalancer> = (0..u64::from(balancers)).map(start).collect();
         let mut is_at_cold_host = |key: &String| instances[0].serve(key)[0] == HostId(4);
         let hot_key =
             keys(500).into_iter().find(&mut is_at_cold_host).expect("a key has the cold host as its home");
         instances[0] = start(900);
-        HostsStartedAnew {
+        Simulation {
             config,
-            hot,
-            replaced,
+            with_hot_key,
+            takeover,
             hot_key,
             instances,
             rng: SeededRng::new(5),
             in_flight: VecDeque::new(),
             attempts: Vec::new(),
-            nowhere: 0.0,
+            unsent: 0.0,
         }
     }
 
-    /// The endpoint list after the start.
-    fn list() -> Vec<Endpoint> {
-        let started_at = |host: u32| Some(STARTED_ANEW_AT).filter(|_| is_started_anew(host));
-        (0..PLAYED_HOSTS).map(|host| Endpoint { started_at: started_at(host), ..endpoint(host) }).collect()
+    /// The endpoint list after the restart.
+    fn endpoints() -> Vec<Endpoint> {
+        let started_at = |host: u32| Some(RESTART_AT).filter(|_| is_restarted(host));
+        (0..HOSTS).map(|host| Endpoint { started_at: started_at(host), ..endpoint(host) }).collect()
     }
 
     fn tick(&mut self, tick: i64) {
         let now = tick * MS;
-        if self.replaced && now == STARTED_ANEW_AT + 900 * MS {
-            self.replace_first(now);
+        if self.takeover && now == RESTART_AT + 900 * MS {
+            self.replace_first_process(now);
         }
         while self.in_flight.front().is_some_and(|next| next.ends_at <= now) {
             let InFlight { balancer, request, host, .. } =
@@ -107,8 +108,8 @@
         let due = |nth: usize| (tick + nth as i64) % 50 == 0;
         for (_, instance) in self.instances.iter_mut().enumerate().filter(|(nth, _)| due(*nth)) {
             instance.now = now;
-            if now / (50 * MS) == STARTED_ANEW_AT / (50 * MS) {
-                let endpoints = HostsStartedAnew::list();
+            if now / (50 * MS) == RESTART_AT / (50 * MS) {
+                let endpoints = Simulation::endpoints();
                 instance.handle(PolicyEvent::Endpoints { complete: true, endpoints });
             }
             instance.handle(PolicyEvent::TimerFired(Timer::Sweep));
@@ -116,11 +117,11 @@
         self.request(now);
     }
 
-    /// The new process gets the list as it stands and the limits that the old one learned; that one
-    /// ends what it has in flight.
-    fn replace_first(&mut self, now: Micros) {
+    /// The successor gets the current endpoint list and the limits that its predecessor learned; the
+    /// predecessor finishes its requests in flight.
+    fn replace_first_process(&mut self, now: Micros) {
         let config = PolicyConfig { seed: 901, ..self.config.clone() };
-        let mut new = TestBalancer::new(&config, HostsStartedAnew::list());
+        let mut new = TestBalancer::new(&config, Simulation::endpoints());
         new.now = now;
         new.handle(PolicyEvent::LimitsLearned(self.instances[0].learned_limits()));
         let old = std::mem::replace(&mut self.instances[0], new);
@@ -133,7 +134,7 @@
     fn request(&mut self, now: Micros) {
         let balancer = (self.rng.draw() % u64::from(self.config.balancers)) as usize;
         let drawn_key = format!("key-{}", self.rng.draw() % 20_000);
-        let reads_hot_key = self.hot && now >= STARTED_ANEW_AT && self.rng.draw().is_multiple_of(10);
+        let reads_hot_key = self.with_hot_key && now >= RESTART_AT && self.rng.draw().is_multiple_of(10);
         let key = if reads_hot_key { &self.hot_key } else { &drawn_key };
         self.instances[balancer].now = now;
         let (request, actions) = self.instances[balancer].request(READ, key);
@@ -142,46 +143,47 @@
                 self.in_flight.push_back(InFlight { ends_at: now + 60 * MS, balancer, request, host });
                 self.attempts.push((now, host));
             }
-            None if now >= STARTED_ANEW_AT => self.nowhere += 1.0 / 6_000.0,
+            None if now >= RESTART_AT => self.unsent += 1.0 / 6_000.0,
             None => {}
         }
     }
 
-    /// What a host got in a window, over as much as a host of full load bears in it, by what it
-    /// surely has in the middle of it.
+    /// The load of a host in a window, as a fraction of the load that overloads it. The capacity is
+    /// the minimum in the middle of the window.
     fn load_in(&self, host: u32, from: Micros) -> f64 {
         let cold = &self.config.slow_start;
         let window = from..from + cold.overload_window;
-        let bears = (cold.overload_window / MS) as f64 / f64::from(PLAYED_HOSTS);
+        let full_load = (cold.overload_window / MS) as f64 / f64::from(HOSTS);
         let there = |sent: &&(Micros, HostId)| sent.1 == HostId(host) && window.contains(&sent.0);
         let got = self.attempts.iter().filter(there).count() as f64;
-        let capacity = cold.minimum_capacity(from + cold.overload_window / 2 - STARTED_ANEW_AT);
-        got / (cold.overload_multiple * capacity * bears)
+        let capacity = cold.minimum_capacity(from + cold.overload_window / 2 - RESTART_AT);
+        got / (cold.overload_multiple * capacity * full_load)
     }
 }
 
-/// What the cold hosts got of what would overload them in their worst window, at most and on
-/// average, and the part of the requests that went nowhere.
-fn hosts_started_anew(cold: &SlowStart, balancers: u32, hot: bool, replaced: bool) -> (f64, f64, f64) {
-    let mut play = HostsStartedAnew::new(cold, balancers, hot, replaced);
-    (0..14_000).for_each(|tick| play.tick(tick));
+/// The load of the cold hosts in their worst windows, as fractions of what overloads them: the
+/// maximum and the mean; and the fraction of unsent requests.
+fn simulate(cold: &SlowStart, balancers: u32, with_hot_key: bool, takeover: bool) -> (f64, f64, f64) {
+    let mut simulation = Simulation::new(cold, balancers, with_hot_key, takeover);
+    (0..14_000).for_each(|tick| simulation.tick(tick));
     let worst = |host: u32| {
-        let windows = (0..6).map(|nth| play.load_in(host, STARTED_ANEW_AT + nth * 500 * MS));
+        let windows = (0..6).map(|nth| simulation.load_in(host, RESTART_AT + nth * 500 * MS));
         windows.fold(0.0, f64::max)
     };
-    let worst: Vec<f64> = (0..PLAYED_HOSTS).filter(|&host| is_started_anew(host)).map(worst).collect();
-    let most = worst.iter().copied().fold(0.0, f64::max);
-    (most, worst.iter().sum::<f64>() / worst.len() as f64, play.nowhere)
+    let worst: Vec<f64> = (0..HOSTS).filter(|&host| is_restarted(host)).map(worst).collect();
+    let max_load = worst.iter().copied().fold(0.0, f64::max);
+    (max_load, worst.iter().sum::<f64>() / worst.len() as f64, simulation.unsent)
 }
 
-/// The same as a table for so many balancers, with each figure under a bound.
-fn started_anew(cold: &SlowStart, balancers: &[u32], replaced: bool, under: f64) -> String {
+/// A table with the outcomes for each number of balancers; asserts that each load is below `under`.
+fn table(cold: &SlowStart, balancers: &[u32], takeover: bool, under: f64) -> String {
     let mut table = "balancers  hot key  most of what overloads    mean  requests given up\n".to_owned();
     for &balancers in balancers {
-        for hot in [false, true] {
-            let (most, mean, nowhere) = hosts_started_anew(cold, balancers, hot, replaced);
-            assert!(most < under, "{balancers} balancers, hot key {hot}: {most}");
-            table += &format!("{balancers:<9}  {hot:<7}  {most:<24.2}  {mean:.2}  {nowhere:.3}\n");
+        for with_hot_key in [false, true] {
+            let (max_load, mean, unsent) = simulate(cold, balancers, with_hot_key, takeover);
+            assert!(max_load < under, "{balancers} balancers, hot key {with_hot_key}: {max_load}");
+            table +=
+                &format!("{balancers:<9}  {with_hot_key:<7}  {max_load:<24.2}  {mean:.2}  {unsent:.3}\n");
         }
     }
     table
@@ -189,7 +191,7 @@
 
 #[test]
 fn slow_start_process_takeover_overloads_no_host() {
-    let table = started_anew(&policy_config().slow_start, &[1, 2, 20], true, 1.0);
+    let table = table(&policy_config().slow_start, &[1, 2, 20], true, 1.0);
 
     expect![[r#"
         balancers  hot key  most of what overloads    mean  requests given up
@@ -205,7 +207,7 @@
 
 #[test]
 fn slow_start_all_balancers_together_overload_no_host() {
-    let table = started_anew(&policy_config().slow_start, &[1, 2, 20, 100, 900], false, 0.9);
+    let table = table(&policy_config().slow_start, &[1, 2, 20, 100, 900], false, 0.9);
 
     expect![[r#"
         balancers  hot key  most of what overloads    mean  requests given up
@@ -223,7 +225,7 @@
     .assert_eq(&table);
 }
 
-/// The bound by the cold figures of the two deployments that take the balancer on.
+/// The slow-start settings are those of the two deployments that adopt the balancer.
 #[test]
 fn slow_start_quick_and_slow_warm_up_keep_the_bound() {
     let cold = |from, warm_up_time| SlowStart {
@@ -232,8 +234,8 @@
         overload_multiple: 3.0,
         overload_window: 1_000 * MS,
     };
-    let slowly = started_anew(&cold(0.12, 24_000 * MS), &[13, 117], false, 1.1);
-    let quickly = started_anew(&cold(0.3, 8_900 * MS), &[62, 420], false, 1.1);
+    let slow = table(&cold(0.12, 24_000 * MS), &[13, 117], false, 1.1);
+    let quick = table(&cold(0.3, 8_900 * MS), &[62, 420], false, 1.1);
 
     expect![[r#"
         balancers  hot key  most of what overloads    mean  requests given up
@@ -247,7 +249,7 @@
         420        false    0.44                      0.34  0.000
         420        true     0.86                      0.34  0.000
     "#]]
-    .assert_eq(&(slowly + &quickly));
+    .assert_eq(&(slow + &quick));
 }
 
 #[test]
--- a/tests/router.rs
+++ b/tests/router.rs
@@ -1,5 +1,5 @@
-//! The router, as traces: what it answers, what lies in other requests' mailboxes, and that a
-//! request ends once.
+//! Tests of the router by traces: the returned actions, the actions in the mailboxes of other
+//! requests, and that a request gets one final answer.
 
 mod common;
 
@@ -87,7 +87,7 @@
     assert_eq!(router.requests_with_actions(), vec![]);
     let mut due = router.tick(0);
     let mut with_actions = Vec::new();
-    // The home does not answer; sooner or later that is held against it.
+    // The home does not answer, so it is suspected after some sweeps.
     while let Some(now) = due.filter(|&now| now < 700 * MS && with_actions.is_empty()) {
         due = router.tick(now);
         with_actions = router.requests_with_actions();
@@ -137,7 +137,7 @@
     let mut trace = vec![format!("a request open there: {:?}", router.released_hosts())];
     router.attempt_ended(50 * MS, request, AttemptNumber(0), AttemptOutcome::Succeeded);
     trace.push(format!("then: {:?}", router.released_hosts()));
-    // Under the old numbers, but with other names and so with other keys.
+    // The released numbers are reused for hosts with other names, which are home to other keys.
     let renamed = |host: u32, name: u32| Endpoint { host: HostId(host), ..endpoint(name) };
     router.update_endpoints(60 * MS, false, vec![renamed(0, 7), renamed(1, 8)]);
     trace.push(format!("listed anew: {:?}", router.released_hosts()));
@@ -160,9 +160,9 @@
 }
 
 #[test]
-fn learned_limits_restored_are_where_the_next_process_begins() {
-    // How many attempts go out at once before a rejection, at one host, to a request that may fill
-    // all of it.
+fn learned_limits_restored_are_applied_by_successor_process() {
+    // The number of attempts that start at a single host before the first rejection, for a class
+    // that may fill the whole limit.
     let admitted_at_once = |router: &mut Router| {
         (0..)
             .take_while(|nth| {
@@ -204,8 +204,8 @@
     .assert_eq(&trace.join("\n"));
 }
 
-/// What is in flight may run: only where trying again is harmless is the client rejected instead of
-/// failed. What comes after is rejected, and a request that has its answer gets no other.
+/// Attempts in flight may have run, so requests are rejected only if trying again is harmless and
+/// fail otherwise. Later requests are rejected, and no request gets a second final answer.
 #[test]
 fn shutdown_gives_each_open_request_its_final_answer() {
     let mut router = router(3);
@@ -236,8 +236,8 @@
     .assert_eq(&trace.join("\n"));
 }
 
-/// Attempts were decided while their host was warm, and wait for their connections; it starts anew
-/// meanwhile. They are counted against its slow start when they are to be sent.
+/// Attempts wait for their connections while their warm host restarts: they are counted in its
+/// slow-start budget when they are sent.
 #[test]
 fn attempts_that_waited_while_their_host_restarted_count_against_its_slow_start() {
     let mut router = Router::new(&policy_config(), 100);
@@ -270,8 +270,8 @@
     assert!(elsewhere > 0 && sent < refused + sent, "{elsewhere} sent to others");
 }
 
-/// A connection's fault has its host tried again, so it is no host that was tried any more; it is one
-/// where the request may have run, and its number must not come to stand for another.
+/// After a connection fault the host is no longer among the tried ones, as it may be tried again.
+/// The request may have run there, however, so the host's number must not be reused.
 #[test]
 fn host_number_is_kept_while_a_request_may_have_run_there() {
     let mut router = router(4);
@@ -286,7 +286,7 @@
     assert!(!router.released_hosts().contains(&host));
 }
 
-/// The attempt does not end: the request is answered all the same, once its deadline is over.
+/// The request is answered after its deadline even if its attempt does not end.
 #[test]
 fn overdue_request_gets_its_final_answer_at_the_next_tick() {
     let mut router = router(3);
@@ -309,9 +309,10 @@
     .assert_eq(&trace.join("\n"));
 }
 
-/// A process that is behind takes nothing new, which is harmless, and begins again by itself.
+/// A process whose event loop is late rejects new requests, which is harmless, and accepts them
+/// again without further action once it has caught up.
 #[test]
-fn late_event_loop_rejects_what_is_new_until_it_has_caught_up() {
+fn late_event_loop_rejects_new_requests_until_it_has_caught_up() {
     let mut router = router(3);
     let mut trace = Vec::new();
     for lag in [150 * MS, 250 * MS, 0] {
--- a/tests/send_rules.rs
+++ b/tests/send_rules.rs
@@ -1,5 +1,6 @@
-//! The doors of sending, repeating and rejecting as a state machine: whatever comes in whatever
-//! order, what is permitted keeps the rules, by an account that the policy does not see.
+//! A property test of the rules for sending, repeating and rejecting. For random events in random
+//! order, a model that is independent of the policy checks that all permitted sends and all final
+//! answers keep the rules.
 
 mod common;
 
@@ -11,38 +12,38 @@
 use proptest::prelude::*;
 
 const HOSTS: u32 = 4;
-/// Of the keyed class, in the settings of these tests.
-const WINDOW: Micros = 1_000 * MS;
-/// What the policy knows of a balancer that is held up.
-const MAX_STALL: Micros = 150 * MS;
+/// The deduplication window of the keyed class in these tests.
+const DEDUPLICATION_WINDOW: Micros = 1_000 * MS;
+/// The longest stall of the process that the policy allows for.
+const MAX_PROCESS_STALL: Micros = 150 * MS;
 
-/// Something that happens.
+/// An event of the test.
 #[derive(Clone, Debug)]
 enum Step {
     Request {
         class: u16,
         key: u8,
     },
-    /// The n-th attempt that waits for its connection has it now.
+    /// The n-th attempt that waits for a connection gets one.
     Connected {
         nth: usize,
         client_present: bool,
     },
-    /// The n-th attempt that was sent, or that waits, ends.
+    /// The n-th attempt that was sent, or that waits for a connection, ends.
     Ended {
         nth: usize,
         outcome: AttemptOutcome,
     },
-    Drains {
+    Drain {
         host: u32,
     },
-    Restarts {
+    Restart {
         host: u32,
     },
     ClientLeaves {
         nth: usize,
     },
-    Passes {
+    TimePasses {
         milliseconds: i64,
     },
 }
@@ -56,20 +57,20 @@
             .prop_map(|(nth, client_present)| Step::Connected { nth, client_present }),
         4 => (any::<usize>(), prop::sample::select(outcomes.to_vec()))
             .prop_map(|(nth, outcome)| Step::Ended { nth, outcome }),
-        1 => (0..HOSTS).prop_map(|host| Step::Drains { host }),
-        1 => (0..HOSTS).prop_map(|host| Step::Restarts { host }),
+        1 => (0..HOSTS).prop_map(|host| Step::Drain { host }),
+        1 => (0..HOSTS).prop_map(|host| Step::Restart { host }),
         1 => any::<usize>().prop_map(|nth| Step::ClientLeaves { nth }),
-        5 => (0..600i64).prop_map(|milliseconds| Step::Passes { milliseconds }),
+        5 => (0..600i64).prop_map(|milliseconds| Step::TimePasses { milliseconds }),
     ]
 }
 
-/// An attempt as the test keeps it.
+/// The model of an attempt.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     host: HostId,
     deadline: Micros,
     sent_at: Option<Micros>,
-    /// None while it is in flight.
+    /// `None` while the attempt is in flight.
     outcome: Option<AttemptOutcome>,
 }
 
@@ -79,6 +80,7 @@
     }
 }
 
+/// The model of a request.
 #[derive(Debug)]
 struct Request {
     class: u16,
@@ -106,7 +108,7 @@
     fn new() -> Model {
         let mut config = policy_config();
         config.classes[1].retry_safety =
-            RetrySafety::IdempotencyKey { scope: DeduplicationScope::All, window: WINDOW };
+            RetrySafety::IdempotencyKey { scope: DeduplicationScope::All, window: DEDUPLICATION_WINDOW };
         config.classes.iter_mut().for_each(|class| class.late_weight = 1.0);
         let mut router = Router::new(&config, 1_000);
         let hosts: Vec<Endpoint> = (0..HOSTS).map(endpoint).collect();
@@ -114,7 +116,7 @@
         Model { router, now: 0, requests: BTreeMap::new(), hosts }
     }
 
-    fn take(&mut self, id: RequestId, actions: Vec<RequestAction>) {
+    fn apply(&mut self, id: RequestId, actions: Vec<RequestAction>) {
         for action in actions {
             let (now, retry_after_max) = (self.now, 400 * MS);
             let request = self.requests.get_mut(&id).expect("the request is open");
@@ -130,7 +132,7 @@
                     let retried_at = now + retry_after.unwrap_or(0).min(retry_after_max);
                     let is_harmless = match (request.class, request.first_run()) {
                         (0, _) | (_, None) => true,
-                        (1, Some(first)) => retried_at < first + WINDOW,
+                        (1, Some(first)) => retried_at < first + DEDUPLICATION_WINDOW,
                         _ => false,
                     };
                     assert!(is_harmless, "rejected at {now}: {request:?}");
@@ -144,16 +146,16 @@
     fn collect(&mut self) {
         for id in self.router.requests_with_actions() {
             let actions = self.router.take_actions(id);
-            self.take(id, actions);
+            self.apply(id, actions);
         }
     }
 
-    /// The n-th attempt in flight for which this holds.
-    fn nth(&self, nth: usize, holds: impl Fn(&Attempt) -> bool) -> Option<AttemptKey> {
+    /// The n-th attempt in flight that matches a condition; `nth` wraps around.
+    fn nth_in_flight(&self, nth: usize, matches: impl Fn(&Attempt) -> bool) -> Option<AttemptKey> {
         let mut found = Vec::new();
         for (&request, open) in &self.requests {
             for (&number, attempt) in &open.attempts {
-                if attempt.outcome.is_none() && holds(attempt) {
+                if attempt.outcome.is_none() && matches(attempt) {
                     found.push(AttemptKey { request, number: AttemptNumber(number) });
                 }
             }
@@ -169,7 +171,7 @@
     fn ended(&mut self, key: AttemptKey, outcome: AttemptOutcome) {
         self.attempt(key).outcome = Some(outcome);
         let actions = self.router.attempt_ended(self.now, key.request, key.number, outcome);
-        self.take(key.request, actions);
+        self.apply(key.request, actions);
     }
 
     fn connected(&mut self, key: AttemptKey, client_present: bool) {
@@ -182,12 +184,12 @@
         assert!(self.now < permit.complete_by() && permit.complete_by() <= deadline);
         assert_eq!((permit.attempt(), permit.host()), (key, host));
         assert_eq!(self.hosts[host.index()].lifecycle, Lifecycle::Up);
-        // Held up for as long as may be, it is written inside the window all the same.
-        let written_at = permit.complete_by() + MAX_STALL;
+        // Even after the longest stall, the request is written inside the deduplication window.
+        let written_at = permit.complete_by() + MAX_PROCESS_STALL;
         match (request.class, request.first_run()) {
             (0, _) | (_, None) => {}
-            (1, Some(first)) => assert!(written_at <= first + WINDOW, "{request:?}"),
-            _ => panic!("an at-most-once request is sent again: {request:?}"),
+            (1, Some(first)) => assert!(written_at <= first + DEDUPLICATION_WINDOW, "{request:?}"),
+            _ => panic!("an at-most-once request was sent again: {request:?}"),
         }
         let now = self.now;
         self.attempt(key).sent_at = Some(now);
@@ -207,31 +209,31 @@
                 let (id, actions) = self.router.submit(self.now, new);
                 let request = Request { class, attempts: BTreeMap::new(), answers: 0, client_left: false };
                 self.requests.insert(id, request);
-                self.take(id, actions);
+                self.apply(id, actions);
             }
             Step::Connected { nth, client_present } => {
-                if let Some(key) = self.nth(nth, |attempt| attempt.sent_at.is_none()) {
+                if let Some(key) = self.nth_in_flight(nth, |attempt| attempt.sent_at.is_none()) {
                     self.connected(key, client_present);
                 }
             }
             Step::Ended { nth, outcome } => {
-                // What was not sent can't have been answered.
+                // Only an outcome that proves that the request did not run can end an unsent attempt.
                 let proves = outcome.proves_not_run() && outcome != AttemptOutcome::Miss;
-                if let Some(key) = self.nth(nth, |attempt| attempt.sent_at.is_some() || proves) {
+                if let Some(key) = self.nth_in_flight(nth, |attempt| attempt.sent_at.is_some() || proves) {
                     self.ended(key, outcome);
                 }
             }
-            Step::Drains { host } => self.list(host, Lifecycle::Draining, None),
-            Step::Restarts { host } => self.list(host, Lifecycle::Up, Some(self.now)),
+            Step::Drain { host } => self.update_host(host, Lifecycle::Draining, None),
+            Step::Restart { host } => self.update_host(host, Lifecycle::Up, Some(self.now)),
             Step::ClientLeaves { nth } => {
                 let open: Vec<RequestId> = self.requests.keys().copied().collect();
                 if let Some(&id) = open.get(nth % open.len().max(1)) {
                     self.requests.get_mut(&id).expect("the request is open").client_left = true;
                     let actions = self.router.client_gone(self.now, id);
-                    self.take(id, actions);
+                    self.apply(id, actions);
                 }
             }
-            Step::Passes { milliseconds } => {
+            Step::TimePasses { milliseconds } => {
                 self.now += milliseconds * MS;
                 self.router.tick(self.now);
             }
@@ -239,9 +241,9 @@
         self.collect();
     }
 
-    fn list(&mut self, host: u32, lifecycle: Lifecycle, started_at: Option<Micros>) {
+    fn update_host(&mut self, host: u32, lifecycle: Lifecycle, started_at: Option<Micros>) {
         let listed = &mut self.hosts[host as usize];
-        // A host that once drained stays so, whatever comes later, until it starts anew.
+        // A draining host is listed as up again only with a new start time.
         listed.lifecycle = lifecycle;
         listed.started_at = started_at.or(listed.started_at);
         let change = listed.clone();
@@ -252,7 +254,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, ..ProptestConfig::default() })]
     #[test]
-    fn what_is_permitted_keeps_the_rules_in_every_order_of_events(
+    fn permitted_sends_keep_the_rules_in_any_order_of_events(
         steps in prop::collection::vec(step(), 1..120)
     ) {
         let mut model = Model::new();
