--- a/tests/decisions/endpoints.rs
+++ b/tests/decisions/endpoints.rs
@@ -1,4 +1,4 @@
-//! What the endpoint list does: hosts that drain, go, or are dropped; calls that fail.
+//! Effects of the endpoint list: hosts that drain, are gone or are dropped; failed discovery calls.
 
 use basaltwood::types::*;
 use expect_test::expect;
@@ -8,7 +8,7 @@
 #[test]
 fn host_draining_or_gone_gets_no_attempt() {
     let mut lines = String::new();
-    for way in ["change", "gone", "missing from the whole list", "origin gone"] {
+    for way in ["draining", "gone", "missing from the complete list", "origin gone"] {
         let mut config = policy_config();
         config.capabilities.cache_aside = way.starts_with("origin");
         let origin = Endpoint { origin: true, ..endpoint(1) };
@@ -19,7 +19,7 @@
         };
         let mut balancer = TestBalancer::new(&config, hosts);
         let event = match way {
-            "change" => PolicyEvent::Endpoints {
+            "draining" => PolicyEvent::Endpoints {
                 complete: false,
                 endpoints: vec![Endpoint { lifecycle: Lifecycle::Draining, ..endpoint(0) }],
             },
@@ -39,9 +39,9 @@
     }
 
     expect![[r#"
-        change: reject, retry after 400
+        draining: reject, retry after 400
         gone: reject, retry after 400
-        missing from the whole list: reject, retry after 400
+        missing from the complete list: reject, retry after 400
         origin gone: reject, retry after 400
     "#]]
     .assert_eq(&lines);
@@ -68,7 +68,7 @@
         balancer.handle(PolicyEvent::Endpoints { complete: false, endpoints: vec![drains] });
         balancer.handle(PolicyEvent::Endpoints { complete: true, endpoints: Vec::new() });
         line += &format!(", emptied {}", homes_of(&mut balancer));
-        // One that is really gone loses what it is sent, and is left until the list names it again.
+        // A host that is really gone loses its attempts, and is not used until it is listed again.
         let mut lost = 0;
         for key in keys(300) {
             let (request, actions) = balancer.request(READ, &key);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn discovery_failed_is_watched_again_and_same_events_give_same_actions() {
+fn discovery_failure_restarts_watch_and_same_events_give_same_actions() {
     let run = || {
         let mut balancer = TestBalancer::new(
             &PolicyConfig {
--- a/tests/decisions/host_health.rs
+++ b/tests/decisions/host_health.rs
@@ -1,4 +1,4 @@
-//! When a host or a zone is left, and how it comes into use again.
+//! When a host or a zone is ejected, and how it returns into use.
 
 use std::collections::VecDeque;
 
@@ -56,7 +56,7 @@
             out.push(request);
         }
         let sent = balancer.now;
-        // Now and then an answer never comes; that request is in flight until it is given up.
+        // In every fifth round one answer is lost; its request is in flight until it times out.
         if round % 5 == 0 {
             lost.push_back((out.remove(round % 6), sent));
         }
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn hosts_mostly_hung_load_moves_to_those_that_answer() {
+fn hosts_mostly_hung_load_moves_to_the_answering_host() {
     let mut balancer = balancer(5);
     let hung = |host: HostId| host.0 < 4;
     let mut sent = Vec::new();
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn quiet_balancer_one_timeout_lowers_key_share_of_host() {
+fn host_with_one_timeout_at_quiet_balancer_keeps_fewer_keys() {
     let mut balancer = one_of_many(900, 100);
     let homes = homes(&mut balancer, 2_000);
     let jammed = HostId(7);
@@ -132,10 +132,10 @@
     expect!["keeps 11 of 26 keys"].assert_eq(&format!("keeps {kept} of {} keys", own.len()));
 }
 
-/// Where attempts to a host lie further apart than their waits, a balancer would lose it request
-/// after request before a second sign came.
+/// If a balancer sends to a host less often than its attempts time out, it would lose request after
+/// request before there is a second sign of the failure.
 #[test]
-fn host_losing_its_only_attempt_is_left_at_any_number_of_balancers() {
+fn host_losing_its_only_attempt_is_ejected_at_any_number_of_balancers() {
     let mut lines = String::new();
     for balancers in [1, 2, 20, 100, 900] {
         for others in [0, 1] {
@@ -143,7 +143,7 @@
             let home = balancer.serve("k")[0];
             balancer.advance(300 * MS);
             let (request, _) = balancer.request(READ, "k");
-            // Others that are out are witnesses of their own, sent later than this one.
+            // Another attempt in flight, sent later, may still show that the host answers.
             balancer.now += 600 * MS;
             let more: Vec<_> = (0..others).map(|_| balancer.request(READ, "k")).collect();
             balancer.now += 198 * MS;
@@ -173,16 +173,16 @@
     .assert_eq(&lines);
 }
 
-/// Two zones of ten hosts; one falls silent, or a few hosts of it hang while their neighbours answer.
+/// In one of two zones of ten hosts, all hosts fall silent, or three of them while the others answer.
 #[test]
-fn zone_dark_is_avoided_as_a_whole_and_single_hung_hosts_are_not() {
+fn zone_is_avoided_if_all_its_hosts_are_silent_but_not_if_few_are() {
     let mut lines = String::new();
     for balancers in [2, 20, 100, 900] {
         for (what, hung) in [("a zone", 20), ("three hosts of it", 6)] {
             let mut balancer = one_of_many(balancers, 20);
             let zone = |host: HostId| host.0 % 2 == 1;
             let (mut lost, mut left, mut back) = (0, 0, 0);
-            // One request each 80 ms: a host is met every second or two.
+            // One request every 80 ms: each host gets one every second or two.
             let mut out: VecDeque<(Micros, RequestId, HostId, AttemptOutcome)> = VecDeque::new();
             for round in 0..200 {
                 balancer.advance(80 * MS);
@@ -226,8 +226,8 @@
     .assert_eq(&lines);
 }
 
-/// Hundreds of quiet balancers that took a jammed host back after a fixed time would each lose it
-/// their next request again.
+/// If hundreds of quiet balancers took a congested host back after a fixed time, each of them would
+/// lose its next request there.
 #[test]
 fn host_silent_stays_ejected_for_the_send_interval() {
     let mut lines = Vec::new();
@@ -239,7 +239,7 @@
             .expect("a key has host 2 as its home");
         let others: Vec<String> =
             keys(40).into_iter().filter(|key| balancer.serve(key) != [HostId(2)]).take(3).collect();
-        // Each host is met once in that time.
+        // Each host gets one request per round.
         let round = |balancer: &mut TestBalancer| {
             others.iter().for_each(|other| drop(balancer.serve(other)));
             balancer.advance(apart * MS - 400 * MS * i64::from(apart > 400));
@@ -249,7 +249,7 @@
             round(&mut balancer);
         }
         let (request, _) = balancer.request(READ, &key);
-        // It goes elsewhere meanwhile, and is answered there.
+        // Meanwhile the request is also sent to another host, which answers.
         for (nth, host) in (1..).zip(attempted(&balancer.advance(800 * MS))) {
             balancer.attempt_ended(request, nth, host, AttemptOutcome::Succeeded, 100 * MS);
         }
@@ -258,19 +258,19 @@
         while balancer.ejected() > 0 && balancer.now - silent < 40_000 * MS {
             balancer.advance(250 * MS);
         }
-        lines.push(format!("met each {apart} ms: left for {} ms more", (balancer.now - silent) / MS));
+        lines.push(format!("a send each {apart} ms: ejected for {} ms more", (balancer.now - silent) / MS));
     }
 
     expect![[r#"
-        met each 200 ms: left for 2000 ms more
-        met each 2000 ms: left for 2250 ms more
-        met each 12000 ms: left for 12750 ms more"#]]
+        a send each 200 ms: ejected for 2000 ms more
+        a send each 2000 ms: ejected for 2250 ms more
+        a send each 12000 ms: ejected for 12750 ms more"#]]
     .assert_eq(&lines.join("\n"));
 }
 
-/// A host is left for one attempt that timed out, and is back as cold: how many of its 100 keys it
-/// gets after it has answered three reads after so long each.
-fn kept_after(answers: Micros) -> usize {
+/// A host is ejected for one time-out and returns as a cold host. Returns how many of its 100 keys
+/// it gets after it has answered three reads with this latency.
+fn keys_kept_after(latency: Micros) -> usize {
     let mut balancer = balancer(4);
     let keys = keys(800);
     let homes: Vec<HostId> = keys.iter().map(|key| balancer.serve(key)[0]).collect();
@@ -285,7 +285,7 @@
     for key in &own {
         let (request, actions) = balancer.request(READ, key);
         let Some(&host) = attempted(&actions).first() else { continue };
-        let elapsed = if host == HostId(2) { answers } else { 100 * MS };
+        let elapsed = if host == HostId(2) { latency } else { 100 * MS };
         balancer.now += elapsed;
         balancer.attempt_ended(request, 0, host, AttemptOutcome::Succeeded, elapsed);
         answered += u32::from(host == HostId(2));
@@ -293,7 +293,7 @@
             break;
         }
     }
-    // Asked for and dropped, so that nothing more is learned meanwhile.
+    // The requests are abandoned, so that the host's state does not change.
     let mut goes_there = |key: &&&String| {
         let (request, actions) = balancer.request(READ, key);
         balancer.handle(PolicyEvent::ClientGone { request });
@@ -306,7 +306,7 @@
 
 #[test]
 fn host_warming_up_that_answers_quickly_is_restored() {
-    let (slow, quick) = (kept_after(400 * MS), kept_after(50 * MS));
+    let (slow, quick) = (keys_kept_after(400 * MS), keys_kept_after(50 * MS));
 
     expect!["of 100 keys 3 after slow values, 90 after quick ones"]
         .assert_eq(&format!("of 100 keys {slow} after slow values, {quick} after quick ones"));
--- a/tests/decisions/large_fleets.rs
+++ b/tests/decisions/large_fleets.rs
@@ -1,17 +1,17 @@
-//! What a decision costs, in steps counted: bounded, however many hosts there are.
+//! The cost of a decision in steps is bounded, independent of the number of hosts.
 
 use basaltwood::router::{NewRequest, RequestAction, Router};
 use basaltwood::types::*;
 
 use crate::common::*;
 
-/// The usual size, and four and sixteen times the largest that the operators name.
+/// The usual size, and four and sixteen times the largest size that the operators state.
 const FLEET_SIZES: [u32; 3] = [200, 3_200, 12_800];
-/// Hosts that one selection looks at, at most.
+/// The most hosts that one selection assesses.
 const MAX_HOSTS: u64 = 256;
-/// Points of the ring that it passes, at most: all of so many hosts.
+/// The most ring points that one selection visits: all points of `MAX_HOSTS` hosts.
 const MAX_POINTS: u64 = 64 * MAX_HOSTS;
-/// Selections of one request, at most: a first one and one for each host that is not admitted.
+/// The most selections for one attempt: the first one, and further ones for hosts not admitted.
 const MAX_SELECTIONS: u64 = 3;
 
 struct LargeFleet {
@@ -28,7 +28,7 @@
         LargeFleet { router, now: 60 * MS, requests: 0 }
     }
 
-    /// Submits a read of a key that none has read before.
+    /// Submits a read of a key that was not read before.
     fn submit(&mut self) -> (RequestId, Vec<RequestAction>) {
         self.requests += 1;
         let key = Some(RingPosition::of(&format!("key-{}", self.requests)));
@@ -37,13 +37,13 @@
         self.router.submit(self.now, new)
     }
 
-    /// Time goes on, timers run.
+    /// Advances the time and runs the timers.
     fn advance(&mut self, span: Micros) {
         self.now += span;
         self.router.tick(self.now);
     }
 
-    /// Attempts at these hosts end without a connection, until nearly all of them are avoided.
+    /// Has attempts at the lost hosts end as unreachable until nearly all of these are avoided.
     fn lose_hosts(&mut self, is_lost: impl Fn(HostId) -> bool) {
         for _ in 0..20 {
             (0..100).for_each(|_| self.end_one_request(&is_lost));
@@ -59,23 +59,23 @@
         }
     }
 
-    /// The part of the hosts that get nothing now.
-    fn avoided_part(&self) -> f64 {
+    /// The fraction of the hosts that are ejected.
+    fn ejected_share(&self) -> f64 {
         let PoolSize { listed, ejected, .. } = self.router.pool_size();
         ejected as f64 / listed as f64
     }
 
-    /// The most that one decision costs, of a hundred.
-    fn dearest_decision(&mut self) -> SelectionWork {
-        let mut dearest = SelectionWork::default();
+    /// The highest cost among one hundred decisions.
+    fn max_decision_cost(&mut self) -> SelectionWork {
+        let mut max_cost = SelectionWork::default();
         for _ in 0..100 {
             let before = self.router.selection_work();
             self.submit();
             let after = self.router.selection_work();
-            dearest.hosts = dearest.hosts.max(after.hosts - before.hosts);
-            dearest.points = dearest.points.max(after.points - before.points);
+            max_cost.hosts = max_cost.hosts.max(after.hosts - before.hosts);
+            max_cost.points = max_cost.points.max(after.points - before.points);
         }
-        dearest
+        max_cost
     }
 }
 
@@ -85,10 +85,10 @@
 }
 
 #[test]
-fn decision_with_all_hosts_usable_looks_at_one() {
+fn decision_with_all_hosts_usable_assesses_one() {
     for hosts in FLEET_SIZES {
         let mut fleet = LargeFleet::new((0..hosts).map(endpoint).collect());
-        assert_eq!(fleet.dearest_decision(), SelectionWork { hosts: 1, points: 1 }, "{hosts} hosts");
+        assert_eq!(fleet.max_decision_cost(), SelectionWork { hosts: 1, points: 1 }, "{hosts} hosts");
     }
 }
 
@@ -97,8 +97,8 @@
     for hosts in FLEET_SIZES {
         let mut fleet = LargeFleet::new((0..hosts).map(endpoint).collect());
         fleet.lose_hosts(|_| true);
-        assert!(fleet.avoided_part() > 0.9, "{hosts} hosts: {}", fleet.avoided_part());
-        assert_bounded(fleet.dearest_decision(), "none usable", hosts);
+        assert!(fleet.ejected_share() > 0.9, "{hosts} hosts: {}", fleet.ejected_share());
+        assert_bounded(fleet.max_decision_cost(), "none usable", hosts);
     }
 }
 
@@ -109,8 +109,8 @@
         let endpoints = (0..hosts).map(|host| Endpoint { zone: zone(host), ..endpoint(host) });
         let mut fleet = LargeFleet::new(endpoints.collect());
         fleet.lose_hosts(|host| host.0 > 0);
-        assert!(fleet.avoided_part() > 0.9, "{hosts} hosts: {}", fleet.avoided_part());
-        assert_bounded(fleet.dearest_decision(), "one usable", hosts);
+        assert!(fleet.ejected_share() > 0.9, "{hosts} hosts: {}", fleet.ejected_share());
+        assert_bounded(fleet.max_decision_cost(), "one usable", hosts);
     }
 }
 
@@ -119,27 +119,28 @@
     for hosts in FLEET_SIZES {
         let endpoints = (0..hosts).map(|host| Endpoint { started_at: Some(0), ..endpoint(host) });
         let mut fleet = LargeFleet::new(endpoints.collect());
-        assert_bounded(fleet.dearest_decision(), "all cold", hosts);
+        assert_bounded(fleet.max_decision_cost(), "all cold", hosts);
     }
 }
 
-/// A usable host is found wherever one in a few is usable.
+/// A usable host is found if one host in sixteen is usable.
 #[test]
 fn decision_with_one_zone_of_sixteen_usable_finds_a_host() {
     let zone = |host: u32| ZoneId(u32::from(host.is_multiple_of(16)));
     let endpoints = (0..3_200).map(|host| Endpoint { zone: zone(host), ..endpoint(host) });
     let mut fleet = LargeFleet::new(endpoints.collect());
     fleet.lose_hosts(|host| !host.0.is_multiple_of(16));
-    assert!(fleet.avoided_part() > 0.85, "{}", fleet.avoided_part());
+    assert!(fleet.ejected_share() > 0.85, "{}", fleet.ejected_share());
     for _ in 0..100 {
         let (_, actions) = fleet.submit();
         assert!(matches!(actions[..], [RequestAction::StartAttempt { .. }]), "{actions:?}");
     }
 }
 
-/// Hundreds of requests are in flight as zones go dark: the retry budget bounds what one pass decides.
+/// More than a hundred requests are in flight when zones become unreachable: the retry budget bounds
+/// the decisions of one sweep.
 #[test]
-fn pass_that_finds_zones_dark_is_bounded_by_the_retry_budget() {
+fn sweep_that_finds_zones_unreachable_is_bounded_by_the_retry_budget() {
     const REQUESTS: usize = 120;
     const RETRY_BUDGET: u64 = 20;
     let mut fleet = LargeFleet::new((0..12_800).map(endpoint).collect());
@@ -150,7 +151,7 @@
     let before = fleet.router.selection_work();
     fleet.advance(60 * MS);
     let after = fleet.router.selection_work();
-    assert!(fleet.avoided_part() > 0.9, "{}", fleet.avoided_part());
+    assert!(fleet.ejected_share() > 0.9, "{}", fleet.ejected_share());
     let hosts = after.hosts - before.hosts;
-    assert!(hosts > 0 && hosts <= RETRY_BUDGET * MAX_SELECTIONS * MAX_HOSTS, "{hosts} hosts looked at");
+    assert!(hosts > 0 && hosts <= RETRY_BUDGET * MAX_SELECTIONS * MAX_HOSTS, "{hosts} hosts assessed");
 }
--- a/tests/decisions/limits.rs
+++ b/tests/decisions/limits.rs
@@ -1,13 +1,13 @@
-//! What is rejected: the limits of hosts, of the balancer and of tenants.
+//! The limits of hosts, of the fleet and of tenants, and the rejections that they cause.
 
 use basaltwood::types::*;
 use expect_test::expect;
 
 use crate::common::*;
 
-/// What 40 pairs of requests that give up after `wait`, each with a request that is served between,
-/// do to their home.
-fn left_after(wait: Micros, first: bool) -> String {
+/// The effect on a home of 40 pairs of requests that time out after `wait`, with a served request
+/// after each pair. With `on_new_connection`, each attempt is the first one on its connection.
+fn effect_of_timeouts(wait: Micros, on_new_connection: bool) -> String {
     let mut balancer = balancer(4);
     let home = HostId(2);
     let own: Vec<String> = keys(400).into_iter().filter(|key| balancer.serve(key)[0] == home).collect();
@@ -22,7 +22,7 @@
             .count();
         rejected += requests.iter().filter(|(_, actions)| attempted(actions).is_empty()).count();
         let (sent, attempt) = (balancer.now, AttemptNumber(0));
-        for &(request, _) in requests.iter().filter(|_| first) {
+        for &(request, _) in requests.iter().filter(|_| on_new_connection) {
             balancer.handle(PolicyEvent::NewConnection { request, attempt, host: home });
         }
         elsewhere += attempted(&balancer.advance(wait)).len();
@@ -53,14 +53,14 @@
 }
 
 #[test]
-fn concurrency_limit_attempts_cut_short_do_not_decrease_it() {
+fn concurrency_limit_is_not_decreased_by_attempts_cut_short() {
     let mut lines = String::new();
-    for (what, wait, first) in [
+    for (what, wait, on_new_connection) in [
         ("clients that give up after 40 ms", 40 * MS, false),
         ("first attempts that wait 300 ms", 300 * MS, true),
         ("attempts that wait 300 ms", 300 * MS, false),
     ] {
-        lines += &format!("{what}: {}\n", left_after(wait, first));
+        lines += &format!("{what}: {}\n", effect_of_timeouts(wait, on_new_connection));
     }
 
     expect![[r#"
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn concurrency_limit_jam_at_start_is_not_taken_for_minimum_latency() {
+fn congestion_at_start_does_not_count_as_minimum_latency() {
     let mut balancer = balancer(1);
     let mut admitted = Vec::new();
     for round in 0..6 {
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn fleet_or_origin_in_jam_is_not_fed_by_many_balancers() {
+fn congested_fleet_or_origin_gets_little_from_many_balancers() {
     let mut lines = String::new();
     for balancers in [2, 900] {
         for write in [false, true] {
@@ -176,16 +176,16 @@
     .assert_eq(&lines);
 }
 
-/// A balancer among so many whose part of the limit of the balancer is some four attempts at once,
-/// while its requests need two on average: how many of them are out at a time, and of a thousand
-/// how many are rejected.
-fn at_its_mean(balancers: u32) -> String {
+/// One of many balancers whose share of the fleet's limit is about four attempts in flight, while
+/// its requests need two on average. Reports the mean number in flight, and the rejections per
+/// thousand requests.
+fn at_mean_load(balancers: u32) -> String {
     let mut balancer = one_of_many(balancers, (balancers * 3 / 10).max(1));
     let mut rng = SeededRng::new(3);
     let mut out: Vec<(Micros, RequestId, HostId)> = Vec::new();
     let (mut came, mut rejected, mut in_flight_total) = (0, 0, 0);
     for step in 0..6_000 {
-        // A slow answer: the limit learns its level by such.
+        // The answers are slow, so that the limit finds its level.
         for (_, request, host) in
             out.extract_if(.., |sent| balancer.now - sent.0 >= 300 * MS).collect::<Vec<_>>()
         {
@@ -195,7 +195,7 @@
             let (request, actions) = balancer.request(READ, &format!("{step}"));
             let sent = attempted(&actions);
             out.extend(sent.iter().map(|&host| (balancer.now, request, host)));
-            // The first seconds are the limit's own.
+            // The first 20 s are left out, in which the limit finds its level.
             let counts = usize::from(step >= 2_000);
             (came, rejected) = (came + counts, rejected + counts * usize::from(sent.is_empty()));
         }
@@ -210,7 +210,7 @@
 
 #[test]
 fn fleet_limit_bursts_of_many_balancers_even_out() {
-    let lines: Vec<String> = [1, 2, 20, 100, 300, 900].into_iter().map(at_its_mean).collect();
+    let lines: Vec<String> = [1, 2, 20, 100, 300, 900].into_iter().map(at_mean_load).collect();
 
     expect![[r#"
         1: 1.6 out, 200 rejected
@@ -222,8 +222,8 @@
     .assert_eq(&lines.join("\n"));
 }
 
-/// Clients that give up early and come again at once would have every host of a large balancer work
-/// for nobody.
+/// If clients give up early and try again at once, every host of a large fleet would do work that
+/// no client waits for.
 #[test]
 fn request_that_cannot_wait_for_minimum_latency_is_rejected_unsent() {
     let cache_aside = PolicyConfig {
@@ -238,11 +238,11 @@
         lines.push(format!("waits {wait} ms: {}", trace(&actions)));
         attempted(&actions).first().map(|&host| (request, host))
     };
-    // Before anything was answered nobody knows what can't be waited for.
+    // The minimum latency is unknown before the first answers.
     if let Some((request, host)) = ask(&mut balancer, &mut lines, READ, 30) {
         balancer.attempt_ended(request, 0, host, AttemptOutcome::Succeeded, 30 * MS);
     }
-    // Hits in 100 ms, fetches in 60.
+    // Hits take 100 ms, requests to the origin 60 ms.
     for round in 0..60 {
         balancer.serve(&format!("key-{round}"));
         let (request, _) = balancer.request(ONCE, "written");
@@ -255,7 +255,7 @@
     }
     ask(&mut balancer, &mut lines, ONCE, 40);
     ask(&mut balancer, &mut lines, ONCE, 80);
-    // A miss that leaves too little for a fetch is not fetched for nobody.
+    // After a miss, nothing is fetched if the remaining time is too short for that.
     for (wait, elapsed) in [(150, 100), (200, 100)] {
         if let Some((request, host)) = ask(&mut balancer, &mut lines, READ, wait) {
             balancer.now += elapsed * MS;
@@ -278,9 +278,10 @@
     .assert_eq(&lines.join("\n"));
 }
 
-/// One of a hundred balancers before an origin in a jam, in through mode: every answer is an error
-/// that took so long. How many may be out at a time after some seconds of it.
-fn after_errors(elapsed: Micros) -> usize {
+/// One of a hundred balancers without cache-aside, while the origin behind the hosts is congested:
+/// every answer is an error after `elapsed`. Returns how many attempts may be in flight after 40 of
+/// these requests.
+fn admitted_after_errors(elapsed: Micros) -> usize {
     let mut balancer = one_of_many(100, 20);
     let keys = keys(20);
     for round in 0..40 {
@@ -295,9 +296,12 @@
 }
 
 #[test]
-fn fleet_limit_slow_errors_decrease_it_and_quick_ones_do_not() {
-    let line =
-        format!("after quick errors {}, after slow ones {}", after_errors(20 * MS), after_errors(600 * MS));
+fn fleet_limit_is_decreased_by_slow_errors_but_not_by_quick_ones() {
+    let line = format!(
+        "after quick errors {}, after slow ones {}",
+        admitted_after_errors(20 * MS),
+        admitted_after_errors(600 * MS)
+    );
 
     expect!["after quick errors 6, after slow ones 0"].assert_eq(&line);
 }
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -1,4 +1,4 @@
-//! What a balancer decides, as short traces to be read.
+//! Tests of the decisions of a balancer, most of them as short readable traces.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/decisions/retries.rs
+++ b/tests/decisions/retries.rs
@@ -1,4 +1,4 @@
-//! Which outcomes lead to another attempt, and how a request ends.
+//! The outcomes that lead to another attempt, and how a request ends.
 
 use basaltwood::types::*;
 use expect_test::expect;
@@ -100,10 +100,10 @@
 }
 
 #[test]
-fn key_failing_everywhere_gets_one_attempt_and_no_host_is_blamed() {
+fn key_failing_at_every_host_gets_one_attempt_and_no_host_is_blamed() {
     let mut balancer = balancer(4);
     let mut lines = Vec::new();
-    // Every attempt of this request gets an error; how many it had, and how it ended.
+    // Every attempt of the request gets an error; returns the number of attempts and the end.
     let fails = |balancer: &mut TestBalancer, key: &str| {
         let (request, mut actions) = balancer.request(READ, key);
         let (mut attempts, mut last) = (0, Vec::new());
@@ -124,7 +124,7 @@
             homes.len()
         }));
     }
-    // A value ends it: the key is as good as any.
+    // After a value, the key is no longer a failing one.
     balancer.serve("bad");
     lines.push(format!("after a value: {}", fails(&mut balancer, "bad")));
 
@@ -142,21 +142,21 @@
 }
 
 #[test]
-fn host_failing_everything_is_found_among_failing_requests() {
+fn host_failing_all_requests_is_avoided_among_requests_that_fail_everywhere() {
     let mut balancer = balancer(4);
-    let ill = HostId(2);
+    let faulty = HostId(2);
     let mut lines = Vec::new();
     for round in 0..4 {
-        let (mut bad_attempts, mut at_ill, mut unserved) = (0, 0, 0);
+        let (mut bad_attempts, mut at_faulty, mut unserved) = (0, 0, 0);
         for nth in 0..120 {
-            // Each third request gets an error wherever it goes, and its key comes once.
+            // Every third request gets an error at every host; its key is used once.
             let bad = nth % 3 == 0;
             let (request, mut actions) = balancer.request(READ, &format!("{round}-{nth}"));
             let (mut attempt, mut served) = (0, false);
             while let Some(&host) = attempted(&actions).first() {
                 balancer.advance(50 * MS);
-                let fails = bad || host == ill;
-                at_ill += usize::from(!bad && host == ill);
+                let fails = bad || host == faulty;
+                at_faulty += usize::from(!bad && host == faulty);
                 actions = balancer.attempt_ended(
                     request,
                     attempt,
@@ -170,38 +170,39 @@
             unserved += usize::from(!bad && !served);
         }
         let bad = format!("{bad_attempts} attempts of 40 bad requests");
-        let good = format!("of 80 good ones {at_ill} at the ill host, {unserved} unserved");
+        let good = format!("of 80 good ones {at_faulty} at the faulty host, {unserved} unserved");
         lines.push(format!("{bad}; {good}"));
     }
 
     expect![[r#"
-        56 attempts of 40 bad requests; of 80 good ones 5 at the ill host, 2 unserved
-        42 attempts of 40 bad requests; of 80 good ones 5 at the ill host, 5 unserved
-        41 attempts of 40 bad requests; of 80 good ones 6 at the ill host, 6 unserved
-        41 attempts of 40 bad requests; of 80 good ones 5 at the ill host, 4 unserved"#]]
+        56 attempts of 40 bad requests; of 80 good ones 5 at the faulty host, 2 unserved
+        42 attempts of 40 bad requests; of 80 good ones 5 at the faulty host, 5 unserved
+        41 attempts of 40 bad requests; of 80 good ones 6 at the faulty host, 6 unserved
+        41 attempts of 40 bad requests; of 80 good ones 5 at the faulty host, 4 unserved"#]]
     .assert_eq(&lines.join("\n"));
 }
 
 #[test]
-fn host_rejecting_everything_is_left_and_unreached_attempts_are_refunded() {
+fn host_rejecting_all_requests_is_ejected_and_unreached_attempts_are_refunded() {
     let mut busy = balancer(3);
-    let drains = HostId(1);
-    // It drains, and the list does not say so. More requests than the budget of further attempts has.
+    let draining = HostId(1);
+    // The host is draining but not listed as such, and gets more requests than the retry budget
+    // covers.
     let (mut selected, mut given_up) = (0, 0);
     for key in keys(400) {
         let (request, actions) = busy.request(READ, &key);
         let Some(&home) = attempted(&actions).first() else { continue };
         let (mut host, mut attempt) = (home, 0);
-        selected += usize::from(host == drains);
-        while host == drains {
+        selected += usize::from(host == draining);
+        while host == draining {
             let actions = busy.attempt_ended(request, attempt, host, AttemptOutcome::Rejected, MS);
             attempt += 1;
             let Some(&next) = attempted(&actions).first() else { break };
             host = next;
         }
-        given_up += usize::from(host == drains);
+        given_up += usize::from(host == draining);
         busy.advance(50 * MS);
-        if host != drains {
+        if host != draining {
             busy.attempt_ended(request, attempt, host, AttemptOutcome::Succeeded, 50 * MS);
         }
     }
@@ -256,8 +257,8 @@
     .assert_eq(&lines);
 }
 
-/// Where one attempt of a request may be out, its host's silence moves nothing and costs it
-/// nothing: once that attempt has ended it has its further ones still, as its class allows.
+/// Without hedging, the suspicion of a silent host starts no further attempt and uses no retry. When
+/// the attempt has ended, the request still has the retries that its class allows.
 #[test]
 fn request_without_hedging_at_silent_host_keeps_its_retries() {
     let one = PolicyConfig {
@@ -273,7 +274,7 @@
             .expect("a key has host 2 as its home");
         let (request, _) = balancer.request(class, &key);
         let silence = trace(&balancer.advance(600 * MS));
-        lines += &format!("{name}: {} left, {silence}", balancer.ejected());
+        lines += &format!("{name}: {} ejected, {silence}", balancer.ejected());
         let mut actions = balancer.attempt_ended(request, 0, HostId(2), AttemptOutcome::TimedOut, 600 * MS);
         let mut attempt = 0;
         while let Some(&host) = attempted(&actions).first() {
@@ -286,9 +287,9 @@
     }
 
     expect![[r#"
-        idempotent: 1 left, nothing; attempt h0 for 198; attempt h3 for 148; fail
-        idempotency-key: 1 left, nothing; attempt h0 for 198; fail
-        at-most-once: 1 left, nothing; fail
+        idempotent: 1 ejected, nothing; attempt h0 for 198; attempt h3 for 148; fail
+        idempotency-key: 1 ejected, nothing; attempt h0 for 198; fail
+        at-most-once: 1 ejected, nothing; fail
     "#]]
     .assert_eq(&lines);
 }
--- a/tests/decisions/ring.rs
+++ b/tests/decisions/ring.rs
@@ -1,4 +1,4 @@
-//! Which host has a key: the ring and the holders of hot keys.
+//! The hosts of a key: its home on the ring, and the holders of hot keys.
 
 use basaltwood::types::*;
 use expect_test::expect;
@@ -6,7 +6,7 @@
 use crate::common::*;
 
 #[test]
-fn ring_host_leaves_or_returns_only_its_keys_move() {
+fn only_the_keys_of_a_host_move_when_it_leaves_or_returns() {
     let mut balancer = balancer(6);
     let before = homes(&mut balancer, 120);
     let gone = Endpoint { lifecycle: Lifecycle::Draining, ..endpoint(2) };
@@ -41,7 +41,7 @@
     let spread = |balancer: &mut TestBalancer, rounds: u32, hot: u32| {
         let mut hosts: Vec<HostId> = Vec::new();
         for round in 0..rounds {
-            // They overlap, so that the least busy holder changes.
+            // The requests overlap, so that the least busy holder changes.
             let requests: Vec<_> = (0..hot).map(|_| balancer.request(READ, "hot")).collect();
             balancer.now += 50 * MS;
             for (request, actions) in requests {
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -23,7 +23,7 @@
 
     expect!["warm 28, then 21, then 28, then 28"].assert_eq(&line);
 
-    // A balancer that is cold as a whole: the rest is rejected, whatever is requested.
+    // If all hosts are cold, requests beyond their budgets are rejected, whatever their keys.
     let cold = (0..2).map(|host| Endpoint { started_at: Some(0), ..endpoint(host) }).collect();
     let mut balancer = TestBalancer::new(&policy_config(), cold);
     let sent: usize = keys(50).iter().map(|key| attempted(&balancer.request(READ, key).1).len()).sum();
--- a/tests/router.rs
+++ b/tests/router.rs
@@ -134,13 +134,13 @@
     let (request, _) = router.submit(0, new_request(READ, "k"));
     let gone = |host: u32| Endpoint { lifecycle: Lifecycle::Gone, ..endpoint(host) };
     router.update_endpoints(MS, false, vec![gone(0), gone(1)]);
-    let mut trace = vec![format!("a request open there: {:?}", router.released_hosts())];
+    let mut trace = vec![format!("with an open request: {:?}", router.released_hosts())];
     router.attempt_ended(50 * MS, request, AttemptNumber(0), AttemptOutcome::Succeeded);
-    trace.push(format!("then: {:?}", router.released_hosts()));
+    trace.push(format!("after it: {:?}", router.released_hosts()));
     // The released numbers are reused for hosts with other names, which are home to other keys.
     let renamed = |host: u32, name: u32| Endpoint { host: HostId(host), ..endpoint(name) };
     router.update_endpoints(60 * MS, false, vec![renamed(0, 7), renamed(1, 8)]);
-    trace.push(format!("listed anew: {:?}", router.released_hosts()));
+    trace.push(format!("after reuse: {:?}", router.released_hosts()));
     let mut fresh = Router::new(&policy_config(), 100);
     fresh.update_endpoints(0, true, vec![renamed(0, 7), renamed(1, 8)]);
     let home = |router: &mut Router, nth: u32| {
@@ -149,13 +149,13 @@
         trace_of(&actions)
     };
     let same = (0..60).filter(|&nth| home(&mut router, nth) == home(&mut fresh, nth)).count();
-    trace.push(format!("{same} of 60 keys at the homes that the new names give"));
+    trace.push(format!("{same} of 60 keys at the homes by the new names"));
 
     expect![[r#"
-        a request open there: [HostId(1)]
-        then: [HostId(0), HostId(1)]
-        listed anew: []
-        60 of 60 keys at the homes that the new names give"#]]
+        with an open request: [HostId(1)]
+        after it: [HostId(0), HostId(1)]
+        after reuse: []
+        60 of 60 keys at the homes by the new names"#]]
     .assert_eq(&trace.join("\n"));
 }
 
@@ -181,9 +181,9 @@
     for (name, position, limit) in [
         ("learned", position, 17.4),
         ("another host's", endpoint(1).position, 17.4),
-        ("absurdly much", position, f64::INFINITY),
-        ("nothing", position, 0.0),
-        ("no number", position, f64::NAN),
+        ("infinite", position, f64::INFINITY),
+        ("zero", position, 0.0),
+        ("not a number", position, f64::NAN),
     ] {
         let mut router = fresh();
         router.restore_limits(0, vec![LearnedLimit { position, limit }]);
@@ -197,9 +197,9 @@
         fresh: 6
         learned: 18
         another host's: 6
-        absurdly much: 256
-        nothing: 1
-        no number: 1
+        infinite: 256
+        zero: 1
+        not a number: 1
         [17.4]"#]]
     .assert_eq(&trace.join("\n"));
 }
