--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -46,7 +46,7 @@
 struct Simulation {
     scenario: Scenario,
     config: PolicyConfig,
-    /// The balancers by number; each is created at its first request.
+    /// The balancers by number; each is created at its first request, as nothing changes it before.
     instances: BTreeMap<u32, TestBalancer>,
     hot_key: String,
     rng: SeededRng,
--- a/tests/decisions/host_health.rs
+++ b/tests/decisions/host_health.rs
@@ -173,7 +173,7 @@
     .assert_eq(&lines);
 }
 
-/// In one of two zones of ten hosts, all hosts fall silent, or three of them.
+/// In one of two zones of ten hosts, all hosts fall silent, or three hang while the others answer.
 #[test]
 fn zone_is_avoided_if_all_its_hosts_are_silent_but_not_if_few_are() {
     let mut lines = String::new();
