--- a/testbed/src/router/endpoints.rs
+++ b/testbed/src/router/endpoints.rs
@@ -1,4 +1,4 @@
-//! The hosts that a baseline router knows, and how it picks one.
+//! The endpoints that a baseline router knows, and its selection of a host.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -14,14 +14,14 @@
 
 use crate::experiment::Baseline;
 
-/// Points of each host on the ring.
-const POINTS_PER_HOST: u64 = 64;
+/// The number of ring positions of each host.
+const POSITIONS_PER_HOST: u64 = 64;
 
-/// A list of discovery, or what is newer than a generation of it.
+/// A list from discovery, or its changes since a generation.
 #[derive(Deserialize)]
 pub(super) struct EndpointList {
     pub(super) generation: u64,
-    /// Whether it is the whole list.
+    /// Whether this is the whole list.
     #[serde(default)]
     reset: bool,
     instances: Vec<Instance>,
@@ -36,7 +36,7 @@
     lifecycle: String,
 }
 
-/// A connection that no request uses, and since when.
+/// A connection that no request uses, and when it became idle.
 pub(super) struct IdleConnection {
     pub(super) stream: TcpStream,
     pub(super) since: Instant,
@@ -45,7 +45,7 @@
 /// A host or the origin.
 pub(super) struct Endpoint {
     pub(super) address: SocketAddr,
-    /// Whether requests are sent to it.
+    /// Whether the router may select this host.
     active: Cell<bool>,
     pub(super) in_flight: Cell<usize>,
     pub(super) idle: RefCell<Vec<IdleConnection>>,
@@ -62,15 +62,15 @@
     }
 }
 
-/// All that a router knows.
+/// All endpoints that a router knows.
 pub(super) struct Endpoints {
     baseline: Baseline,
-    /// A fault: hosts that drain count as active.
+    /// An injected fault: draining hosts count as active.
     sends_to_draining: bool,
-    /// By instance id.
+    /// Cache hosts by instance id.
     hosts: BTreeMap<String, Rc<Endpoint>>,
     origin: Option<Rc<Endpoint>>,
-    /// Active hosts by their points.
+    /// Active hosts by ring position.
     ring: BTreeMap<u64, Rc<Endpoint>>,
 }
 
@@ -83,7 +83,7 @@
         self.origin.clone()
     }
 
-    /// Takes in what discovery says.
+    /// Applies a list, or the changes of one.
     pub(super) fn apply(&mut self, list: EndpointList) {
         if list.reset {
             self.hosts.clear();
@@ -113,14 +113,14 @@
     fn rebuild_ring(&mut self) {
         self.ring.clear();
         for (id, host) in self.hosts.iter().filter(|(_, host)| host.active.get()) {
-            for nth in 0..POINTS_PER_HOST {
-                let point = xxh3_64(format!("{id}/{nth}").as_bytes());
-                self.ring.insert(point, host.clone());
+            for nth in 0..POSITIONS_PER_HOST {
+                let position = xxh3_64(format!("{id}/{nth}").as_bytes());
+                self.ring.insert(position, host.clone());
             }
         }
     }
 
-    /// A host for a key, other than `excluded`; `None` where there is none.
+    /// Selects an active host for a key, other than `excluded`; `None` if there is none.
     pub(super) fn select(
         &self,
         key: &[u8],
@@ -131,8 +131,8 @@
             host.active.get() && excluded.is_none_or(|excluded| !Rc::ptr_eq(excluded, host))
         };
         if self.baseline == Baseline::PlainRing {
-            let point = xxh3_64(key);
-            let mut clockwise = self.ring.range(point..).chain(self.ring.range(..point));
+            let position = xxh3_64(key);
+            let mut clockwise = self.ring.range(position..).chain(self.ring.range(..position));
             return clockwise.find(|(_, host)| is_eligible(host)).map(|(_, host)| host.clone());
         }
         let mut eligible: Vec<&Rc<Endpoint>> = self.hosts.values().filter(|host| is_eligible(host)).collect();
--- a/testbed/src/router/exchange.rs
+++ b/testbed/src/router/exchange.rs
@@ -1,5 +1,5 @@
-//! One attempt of a baseline router: a command to a cache host or a request to the origin, and its
-//! response.
+//! Attempts of a baseline router: sends a command to a cache host or a request to the origin, and
+//! reads the response.
 
 use std::time::Duration;
 
@@ -13,25 +13,25 @@
 
 use super::endpoints::{Endpoint, IdleConnection};
 
-/// Connections are used again only while they are younger than the idle time-out of any host.
+/// The longest idle time of a connection that is reused, below the idle timeout of every host.
 const MAX_IDLE: Duration = Duration::from_secs(10);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Bytes that a response may have beside its value.
+/// The most bytes of a response in addition to its value.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 pub(super) enum AttemptOutcome {
     Value(Bytes),
     Miss,
-    /// The host rejected it: it never ran.
+    /// The host or the origin rejected the request without running it.
     Rejected,
-    /// No connection came up.
+    /// The request could not be sent: connecting or writing failed.
     Unreachable,
-    /// It may have run.
+    /// The request failed and may have run.
     Failed,
 }
 
-/// Why bytes are no response.
+/// Why a response could not be parsed.
 #[derive(Debug, Error)]
 enum ResponseError {
     #[error(transparent)]
@@ -40,17 +40,17 @@
     Http(#[from] http::ResponseError),
 }
 
-/// A response that is there as a whole.
+/// A complete response.
 struct ParsedResponse {
     outcome: AttemptOutcome,
     consumed: usize,
-    /// Whether the connection can be used again.
+    /// Whether the connection can be reused.
     keep_alive: bool,
 }
 
 type ParseResult = Result<Option<ParsedResponse>, ResponseError>;
 
-/// Sends a command (its words) to a cache host.
+/// Sends a command to a cache host.
 pub(super) async fn send_to_host(host: &Endpoint, words: &[Bytes], deadline: Instant) -> AttemptOutcome {
     let facts = facts::with_timeout(&words[3], remaining_ms(deadline));
     let mut command: Vec<&[u8]> = words.iter().map(|word| &word[..]).collect();
@@ -58,7 +58,7 @@
     exchange(host, &resp::encode_command(&command), deadline, parse_host_reply).await
 }
 
-/// Sends a command (its words) to the origin, in the origin's protocol.
+/// Sends a command to the origin as an HTTP request.
 pub(super) async fn send_to_origin(origin: &Endpoint, words: &[Bytes], deadline: Instant) -> AttemptOutcome {
     let facts = facts::with_timeout(&words[3], remaining_ms(deadline));
     let path = format!("/{}", http::percent_encode(&words[1]));
@@ -95,7 +95,7 @@
     Ok(Some(ParsedResponse { outcome, consumed, keep_alive }))
 }
 
-/// One request and its response, on an idle connection or a new one.
+/// Sends a request on an idle or a new connection and reads the response.
 async fn exchange(
     endpoint: &Endpoint,
     request: &[u8],
@@ -127,7 +127,7 @@
     }
 }
 
-/// The connection that was idle for the shortest time, unless it is too old, or a new one.
+/// The most recently used idle connection, or a new one if that was idle for too long.
 async fn check_out(endpoint: &Endpoint, deadline: Instant) -> Option<TcpStream> {
     let newest = endpoint.idle.borrow_mut().pop();
     if let Some(idle) = newest.filter(|idle| idle.since.elapsed() < MAX_IDLE) {
--- a/testbed/src/router/fault.rs
+++ b/testbed/src/router/fault.rs
@@ -1,40 +1,39 @@
-//! Faults that a router can be told to commit, so that a test can show that the audit finds each.
+//! Faults that can be injected into a router, so that tests can show that the audit detects each.
 
-/// What a faulty router does. The words of the command line are older than the names of the
-/// variants.
+/// A fault of a router. The values on the command line are kept for compatibility.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum InjectedFault {
     /// Never answers one request in ten.
     #[value(name = "forget")]
     NeverReply,
-    /// Answers one request in ten past its deadline.
+    /// Answers one request in ten after its deadline.
     #[value(name = "late")]
     ReplyLate,
     /// Answers one request in ten twice.
     #[value(name = "twice")]
     ReplyTwice,
-    /// Answers with the value of the request before.
+    /// Answers with the value of the previous request.
     #[value(name = "foreign")]
     ReplyWithPreviousValue,
-    /// Answers with a value of its own making.
+    /// Answers with a made-up value.
     #[value(name = "forge")]
     ForgeValue,
-    /// Closes the connection over one request in ten.
+    /// Closes the connection instead of answering one request in ten.
     #[value(name = "cut")]
     CloseConnection,
-    /// Sends one request in ten on after its answer.
+    /// Sends one request in ten again after answering it.
     #[value(name = "after")]
     SendAfterReply,
-    /// Never calls discovery, and goes by what it knew at its start.
+    /// Never calls discovery and keeps the list from its start.
     #[value(name = "deaf")]
     IgnoreDiscovery,
-    /// Sends at-most-once writes a second time.
+    /// Sends each write twice, also at-most-once writes.
     #[value(name = "again")]
     RepeatWrites,
-    /// Rejects writes that ran.
+    /// Rejects writes that the origin has executed.
     #[value(name = "deny")]
     RejectExecutedWrites,
-    /// Goes on sending to hosts that drain.
+    /// Keeps sending to draining hosts.
     #[value(name = "drain")]
     SendToDraining,
 }
--- a/testbed/src/router/mod.rs
+++ b/testbed/src/router/mod.rs
@@ -1,14 +1,14 @@
-//! Baselines: small routers that keep the protocol and decide next to nothing, to be measured
-//! beside a balancer. They are programs of their own (`basaltwood-testbed router KIND`) and are
-//! configured by PROXY_CONFIG like a balancer.
+//! Baselines: small routers that speak the protocol with a minimal policy, to be compared with a
+//! balancer. Each runs as a separate process (`basaltwood-testbed router KIND`), configured by
+//! PROXY_CONFIG like a balancer.
 //!
-//! Each picks a host (at random; with fewest of its own in flight; the next on a ring of 64 points
-//! a host), goes on to one other where no connection came up, asks the origin for what the host
-//! lacks, and rejects what surely never ran. There are no limits, no care for hosts that are
-//! warming up and no memory of slow ones.
+//! A router picks a host for each read (at random, with the fewest of its own requests in flight,
+//! or the next on a ring with 64 positions per host). It tries one other host if the request could
+//! not be sent, asks the origin on a miss, and rejects requests that certainly did not run. It has
+//! no limits, treats hosts that are warming up like others and does not avoid slow hosts.
 //!
-//! A router can also be told to commit a fault ([`InjectedFault`]), so that a test can show that
-//! the audit finds it.
+//! A fault can be injected into a router ([`InjectedFault`]), so that a test can show that the
+//! audit detects it.
 
 mod endpoints;
 mod exchange;
@@ -36,60 +36,61 @@
 use exchange::{send_to_host, send_to_origin, AttemptOutcome};
 pub use fault::InjectedFault;
 
-/// The longest list of discovery, in bytes.
+/// The largest list that is read from discovery, in bytes.
 const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
-/// How long discovery may hold a call for changes, in milliseconds.
+/// The longest time for which discovery may hold a call for changes, in milliseconds.
 const WATCH_HOLD_MS: u64 = 20_000;
-/// How long after a call to discovery that failed the next one is made.
+/// The delay after a failed call to discovery.
 const WATCH_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Hosts that a request is sent to, where no connection comes up.
+/// The most hosts to which a request is tried, if sending fails.
 const MAX_ATTEMPTS: usize = 2;
-/// A router gives up so long before a client's time is over.
+/// How long before the client's deadline a router gives up, in milliseconds.
 const REPLY_MARGIN_MS: u64 = 10;
-/// The probability with which a fault strikes that does not strike always.
+/// The probability of a fault that affects only some requests.
 const FAULT_PROBABILITY: f64 = 0.1;
-/// How long past its deadline a reply comes that is late by a fault.
-const FAULT_LATE_BY: Duration = Duration::from_millis(250);
-/// How long after its reply a request is sent on by a fault, and for how long.
-const FAULT_SEND_AFTER: Duration = Duration::from_millis(300);
-const FAULT_SEND_TIMEOUT: Duration = Duration::from_millis(200);
+/// How long after the deadline [`InjectedFault::ReplyLate`] sends the reply.
+const LATE_REPLY_DELAY: Duration = Duration::from_millis(250);
+/// How long after the reply [`InjectedFault::SendAfterReply`] sends the request again.
+const RESEND_DELAY: Duration = Duration::from_millis(300);
+/// The time from sending the request again to its new deadline.
+const RESEND_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Why a router does not serve.
+/// Why a router could not start.
 #[derive(Debug, Error)]
 pub enum RouterError {
-    /// The environment does not name a configuration.
-    #[error("PROXY_CONFIG is not set")]
+    /// PROXY_CONFIG is not set.
+    #[error("PROXY_CONFIG is not set: expected the path of the configuration file")]
     NoConfig,
     /// The configuration can't be read.
     #[error("{path}: {cause}")]
     UnreadableConfig {
         /// The file.
         path: String,
-        /// What the system says.
+        /// The error of the operating system.
         cause: std::io::Error,
     },
-    /// The configuration makes no sense.
+    /// The configuration is invalid.
     #[error("{path}: {cause}")]
     InvalidConfig {
         /// The file.
         path: String,
-        /// What is wrong, with its place.
+        /// The error, with line and column.
         cause: serde_json::Error,
     },
-    /// No runtime could be had.
-    #[error("the runtime: {0}")]
+    /// The async runtime could not be started.
+    #[error("starting the runtime: {0}")]
     Runtime(std::io::Error),
-    /// The address can't be had.
-    #[error("listen on {address}: {cause}")]
+    /// Binding the listener failed.
+    #[error("cannot listen on {address}: {cause}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         cause: std::io::Error,
     },
 }
 
-/// What a router reads of PROXY_CONFIG.
+/// The fields of the PROXY_CONFIG file that a router uses.
 #[derive(Deserialize)]
 struct Config {
     listen: SocketAddr,
@@ -112,7 +113,7 @@
 /// Serves until it is killed.
 ///
 /// # Errors
-/// Where PROXY_CONFIG makes no sense or its address can't be had.
+/// PROXY_CONFIG is missing or invalid, or the listener can't be bound.
 pub fn serve(baseline: Baseline, fault: Option<InjectedFault>) -> Result<(), RouterError> {
     let config = Config::from_environment()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -132,11 +133,11 @@
     fault: Option<InjectedFault>,
     endpoints: RefCell<Endpoints>,
     rng: RefCell<ChaCha8Rng>,
-    /// For the fault that needs it.
+    /// The last value from a host or the origin, for [`InjectedFault::ReplyWithPreviousValue`].
     previous_value: RefCell<Bytes>,
 }
 
-/// Clients and discovery.
+/// Serves clients and watches discovery.
 impl Router {
     async fn listen(self: Rc<Router>, config: Config) -> Result<(), RouterError> {
         let address = config.listen;
@@ -191,7 +192,7 @@
     }
 }
 
-/// One call to discovery; `None` where it fails.
+/// Makes one call to discovery; `None` if it fails.
 async fn fetch_changes(discovery: SocketAddr, generation: u64) -> Option<EndpointList> {
     let mut stream = TcpStream::connect(discovery).await.ok()?;
     let path = format!("/v1/servers?from={generation}&hold_ms={WATCH_HOLD_MS}");
@@ -208,9 +209,9 @@
     }
 }
 
-/// Requests.
+/// Answers requests.
 impl Router {
-    /// The reply to one command; `None` where the connection is to end.
+    /// The reply to one command; `None` if the connection must close.
     async fn reply(self: &Rc<Router>, words: &[Bytes]) -> Option<Bytes> {
         let name = words[0].to_ascii_uppercase();
         if !name.starts_with(b"CACHE.") || words.len() < 4 {
@@ -220,29 +221,30 @@
         let timeout_ms = facts::fact(&facts, "d").and_then(|ms| ms.parse::<u64>().ok()).unwrap_or(0);
         let deadline = Instant::now() + Duration::from_millis(timeout_ms.saturating_sub(REPLY_MARGIN_MS));
         let outcome = self.route(words, deadline).await;
-        if self.strikes(InjectedFault::NeverReply) {
+        if self.should_inject(InjectedFault::NeverReply) {
             std::future::pending::<()>().await;
         }
-        if self.strikes(InjectedFault::ReplyLate) {
-            sleep_until(deadline + FAULT_LATE_BY).await;
+        if self.should_inject(InjectedFault::ReplyLate) {
+            sleep_until(deadline + LATE_REPLY_DELAY).await;
         }
-        if self.strikes(InjectedFault::CloseConnection) {
+        if self.should_inject(InjectedFault::CloseConnection) {
             return None;
         }
-        if self.strikes(InjectedFault::SendAfterReply) {
-            spawn_local(self.clone().send_later(words.to_vec()));
+        if self.should_inject(InjectedFault::SendAfterReply) {
+            spawn_local(self.clone().resend_later(words.to_vec()));
         }
         Some(self.encode_outcome(outcome, words))
     }
 
-    /// Draws whether a fault strikes, where it is the one that this router commits.
-    fn strikes(&self, fault: InjectedFault) -> bool {
+    /// Whether to inject a fault into a request: with [`FAULT_PROBABILITY`], if this router has the
+    /// fault.
+    fn should_inject(&self, fault: InjectedFault) -> bool {
         self.fault == Some(fault) && self.rng.borrow_mut().random_bool(FAULT_PROBABILITY)
     }
 
-    async fn send_later(self: Rc<Router>, words: Vec<Bytes>) {
-        sleep(FAULT_SEND_AFTER).await;
-        self.route(&words, Instant::now() + FAULT_SEND_TIMEOUT).await;
+    async fn resend_later(self: Rc<Router>, words: Vec<Bytes>) {
+        sleep(RESEND_DELAY).await;
+        self.route(&words, Instant::now() + RESEND_TIMEOUT).await;
     }
 
     fn encode_outcome(&self, outcome: AttemptOutcome, words: &[Bytes]) -> Bytes {
@@ -253,8 +255,8 @@
                 Bytes::from_static(b"-BUSY\r\n")
             }
             AttemptOutcome::Value(value) => {
-                let reply = resp::encode_bulk(&self.value_or_fault(value, words));
-                if self.strikes(InjectedFault::ReplyTwice) {
+                let reply = resp::encode_bulk(&self.apply_value_fault(value, words));
+                if self.should_inject(InjectedFault::ReplyTwice) {
                     [&reply[..], &reply[..]].concat().into()
                 } else {
                     reply
@@ -265,8 +267,8 @@
         }
     }
 
-    /// The value that a client is sent for the one that came.
-    fn value_or_fault(&self, value: Bytes, words: &[Bytes]) -> Bytes {
+    /// The value to send to the client: the received one, unless a fault replaces it.
+    fn apply_value_fault(&self, value: Bytes, words: &[Bytes]) -> Bytes {
         match self.fault {
             Some(InjectedFault::ReplyWithPreviousValue) => {
                 let previous = self.previous_value.replace(value.clone());
@@ -281,7 +283,7 @@
         }
     }
 
-    /// Writes go to the origin, reads to a host and from there, on a miss, to the origin.
+    /// Sends a write to the origin, a read to a host and, on a miss, to the origin.
     async fn route(&self, words: &[Bytes], deadline: Instant) -> AttemptOutcome {
         let origin = self.endpoints.borrow().origin();
         if let Some(origin) = origin.as_ref().filter(|_| is_write(words)) {
@@ -291,7 +293,7 @@
             }
             return outcome;
         }
-        // A forged value is one that no host was asked for.
+        // For a forged value no host is asked. `apply_value_fault` makes the value.
         if self.fault == Some(InjectedFault::ForgeValue) {
             return AttemptOutcome::Value(Bytes::new());
         }
--- a/testbed/src/scale/capacity.rs
+++ b/testbed/src/scale/capacity.rs
@@ -1,32 +1,33 @@
-//! Whether this machine can carry an experiment, judged before anything starts.
+//! Checks whether this machine has the processes, descriptors and memory that an experiment needs,
+//! before anything starts.
 
 use super::error::CapacityError;
 use super::experiment::{Conditions, ScaleExperiment};
 use super::system::MachineLimits;
 
-/// Processes of a run at most: simulated balancers, fleets, discovery, a real balancer.
+/// The most processes of a run: simulated balancers, fleets, discovery, a real balancer.
 const MAX_PROCESSES: usize = 40;
-/// What a process takes by itself, in kB. This and the next three were measured once and rounded
-/// up, so that a refusal comes before anything starts.
+/// Base memory of a process, in kB. Like the next three, rounded up, so that an experiment is
+/// refused before it starts rather than running out of memory.
 const PROCESS_KB: f64 = 12_000.0;
-/// What a simulated balancer takes for itself, in kB.
+/// Memory of a simulated balancer without hosts and connections, in kB.
 const BALANCER_KB: f64 = 200.0;
-/// What it takes for each host that it knows, in kB.
+/// Memory of a simulated balancer for each host that it knows, in kB.
 const KNOWN_HOST_KB: f64 = 6.0;
-/// What each end of a connection takes, in kB.
+/// Memory of each end of a connection, in kB.
 const CONNECTION_KB: f64 = 8.0;
-/// Descriptors of a process beside its connections.
+/// Descriptors of a process in addition to its connections.
 const OTHER_DESCRIPTORS: usize = 64;
-/// How much more than its even share of the connections one process of a fleet may get.
+/// Bounds the connections of one fleet process, as a multiple of an even share.
 const FLEET_SKEW: f64 = 1.25;
-/// The part of the machine's memory that a run may take.
-const MAX_MEMORY_PART: f64 = 0.5;
+/// The fraction of the machine's memory that a run may take.
+const MAX_MEMORY_FRACTION: f64 = 0.5;
 
 impl ScaleExperiment {
-    /// Whether this machine can carry every point.
+    /// Checks that this machine has the resources for every point.
     ///
     /// # Errors
-    /// The first want, in one line with the way out.
+    /// The first resource that is too scarce, and what to change, in one line.
     pub fn fits(&self, machine: MachineLimits) -> Result<(), CapacityError> {
         for &point in &self.points {
             let conditions = self.conditions_at(point);
@@ -44,20 +45,20 @@
     }
 }
 
-/// What one point of an experiment takes.
+/// The resources that one point of an experiment needs.
 struct Demand {
-    /// The axis and its value.
+    /// The axis and its value, for error messages.
     point: String,
     simulated_processes: usize,
     fleet_processes: usize,
     conditions: Conditions,
 }
 
-/// The descriptors that one process takes.
+/// The descriptors that one process needs.
 struct DescriptorDemand {
     process: &'static str,
     needed: usize,
-    /// What to change in the experiment where that is too many.
+    /// What to change in the experiment if more are needed than allowed.
     remedy: &'static str,
 }
 
@@ -106,9 +107,9 @@
         let balancers = self.balancers().div_ceil(self.simulated_processes);
         let discovery = 1;
         DescriptorDemand {
-            process: "a hollow process",
+            process: "a process of simulated balancers",
             needed: balancers * (self.conditions.max_connections + discovery) + OTHER_DESCRIPTORS,
-            remedy: "more processes.hollow (or fewer processes.each), fewer held.sockets",
+            remedy: "raise processes.hollow (or lower processes.each), lower held.sockets",
         }
     }
 
@@ -118,7 +119,7 @@
         DescriptorDemand {
             process: "a process of the fleet",
             needed: listeners + connections as usize + OTHER_DESCRIPTORS,
-            remedy: "more processes.fleet, fewer held.sockets",
+            remedy: "raise processes.fleet, lower held.sockets",
         }
     }
 
@@ -126,7 +127,7 @@
         DescriptorDemand {
             process: "discovery",
             needed: self.balancers() + OTHER_DESCRIPTORS,
-            remedy: "fewer balancers",
+            remedy: "lower the number of balancers",
         }
     }
 
@@ -140,7 +141,7 @@
 
     fn check_memory(&self, machine: MachineLimits) -> Result<(), CapacityError> {
         let needed_kb = self.memory_kb();
-        if needed_kb <= machine.memory_kb * MAX_MEMORY_PART {
+        if needed_kb <= machine.memory_kb * MAX_MEMORY_FRACTION {
             return Ok(());
         }
         Err(CapacityError::Memory {
--- a/testbed/src/scale/discovery.rs
+++ b/testbed/src/scale/discovery.rs
@@ -1,6 +1,6 @@
-//! The emulated discovery of a scale run: one for all balancers. A call for changes is held until
-//! the list is newer or its hold is over, as the platform's is. A host that one change lists as
-//! leaving the next lists as active again, so that the list keeps its size.
+//! The emulated discovery service of a scale run, shared by all balancers. Like the platform's, it
+//! holds a call for changes until the list is newer or the hold time is over. Changes alternate:
+//! one sets a host to leaving, the next sets it back to active, so that the list keeps its size.
 
 use std::cell::{Cell, RefCell};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -24,30 +24,31 @@
 use crate::thread_stats::thread_cpu_seconds;
 use crate::world::listener::listen;
 
-/// How often discovery looks whether it is to change the list, and tries again to accept.
-const IDLE_INTERVAL: Duration = Duration::from_millis(5);
-/// The longest wait for a change, in seconds.
+/// How often discovery checks whether list changes are enabled, and the delay after a failed
+/// accept.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// The longest time between two changes, in seconds.
 const MAX_CHANGE_INTERVAL_S: f64 = 10.0;
-/// The first change comes after this part of the interval: the last of a stretch is then not due at
-/// its very end.
-const FIRST_CHANGE_PART: f64 = 0.25;
+/// The first change comes after this fraction of the interval, so that the last change is not due
+/// right when changes are stopped.
+const FIRST_INTERVAL_FRACTION: f64 = 0.25;
 
-/// An entry of the list, and the version that brought it.
+/// An entry of the list, and the version in which it last changed.
 struct VersionedEntry {
     version: u64,
     entry: Value,
 }
 
-/// A response that was written, to send again: many balancers call alike.
+/// The last encoded response, reused because many balancers make the same call.
 struct CachedResponse {
-    /// The version that the callers had; none where they asked for all.
+    /// The version that the callers have; `None` if they asked for the whole list.
     after: Option<u64>,
-    /// The version that the response brings.
+    /// The version of the list in the response.
     generation: u64,
     response: Bytes,
 }
 
-/// The discovery of a run.
+/// The discovery service of a run.
 pub struct Discovery {
     spec: DiscoverySpec,
     address: SocketAddr,
@@ -55,18 +56,18 @@
     /// The newest version.
     generation: watch::Sender<u64>,
     cached: RefCell<Option<CachedResponse>>,
-    /// Whether calls are read and not answered.
+    /// Whether calls are read but not answered.
     silent: watch::Sender<bool>,
-    /// Whether the list changes.
+    /// Whether list changes are enabled.
     changing: Cell<bool>,
     counters: RefCell<DiscoverySnapshot>,
 }
 
 impl Discovery {
-    /// Listens on an address of its own. The list does not change yet.
+    /// Listens on its own loopback address, with list changes disabled.
     ///
     /// # Errors
-    /// The address can't be listened on.
+    /// Binding the listener failed.
     pub fn start(spec: DiscoverySpec) -> std::io::Result<Rc<Discovery>> {
         let listener = listen((Ipv4Addr::new(127, 31, 0, 1), 0).into())?;
         let initial = |entry: &Value| VersionedEntry { version: 1, entry: entry.clone() };
@@ -85,21 +86,21 @@
         Ok(discovery)
     }
 
-    /// Changes the list at even intervals while it is to: a short stretch sees as many changes with
-    /// every seed.
+    /// Changes the list while changes are enabled. The intervals are even, so that short stages
+    /// have the same number of changes with every seed.
     async fn change_list(self: Rc<Discovery>) {
         let mut rng = ChaCha8Rng::seed_from_u64(self.spec.seed);
         let mut leaving = None;
-        let mut interval_part = FIRST_CHANGE_PART;
+        let mut interval_fraction = FIRST_INTERVAL_FRACTION;
         loop {
             if !self.changing.get() || self.spec.changes_per_s <= 0.0 {
-                interval_part = FIRST_CHANGE_PART;
-                sleep(IDLE_INTERVAL).await;
+                interval_fraction = FIRST_INTERVAL_FRACTION;
+                sleep(POLL_INTERVAL).await;
                 continue;
             }
-            let interval_s = interval_part / self.spec.changes_per_s;
+            let interval_s = interval_fraction / self.spec.changes_per_s;
             sleep(Duration::from_secs_f64(interval_s.min(MAX_CHANGE_INTERVAL_S))).await;
-            interval_part = 1.0;
+            interval_fraction = 1.0;
             match leaving.take() {
                 Some(host) => self.set_lifecycle(host, "active"),
                 None => {
@@ -111,7 +112,7 @@
         }
     }
 
-    /// A new version of the list, in which one host has another lifecycle.
+    /// Publishes a new version of the list in which one host has another lifecycle.
     fn set_lifecycle(&self, host: usize, lifecycle: &str) {
         let generation = *self.generation.borrow() + 1;
         if let Some(changed) = self.entries.borrow_mut().get_mut(host) {
@@ -128,12 +129,12 @@
                 Ok((stream, _)) => {
                     spawn_local(self.clone().serve(stream));
                 }
-                Err(_) => sleep(IDLE_INTERVAL).await,
+                Err(_) => sleep(POLL_INTERVAL).await,
             }
         }
     }
 
-    /// Answers the calls of one connection until that ends.
+    /// Answers the calls of one connection until it closes.
     async fn serve(self: Rc<Discovery>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let mut calls = Calls::new(stream);
@@ -161,7 +162,7 @@
         counters.bytes_in += bytes as u64;
     }
 
-    /// What is newer than a version, or all.
+    /// The entries newer than `after`, or the whole list for `None`.
     fn response(&self, after: Option<u64>) -> Bytes {
         let generation = *self.generation.borrow();
         if let Some(cached) = &*self.cached.borrow() {
--- a/testbed/src/scale/error.rs
+++ b/testbed/src/scale/error.rs
@@ -1,14 +1,15 @@
-//! What can go wrong with a scale run.
+//! Errors of scale runs. Each message is one line.
 
 use std::io;
 use std::path::PathBuf;
+use std::time::Duration;
 
 use basaltwood_settings::SettingsError;
 use thiserror::Error;
 
 use crate::play::INTERRUPTED;
 
-/// A scale experiment that can't be played as it is written, or not on this machine. One line.
+/// A scale experiment that can't be read or has invalid values.
 #[derive(Debug, Error)]
 pub enum ExperimentError {
     /// The file can't be read.
@@ -16,164 +17,164 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the operating system.
         cause: io::Error,
     },
-    /// An error in a file.
+    /// An error in the content of a file.
     #[error("{}:{cause}", .path.display())]
     InFile {
         /// The file.
         path: PathBuf,
-        /// What is wrong there.
+        /// The error, which starts with the line where that is known.
         cause: Box<ExperimentError>,
     },
-    /// No such field, or no value for one.
+    /// Invalid TOML, an unknown field, or a missing or mistyped value.
     #[error("{line}: {message}")]
     Syntax {
-        /// Counted from 1; 0 where it is not known.
+        /// The line, counted from 1; 0 if unknown.
         line: usize,
-        /// What the parser says, in one line.
+        /// The parser's message, in one line.
         message: String,
     },
     /// A field's value is out of its range.
-    // The space stands where a syntax error has its line.
+    // The leading space takes the place of the line number of a syntax error.
     #[error(" {field} = {value} is not between {min} and {max}")]
     OutOfRange {
-        /// The field, after the point of the axis where it is a point's.
+        /// The field; with the point of the axis in front if the value belongs to a point.
         field: String,
-        /// Its value.
+        /// The value.
         value: f64,
-        /// The least that is taken.
+        /// The smallest allowed value.
         min: f64,
-        /// The greatest that is taken.
+        /// The largest allowed value.
         max: f64,
     },
-    /// There is nothing to play.
-    #[error(" points is empty: name one at least")]
+    /// The list of points is empty.
+    #[error(" points is empty: give at least one value of the axis")]
     NoPoints,
 }
 
-/// This machine can't carry a point of an experiment. One line with the way out.
+/// This machine lacks the resources for a point of an experiment. The message says what to change.
 #[derive(Debug, Error)]
 pub enum CapacityError {
     /// Too many processes.
     #[error(
-        "{point}: {processes} processes and {max} at most: fewer processes.hollow (or more processes.each) \
-         or processes.fleet"
+        "{point}: needs {processes} processes, at most {max} are allowed: lower processes.hollow (or raise \
+         processes.each) or processes.fleet"
     )]
     Processes {
         /// The axis and its value.
         point: String,
-        /// How many it would be.
+        /// How many the point needs.
         processes: usize,
         /// How many are allowed.
         max: usize,
     },
     /// Too many descriptors in one process.
     #[error(
-        "{point}: {process} needs up to {needed} descriptors and {allowed} are allowed: {remedy}, or a \
-         higher `ulimit -n`"
+        "{point}: {process} needs up to {needed} descriptors, {allowed} are allowed: {remedy}, or raise \
+         `ulimit -n`"
     )]
     Descriptors {
         /// The axis and its value.
         point: String,
         /// Which process.
         process: &'static str,
-        /// How many it needs at most.
+        /// The upper estimate of what the process needs.
         needed: usize,
-        /// How many the system allows.
+        /// How many the system allows a process.
         allowed: usize,
         /// What to change in the experiment.
         remedy: &'static str,
     },
     /// Too much memory.
     #[error(
-        "{point}: it needs up to {needed_mb:.0} MB of memory, more than half of this machine's \
-         {machine_mb:.0} MB: fewer balancers, hosts or held.sockets"
+        "{point}: needs up to {needed_mb:.0} MB of memory, more than half of this machine's \
+         {machine_mb:.0} MB: lower the number of balancers or hosts, or held.sockets"
     )]
     Memory {
         /// The axis and its value.
         point: String,
-        /// How much it needs at most.
+        /// The upper estimate of what the point needs, in MB.
         needed_mb: f64,
-        /// How much the machine has.
+        /// All memory of the machine, in MB.
         machine_mb: f64,
     },
 }
 
-/// A scale run that did not come to its end. One line.
+/// A scale run that did not complete.
 #[derive(Debug, Error)]
 pub enum RunError {
     /// A signal ended the run.
     #[error("{}", INTERRUPTED)]
     Interrupted,
-    /// A worker process failed; its role comes first.
+    /// A worker process failed, as the coordinator sees it.
     #[error("{role}: {cause}")]
     Worker {
-        /// What the worker is.
+        /// The role of the worker.
         role: &'static str,
-        /// What went wrong with it.
+        /// What failed.
         cause: WorkerError,
     },
-    /// A worker reported this itself.
+    /// An error that a worker process reported itself.
     #[error("{0}")]
     ReportedByWorker(String),
-    /// The real balancer did not start, or has ended.
+    /// The real balancer did not start, or has exited.
     #[error("{0}")]
     RealBalancer(String),
     /// The load generator of the real balancer failed.
     #[error("{0}")]
     Load(String),
-    /// There is no further thread.
-    #[error("a thread: {0}")]
+    /// A thread could not be started.
+    #[error("starting a thread: {0}")]
     Thread(io::Error),
-    /// The bare thread, which measures the machine, did not start.
+    /// The reference thread, which measures the machine's own delays, did not start.
     #[error("{0}")]
-    BareThread(String),
-    /// The experiment for the load and the settings was refused by its own checks.
+    ReferenceThread(String),
+    /// The derived testbed experiment for the load and the settings is invalid.
     #[error("{0}")]
     Experiment(String),
-    /// Two histograms don't go together.
+    /// Two histograms with incompatible ranges were added.
     #[error("{0}")]
     Histogram(#[from] hdrhistogram::AdditionError),
 }
 
-/// What went wrong with a worker process, as who started it sees it.
+/// A failure of a worker process, as the coordinator sees it.
 #[derive(Debug, Error)]
 pub enum WorkerError {
-    /// It could not be started or written to.
+    /// The process could not be started or written to.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// Its reply is not what its role says.
-    #[error("{0}")]
+    /// The reply is not the message that the role sends.
+    #[error("invalid reply: {0}")]
     InvalidReply(#[from] serde_json::Error),
-    /// Its input is closed.
-    #[error("it has ended")]
-    Ended,
-    /// It closed its output.
-    #[error("it ended by itself")]
-    EndedByItself,
-    /// No reply in time.
-    #[error("it does not answer")]
-    TimedOut,
+    /// The input of the process is closed.
+    #[error("the worker process was already stopped")]
+    InputClosed,
+    /// The process closed its output while a reply was expected.
+    #[error("the worker process exited unexpectedly")]
+    Exited,
+    /// The process did not reply in time.
+    #[error("the worker process did not reply within {0:?}")]
+    TimedOut(Duration),
 }
 
-/// What went wrong within a worker process. One line: it is written as its reply.
+/// A failure inside a worker process, which sends it as its reply.
 #[derive(Debug, Error)]
 pub enum RoleError {
-    /// Its input or output.
+    /// Reading or writing failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// A message that makes no sense, or can't be written.
-    #[error("{0}")]
+    /// A message could not be parsed or encoded.
+    #[error("invalid message: {0}")]
     Message(#[from] serde_json::Error),
-    /// An address can't be listened on.
-    #[error("a listener: {0}")]
+    /// Binding a listener failed.
+    #[error("starting a listener: {0}")]
     Listen(io::Error),
-    /// There is no runtime.
-    #[error("the runtime: {0}")]
+    /// The async runtime could not be started.
+    #[error("starting the runtime: {0}")]
     Runtime(io::Error),
-    /// The operators' settings make no sense.
+    /// The operators' settings are invalid.
     #[error("{0}")]
     Settings(#[from] SettingsError),
 }
--- a/testbed/src/scale/experiment.rs
+++ b/testbed/src/scale/experiment.rs
@@ -1,4 +1,4 @@
-//! A scale experiment as its file writes it (TOML). An unknown field is refused with its line.
+//! The file format of scale experiments (TOML). An unknown field is an error with its line.
 
 use std::path::Path;
 
@@ -7,29 +7,29 @@
 use super::error::{ExperimentError, RunError};
 use crate::experiment::Experiment;
 
-/// How long a run looks on after a fault, in seconds.
+/// How long a run goes on measuring after a fault has ended, in seconds.
 pub(super) const RECOVERY_S: f64 = 4.0;
-/// How long changes of the list may still come into force after the last of them, in seconds.
+/// How long balancers may take to apply the last list change before a run goes on, in seconds.
 pub(super) const FINAL_CHANGES_S: f64 = 1.5;
 
-/// What is varied.
+/// The condition that is varied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Axis {
-    /// Simulated balancers.
+    /// The number of simulated balancers.
     Balancers,
-    /// Cache hosts.
+    /// The number of cache hosts.
     Hosts,
-    /// Requests a second of each simulated balancer.
+    /// Requests per second of each simulated balancer.
     Rate,
-    /// Changes of the list a second.
+    /// List changes per second.
     Changes,
-    /// Zones of the hosts.
+    /// The number of zones of the hosts.
     Zones,
 }
 
 impl Axis {
-    /// As tables and drawings name it, with its unit.
+    /// The name in tables and charts, with the unit.
     pub fn name(self) -> &'static str {
         match self {
             Axis::Balancers => "balancers",
@@ -45,43 +45,43 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScaleExperiment {
-    /// Its name, also of the folder of its result.
+    /// The name of the experiment and of its result folder.
     pub name: String,
-    /// What it is for, for people.
+    /// A description for readers.
     #[serde(default)]
     pub about: String,
-    /// What is varied.
+    /// The condition that is varied.
     pub axis: Axis,
-    /// The axis' values, in the order in which they are played.
+    /// The values on the axis, in the order in which they run.
     pub points: Vec<f64>,
-    /// How often each is played.
+    /// How often each point runs.
     #[serde(default = "two_repeats")]
     pub repeats: usize,
-    /// Before anything counts, in seconds.
+    /// The length of the stages before measurements, in seconds.
     #[serde(default = "two_seconds")]
     pub settle_s: f64,
-    /// Without requests, in seconds: what control costs.
+    /// The length of the stage without requests, in seconds. It measures the cost of control.
     #[serde(default = "six_seconds")]
     pub quiet_s: f64,
-    /// With requests, in seconds.
+    /// The length of the stage with requests, in seconds.
     #[serde(default = "six_seconds", rename = "seconds")]
     pub load_s: f64,
-    /// What goes wrong.
+    /// The injected faults.
     #[serde(default)]
     pub faults: Faults,
-    /// What stands while the axis varies.
+    /// The conditions held constant while the axis varies.
     #[serde(default, rename = "held")]
     pub conditions: Conditions,
-    /// Over how many processes it is spread.
+    /// The number of worker processes.
     #[serde(default)]
     pub processes: Processes,
-    /// The size to which the lines are extrapolated.
+    /// The size to which the fitted lines are extrapolated.
     #[serde(default, rename = "plan")]
     pub planned: PlannedSizes,
-    /// What a balancer may spend.
+    /// The resources that a balancer may use.
     #[serde(default)]
     pub budget: Budget,
-    /// What `--quick` plays instead.
+    /// The points and lengths of a run with `--quick`.
     pub quick: Option<Quick>,
 }
 
@@ -101,41 +101,42 @@
     6.0
 }
 
-/// What stands while the axis varies; the axis' own value is replaced by each point's.
+/// The conditions of a run. Each point replaces the value of the axis.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default, expecting = "struct Held")]
 pub struct Conditions {
-    /// Simulated balancers.
+    /// The number of simulated balancers.
     pub balancers: u32,
-    /// Cache hosts.
+    /// The number of cache hosts.
     pub hosts: u32,
-    /// Requests a second of each simulated balancer.
+    /// Requests per second of each simulated balancer.
     pub rate: f64,
-    /// Changes of the list a second.
+    /// List changes per second.
     pub changes_per_s: f64,
-    /// Zones of the hosts.
+    /// The number of zones of the hosts.
     pub zones: u32,
-    /// How many different keys.
+    /// The number of distinct keys.
     pub keys: u64,
-    /// The exponent of the keys' popularity; 0 for all alike.
+    /// The exponent of the Zipf distribution of keys; 0 for a uniform one.
     pub zipf: f64,
-    /// Descriptors that a simulated balancer's connections to hosts may take.
+    /// The most connections to hosts of a simulated balancer.
     #[serde(rename = "sockets")]
     pub max_connections: usize,
-    /// How long a host takes for a command.
+    /// The service time of a host for a command.
     pub service_ms: f64,
-    /// The size of a value.
+    /// The size of each value.
     pub value_bytes: usize,
-    /// Hosts close a connection that is idle for so long.
+    /// The time after which hosts close an idle connection.
     #[serde(rename = "idle_ms")]
     pub idle_timeout_ms: f64,
     /// The latency objective.
     pub target_ms: f64,
-    /// From a request's arrival to its deadline.
+    /// The time from a request's arrival to its deadline.
     pub ttl_ms: f64,
-    /// Requests a second through one real balancer beside the simulated ones; 0 for none.
+    /// Requests per second through one real balancer beside the simulated ones; 0 to run without
+    /// it.
     pub real_rate: f64,
-    /// Its descriptors, for clients and hosts.
+    /// The most descriptors of the real balancer, for clients and hosts.
     #[serde(rename = "real_sockets")]
     pub real_descriptors: usize,
 }
@@ -163,39 +164,39 @@
 }
 
 impl Conditions {
-    /// Whether one real balancer runs beside the simulated ones.
+    /// Whether a real balancer runs beside the simulated ones.
     pub fn has_real_balancer(&self) -> bool {
         self.real_rate > 0.0
     }
 
-    /// All balancers of a run, simulated and real.
+    /// The number of all balancers of a run, simulated and real.
     pub fn all_balancers(&self) -> u32 {
         self.balancers + u32::from(self.has_real_balancer())
     }
 }
 
-/// What goes wrong after the stretch with requests, one after the other; 0 for nothing.
+/// The faults injected after the stage with requests, one after the other; 0 leaves one out.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
-    /// The first host reads commands and answers none, for so long.
+    /// For how long the first host of the first fleet process reads commands and answers none.
     pub hang_s: f64,
-    /// Discovery answers nothing for so long, while the list goes on changing; there are no
-    /// requests.
+    /// For how long discovery answers no call while the list goes on changing. There are no
+    /// requests during this fault.
     pub discovery_down_s: f64,
 }
 
-/// Over how many processes simulated balancers and hosts are spread.
+/// The number of processes over which simulated balancers and hosts are divided.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Processes {
-    /// Of simulated balancers.
+    /// Processes of simulated balancers.
     #[serde(rename = "hollow")]
     pub simulated: u32,
-    /// Of hosts.
+    /// Processes of hosts.
     pub fleet: u32,
-    /// Simulated balancers of a process, instead of a number of processes: what a process costs by
-    /// itself is then the same part of a balancer's figures at every point.
+    /// The number of simulated balancers in each process, instead of the number of processes. The
+    /// fixed cost of a process is then the same fraction of a balancer's figures at every point.
     #[serde(rename = "each")]
     pub balancers_per_process: Option<u32>,
 }
@@ -210,15 +211,15 @@
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default, expecting = "struct Plan")]
 pub struct PlannedSizes {
-    /// Balancers.
+    /// The number of balancers.
     pub balancers: f64,
-    /// Cache hosts.
+    /// The number of cache hosts.
     pub hosts: f64,
-    /// Requests a second of a balancer.
+    /// Requests per second of a balancer.
     pub rate: f64,
-    /// Changes of the list a second.
+    /// List changes per second.
     pub changes_per_s: f64,
-    /// Zones of the hosts.
+    /// The number of zones of the hosts.
     pub zones: f64,
 }
 
@@ -228,15 +229,15 @@
     }
 }
 
-/// What a balancer may spend on control.
+/// The resources that a balancer may use without requests.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Budget {
-    /// Part of a core.
+    /// CPU time, as a fraction of a core.
     pub core: f64,
-    /// Resident memory.
+    /// Resident memory, in MB.
     pub memory_mb: f64,
-    /// To and from discovery together.
+    /// Bytes per second to and from discovery together.
     pub bytes_per_s: f64,
 }
 
@@ -246,25 +247,25 @@
     }
 }
 
-/// What `--quick` plays instead, once each.
+/// The points and lengths of a run with `--quick`. Each point runs once.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Quick {
-    /// The axis' values.
+    /// The values on the axis.
     pub points: Vec<f64>,
-    /// Before anything counts, in seconds.
+    /// The length of the stages before measurements, in seconds.
     #[serde(default = "one_second")]
     pub settle_s: f64,
-    /// Without requests, in seconds.
+    /// The length of the stage without requests, in seconds.
     #[serde(default = "two_seconds")]
     pub quiet_s: f64,
-    /// With requests, in seconds.
+    /// The length of the stage with requests, in seconds.
     #[serde(default = "two_seconds", rename = "seconds")]
     pub load_s: f64,
 }
 
 impl Quick {
-    /// What an experiment that says nothing of it plays: its first two points.
+    /// The default for an experiment without a `quick` section: its first two points.
     fn default_of(experiment: &ScaleExperiment) -> Quick {
         Quick {
             points: experiment.points.iter().copied().take(2).collect(),
@@ -279,7 +280,7 @@
     /// Reads and checks a file.
     ///
     /// # Errors
-    /// One line that names the file, the line where there is one, what is wrong and the way out.
+    /// One line with the file, the line if known, and the error.
     pub fn read(path: &Path, quick: bool) -> Result<ScaleExperiment, ExperimentError> {
         let text = std::fs::read_to_string(path)
             .map_err(|cause| ExperimentError::Unreadable { path: path.to_owned(), cause })?;
@@ -298,13 +299,13 @@
             ExperimentError::Syntax { line, message: cause.message().replace('\n', " ") }
         })?;
         if quick {
-            experiment.make_quick();
+            experiment.apply_quick();
         }
         experiment.check()?;
         Ok(experiment)
     }
 
-    fn make_quick(&mut self) {
+    fn apply_quick(&mut self) {
         let quick = self.quick.clone().unwrap_or_else(|| Quick::default_of(self));
         self.points = quick.points;
         self.repeats = 1;
@@ -344,7 +345,7 @@
         check("target_ms", conditions.target_ms, 1.0, conditions.ttl_ms)
     }
 
-    /// What holds at a point of the axis.
+    /// The conditions at a point of the axis.
     pub fn conditions_at(&self, point: f64) -> Conditions {
         let mut conditions = self.conditions.clone();
         match self.axis {
@@ -357,7 +358,7 @@
         conditions
     }
 
-    /// Over how many processes a point's simulated balancers are spread.
+    /// The number of processes over which a point's simulated balancers are divided.
     pub fn simulated_processes(&self, conditions: &Conditions) -> u32 {
         let Processes { simulated, balancers_per_process, .. } = self.processes;
         match balancers_per_process {
@@ -377,7 +378,7 @@
         }
     }
 
-    /// How long it plays at least, in seconds.
+    /// The length of the run in seconds, without the time to start processes.
     pub fn length_s(&self) -> f64 {
         let Faults { hang_s, discovery_down_s } = self.faults;
         let faults = [hang_s, discovery_down_s].into_iter().filter(|&fault_s| fault_s > 0.0);
@@ -386,11 +387,11 @@
         point_s * (self.points.len() * self.repeats) as f64
     }
 
-    /// The same world as an experiment of the testbed: for a balancer's settings, and for the load
-    /// of a real one.
+    /// An ordinary testbed experiment with the same conditions, for the settings of balancers and
+    /// the load of a real one.
     ///
     /// # Errors
-    /// The experiment's own checks refuse it.
+    /// The derived experiment is invalid.
     pub fn load_experiment(&self, conditions: &Conditions) -> Result<Experiment, RunError> {
         let text = format!(
             "name = {:?}\nseconds = {:?}\nbalancers = 1\n\
@@ -412,7 +413,7 @@
         );
         let mut experiment =
             Experiment::parse(&text).map_err(|cause| RunError::Experiment(cause.to_string()))?;
-        // All balancers that use the same hosts: what is limited is limited for them together.
+        // The limits on hosts hold for all balancers of the run together, also the simulated ones.
         experiment.balancers = conditions.all_balancers() as usize;
         Ok(experiment)
     }
--- a/testbed/src/scale/fit.rs
+++ b/testbed/src/scale/fit.rs
@@ -1,5 +1,5 @@
-//! How each figure of a scale run grows along the axis: a line through the points that count, and
-//! what it gives at the planned size.
+//! Fits a line through the valid points of each figure of a scale run and extrapolates it to the
+//! planned size.
 
 use std::collections::BTreeSet;
 
@@ -9,36 +9,36 @@
 use super::point::MeasuredPoint;
 use super::regression::{fit_line, LinearFit};
 
-/// A figure along the axis. A point is its place on the axis and the figure there.
+/// A figure along the axis. Points are pairs of the axis value and the figure's value.
 #[derive(Clone, Debug, Serialize)]
 pub struct FittedFigure {
-    /// Its name; the unit stands in it.
+    /// The name of the figure, which contains its unit.
     pub figure: &'static str,
-    /// The points that count.
+    /// The valid points.
     pub points: Vec<(f64, f64)>,
-    /// Points that count for nothing: drawn, and left out of the line.
+    /// Void points, which are drawn but not fitted.
     #[serde(rename = "void")]
     pub void_points: Vec<(f64, f64)>,
-    /// The line, and what it gives at the planned size.
+    /// The line, with its prediction at the planned size.
     pub line: Option<LinearFit>,
-    /// The planned size.
+    /// The planned size on the axis.
     pub planned_at: f64,
-    /// The planned size as a multiple of the largest point that counts; none where none counts.
+    /// The planned size as a multiple of the largest valid point; `None` without a valid point.
     #[serde(rename = "beyond")]
     pub extrapolation: Option<f64>,
-    /// The most that the figure may be, where there is a budget for it.
+    /// The upper limit of the figure, if it has a budget.
     pub budget: Option<f64>,
 }
 
-/// Fits every figure that some point has, in the order of their names.
+/// Fits each figure that at least one point has, in the order of their names.
 pub fn fit_figures(experiment: &ScaleExperiment, points: &[MeasuredPoint]) -> Vec<FittedFigure> {
-    let (sound, void): (Vec<_>, Vec<_>) = points.iter().partition(|point| point.void.is_none());
+    let (valid, void): (Vec<_>, Vec<_>) = points.iter().partition(|point| point.void.is_none());
     let figures: BTreeSet<_> = points.iter().flat_map(|point| point.figures.keys().copied()).collect();
-    let largest = sound.iter().map(|point| point.at).fold(0.0, f64::max);
+    let largest = valid.iter().map(|point| point.at).fold(0.0, f64::max);
     let planned_at = experiment.planned_size();
-    let extrapolation = Some(planned_at / largest).filter(|times| times.is_finite());
+    let extrapolation = Some(planned_at / largest).filter(|ratio| ratio.is_finite());
     let fit = |figure| {
-        let points = values_of(figure, &sound);
+        let points = values_of(figure, &valid);
         FittedFigure {
             figure,
             line: fit_line(&points, planned_at),
@@ -52,7 +52,7 @@
     figures.into_iter().map(fit).collect()
 }
 
-/// One figure at each point that has it.
+/// The values of one figure at the points that have it.
 fn values_of(figure: &str, points: &[&MeasuredPoint]) -> Vec<(f64, f64)> {
     let value_at = |point: &&MeasuredPoint| Some((point.at, *point.figures.get(figure)?));
     points.iter().filter_map(value_at).collect()
--- a/testbed/src/scale/fleet.rs
+++ b/testbed/src/scale/fleet.rs
@@ -1,6 +1,6 @@
-//! Emulated cache hosts of a scale run: each on an address of its own in 127.64.0.0/10, shared by
-//! all balancers. A host answers each command with a value after its service time. It has no queue,
-//! no store and one fault only: while it hangs it reads commands and answers none.
+//! Emulated cache hosts of a scale run, shared by all balancers, each with its own address in
+//! 127.64.0.0/10. A host answers each command with a value after its service time. It has no queue,
+//! no store and only one fault: a host that hangs reads commands and answers none.
 
 use std::cell::Cell;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -23,12 +23,12 @@
 use crate::thread_stats::thread_cpu_seconds;
 use crate::world::listener::listen;
 
-/// After a connection could not be accepted: no descriptor is left, and one comes free some time.
+/// The delay after a failed accept: all descriptors are in use, until connections close.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
-/// How often a command that a hang holds up looks whether it is over.
+/// How often a command held up by a hang checks whether the hang is over.
 const HANG_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// One host's counters, and whether it hangs.
+/// The counters of one host, and whether the host hangs.
 #[derive(Default)]
 struct HostState {
     requests: Cell<u64>,
@@ -37,7 +37,7 @@
     hanging: Cell<bool>,
 }
 
-/// A connection that is counted as open until this is dropped.
+/// Counts a connection as open until it is dropped.
 struct OpenGuard<'a>(&'a Cell<u64>);
 
 impl<'a> OpenGuard<'a> {
@@ -64,7 +64,7 @@
     lateness: Arc<Lateness>,
 }
 
-/// How a host serves.
+/// The service parameters of a host.
 #[derive(Clone, Copy)]
 struct Service {
     duration: Duration,
@@ -73,10 +73,10 @@
 }
 
 impl Fleet {
-    /// Listens for each host.
+    /// Starts a listener for each host.
     ///
     /// # Errors
-    /// An address can't be listened on.
+    /// Binding a listener failed.
     pub fn start(spec: FleetSpec) -> std::io::Result<Rc<Fleet>> {
         let service = Service {
             duration: Duration::from_secs_f64(spec.service_ms / 1e3),
@@ -96,7 +96,7 @@
     }
 }
 
-/// The address of a host, counted from 1.
+/// The address of the host with this number, counted from 1.
 fn host_ip(number: u32) -> Ipv4Addr {
     let [_, high, middle, low] = number.to_be_bytes();
     Ipv4Addr::new(127, 64 | (high & 0x3f), middle, low)
@@ -113,7 +113,7 @@
     }
 }
 
-/// Answers the commands of one connection until that ends or was idle for too long.
+/// Answers the commands of one connection until it closes or its idle timeout passes.
 async fn serve(host: Rc<HostState>, service: Service, mut stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     increment(&host.accepted);
@@ -145,7 +145,7 @@
     }
 }
 
-/// The value made for a request: it begins with the request's id, which its client looks for.
+/// The value for a request. It starts with the request's id, by which the client verifies it.
 fn encode_value(command: &[Bytes], value_bytes: usize) -> Bytes {
     let mut value = command.get(2).map_or_else(Vec::new, |id| id.to_vec());
     value.resize(value.len().max(value_bytes), b'.');
@@ -159,7 +159,7 @@
 
     fn handle(&self, command: WorkerCommand) -> Reply {
         match command {
-            // The first of its slice hangs.
+            // The first host of this process hangs.
             WorkerCommand::StopResponding => {
                 self.hosts.iter().take(1).for_each(|host| host.hanging.set(true));
             }
@@ -170,14 +170,14 @@
         }
         let by_host =
             |read: fn(&HostState) -> &Cell<u64>| self.hosts.iter().map(|host| read(host).get()).collect();
-        let seen = self.lateness.snapshot();
+        let lateness = self.lateness.snapshot();
         let snapshot = FleetSnapshot {
             cpu_s: thread_cpu_seconds(),
             requests_by_host: by_host(|host| &host.requests),
             accepted_by_host: by_host(|host| &host.accepted),
             open_by_host: by_host(|host| &host.open),
-            lateness: value_counts(&seen.late),
-            own_lateness: value_counts(&seen.own),
+            lateness: value_counts(&lateness.late),
+            own_lateness: value_counts(&lateness.own),
         };
         self.lateness.clear();
         to_reply(&snapshot)
--- a/testbed/src/scale/mod.rs
+++ b/testbed/src/scale/mod.rs
@@ -1,17 +1,18 @@
-//! How figures grow with the fleet: simulated balancers beside real ones, on loopback, one axis
-//! varied alone while the others stand.
+//! Scale runs measure how costs and latency grow with the size of the fleet: simulated balancers
+//! beside a real one, on loopback, with one axis varied and the other conditions held constant.
 //!
-//! A simulated balancer (`simulated`) is the real pure parts (router, connection pools, membership,
-//! settings), each with its own seed, and real connections to the emulated discovery (`discovery`)
-//! and hosts (`fleet`), without clients: its requests are drawn inside. Many share a process.
+//! A simulated balancer (`simulated`) consists of the real components without I/O (router,
+//! connection pools, membership, settings), with its own seed, and has real connections to the
+//! emulated discovery (`discovery`) and hosts (`fleet`). It has no clients: its requests are
+//! generated internally. Many simulated balancers share a process.
 //!
-//! [`experiment`] reads an experiment, `capacity` refuses what does not fit this machine, [`run`]
-//! plays its points, [`fit`] and [`regression`] fit lines through them, [`report`] writes tables and
-//! drawings. `worker_process` starts the processes and [`worker`] runs in them; what they say to
-//! each other is in `protocol`.
+//! [`experiment`] reads an experiment, `capacity` refuses one that needs more than this machine
+//! has, [`run`] runs its points, [`fit`] and [`regression`] fit lines through them, [`report`]
+//! writes tables and charts. `worker_process` starts the processes and [`worker`] runs in them;
+//! `protocol` has their messages.
 //!
-//! What is left out of a simulated balancer: clients and their protocol, the origin (a host never
-//! misses), connections that are read on after their attempt timed out, the budget of memory.
+//! A simulated balancer leaves out: clients and their protocol, the origin (a host never misses),
+//! reading the late response of an attempt that timed out, and the memory budget.
 
 mod capacity;
 mod discovery;
--- a/testbed/src/scale/point.rs
+++ b/testbed/src/scale/point.rs
@@ -1,4 +1,4 @@
-//! One point of a scale experiment as it was measured.
+//! The measured result of one point of a scale experiment.
 
 use std::collections::BTreeMap;
 
@@ -6,27 +6,27 @@
 
 use super::experiment::Conditions;
 
-/// Figures by name; the unit stands in the name.
+/// Figures by name; the name contains the unit.
 pub type Figures = BTreeMap<&'static str, f64>;
 
-/// One point as it was played with one seed.
+/// The result of one run of a point, with one seed.
 #[derive(Clone, Debug, Serialize)]
 pub struct MeasuredPoint {
     /// The experiment's name.
     pub experiment: String,
-    /// The axis, with its unit.
+    /// The name of the axis, with its unit.
     pub axis: &'static str,
-    /// The place on the axis.
+    /// The value on the axis.
     pub at: f64,
-    /// The seed.
+    /// The seed of the run.
     pub seed: u64,
-    /// Why it counts for nothing, where it does.
+    /// Why the result is void; `None` if it counts.
     pub void: Option<String>,
-    /// What a reader of the figures must know, where there is something.
+    /// A caveat on the figures of a result that counts.
     pub warning: Option<String>,
-    /// What held at this point.
+    /// The conditions of this point.
     #[serde(rename = "held")]
     pub conditions: Conditions,
-    /// What was measured.
+    /// The measured figures.
     pub figures: Figures,
 }
--- a/testbed/src/scale/protocol.rs
+++ b/testbed/src/scale/protocol.rs
@@ -1,9 +1,9 @@
-//! What the coordinator of a scale run and its worker processes say to each other: a line of JSON
-//! each on the worker's standard input and output.
+//! The messages between the coordinator of a scale run and its worker processes, each one line of
+//! JSON on the worker's standard input or output.
 //!
-//! The first line is a [`WorkerSpec`]; the worker replies with its role's `...Ready` message. Each
-//! further line is a [`WorkerCommand`], and its reply is the role's snapshot. A reply is written as
-//! a `Result`, whose error is one line of text.
+//! The first line is a [`WorkerSpec`]; the worker replies with the `...Ready` message of its role.
+//! Each further line is a [`WorkerCommand`]; the worker replies with a snapshot. A reply is encoded
+//! as a `Result`, whose error is one line of text.
 
 use std::net::SocketAddr;
 
@@ -13,75 +13,75 @@
 
 use crate::lateness;
 
-/// What a worker process is to be.
+/// The role of a worker process and its parameters.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "role", rename_all = "kebab-case")]
 pub enum WorkerSpec {
-    /// A slice of the cache hosts.
+    /// Some of the cache hosts.
     Fleet(FleetSpec),
-    /// The one discovery of the run.
+    /// The only discovery service of the run.
     Discovery(DiscoverySpec),
-    /// A slice of the simulated balancers.
+    /// Some of the simulated balancers.
     #[serde(rename = "hollow")]
     Simulated(SimulatedSpec),
-    /// Kills a process that knows nothing of the run, when this worker's own input ends and that
-    /// process still runs.
+    /// Kills a process that would outlive the coordinator. The guard does so when its own input
+    /// ends and that process still runs.
     Guard {
         /// The process to kill.
         pid: u32,
     },
 }
 
-/// What a worker is told to do while it runs; it replies to each with a snapshot.
+/// A command to a running worker, which replies with a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WorkerCommand {
-    /// Nothing but the snapshot.
+    /// Only take a snapshot.
     #[serde(rename = "mark")]
     Snapshot,
-    /// Start what takes time: requests, changes of the list.
+    /// Start requests (simulated balancers) or list changes (discovery).
     #[serde(rename = "begin")]
     Start,
-    /// Stop that again.
+    /// Stop requests or list changes.
     #[serde(rename = "rest")]
     Stop,
-    /// A fault: accept requests and answer none.
+    /// Inject a fault: accept requests and answer none.
     #[serde(rename = "silent")]
     StopResponding,
-    /// The end of that fault.
+    /// End the fault of `StopResponding`.
     #[serde(rename = "speak")]
     ResumeResponding,
 }
 
-/// A slice of the cache hosts.
+/// The parameters of a process with consecutive cache hosts.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FleetSpec {
-    /// The number of its first host.
+    /// The number of the first host.
     #[serde(rename = "first")]
     pub first_host: u32,
-    /// How many hosts, numbered from there on.
+    /// The number of hosts.
     pub hosts: u32,
-    /// How long a command takes.
+    /// The service time of a command.
     pub service_ms: f64,
-    /// The size of a value.
+    /// The size of each value.
     pub value_bytes: usize,
-    /// A connection that is idle for so long is closed.
+    /// The time after which an idle connection is closed.
     #[serde(rename = "idle_ms")]
     pub idle_timeout_ms: f64,
 }
 
-/// The hosts of a fleet listen.
+/// Sent when the hosts of a fleet process listen.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FleetReady {
-    /// By host.
+    /// The address of each host.
     pub addresses: Vec<SocketAddr>,
 }
 
-/// Counters since the start; lateness since the last snapshot.
+/// The state of a fleet process: counters since the start, lateness since the last snapshot.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct FleetSnapshot {
     /// CPU time of the thread, in seconds.
     pub cpu_s: f64,
-    /// Commands, by host.
+    /// Commands received, by host.
     #[serde(rename = "requests")]
     pub requests_by_host: Vec<u64>,
     /// Connections accepted, by host.
@@ -90,98 +90,98 @@
     /// Connections that are open now, by host.
     #[serde(rename = "open")]
     pub open_by_host: Vec<u64>,
-    /// How late the thread was, in microseconds.
+    /// By how much the thread woke up late, in microseconds.
     #[serde(rename = "late")]
     pub lateness: ValueCounts,
-    /// The same without the time for which it waited for a core.
+    /// The lateness of the thread without the time for which it waited for a core.
     #[serde(rename = "own")]
     pub own_lateness: ValueCounts,
 }
 
-/// The discovery of a run.
+/// The parameters of the discovery service.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DiscoverySpec {
-    /// The hosts as entries of the list.
+    /// The entries of the list, one for each host.
     pub entries: Vec<Value>,
-    /// Changes of the list a second, evenly, between `Start` and `Stop`.
+    /// List changes per second, at even intervals, between `Start` and `Stop`.
     pub changes_per_s: f64,
-    /// Draws which host changes.
+    /// The seed for drawing the hosts that change.
     pub seed: u64,
 }
 
-/// Discovery listens.
+/// Sent when discovery listens.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DiscoveryReady {
-    /// Where.
+    /// The address of the listener.
     pub address: SocketAddr,
 }
 
-/// Counters since the start; changes since the last snapshot.
+/// The state of discovery: counters since the start, changes since the last snapshot.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct DiscoverySnapshot {
     /// CPU time of the thread, in seconds.
     pub cpu_s: f64,
-    /// Requests read.
+    /// Calls received.
     pub calls: u64,
-    /// Bytes of requests, without what TCP adds.
+    /// Bytes of calls, without TCP overhead.
     pub bytes_in: u64,
-    /// Bytes of responses, without what TCP adds.
+    /// Bytes of responses, without TCP overhead.
     pub bytes_out: u64,
-    /// Each version of the list, and when it came (Unix time in microseconds).
+    /// Each version of the list, and its publication time (Unix time in microseconds).
     pub changes: Vec<(u64, i64)>,
 }
 
-/// A slice of the simulated balancers.
+/// The parameters of a process with consecutive simulated balancers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SimulatedSpec {
-    /// The operators' settings, as a balancer's configuration has them.
+    /// The operators' settings, in the form of a balancer's configuration.
     pub settings: Value,
-    /// The list at the start, as discovery writes it.
+    /// The list at the start, in the form of a discovery response.
     #[serde(rename = "known")]
     pub initial_list: Value,
-    /// Where discovery listens.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// The number of its first balancer.
+    /// The number of the first balancer.
     #[serde(rename = "first")]
     pub first_balancer: u32,
-    /// How many balancers, numbered from there on.
+    /// The number of balancers.
     pub balancers: u32,
-    /// Of the run; each balancer derives its own.
+    /// The seed of the run, from which each balancer derives its own.
     pub seed: u64,
-    /// Requests a second of each balancer.
+    /// Requests per second of each balancer.
     pub rate: f64,
-    /// How many different keys.
+    /// The number of distinct keys.
     pub keys: u64,
-    /// The exponent of the keys' popularity; 0 for all alike.
+    /// The exponent of the Zipf distribution of keys; 0 for a uniform one.
     pub zipf: f64,
-    /// Descriptors that a balancer's connections to hosts may take.
+    /// The most connections to hosts of a balancer.
     #[serde(rename = "sockets")]
     pub max_connections: usize,
     /// The latency objective.
     pub target_ms: f64,
-    /// From arrival to deadline.
+    /// The time from a request's arrival to its deadline.
     pub ttl_ms: f64,
 }
 
-/// The simulated balancers run.
+/// Sent when the simulated balancers run.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct SimulatedReady {
-    /// How many.
+    /// The number of balancers.
     pub balancers: u32,
 }
 
-/// Counters since the start over all balancers of the process; lists and histograms since the last
-/// snapshot.
+/// The state of all simulated balancers of a process: counters since the start, lists and
+/// histograms since the last snapshot.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct SimulatedSnapshot {
     /// CPU time of the thread, in seconds.
     pub cpu_s: f64,
-    /// Resident memory of the process.
+    /// Resident memory of the process, in kB.
     pub resident_kb: u64,
-    /// The same before there were balancers in it.
+    /// Resident memory before the balancers were created, in kB.
     #[serde(rename = "base_kb")]
     pub initial_resident_kb: u64,
-    /// Bytes sent to discovery, without what TCP adds.
+    /// Bytes sent to discovery, without TCP overhead.
     #[serde(rename = "control_out")]
     pub discovery_bytes_out: u64,
     /// Bytes received from discovery.
@@ -193,61 +193,61 @@
     /// Bytes received from hosts.
     #[serde(rename = "host_in")]
     pub host_bytes_in: u64,
-    /// Requests begun.
+    /// Requests started.
     #[serde(rename = "ops")]
     pub requests: u64,
-    /// Requests that were answered with a value.
+    /// Requests answered with a value.
     #[serde(rename = "acked")]
     pub succeeded: u64,
-    /// Those of them that met the latency objective.
+    /// Successful requests that met the latency objective.
     pub in_target: u64,
     /// Requests that the policy rejected.
     #[serde(rename = "nacked")]
     pub rejected: u64,
     /// Requests that failed.
     pub failed: u64,
-    /// Attempts begun.
+    /// Attempts started.
     #[serde(rename = "pushes")]
     pub attempts: u64,
-    /// Connections to hosts that were opened.
+    /// Connections opened to hosts.
     #[serde(rename = "opened")]
     pub connections_opened: u64,
     /// Connections to hosts that are open now.
     #[serde(rename = "open")]
     pub connections_open: u64,
-    /// A balancer's number, a version of the list, and when that was in force there (Unix time in
-    /// microseconds).
+    /// Applied list changes: the number of the balancer, the version of the list, and when the
+    /// balancer had applied it (Unix time in microseconds).
     pub applied: Vec<(u32, u64, i64)>,
-    /// By how much requests began later than they were due, less the timer's resolution, in
+    /// By how much requests started after they were due, less the timer's resolution, in
     /// microseconds.
     #[serde(rename = "late")]
     pub lateness: ValueCounts,
-    /// From when a request was due to its success, in microseconds.
+    /// The time from when a request was due to its success, in microseconds.
     #[serde(rename = "took")]
     pub latency: ValueCounts,
 }
 
 impl SimulatedSnapshot {
-    /// Requests that have ended, however they did.
+    /// Requests that have ended with any result.
     pub fn ended(&self) -> u64 {
         self.succeeded + self.rejected + self.failed
     }
 
-    /// Requests that ended without a success within the objective.
+    /// Requests that ended without a success within the latency objective.
     pub fn missed_target(&self) -> u64 {
         self.ended() - self.in_target
     }
 }
 
-/// A histogram's values, and how often each was recorded.
+/// The values of a histogram, and how often each was recorded.
 pub type ValueCounts = Vec<(u64, u64)>;
 
-/// A histogram as a message carries it.
+/// Converts a histogram for a message.
 pub fn value_counts(histogram: &Histogram<u64>) -> ValueCounts {
     histogram.iter_recorded().map(|step| (step.value_iterated_to(), step.count_at_value())).collect()
 }
 
-/// All of these in one histogram.
+/// Merges the histograms of several messages.
 pub fn merge_histograms<'a>(all: impl Iterator<Item = &'a ValueCounts>) -> Histogram<u64> {
     let mut merged = lateness::histogram();
     for &(value, count) in all.flatten() {
--- a/testbed/src/scale/regression.rs
+++ b/testbed/src/scale/regression.rs
@@ -1,4 +1,4 @@
-//! A straight line through points by least squares, with 95% intervals by Student's t. Pure.
+//! Least-squares fit of a straight line, with 95% intervals by Student's t.
 
 use serde::Serialize;
 use statrs::distribution::{ContinuousCDF, StudentsT};
@@ -6,29 +6,29 @@
 /// The upper end of a two-sided 95% interval, as a quantile.
 const INTERVAL_QUANTILE: f64 = 0.975;
 
-/// A line, and what it predicts at one place. Half the width of an interval is `None` with fewer
-/// than three points.
+/// A line, and its prediction at one x. The half-widths of intervals are `None` with fewer than
+/// three points.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct LinearFit {
-    /// The line at 0.
+    /// The value of the line at x = 0.
     pub intercept: f64,
-    /// How much it rises by each unit.
+    /// The rise of the line for each unit of x.
     pub slope: f64,
-    /// Half of the slope's interval.
+    /// Half the width of the slope's interval.
     #[serde(rename = "slope_half")]
     pub slope_half_width: Option<f64>,
-    /// The mean at the place asked for, extrapolated where no point lies as far.
+    /// The value of the line at the requested x, which may lie beyond all points.
     #[serde(rename = "there")]
     pub prediction: f64,
-    /// Half of the prediction's interval.
+    /// Half the width of the interval of the predicted mean.
     #[serde(rename = "there_half")]
     pub prediction_half_width: Option<f64>,
-    /// The root of the mean square of the distances to the line.
+    /// The root mean square of the residuals.
     pub residual: f64,
 }
 
-/// The line through (x, y), and its value at `predict_at`; `None` with fewer than two points, and
-/// where all have the same x.
+/// Fits a line through points (x, y) and predicts its value at `predict_at`. `None` with fewer than
+/// two points or if all have the same x.
 pub fn fit_line(points: &[(f64, f64)], predict_at: f64) -> Option<LinearFit> {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
@@ -55,7 +55,8 @@
     })
 }
 
-/// The standard error of the points times Student's t; `None` where there is no such distribution.
+/// The standard error of the regression times Student's t; `None` if `degrees_of_freedom` is
+/// invalid for the distribution.
 fn margin(squared_error: f64, degrees_of_freedom: f64) -> Option<f64> {
     let distribution = StudentsT::new(0.0, 1.0, degrees_of_freedom).ok()?;
     let standard_error = (squared_error / degrees_of_freedom).sqrt();
--- a/testbed/src/scale/report.rs
+++ b/testbed/src/scale/report.rs
@@ -1,5 +1,5 @@
-//! What a scale run comes to: a table for a terminal, and each figure as SVG with its points, its
-//! line and the budget.
+//! Reports of a scale run: a table for the terminal, and an SVG chart of each figure with its
+//! points, fitted line and budget.
 
 use std::fmt::Write as _;
 
@@ -11,21 +11,21 @@
 use super::fit::FittedFigure;
 use super::point::MeasuredPoint;
 
-/// The size of a drawing, in pixels.
-const DRAWING_SIZE: (u32, u32) = (720, 400);
-/// A budget so many times the highest point is written in the title instead of drawn: the drawing
-/// would flatten all else.
-const MAX_BUDGET_TO_HIGHEST: f64 = 4.0;
+/// The size of a chart, in pixels.
+const CHART_SIZE: (u32, u32) = (720, 400);
+/// A budget of at least this multiple of the highest point goes into the title instead of the
+/// chart, where it would flatten everything else.
+const MAX_BUDGET_RATIO: f64 = 4.0;
 
-/// A drawing failed.
+/// A chart could not be drawn.
 #[derive(Debug, Error)]
-#[error("{figure}: {cause}")]
+#[error("drawing the chart of {figure:?}: {cause}")]
 pub struct DrawError {
     figure: &'static str,
     cause: String,
 }
 
-fn short(value: f64) -> String {
+fn format_value(value: f64) -> String {
     match value.abs() {
         0.0 => "0".to_owned(),
         size if size >= 1_000.0 => format!("{value:.0}"),
@@ -35,33 +35,33 @@
     }
 }
 
-fn with_interval(value: f64, half_width: Option<f64>) -> String {
+fn format_with_interval(value: f64, half_width: Option<f64>) -> String {
     match half_width {
-        Some(half_width) => format!("{} ± {}", short(value), short(half_width)),
-        None => short(value),
+        Some(half_width) => format!("{} ± {}", format_value(value), format_value(half_width)),
+        None => format_value(value),
     }
 }
 
-/// The table: a figure a line, its mean at each point, its slope and what that gives at the planned
-/// size; then why points don't count, and what must be known of them.
+/// The table: a line for each figure with its mean at each point, its slope and the prediction at
+/// the planned size; then why points are void, and warnings.
 pub fn table(axis: &str, points: &[MeasuredPoint], figures: &[FittedFigure]) -> String {
-    let mut places: Vec<f64> = points.iter().map(|point| point.at).collect();
-    places.sort_by(f64::total_cmp);
-    places.dedup();
-    let mut table = heading(axis, &places, figures.first());
+    let mut axis_values: Vec<f64> = points.iter().map(|point| point.at).collect();
+    axis_values.sort_by(f64::total_cmp);
+    axis_values.dedup();
+    let mut table = heading(axis, &axis_values, figures.first());
     for figure in figures {
-        table += &row(figure, &places);
+        table += &row(figure, &axis_values);
     }
     for point in points {
-        table += &remarks(axis, point);
+        table += &void_and_warning_lines(axis, point);
     }
     table
 }
 
-fn heading(axis: &str, places: &[f64], first: Option<&FittedFigure>) -> String {
+fn heading(axis: &str, axis_values: &[f64], first: Option<&FittedFigure>) -> String {
     let mut line = format!("{:<46}", format!("by {axis}"));
-    for place in places {
-        let _ = write!(line, "{place:>12}");
+    for axis_value in axis_values {
+        let _ = write!(line, "{axis_value:>12}");
     }
     let planned_at = first.map_or(0.0, |figure| figure.planned_at);
     let extrapolation = first.and_then(|figure| figure.extrapolation);
@@ -71,34 +71,35 @@
     line
 }
 
-fn row(figure: &FittedFigure, places: &[f64]) -> String {
+fn row(figure: &FittedFigure, axis_values: &[f64]) -> String {
     let mut line = format!("{:<46}", figure.figure);
-    for &place in places {
-        let mean = mean_at(&figure.points, place).map_or("-".to_owned(), short);
+    for &axis_value in axis_values {
+        let mean = mean_at(&figure.points, axis_value).map_or("-".to_owned(), format_value);
         let _ = write!(line, "{mean:>12}");
     }
     let (slope, prediction) = match figure.line {
         Some(line) => (
-            with_interval(line.slope, line.slope_half_width),
-            with_interval(line.prediction, line.prediction_half_width),
+            format_with_interval(line.slope, line.slope_half_width),
+            format_with_interval(line.prediction, line.prediction_half_width),
         ),
         None => ("-".to_owned(), "-".to_owned()),
     };
-    let budget = figure.budget.map_or(String::new(), short);
+    let budget = figure.budget.map_or(String::new(), format_value);
     let _ = writeln!(line, "{slope:>26}{prediction:>34}{budget:>10}");
     line
 }
 
-/// The mean over the repeats of a point; none where none counts.
-fn mean_at(points: &[(f64, f64)], place: f64) -> Option<f64> {
-    let values: Vec<f64> = points.iter().filter(|(at, _)| *at == place).map(|(_, value)| *value).collect();
+/// The mean over the repeats of a point; `None` if all are void.
+fn mean_at(points: &[(f64, f64)], axis_value: f64) -> Option<f64> {
+    let values: Vec<f64> =
+        points.iter().filter(|(at, _)| *at == axis_value).map(|(_, value)| *value).collect();
     if values.is_empty() {
         return None;
     }
     Some(values.iter().sum::<f64>() / values.len() as f64)
 }
 
-fn remarks(axis: &str, point: &MeasuredPoint) -> String {
+fn void_and_warning_lines(axis: &str, point: &MeasuredPoint) -> String {
     let mut lines = String::new();
     let MeasuredPoint { at, seed, .. } = point;
     if let Some(void) = &point.void {
@@ -110,7 +111,7 @@
     lines
 }
 
-/// The name of a figure's drawing.
+/// The file name of a figure's chart.
 pub fn file_name(figure: &str) -> String {
     let to_letter =
         |letter: char| if letter.is_ascii_alphanumeric() { letter.to_ascii_lowercase() } else { '-' };
@@ -119,24 +120,24 @@
     words.join("-") + ".svg"
 }
 
-/// A figure with its line and budget, as SVG.
+/// The chart of a figure with its line and budget, as SVG.
 ///
 /// # Errors
-/// What the drawing failed of.
+/// The chart could not be drawn.
 pub fn svg(axis: &str, figure: &FittedFigure) -> Result<String, DrawError> {
     let mut svg = String::new();
-    let area = SVGBackend::with_string(&mut svg, DRAWING_SIZE).into_drawing_area();
+    let area = SVGBackend::with_string(&mut svg, CHART_SIZE).into_drawing_area();
     let drawn = draw(&area, axis, figure);
     drop(area);
     drawn.map_err(|cause| DrawError { figure: figure.figure, cause: cause.to_string() })?;
     Ok(svg)
 }
 
-/// How far the axes of a drawing go, and where its budget is.
+/// The extent of a chart's axes, its title and its budget line.
 struct Layout {
     right: f64,
     top: f64,
-    /// The budget, where it is low enough to be drawn.
+    /// The budget, if it is low enough to be drawn.
     drawn_budget: Option<f64>,
     title: String,
 }
@@ -146,9 +147,9 @@
         let points = || figure.points.iter().chain(&figure.void_points);
         let rightmost = points().map(|(x, _)| *x).fold(1.0, f64::max);
         let highest = points().map(|(_, y)| *y).fold(1e-9, f64::max);
-        let drawn_budget = figure.budget.filter(|&budget| budget < MAX_BUDGET_TO_HIGHEST * highest);
+        let drawn_budget = figure.budget.filter(|&budget| budget < MAX_BUDGET_RATIO * highest);
         let title = match (figure.budget, drawn_budget) {
-            (Some(budget), None) => format!("{} (budget {})", figure.figure, short(budget)),
+            (Some(budget), None) => format!("{} (budget {})", figure.figure, format_value(budget)),
             _ => figure.figure.to_owned(),
         };
         let top = drawn_budget.map_or(highest, |budget| budget.max(highest)) * 1.15;
@@ -158,9 +159,9 @@
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 type Chart<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
-type Drawn<'a> = Result<(), DrawingAreaErrorKind<<SVGBackend<'a> as DrawingBackend>::ErrorType>>;
+type DrawResult<'a> = Result<(), DrawingAreaErrorKind<<SVGBackend<'a> as DrawingBackend>::ErrorType>>;
 
-fn draw<'a>(area: &Area<'a>, axis: &str, figure: &FittedFigure) -> Drawn<'a> {
+fn draw<'a>(area: &Area<'a>, axis: &str, figure: &FittedFigure) -> DrawResult<'a> {
     let layout = Layout::of(figure);
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(area)
@@ -177,8 +178,8 @@
 
 const FIGURE_COLOR: RGBColor = RGBColor(31, 119, 180);
 
-/// Points that count as discs, the others as grey circles.
-fn draw_points<'b>(chart: &mut Chart<'_, 'b>, figure: &FittedFigure) -> Drawn<'b> {
+/// Draws valid points as discs, void points as grey circles.
+fn draw_points<'b>(chart: &mut Chart<'_, 'b>, figure: &FittedFigure) -> DrawResult<'b> {
     let discs = figure.points.iter().map(|&point| Circle::new(point, 4, FIGURE_COLOR.filled()));
     chart.draw_series(discs)?;
     let circles = figure.void_points.iter().map(|&point| Circle::new(point, 4, BLACK.mix(0.4)));
@@ -186,7 +187,7 @@
     Ok(())
 }
 
-fn draw_lines<'b>(chart: &mut Chart<'_, 'b>, figure: &FittedFigure, layout: &Layout) -> Drawn<'b> {
+fn draw_lines<'b>(chart: &mut Chart<'_, 'b>, figure: &FittedFigure, layout: &Layout) -> DrawResult<'b> {
     let right = layout.right;
     if let Some(line) = figure.line {
         let ends = [0.0, right].map(|x| (x, line.intercept + line.slope * x));
--- a/testbed/src/scale/run/faults.rs
+++ b/testbed/src/scale/run/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong on purpose: a host that hangs, a discovery that is silent.
+//! Injects faults: a host that hangs, a discovery that is silent.
 
 use super::progress::{wait, Progress, Stage};
 use super::propagation;
@@ -10,8 +10,8 @@
 use crate::scale::protocol::{DiscoverySnapshot, FleetSnapshot, WorkerCommand};
 use crate::scale::system::unix_micros;
 
-/// Has one host hang for so long while requests go on; none for 0. The snapshots are those after its
-/// recovery.
+/// Makes one host hang for `seconds` while requests go on, then waits for the recovery and takes
+/// snapshots. Does nothing for 0 seconds.
 ///
 /// # Errors
 /// A worker does not reply, or the run was interrupted.
@@ -29,9 +29,9 @@
     workers.snapshots(WorkerCommand::Snapshot, WorkerCommand::Snapshot).map(Some)
 }
 
-/// Discovery is silent for so long while the list changes and there are no requests; nothing for 0.
-/// What is measured: how long after its return all that changed is in force, and how often it was
-/// called.
+/// Makes discovery silent for `seconds` while the list changes and there are no requests. Measures
+/// how long after its return all changes are applied, and how often it was called. Does nothing for
+/// 0 seconds.
 ///
 /// # Errors
 /// A worker does not reply, or the run was interrupted.
--- a/testbed/src/scale/run/mod.rs
+++ b/testbed/src/scale/run/mod.rs
@@ -1,5 +1,6 @@
-//! Plays one point of a scale experiment: fleet, discovery and simulated balancers in processes of
-//! their own, perhaps a real balancer beside them; a quiet stretch, one with requests, then faults.
+//! Runs one point of a scale experiment. Fleet, discovery, simulated balancers and an optional real
+//! balancer have their own processes. A quiet stage is followed by one with requests, then by
+//! faults.
 
 mod faults;
 mod figures;
@@ -26,11 +27,11 @@
 use crate::figures::late as request_lateness;
 use crate::lateness::ReferenceThread;
 
-/// Plays one point with one seed; files and logs of a real balancer go to `folder`. All processes
-/// are ended when it is over, however it ends.
+/// Runs one point with one seed. Files and logs of a real balancer go to `folder`. All processes
+/// are ended on return, also after an error.
 ///
 /// # Errors
-/// A process does not come up or fails, or the run was interrupted.
+/// A process does not start or fails, or the run was interrupted.
 pub fn run_point(
     experiment: &ScaleExperiment,
     at: f64,
@@ -40,7 +41,7 @@
 ) -> Result<MeasuredPoint, RunError> {
     let conditions = experiment.conditions_at(at);
     let mut run = PointRun::start(experiment, &conditions, seed, folder, progress)?;
-    let load = run.play_load()?;
+    let load = run.run_load()?;
     let hang_end = faults::hang_host(&mut run.workers, experiment.faults.hang_s, run.progress)?;
     let settled = run.let_changes_settle()?;
     let mut figures = run.figures(&load, hang_end.as_ref(), &settled);
@@ -51,7 +52,7 @@
         lateness.requests.add(request_lateness(&result.played.records))?;
     }
     lateness.insert_into(&mut figures);
-    let (void, warning) = lateness.judge(&conditions, &figures);
+    let (void, warning) = lateness.void_and_warning(&conditions, &figures);
     Ok(MeasuredPoint {
         experiment: experiment.name.clone(),
         axis: experiment.axis.name(),
@@ -64,13 +65,13 @@
     })
 }
 
-/// A point that is being played.
+/// A point that is being run.
 struct PointRun<'a> {
     experiment: &'a ScaleExperiment,
     conditions: &'a Conditions,
     seed: u64,
     progress: &'a mut Progress<'a>,
-    // Dropped, and so ended, before the workers that it uses.
+    // Declared before the workers that it uses, so that it is dropped, and ended, first.
     real_balancer: Option<RealBalancer>,
     workers: Workers,
 }
@@ -85,17 +86,17 @@
     ) -> Result<PointRun<'a>, RunError> {
         let load_experiment = experiment.load_experiment(conditions)?;
         Stage::Starting.report(progress);
-        let (workers, seat) = Workers::start(experiment, conditions, &load_experiment, seed)?;
+        let (workers, bootstrap) = Workers::start(experiment, conditions, &load_experiment, seed)?;
         let real_balancer = if conditions.has_real_balancer() {
-            Some(RealBalancer::start(load_experiment, seat, seed, folder)?)
+            Some(RealBalancer::start(load_experiment, bootstrap, seed, folder)?)
         } else {
             None
         };
         Ok(PointRun { experiment, conditions, seed, progress, real_balancer, workers })
     }
 
-    /// Plays the stretches without faults.
-    fn play_load(&mut self) -> Result<LoadSnapshots, RunError> {
+    /// Runs the stages without faults.
+    fn run_load(&mut self) -> Result<LoadSnapshots, RunError> {
         Stage::Settling.report(self.progress);
         wait(self.experiment.settle_s, self.progress)?;
         Stage::Quiet.report(self.progress);
@@ -105,18 +106,18 @@
         Stage::WarmingUp.report(self.progress);
         wait(self.experiment.settle_s, self.progress)?;
         Stage::Loaded.report(self.progress);
-        let bare_thread =
-            ReferenceThread::start().map_err(|cause| RunError::BareThread(cause.to_string()))?;
+        let reference_thread =
+            ReferenceThread::start().map_err(|cause| RunError::ReferenceThread(cause.to_string()))?;
         let load = self.real_balancer.as_ref().map(|real| real.start_load(self.seed)).transpose()?;
         let load_start = self.workers.snapshots(WorkerCommand::Snapshot, WorkerCommand::Snapshot)?;
         wait(self.experiment.load_s, self.progress)?;
         let load_end = self.workers.snapshots(WorkerCommand::Snapshot, WorkerCommand::Snapshot)?;
         let real = load.map(|load| load.join()).transpose()?;
-        let bare_thread = bare_thread.stop();
-        Ok(LoadSnapshots { quiet_start, quiet_end, load_start, load_end, real, bare_thread })
+        let reference_thread = reference_thread.stop();
+        Ok(LoadSnapshots { quiet_start, quiet_end, load_start, load_end, real, reference_thread })
     }
 
-    /// Ends requests and changes, and waits for the last changes to come into force.
+    /// Stops requests and list changes, and waits for balancers to apply the last changes.
     fn let_changes_settle(&mut self) -> Result<SettledSnapshots, RunError> {
         let stopped = self.workers.snapshots(WorkerCommand::Stop, WorkerCommand::Stop)?;
         wait(FINAL_CHANGES_S, self.progress)?;
@@ -124,7 +125,7 @@
         Ok(SettledSnapshots { stopped, settled })
     }
 
-    /// What was measured until the changes settled.
+    /// The figures measured until the last changes were applied.
     fn figures(
         &self,
         load: &LoadSnapshots,
@@ -132,14 +133,14 @@
         settled: &SettledSnapshots,
     ) -> Figures {
         let mut figures = figures::measure(self.conditions, load);
-        // The first snapshot has no changes: they began with it.
+        // `quiet_start` is left out: list changes started with it.
         let mut with_changes = vec![&load.quiet_end, &load.load_start, &load.load_end];
         with_changes.extend(hang_end);
         with_changes.extend([&settled.stopped, &settled.settled]);
         let balancers = self.conditions.balancers;
         figures.extend(propagation::during_run(&with_changes, balancers));
         if let Some(hang_end) = hang_end {
-            figures.extend(figures::cost_of_hang(load, hang_end));
+            figures.extend(figures::hang_figures(load, hang_end));
         }
         figures
     }
--- a/testbed/src/scale/run/progress.rs
+++ b/testbed/src/scale/run/progress.rs
@@ -1,4 +1,4 @@
-//! The progress of a point, as it is reported, and waits that a signal ends.
+//! Reports the progress of a point, and waits until a time has passed or a signal comes.
 
 use std::sync::atomic::Ordering;
 use std::thread;
@@ -7,13 +7,14 @@
 use crate::play::STOP;
 use crate::scale::error::RunError;
 
-/// Called with the stretch that begins and 0, and then with an empty name and its seconds so far.
+/// Called with the name of a stage and 0 when it starts, then with an empty name and the seconds
+/// since its start.
 pub type Progress<'a> = dyn FnMut(&str, f64) + 'a;
 
-/// How often a wait looks whether the run is to end.
+/// How often a wait checks whether the run was interrupted, in seconds.
 const MAX_SLEEP_S: f64 = 0.05;
 
-/// A stretch of a point.
+/// A stage of running a point.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Stage {
     Starting,
@@ -38,13 +39,13 @@
         }
     }
 
-    /// This stretch begins.
+    /// Reports that this stage starts.
     pub(super) fn report(self, progress: &mut Progress) {
         progress(self.name(), 0.0);
     }
 }
 
-/// Waits, and reports each whole second.
+/// Waits, and reports progress each whole second.
 ///
 /// # Errors
 /// The run was interrupted.
--- a/testbed/src/scale/run/propagation.rs
+++ b/testbed/src/scale/run/propagation.rs
@@ -1,49 +1,50 @@
-//! How long changes of the list took until they were in force at the balancers.
+//! Measures how long list changes took until balancers had applied them.
 
 use std::collections::BTreeMap;
 
 use super::snapshots::Snapshots;
 use crate::scale::point::Figures;
 
-/// The shares of the balancers by which a change is timed.
+/// The shares of the balancers for which the delay of a change is reported.
 const SHARES: [f64; 3] = [0.5, 0.99, 1.0];
 
-/// The names of the figures.
-struct Names {
-    /// By share of the balancers, see [`SHARES`].
+/// The names of the figures of one measurement.
+struct FigureNames {
+    /// The delay for each share of [`SHARES`].
     delays_ms: [&'static str; 3],
     changes: &'static str,
     incomplete: &'static str,
 }
 
-const DURING_RUN: Names = Names {
+const DURING_RUN: FigureNames = FigureNames {
     delays_ms: ["told to 50%, ms", "told to 99%, ms", "told to all, ms"],
     changes: "changes seen",
     incomplete: "changes not told to all",
 };
 
-const AFTER_OUTAGE: Names = Names {
+const AFTER_OUTAGE: FigureNames = FigureNames {
     delays_ms: ["discovery back: to 50%, ms", "discovery back: to 99%, ms", "discovery back: to all, ms"],
     changes: "discovery back: changes",
     incomplete: "discovery back: changes not told to all",
 };
 
-/// A version of the list, and when something became of it (Unix time in microseconds).
+/// A version of the list, and when it was published or applied (Unix time in microseconds).
 type VersionTime = (u64, i64);
 
-/// The delays of all changes in these snapshots, each from when it came.
+/// The delays of all changes in these snapshots, each from its publication.
 pub(super) fn during_run(snapshots: &[&Snapshots], balancers: u32) -> Figures {
     figures(&DURING_RUN, snapshots, balancers, i64::MIN)
 }
 
-/// The delays of all changes in these snapshots, each from when discovery answered again (Unix time
-/// in microseconds) or from when it came, whichever is later.
+/// The delays of all changes in these snapshots, each from `resumed_at`, when discovery answered
+/// again (Unix time in microseconds), or from its publication, whichever is later.
 pub(super) fn after_outage(snapshots: &[&Snapshots], balancers: u32, resumed_at: i64) -> Figures {
     figures(&AFTER_OUTAGE, snapshots, balancers, resumed_at)
 }
 
-/// Mean delays over the changes that all balancers took in, and how many others there were.
-fn figures(names: &Names, snapshots: &[&Snapshots], balancers: u32, not_before: i64) -> Figures {
+/// Mean delays over the changes that all balancers applied, the number of changes, and the number
+/// of changes that some balancer did not apply.
+fn figures(names: &FigureNames, snapshots: &[&Snapshots], balancers: u32, not_before: i64) -> Figures {
     let applied = applied_by_balancer(snapshots);
     let changes: Vec<VersionTime> =
         snapshots.iter().flat_map(|snapshots| snapshots.discovery.changes.iter().copied()).collect();
@@ -69,7 +70,7 @@
     figures
 }
 
-/// What each balancer took in, in order.
+/// The versions that each balancer applied, in order.
 fn applied_by_balancer(snapshots: &[&Snapshots]) -> BTreeMap<u32, Vec<VersionTime>> {
     let mut by_balancer: BTreeMap<u32, Vec<VersionTime>> = BTreeMap::new();
     let simulated = snapshots.iter().flat_map(|snapshots| &snapshots.simulated);
@@ -79,20 +80,21 @@
     by_balancer
 }
 
-/// How long after `since` each balancer had a version, in microseconds, the fastest first; balancers
-/// that never had it are left out.
+/// How long after `since` each balancer had applied a version, in microseconds, the fastest first.
+/// Balancers that did not apply it are left out.
 fn sorted_delays(applied: &BTreeMap<u32, Vec<VersionTime>>, version: u64, since: i64) -> Vec<i64> {
-    // A list brings all changes up to its version.
-    let first_with_it = |versions: &Vec<VersionTime>| {
+    // A list contains all changes up to its version.
+    let first_delay = |versions: &Vec<VersionTime>| {
         let first = versions.iter().find(|(applied, _)| *applied >= version);
         first.map(|(_, at)| at - since)
     };
-    let mut delays: Vec<i64> = applied.values().filter_map(first_with_it).collect();
+    let mut delays: Vec<i64> = applied.values().filter_map(first_delay).collect();
     delays.sort_unstable();
     delays
 }
 
-/// The delay after which this share of the balancers had a change; there is one balancer at least.
+/// The delay after which this share of the balancers had applied a change. `sorted_delays` must not
+/// be empty.
 fn delay_of_share(sorted_delays: &[i64], share: f64) -> i64 {
     let count = sorted_delays.len();
     let rank = ((count as f64 * share).ceil() as usize).clamp(1, count);
--- a/testbed/src/scale/run/snapshots.rs
+++ b/testbed/src/scale/run/snapshots.rs
@@ -1,4 +1,4 @@
-//! What was reported at the moments between the stretches of a point.
+//! Snapshots of all workers between the stages of a point.
 
 use std::time::{Duration, Instant};
 
@@ -6,9 +6,9 @@
 use crate::lateness::LatenessHistograms;
 use crate::scale::protocol::{DiscoverySnapshot, FleetSnapshot, SimulatedSnapshot};
 
-/// What all workers reported of one moment.
+/// The snapshots of all workers at one moment.
 pub(super) struct Snapshots {
-    /// The moment.
+    /// When the snapshots were requested.
     pub(super) at: Instant,
     pub(super) fleets: Vec<FleetSnapshot>,
     pub(super) discovery: DiscoverySnapshot,
@@ -16,28 +16,27 @@
 }
 
 impl Snapshots {
-    /// The time from this moment to a later one; a millisecond at least, since figures are divided
-    /// by it.
+    /// The time to later snapshots, at least a millisecond, since figures are divided by it.
     pub(super) fn seconds_until(&self, later: &Snapshots) -> f64 {
         (later.at - self.at).max(Duration::from_millis(1)).as_secs_f64()
     }
 }
 
-/// The snapshots around the stretches without faults, and what was measured beside them.
+/// The snapshots around the stages without faults, and other measurements during them.
 pub(super) struct LoadSnapshots {
-    /// The start and the end of the stretch without requests, in which the list changes.
+    /// The start and the end of the stage without requests, in which the list changes.
     pub(super) quiet_start: Snapshots,
     pub(super) quiet_end: Snapshots,
-    /// The start and the end of the stretch with requests that counts.
+    /// The start and the end of the measured stage with requests.
     pub(super) load_start: Snapshots,
     pub(super) load_end: Snapshots,
-    /// Of the load of a real balancer, where there is one.
+    /// The result of the real balancer's load, if there is a real balancer.
     pub(super) real: Option<LoadResult>,
-    /// Of a thread that does nothing but wake up.
-    pub(super) bare_thread: LatenessHistograms,
+    /// The lateness of a thread that only wakes up.
+    pub(super) reference_thread: LatenessHistograms,
 }
 
-/// The snapshots around the time in which the last changes may come into force.
+/// The snapshots before and after the wait for balancers to apply the last changes.
 pub(super) struct SettledSnapshots {
     pub(super) stopped: Snapshots,
     pub(super) settled: Snapshots,
--- a/testbed/src/scale/run/workers.rs
+++ b/testbed/src/scale/run/workers.rs
@@ -1,4 +1,4 @@
-//! The worker processes of a point, and what all of them report of one moment.
+//! Starts the worker processes of a point and takes snapshots of all of them.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -27,10 +27,10 @@
 }
 
 impl Workers {
-    /// Starts the workers. Requests and changes of the list do not begin yet.
+    /// Starts the workers, without requests and list changes.
     ///
     /// # Errors
-    /// One of them does not come up, or the run was interrupted.
+    /// A worker does not start, or the run was interrupted.
     pub(super) fn start(
         experiment: &ScaleExperiment,
         conditions: &Conditions,
@@ -42,16 +42,16 @@
         let known = list(1, true, &entries.iter().collect::<Vec<_>>());
         let spec = DiscoverySpec { entries, changes_per_s: conditions.changes_per_s, seed };
         let (discovery, ready): (_, DiscoveryReady) = WorkerProcess::start(&WorkerSpec::Discovery(spec))?;
-        let seat = BalancerBootstrap { discovery: ready.address, known };
-        // Nobody connects to a simulated balancer.
+        let bootstrap = BalancerBootstrap { discovery: ready.address, known };
+        // A placeholder: a simulated balancer has no listener.
         let listen = SocketAddr::from(([127, 0, 0, 1], 1));
-        let config = settings::balancer_config(load_experiment, "hollow", listen, &seat, seed);
+        let config = settings::balancer_config(load_experiment, "hollow", listen, &bootstrap, seed);
         let processes = experiment.simulated_processes(conditions);
-        let simulated = start_simulated(conditions, &config["settings"], &seat, processes, seed)?;
-        Ok((Workers { fleets, discovery, simulated }, seat))
+        let simulated = start_simulated(conditions, &config["settings"], &bootstrap, processes, seed)?;
+        Ok((Workers { fleets, discovery, simulated }, bootstrap))
     }
 
-    /// Sends a command to each worker and gathers the replies; fleets are sent
+    /// Sends a command to each worker and collects the replies. Fleets are sent
     /// [`WorkerCommand::Snapshot`].
     ///
     /// # Errors
@@ -77,14 +77,14 @@
     workers.iter_mut().map(|worker| worker.command(command)).collect()
 }
 
-/// The hosts of a point, in so many processes, and their addresses.
+/// Starts the hosts of a point, divided over `processes`, and returns their addresses.
 fn start_fleets(
     conditions: &Conditions,
     processes: u32,
 ) -> Result<(Vec<WorkerProcess>, Vec<SocketAddr>), RunError> {
     let mut workers = Vec::new();
     let mut addresses = Vec::new();
-    for Slice { first, count } in divide_evenly(conditions.hosts, processes) {
+    for NumberRange { first, count } in divide_evenly(conditions.hosts, processes) {
         let spec = FleetSpec {
             first_host: first,
             hosts: count,
@@ -99,20 +99,20 @@
     Ok((workers, addresses))
 }
 
-/// The simulated balancers of a point, in so many processes.
+/// Starts the simulated balancers of a point, divided over `processes`.
 fn start_simulated(
     conditions: &Conditions,
     settings: &Value,
-    seat: &BalancerBootstrap,
+    bootstrap: &BalancerBootstrap,
     processes: u32,
     seed: u64,
 ) -> Result<Vec<WorkerProcess>, RunError> {
     let mut workers = Vec::new();
-    for Slice { first, count } in divide_evenly(conditions.balancers, processes) {
+    for NumberRange { first, count } in divide_evenly(conditions.balancers, processes) {
         let spec = SimulatedSpec {
             settings: settings.clone(),
-            initial_list: seat.known.clone(),
-            discovery: seat.discovery,
+            initial_list: bootstrap.known.clone(),
+            discovery: bootstrap.discovery,
             first_balancer: first,
             balancers: count,
             seed,
@@ -129,23 +129,24 @@
     Ok(workers)
 }
 
-/// Consecutive numbers.
-struct Slice {
+/// A range of consecutive numbers.
+struct NumberRange {
     first: u32,
     count: u32,
 }
 
-/// So many things over so many processes, as evenly as can be; none is empty.
-fn divide_evenly(things: u32, processes: u32) -> Vec<Slice> {
-    let start_of = |process: u32| (u64::from(things) * u64::from(process) / u64::from(processes)) as u32;
-    let slice_of = |process: u32| {
+/// Divides the numbers from 0 to `items` over the processes as evenly as possible, without empty
+/// ranges.
+fn divide_evenly(items: u32, processes: u32) -> Vec<NumberRange> {
+    let start_of = |process: u32| (u64::from(items) * u64::from(process) / u64::from(processes)) as u32;
+    let range_of = |process: u32| {
         let first = start_of(process);
-        Slice { first, count: start_of(process + 1) - first }
+        NumberRange { first, count: start_of(process + 1) - first }
     };
-    (0..processes).map(slice_of).filter(|slice| slice.count > 0).collect()
+    (0..processes).map(range_of).filter(|range| range.count > 0).collect()
 }
 
-/// The hosts as discovery lists them.
+/// The entries of the hosts in the list of discovery.
 fn list_entries(conditions: &Conditions, addresses: &[SocketAddr]) -> Vec<Value> {
     let entry = |(number, address): (u32, &SocketAddr)| {
         json!({
--- a/testbed/src/scale/simulated/balancer.rs
+++ b/testbed/src/scale/simulated/balancer.rs
@@ -1,4 +1,4 @@
-//! One simulated balancer: its parts, the list that it takes in, and its timers.
+//! One simulated balancer: its components, the update of its endpoints, and its timers.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -23,20 +23,20 @@
 use crate::scale::error::RoleError;
 use crate::scale::protocol::SimulatedSpec;
 
-/// Between looks at connections and timers at most, as in the balancer.
+/// The longest time between two ticks of pools and router, as in the balancer.
 const MAX_TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// An attempt of a request, as the router numbers both.
+/// Identifies an attempt of a request, by the router's numbers of both.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct AttemptKey {
     pub(super) request: RequestId,
     pub(super) attempt: AttemptNumber,
 }
 
-/// Where a host is.
+/// The address of a host, and the notification for attempts that wait for a connection.
 pub(super) struct HostEntry {
     pub(super) address: SocketAddr,
-    /// Notified when a connection came free there.
+    /// Notified when a connection to the host becomes free.
     pub(super) connection_freed: Rc<Notify>,
 }
 
@@ -48,25 +48,28 @@
     names: RefCell<NameTable>,
     pub(super) pools: RefCell<ConnectionPools>,
     pub(super) limits: RuntimeLimits,
-    /// Connections to hosts at most.
+    /// The most open connections to hosts.
     pub(super) max_connections: usize,
-    /// From a request's arrival to its deadline.
+    /// The time from a request's arrival to its deadline.
     pub(super) time_to_live: Micros,
     /// The latency objective.
     pub(super) target: Micros,
     pub(super) hosts: RefCell<BTreeMap<HostId, HostEntry>>,
-    /// Connections that carry nothing.
+    /// Connections that carry no request.
     pub(super) idle: RefCell<BTreeMap<ConnectionId, Connection>>,
     /// Attempts whose request was sent, by the connection that carries them.
     pub(super) in_flight: RefCell<BTreeMap<ConnectionId, AttemptKey>>,
-    /// By request: notified when the router has actions for it.
+    /// For each open request, notified when the router has actions for it.
     pub(super) actions_ready: RefCell<BTreeMap<RequestId, Rc<Notify>>>,
     /// Shared by all balancers of the process.
     pub(super) counters: Rc<Counters>,
 }
 
 impl SimulatedBalancer {
-    /// Starts a balancer: it knows the initial list, and watches discovery.
+    /// Starts a balancer with the initial list, which then watches discovery.
+    ///
+    /// # Errors
+    /// The settings or the initial list are invalid.
     pub(super) fn start(
         spec: &SimulatedSpec,
         number: u32,
@@ -112,7 +115,7 @@
         Ok(balancer)
     }
 
-    /// Takes in a list, or what changed of it: the one place in which a list reaches the router.
+    /// Applies a list, or the changes of one. The router gets lists only from here.
     pub(super) fn update_endpoints(&self, whole: bool, entries: Vec<EndpointEntry>) {
         let now = self.clock.now();
         let endpoints = entries.iter().map(|entry| self.update_host(entry)).collect();
@@ -123,8 +126,8 @@
         self.forget_released_hosts();
     }
 
-    /// Where a host is now, and the host as the router takes it. Connections to an earlier address
-    /// are closed.
+    /// Updates the address of a host and returns the endpoint for the router. Connections to an
+    /// earlier address are closed.
     fn update_host(&self, entry: &EndpointEntry) -> Endpoint {
         let unix_start = self.clock.unix_start();
         let started_at = entry.started_at_ms().map(|ms| basaltwood_settings::micros(ms) - unix_start);
@@ -139,8 +142,8 @@
         });
         let address = entry.host_port;
         let mut hosts = self.hosts.borrow_mut();
-        let new = || HostEntry { address, connection_freed: Rc::default() };
-        let host = hosts.entry(endpoint.host).or_insert_with(new);
+        let new_entry = || HostEntry { address, connection_freed: Rc::default() };
+        let host = hosts.entry(endpoint.host).or_insert_with(new_entry);
         let previous = std::mem::replace(&mut host.address, address);
         if previous != address {
             self.pools.borrow_mut().host_moved(endpoint.host);
@@ -148,7 +151,7 @@
         endpoint
     }
 
-    /// Hosts that take nothing new need no idle connections.
+    /// Tells the pools which hosts accept no new attempts and so need no idle connections.
     fn drain_hosts(&self) {
         let router = self.router.borrow();
         let mut pools = self.pools.borrow_mut();
@@ -168,7 +171,7 @@
         }
     }
 
-    /// Has the pools and the router look after their time limits for as long as the process runs.
+    /// Runs the timers of the pools and the router, for as long as the process runs.
     async fn run_timers(self: Rc<SimulatedBalancer>) {
         loop {
             let now = self.clock.now();
@@ -196,7 +199,7 @@
         }
     }
 
-    /// Carries out what the pools decided.
+    /// Carries out the actions of the pools.
     pub(super) fn perform_pool_actions(&self) {
         let actions = self.pools.borrow_mut().take_actions();
         for action in actions {
--- a/testbed/src/scale/simulated/checkout.rs
+++ b/testbed/src/scale/simulated/checkout.rs
@@ -1,5 +1,5 @@
-//! Getting a connection for an attempt: an idle one, or a new one, or a wait for either. The pools
-//! decide which.
+//! Checks out a connection for an attempt. The pools decide whether to reuse an idle connection,
+//! open a new one, or wait.
 
 use std::io::ErrorKind;
 
@@ -12,8 +12,9 @@
 use super::connection::Connection;
 use crate::time::to_duration;
 
-/// A connection that an attempt has. Dropped with the connection still in it, because the attempt
-/// was cancelled or failed, it closes the connection and reports it to the pools as abandoned.
+/// A connection that an attempt uses. If it still holds the connection when dropped, because the
+/// attempt was cancelled or failed, it closes the connection and reports it to the pools as
+/// abandoned.
 pub(super) struct CheckedOut<'a> {
     balancer: &'a SimulatedBalancer,
     id: ConnectionId,
@@ -25,12 +26,12 @@
         self.id
     }
 
-    /// The connection, unless it was taken out.
+    /// The connection, unless `take` has removed it.
     pub(super) fn connection(&mut self) -> Option<&mut Connection> {
         self.connection.as_mut()
     }
 
-    /// Takes the connection out: the caller reports its end to the pools.
+    /// Removes the connection. The caller reports to the pools how its use ended.
     pub(super) fn take(&mut self) -> Option<Connection> {
         self.connection.take()
     }
@@ -46,15 +47,15 @@
     }
 }
 
-/// A connection that is being opened. Dropped before [`ConnectGuard::disarm`] it reports it to the
-/// pools as abandoned.
+/// A connection that is being opened. If dropped without [`ConnectGuard::disarm`], the guard
+/// reports the connection to the pools as abandoned.
 struct ConnectGuard<'a> {
     balancer: &'a SimulatedBalancer,
     id: Option<ConnectionId>,
 }
 
 impl ConnectGuard<'_> {
-    /// The attempt to connect has ended, and the caller reports how.
+    /// Called when connecting has ended. The caller reports the result to the pools.
     fn disarm(mut self) {
         self.id = None;
     }
@@ -69,10 +70,10 @@
 }
 
 impl SimulatedBalancer {
-    /// A connection for an attempt: one that is idle, or a new one.
+    /// Returns an idle or a new connection for an attempt.
     ///
     /// # Errors
-    /// How the attempt ended, which never ran.
+    /// The outcome of the attempt, whose request was not sent.
     pub(super) async fn checkout(
         &self,
         host: HostId,
@@ -103,13 +104,13 @@
         }
     }
 
-    /// An idle connection, if it is still good.
+    /// Takes an idle connection, unless it was closed or has unexpected data.
     fn reuse(&self, id: ConnectionId) -> Option<CheckedOut<'_>> {
         let Some(connection) = self.idle.borrow_mut().remove(&id) else {
             self.pools.borrow_mut().abandoned(id);
             return None;
         };
-        // Whatever can be read now, its end above all, means that it can't carry a request.
+        // Readable data, or the end of the stream, means that the connection can't carry a request.
         let read = connection.stream.try_read(&mut [0]);
         if matches!(&read, Err(cause) if cause.kind() == ErrorKind::WouldBlock) {
             return Some(CheckedOut { balancer: self, id, connection: Some(connection) });
@@ -118,10 +119,10 @@
         None
     }
 
-    /// Waits until a connection to this host comes free, or `retry_at`, or the deadline.
+    /// Waits until a connection to this host becomes free, or until `retry_at` or the deadline.
     ///
     /// # Errors
-    /// The attempt is over where the host is gone or the deadline has passed.
+    /// The host is gone or the deadline has passed, which ends the attempt.
     async fn wait_for_connection(
         &self,
         host: HostId,
@@ -157,17 +158,18 @@
             self.pools.borrow_mut().connected(id);
             return Ok(CheckedOut { balancer: self, id, connection: Some(connection) });
         }
-        // Cut off by the request's own deadline it tells nothing of the host.
+        // If the request's own deadline cut connecting short, that is no evidence about the host.
         let cut_off = connected.is_err() && deadline < connect_deadline;
-        let why = if cut_off { ConnectFailure::Local } else { ConnectFailure::Host };
-        self.pools.borrow_mut().connect_failed(now, id, why);
+        let failure = if cut_off { ConnectFailure::Local } else { ConnectFailure::Host };
+        self.pools.borrow_mut().connect_failed(now, id, failure);
         Err(AttemptOutcome::Unreachable)
     }
 
-    /// Closes idle connections until the descriptors are enough, the one being opened counted.
+    /// Closes idle connections until at most `max_connections` are open, including the one being
+    /// opened.
     ///
     /// # Errors
-    /// None is idle: the attempt is over.
+    /// No idle connection is left to close, which ends the attempt.
     fn make_room_for_connection(&self) -> Result<(), AttemptOutcome> {
         while self.pools.borrow().open_connections() > self.max_connections {
             let evicted = self.pools.borrow_mut().evict_idle().ok_or(AttemptOutcome::NotSent)?;
--- a/testbed/src/scale/simulated/clock.rs
+++ b/testbed/src/scale/simulated/clock.rs
@@ -8,7 +8,7 @@
 use crate::scale::system::unix_micros;
 use crate::time::to_duration;
 
-/// Counts microseconds since the process started.
+/// Counts microseconds since [`ProcessClock::start`].
 pub(super) struct ProcessClock {
     start: SystemInstant,
     unix_start: Micros,
@@ -20,7 +20,7 @@
         ProcessClock { start: SystemInstant::now(), unix_start }
     }
 
-    /// Unix time at the start.
+    /// Unix time at the start of the clock.
     pub(super) fn unix_start(&self) -> Micros {
         self.unix_start
     }
@@ -29,7 +29,7 @@
         self.start.elapsed().as_micros() as Micros
     }
 
-    /// A time of this clock as the runtime's timers take it.
+    /// Converts a time of this clock to an instant for the runtime's timers.
     pub(super) fn at(&self, time: Micros) -> Instant {
         (self.start + to_duration(time)).into()
     }
--- a/testbed/src/scale/simulated/connection.rs
+++ b/testbed/src/scale/simulated/connection.rs
@@ -6,14 +6,14 @@
 use basaltwood_wire::buffer::Buffer;
 use tokio::net::TcpStream;
 
-/// Dropping it closes it.
+/// An open connection. Dropping it closes it.
 pub(super) struct Connection {
     pub(super) stream: TcpStream,
     pub(super) buffer: Buffer,
 }
 
 impl Connection {
-    /// Opens a connection that buffers `max_buffered` bytes at most.
+    /// Opens a connection that buffers at most `max_buffered` bytes.
     pub(super) async fn connect(address: SocketAddr, max_buffered: usize) -> io::Result<Connection> {
         let stream = TcpStream::connect(address).await?;
         let _ = stream.set_nodelay(true);
--- a/testbed/src/scale/simulated/counters.rs
+++ b/testbed/src/scale/simulated/counters.rs
@@ -1,4 +1,4 @@
-//! What all balancers of a process count together.
+//! The counters that all simulated balancers of a process share.
 
 use std::cell::RefCell;
 
@@ -9,9 +9,9 @@
 #[derive(Default)]
 pub(super) struct Counters {
     snapshot: RefCell<SimulatedSnapshot>,
-    /// By how much requests began later than they were due.
+    /// By how much requests started after they were due.
     pub(super) lateness: Lateness,
-    /// From when a request was due to its success.
+    /// The time from when a request was due to its success.
     pub(super) latency: Lateness,
 }
 
@@ -20,7 +20,7 @@
         add(&mut self.snapshot.borrow_mut());
     }
 
-    /// The counters now. Lists and histograms begin anew.
+    /// Returns the counters, and clears lists and histograms.
     pub(super) fn take_snapshot(&self) -> SimulatedSnapshot {
         let mut counters = self.snapshot.borrow_mut();
         let applied = std::mem::take(&mut counters.applied);
--- a/testbed/src/scale/simulated/endpoints.rs
+++ b/testbed/src/scale/simulated/endpoints.rs
@@ -1,16 +1,16 @@
-//! The list of hosts as discovery writes it.
+//! The format of discovery's list of hosts.
 
 use std::net::SocketAddr;
 
 use basaltwood::types::Lifecycle;
 use serde::Deserialize;
 
-/// A version of the list, or what changed in it.
+/// A whole list, or its changes since an earlier version.
 #[derive(Default, Deserialize)]
 pub(super) struct EndpointList {
-    /// The version.
+    /// The version of the list.
     pub(super) generation: u64,
-    /// The list is whole: a host that is not in it is gone.
+    /// Whether this is the whole list, so that hosts which are not in it are gone.
     #[serde(default)]
     pub(super) reset: bool,
     #[serde(default)]
@@ -40,8 +40,7 @@
         }
     }
 
-    /// When the host started, in milliseconds of Unix time; discovery writes 0 where it does not
-    /// know.
+    /// When the host started, in milliseconds of Unix time. Discovery writes 0 for an unknown time.
     pub(super) fn started_at_ms(&self) -> Option<f64> {
         self.started_at_ms.filter(|&ms| ms != 0.0)
     }
--- a/testbed/src/scale/simulated/exchange.rs
+++ b/testbed/src/scale/simulated/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange: a command written on a connection to a host, and its reply read.
+//! Sends a command to a host and reads the reply.
 
 use basaltwood::types::{AttemptOutcome, HostId, Micros};
 use basaltwood_connection_pool::Fault;
@@ -11,7 +11,7 @@
 use super::checkout::CheckedOut;
 
 impl SimulatedBalancer {
-    /// One attempt of a request at a host; it is over by `deadline`.
+    /// Runs one attempt of a request at a host, which ends by `deadline`.
     pub(super) async fn attempt(
         &self,
         host: HostId,
@@ -24,7 +24,7 @@
             Ok(checked_out) => checked_out,
             Err(outcome) => return outcome,
         };
-        // A connection may come up in the very poll in which the time is over.
+        // A connection may become ready in the same poll in which the deadline passes.
         if Instant::now() >= deadline {
             return AttemptOutcome::NotSent;
         }
@@ -39,7 +39,7 @@
         self.read_reply(host, checked_out, deadline).await
     }
 
-    /// Reads until the reply is whole or the attempt has ended without one.
+    /// Reads until the reply is complete or the attempt fails.
     async fn read_reply(
         &self,
         host: HostId,
@@ -53,7 +53,7 @@
             let now = self.clock.now();
             match read {
                 Err(_) => {
-                    // The late reply is not awaited: the connection closes.
+                    // Dropping the connection closes it, without waiting for the late reply.
                     self.pools.borrow_mut().attempt_timed_out(now, checked_out.id());
                     return AttemptOutcome::TimedOut;
                 }
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The connection ended before the reply.
+    /// Handles a connection that closed before the reply was complete.
     fn connection_lost(&self, now: Micros, mut checked_out: CheckedOut<'_>) -> AttemptOutcome {
         drop(checked_out.take());
         let fault = self.pools.borrow_mut().connection_lost(now, checked_out.id());
@@ -79,7 +79,7 @@
         }
     }
 
-    /// A whole reply came: its connection is idle again, or closes.
+    /// Handles a complete reply: the connection becomes idle or is closed.
     fn answered(
         &self,
         now: Micros,
--- a/testbed/src/scale/simulated/load.rs
+++ b/testbed/src/scale/simulated/load.rs
@@ -1,5 +1,6 @@
-//! The load of the simulated balancers: requests at a set rate, with Poisson arrivals, on keys whose
-//! popularity follows Zipf's law. They start when they are due, whatever became of those before.
+//! Generates the load of the simulated balancers: requests at a fixed rate, with Poisson arrivals
+//! and Zipf-distributed keys. The load is open-loop: requests start when due, whether or not
+//! earlier ones have ended.
 
 use std::rc::Rc;
 
@@ -17,10 +18,10 @@
 use crate::scale::protocol::SimulatedSpec;
 use crate::time::MS;
 
-/// Keys are hashes of their ranks with this, so that popular ones lie apart on the ring.
+/// The salt of the hash that makes a key of its rank, so that popular keys lie apart on the ring.
 const KEY_SALT: u64 = 7;
 
-/// How often each key is drawn, by its rank.
+/// The distribution of the ranks of keys.
 enum KeyPopularity {
     Zipf(Zipf<f64>),
     Uniform { keys: u64 },
@@ -29,20 +30,20 @@
 impl KeyPopularity {
     fn new(spec: &SimulatedSpec) -> KeyPopularity {
         match Zipf::new(spec.keys as f64, spec.zipf) {
-            Ok(law) if spec.zipf > 0.0 => KeyPopularity::Zipf(law),
+            Ok(distribution) if spec.zipf > 0.0 => KeyPopularity::Zipf(distribution),
             _ => KeyPopularity::Uniform { keys: spec.keys.max(1) },
         }
     }
 
     fn draw_rank(&self, rng: &mut ChaCha8Rng) -> u64 {
         match self {
-            KeyPopularity::Zipf(law) => law.sample(rng) as u64,
+            KeyPopularity::Zipf(distribution) => distribution.sample(rng) as u64,
             KeyPopularity::Uniform { keys } => rng.random_range(0..*keys),
         }
     }
 }
 
-/// Draws the requests of all balancers of a process.
+/// Generates the requests of all balancers of a process.
 pub(super) struct LoadGenerator {
     pub(super) spec: SimulatedSpec,
     pub(super) clock: Rc<ProcessClock>,
@@ -51,10 +52,10 @@
 }
 
 impl LoadGenerator {
-    /// Draws requests while `generating` says so: for all balancers together, each for one of them
-    /// by chance, which is a Poisson process at each.
+    /// Generates requests while `generating` is true. One Poisson process serves all balancers and
+    /// assigns each request to a random one, which makes a Poisson process at each.
     pub(super) async fn run(self, mut generating: Receiver<bool>) {
-        // The processes of a run draw differently.
+        // Each process of a run has its own random sequence.
         let seed = self.spec.seed ^ u64::from(self.spec.first_balancer) << 20;
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let popularity = KeyPopularity::new(&self.spec);
@@ -77,13 +78,13 @@
         if due > self.clock.now() {
             sleep_until(self.clock.at(due)).await;
         } else {
-            // Behind: the balancers, which share this thread, must not starve for it.
+            // The generator is behind. It must not starve the balancers, which share this thread.
             tokio::task::yield_now().await;
         }
     }
 
     fn start_request(&self, popularity: &KeyPopularity, rng: &mut ChaCha8Rng, due: Micros) {
-        // The timer's resolution is a millisecond: that is no lateness.
+        // The timer has a resolution of a millisecond, which does not count as lateness.
         self.counters.lateness.record(self.clock.now() - due - MS);
         let rank = popularity.draw_rank(rng);
         let balancer = self.balancers[rng.random_range(0..self.balancers.len())].clone();
--- a/testbed/src/scale/simulated/mod.rs
+++ b/testbed/src/scale/simulated/mod.rs
@@ -1,9 +1,9 @@
-//! Simulated balancers: the real router, connection pools, watch schedule and settings, and real
-//! connections to discovery and hosts, but no clients: requests are drawn inside (`load`).
+//! Simulated balancers have the real router, connection pools, watch schedule and settings, and
+//! real connections to discovery and hosts, but no clients: `load` generates their requests.
 //!
-//! Each has its own seed and number; all of a process share its thread. The files are cut as those
-//! of the balancer: `watch` for discovery, `request` for a request, `checkout` and `exchange`
-//! for an attempt.
+//! Each has its own seed and number; all balancers of a process share one thread. The modules
+//! correspond to those of the balancer: `watch` for discovery, `request` for a request, `checkout`
+//! and `exchange` for an attempt.
 
 mod balancer;
 mod checkout;
--- a/testbed/src/scale/simulated/process.rs
+++ b/testbed/src/scale/simulated/process.rs
@@ -1,4 +1,4 @@
-//! All simulated balancers of a process, and the commands that they take.
+//! All simulated balancers of a process, and the commands to them.
 
 use std::rc::Rc;
 
@@ -19,9 +19,9 @@
 pub struct SimulatedBalancers {
     balancers: Rc<Vec<Rc<SimulatedBalancer>>>,
     counters: Rc<Counters>,
-    /// The resident memory before there were balancers.
+    /// The resident memory before the balancers were created, in kB.
     initial_resident_kb: u64,
-    /// Whether requests are drawn.
+    /// Whether requests are generated.
     generating: Sender<bool>,
 }
 
@@ -29,7 +29,7 @@
     /// Starts the balancers, without load.
     ///
     /// # Errors
-    /// The settings or the initial list make no sense.
+    /// The settings or the initial list are invalid.
     pub fn start(spec: SimulatedSpec) -> Result<Rc<SimulatedBalancers>, RoleError> {
         let clock = Rc::new(ProcessClock::start());
         let counters = Rc::<Counters>::default();
@@ -59,7 +59,7 @@
         match command {
             WorkerCommand::Start => drop(self.generating.send_replace(true)),
             WorkerCommand::Stop => drop(self.generating.send_replace(false)),
-            // These are for hosts and discovery.
+            // Only hosts and discovery have this fault.
             WorkerCommand::StopResponding | WorkerCommand::ResumeResponding => {}
             WorkerCommand::Snapshot => {}
         }
--- a/testbed/src/scale/simulated/request.rs
+++ b/testbed/src/scale/simulated/request.rs
@@ -1,4 +1,4 @@
-//! One request, from its arrival to its final answer: the router decides, and its attempts run as
+//! One request, from its arrival to its final answer. The router decides on attempts, which run as
 //! tasks.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -16,25 +16,25 @@
 use super::balancer::{AttemptKey, SimulatedBalancer};
 use crate::time::MS;
 
-/// A request that the router has taken.
+/// A request that was submitted to the router.
 struct OpenRequest {
     balancer: Rc<SimulatedBalancer>,
     id: RequestId,
     /// When it was due to arrive.
     due: Micros,
-    /// The command, as each attempt sends it.
+    /// The encoded command that each attempt sends.
     command: Bytes,
     actions_ready: Rc<Notify>,
-    /// What the router decided and is not carried out yet.
+    /// Actions of the router that are not carried out yet.
     actions: VecDeque<RequestAction>,
     attempts: JoinSet<(AttemptNumber, AttemptOutcome)>,
-    /// The attempts whose end the router does not know yet.
+    /// The attempts whose end was not reported to the router yet.
     running: BTreeMap<AttemptNumber, AbortHandle>,
     answered: bool,
 }
 
 impl SimulatedBalancer {
-    /// Carries one request for a key out. Its deadline counts from when it was due.
+    /// Runs one request for a key. Its deadline counts from when it was due.
     pub(super) async fn run_request(self: Rc<SimulatedBalancer>, key: u64, due: Micros) {
         OpenRequest::submit(self, key, due).run().await;
     }
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Runs until it is answered and none of its attempts runs any more.
+    /// Runs until the request is answered and all of its attempts have ended.
     async fn run(mut self) {
         loop {
             while let Some(action) = self.actions.pop_front() {
@@ -138,7 +138,8 @@
         }
     }
 
-    /// Reports the end of an attempt, unless the router knows it: a cancelled one may end as well.
+    /// Reports the end of an attempt, unless that was done before: a cancelled attempt may still
+    /// return an outcome.
     fn attempt_ended(&mut self, attempt: AttemptNumber, outcome: AttemptOutcome) {
         if self.running.remove(&attempt).is_none() {
             return;
--- a/testbed/src/scale/simulated/watch.rs
+++ b/testbed/src/scale/simulated/watch.rs
@@ -1,5 +1,5 @@
-//! The watch of discovery: the real schedule decides when to call and for how long a call may be
-//! held; the list goes to the balancer.
+//! Watches discovery. The real schedule decides when to call and how long a call may be held; the
+//! lists go to the balancer.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,11 +19,11 @@
 use crate::scale::system::unix_micros;
 use crate::time::{to_duration, MS};
 
-/// From the start of one call to the start of the next at least.
+/// The shortest time from the start of one call to the start of the next.
 const MIN_CALL_INTERVAL: Duration = Duration::from_millis(20);
-/// The longest list that is read.
+/// The largest list that is read, in bytes.
 const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
-/// Beside a list, for its response's head.
+/// Buffer space for the head of a response, in addition to the list, in bytes.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 
 impl SimulatedBalancer {
@@ -50,18 +50,18 @@
         }
     }
 
-    /// Takes a list in, and counts when it was in force unless it says nothing new.
+    /// Applies a list, and records when, unless the list has no changes.
     fn apply_list(&self, list: EndpointList, whole: bool) {
-        let has_news = whole || !list.instances.is_empty();
+        let has_changes = whole || !list.instances.is_empty();
         self.update_endpoints(whole, list.instances);
-        if has_news {
+        if has_changes {
             let applied = (self.number, list.generation, unix_micros());
             self.counters.count(|counters| counters.applied.push(applied));
         }
     }
 }
 
-/// Calls discovery, over one connection for as long as that lasts.
+/// Calls discovery, over one connection while that stays open.
 struct DiscoveryClient {
     address: SocketAddr,
     connection: Option<Connection>,
@@ -69,7 +69,7 @@
 }
 
 impl DiscoveryClient {
-    /// One call. A failed one closes the connection.
+    /// Makes one call. A failure closes the connection.
     async fn call(&mut self, schedule: &WatchSchedule) -> Result<EndpointList, WatchError> {
         let started_at = Instant::now();
         let deadline = started_at + to_duration(schedule.call_timeout());
@@ -86,10 +86,10 @@
         };
         let request = http::encode_request("GET", &path, &self.address.to_string(), &[], None);
         let exchange = timeout_at(deadline, self.exchange(&mut connection, &request)).await;
-        let response = exchange.map_err(|_| WatchError::TimedOut("it is silent".to_owned()))??;
+        let response = exchange.map_err(|_| WatchError::TimedOut("no response in time".to_owned()))??;
         connection.buffer.consume(response.consumed);
         if response.status != 200 {
-            return Err(WatchError::InvalidResponse(format!("status {}", response.status)));
+            return Err(WatchError::InvalidResponse(format!("expected status 200, got {}", response.status)));
         }
         let list = serde_json::from_slice(&response.body)
             .map_err(|cause| WatchError::InvalidResponse(cause.to_string()))?;
@@ -100,7 +100,7 @@
     async fn connect(&self, schedule: &WatchSchedule) -> Result<Connection, WatchError> {
         let connecting = Connection::connect(self.address, MAX_BODY_BYTES + MAX_HEAD_BYTES);
         let connected = timeout(to_duration(schedule.response_timeout()), connecting).await;
-        connected.map_err(|_| WatchError::TimedOut("it does not come up".to_owned()))?.map_err(timed_out)
+        connected.map_err(|_| WatchError::TimedOut("connecting took too long".to_owned()))?.map_err(timed_out)
     }
 
     /// Writes a request and reads its whole response, which stays in the buffer.
@@ -112,7 +112,9 @@
             let unfilled = buffer.unfilled().map_err(timed_out)?;
             let read = stream.read_buf(unfilled).await.map_err(timed_out)?;
             if read == 0 {
-                return Err(WatchError::TimedOut("it closed the connection".to_owned()));
+                return Err(WatchError::TimedOut(
+                    "connection closed before the end of the response".to_owned(),
+                ));
             }
             self.counters.count(|counters| counters.discovery_bytes_in += read as u64);
             let parsed = http::parse_response(buffer.bytes(), MAX_BODY_BYTES);
@@ -124,7 +126,7 @@
     }
 }
 
-/// A connection that fails counts as one that is silent.
+/// Treats a failed connection like a timeout.
 fn timed_out(cause: io::Error) -> WatchError {
     WatchError::TimedOut(cause.to_string())
 }
--- a/testbed/src/scale/worker.rs
+++ b/testbed/src/scale/worker.rs
@@ -1,6 +1,6 @@
-//! A worker process from within: the first line on its standard input says which role it plays, and
-//! each further line is a command. It ends when its input does, so that no worker outlives the
-//! process that started it, however that ended.
+//! The main loop of a worker process. The first line of its standard input sets its role, each
+//! further line is a command. It exits when its input ends, so that no worker outlives the
+//! coordinator, even one that was killed.
 
 use std::io::{Stdin, Write};
 use std::process::Command;
@@ -22,7 +22,7 @@
 /// Serves one role until standard input ends: `basaltwood-testbed scale-part`.
 ///
 /// # Errors
-/// The first line makes no sense, or the process can't read, write or start a thread.
+/// The first line is invalid, or the process can't read, write or start a thread.
 pub fn serve() -> Result<(), RoleError> {
     let mut first_line = String::new();
     std::io::stdin().read_line(&mut first_line)?;
@@ -36,10 +36,10 @@
     thread::Builder::new().spawn(read)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(RoleError::Runtime)?;
-    tokio::task::LocalSet::new().block_on(&runtime, play_role(spec, lines))
+    tokio::task::LocalSet::new().block_on(&runtime, run_role(spec, lines))
 }
 
-/// Forwards the commands; ends the process at the end of its input.
+/// Forwards the commands; exits the process at the end of its input.
 fn read_until_end(input: Stdin, sender: &UnboundedSender<String>, guarded: Option<GuardedProcess>) {
     for line in input.lines() {
         let Ok(line) = line else { break };
@@ -50,11 +50,11 @@
     if let Some(guarded) = guarded {
         guarded.kill();
     }
-    // Whoever started this process has ended: nothing here is to go on.
+    // The coordinator has ended or dropped this worker: there is nothing left to do.
     std::process::exit(0);
 }
 
-async fn play_role(spec: WorkerSpec, lines: UnboundedReceiver<String>) -> Result<(), RoleError> {
+async fn run_role(spec: WorkerSpec, lines: UnboundedReceiver<String>) -> Result<(), RoleError> {
     match spec {
         WorkerSpec::Fleet(spec) => {
             let fleet = Fleet::start(spec).map_err(RoleError::Listen);
@@ -69,7 +69,7 @@
     }
 }
 
-/// Replies to commands, or reports why the role did not start.
+/// Replies to commands, or replies with the error that kept the role from starting.
 async fn serve_or_report(
     role: Result<Rc<impl Role>, RoleError>,
     lines: UnboundedReceiver<String>,
@@ -103,7 +103,7 @@
     Ok(output.flush()?)
 }
 
-/// The role that does nothing but end with its input, which ends the guarded process.
+/// The role of a guard, which has no state: `read_until_end` kills the guarded process.
 struct Guard;
 
 impl Role for Guard {
@@ -116,7 +116,7 @@
     }
 }
 
-/// A process that is killed when this one's input ends.
+/// A process that is killed when the input of this worker ends.
 struct GuardedProcess {
     pid: u32,
     started: String,
@@ -127,7 +127,7 @@
         Some(GuardedProcess { pid, started: start_time(pid)? })
     }
 
-    /// Kills it, unless it has ended and its number is another process's now.
+    /// Kills the process, unless it has exited and its id now belongs to another process.
     fn kill(&self) {
         if start_time(self.pid).as_ref() == Some(&self.started) {
             let _ = Command::new("kill").args(["-KILL", &self.pid.to_string()]).status();
@@ -135,11 +135,12 @@
     }
 }
 
-/// When a process started, as the system counts it: a later one of the same number has another
-/// start time.
+/// The start time of a process, in the system's clock ticks. It tells a process from a later one
+/// with the same id.
 fn start_time(pid: u32) -> Option<String> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-    // The name in brackets may hold spaces; the 22nd field of all is the 20th after it.
+    // The 2nd field, the name in brackets, may contain spaces. The start time is the 22nd field,
+    // the 20th after the name.
     let (_, fields) = stat.rsplit_once(')')?;
     fields.split_whitespace().nth(19).map(str::to_owned)
 }
--- a/testbed/src/scale/worker_process.rs
+++ b/testbed/src/scale/worker_process.rs
@@ -1,4 +1,4 @@
-//! A worker process as the coordinator of a run sees it: started, sent commands, ended.
+//! Starts, commands and ends a worker process, on the side of a run's coordinator.
 
 use std::io::{BufRead, BufReader, Write};
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
@@ -14,27 +14,27 @@
 use super::protocol::{WorkerCommand, WorkerSpec};
 use crate::play::STOP;
 
-/// Longer than any process needs to come up or to reply.
+/// The longest wait for a process to start or to reply.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(30);
-/// How often a wait for a reply looks whether the run is to end.
+/// How often a wait for a reply checks whether the run was interrupted.
 const INTERRUPT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// How long a process may take to end by itself before it is killed.
+/// How long a process may take to exit after its input is closed, before it is killed.
 const EXIT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How often a wait for its end looks.
+/// How often a wait for the exit of a process checks.
 const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A worker process that was started here. Dropping it ends it.
+/// A worker process. Dropping this ends the process.
 pub struct WorkerProcess {
     child: Child,
     input: Option<ChildStdin>,
     lines: mpsc::Receiver<String>,
-    /// What it is, as error messages name it.
+    /// The name of the role in error messages.
     role: &'static str,
 }
 
 impl Drop for WorkerProcess {
     fn drop(&mut self) {
-        // It ends when its input does; it is killed only if it hangs.
+        // A worker exits when its input is closed; it is killed only if it hangs.
         drop(self.input.take());
         let closed_at = Instant::now();
         while closed_at.elapsed() < EXIT_TIMEOUT {
@@ -52,7 +52,7 @@
     /// Starts a worker and waits for its role's `...Ready` message.
     ///
     /// # Errors
-    /// It does not come up, or the run was interrupted.
+    /// The worker does not start, or the run was interrupted.
     pub fn start<Ready: DeserializeOwned>(spec: &WorkerSpec) -> Result<(WorkerProcess, Ready), RunError> {
         let role = role_name(spec);
         let mut worker =
@@ -75,10 +75,11 @@
         Ok(WorkerProcess { child, input, lines, role })
     }
 
-    /// Sends a command and waits for the snapshot that it is replied with.
+    /// Sends a command and waits for the snapshot in reply.
     ///
     /// # Errors
-    /// It does not reply in time, has ended, or reports an error; or the run was interrupted.
+    /// The worker does not reply in time, has exited, or reports an error; or the run was
+    /// interrupted.
     pub fn command<Snapshot: DeserializeOwned>(
         &mut self,
         command: WorkerCommand,
@@ -98,7 +99,7 @@
     fn send(&mut self, message: &impl Serialize) -> Result<(), WorkerError> {
         let mut line = serde_json::to_string(message)?;
         line.push('\n');
-        let input = self.input.as_mut().ok_or(WorkerError::Ended)?;
+        let input = self.input.as_mut().ok_or(WorkerError::InputClosed)?;
         Ok(input.write_all(line.as_bytes())?)
     }
 
@@ -108,12 +109,12 @@
         loop {
             match self.lines.recv_timeout(INTERRUPT_CHECK_INTERVAL) {
                 Ok(line) => return Ok(line),
-                Err(RecvTimeoutError::Disconnected) => return failed(WorkerError::EndedByItself),
+                Err(RecvTimeoutError::Disconnected) => return failed(WorkerError::Exited),
                 Err(RecvTimeoutError::Timeout) if STOP.load(Ordering::Relaxed) => {
                     return Err(RunError::Interrupted);
                 }
                 Err(RecvTimeoutError::Timeout) if sent_at.elapsed() > REPLY_TIMEOUT => {
-                    return failed(WorkerError::TimedOut);
+                    return failed(WorkerError::TimedOut(REPLY_TIMEOUT));
                 }
                 Err(RecvTimeoutError::Timeout) => {}
             }
@@ -123,14 +124,14 @@
 
 fn role_name(spec: &WorkerSpec) -> &'static str {
     match spec {
-        WorkerSpec::Fleet(_) => "a fleet",
-        WorkerSpec::Discovery(_) => "discovery",
-        WorkerSpec::Simulated(_) => "hollow balancers",
-        WorkerSpec::Guard { .. } => "a guard",
+        WorkerSpec::Fleet(_) => "fleet worker",
+        WorkerSpec::Discovery(_) => "discovery worker",
+        WorkerSpec::Simulated(_) => "worker of simulated balancers",
+        WorkerSpec::Guard { .. } => "guard of the real balancer",
     }
 }
 
-/// Passes a worker's output on line by line, until it ends or nobody reads it any more.
+/// Forwards a worker's output line by line until it ends or the receiver is dropped.
 fn forward_lines(output: ChildStdout, sender: &mpsc::Sender<String>) {
     for line in BufReader::new(output).lines() {
         let Ok(line) = line else { return };
