--- a/src/activity.rs
+++ b/src/activity.rs
@@ -39,7 +39,7 @@
 }
 
 impl ZoneActivity {
-    /// Groups the hosts that were ever used by zone.
+    /// Groups the activity by zone, without hosts that were never used.
     pub(crate) fn by_zone(
         hosts: impl Iterator<Item = (ZoneId, HostActivity)>,
     ) -> BTreeMap<ZoneId, ZoneActivity> {
--- a/src/host_tracker.rs
+++ b/src/host_tracker.rs
@@ -16,7 +16,7 @@
 pub(crate) struct HostStatus {
     pub(crate) endpoint: Option<Endpoint>,
     pub(crate) is_suspected: bool,
-    /// The evidence against the host's health since it was last found healthy, in typical latencies.
+    /// The evidence against the host's health since it was last healthy, in typical latencies.
     pub(crate) failure_evidence: f64,
     /// The fraction of its full capacity that the host has at least; 1 when warm.
     pub(crate) capacity: f64,
@@ -88,7 +88,7 @@
     pub(crate) in_flight: BTreeMap<AttemptKey, InFlight>,
     pub(crate) warming_since: Option<Micros>,
     pub(crate) suspected_since: Option<Micros>,
-    /// The evidence against the host's health since it was last found healthy, in typical latencies.
+    /// The evidence against the host's health since it was last healthy, in typical latencies.
     pub(crate) failure_evidence: f64,
     /// The latest send time among the attempts that brought a value or a miss.
     pub(crate) served_sent_at: Micros,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -56,8 +56,8 @@
     }
 
     /// Rule 4: no more sends in a window to a host that is warming up than this balancer's share of
-    /// what the host can handle. A warm host handles at least the mean load, and this balancer's own
-    /// sends already are its share of that.
+    /// what the host can handle. A warm host handles at least the mean load, and this balancer's
+    /// own sends already are its share of that.
     pub(super) fn warm_up_allows(
         &mut self,
         host: HostId,
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -34,9 +34,10 @@
         ConcurrencyLimit::new(INITIAL_LIMIT, growth)
     }
 
-    /// Whether one more attempt may start that may fill `share` of the limit. One attempt may always
-    /// be in flight. The number of further ones varies by its square root, which evens out over many
-    /// balancers, so that deviation is allowed in proportion to the share of the other balancers.
+    /// Whether one more attempt may start that may fill `share` of the limit. One attempt may
+    /// always be in flight. The number of further ones varies by its square root, which evens out
+    /// over many balancers, so that deviation is allowed in proportion to the share of the other
+    /// balancers.
     pub fn has_capacity(&self, in_flight: usize, share: f64, others_share: f64, now: Micros) -> bool {
         let limit = self.limit * share;
         let deviation = ((limit - 1.0).max(0.0) * others_share).sqrt();
@@ -64,15 +65,15 @@
         self.next_start_at = now + (latency as f64 * (1.0 / self.limit.min(1.0) - 1.0)) as Micros;
     }
 
-    /// Grows the limit, and decreases it by the ratio of the minimum latency to the current one. The
-    /// minimum is at most `ceiling`, and a current latency up to `floor` is always tolerated. All
-    /// three are in microseconds; `steps` multiplies the growth.
+    /// Grows the limit, and decreases it by the ratio of the minimum latency to the current one.
+    /// The minimum is at most `ceiling`, and a current latency up to `floor` is always tolerated.
+    /// All three are in microseconds; `steps` multiplies the growth.
     pub fn evaluate(&mut self, current: Option<f64>, ceiling: f64, floor: f64, steps: f64, in_flight: usize) {
         let step = (self.growth * steps).min(steps.max(1.0));
         let is_measured = self.has_new_samples && self.latencies.total() >= MIN_SAMPLES;
         if let Some(current) = current.filter(|_| is_measured) {
-            // The ceiling: the latency of a host that is congested from the first sample on must not
-            // count as its minimum.
+            // The ceiling: the latency of a host that is congested from the first sample on must
+            // not count as its minimum.
             self.min_latency = (self.min_latency * MIN_LATENCY_DRIFT).min(current).min(ceiling);
             self.decrease(((LATENCY_TOLERANCE * self.min_latency).max(floor) / current).min(1.0));
             self.limit = (self.limit + step).min(MAX_LIMIT);
--- a/src/policy/constants.rs
+++ b/src/policy/constants.rs
@@ -99,8 +99,8 @@
 pub const PRIORITY_LIMIT_SHARE: f64 = 0.4;
 /// The share of the origin's limit that writes may fill.
 pub const ORIGIN_WRITE_SHARE: f64 = 2.0;
-/// The minimum limit of a host over all balancers: `ConcurrencyLimit::decrease` multiplies it by this
-/// balancer's share of the growth.
+/// The minimum limit of a host over all balancers: `ConcurrencyLimit::decrease` multiplies it by
+/// this balancer's share of the growth.
 pub const MIN_LIMIT: f64 = 0.3;
 /// The limit of a host that is new to this balancer.
 pub const INITIAL_LIMIT: f64 = 6.0;
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -78,8 +78,8 @@
         self.route(id, mailboxes);
     }
 
-    /// Handles an attempt that may be lost with its connection. The host is not in doubt and may get
-    /// the request again, at the cost of the separate budget for connection faults.
+    /// Handles an attempt that may be lost with its connection. The host is not in doubt and may
+    /// get the request again, at the cost of the separate budget for connection faults.
     pub fn attempt_in_doubt(&mut self, id: RequestId, number: AttemptNumber, mailboxes: &mut Mailboxes) {
         let Some(request) = self.requests.get(&id) else { return };
         let Some(in_doubt) = request.in_flight_attempt(number) else { return };
@@ -101,13 +101,13 @@
                 self.fleet.limit.record(elapsed, 1.0, mailboxes.now);
             }
         }
-        // If a key fails at every host, the key is the cause and no host is blamed.
+        // A key that got errors from two hosts is itself the cause, so no host is blamed.
         let is_key_fault = outcome == Error && self.record_error(attempt.request, host);
         let outcome = if is_key_fault { NotSent } else { outcome };
         mailboxes.send_to_host(host, HostMessage::AttemptEnded { attempt, outcome, elapsed });
     }
 
-    /// Records an error of a request at a host; returns whether the key is known to fail everywhere.
+    /// Records an error of a request at a host; returns whether its key is in `failing_keys`.
     fn record_error(&mut self, id: RequestId, host: HostId) -> bool {
         let Some(request) = self.requests.get_mut(&id) else { return false };
         let Some(key) = request.key else { return false };
@@ -153,8 +153,8 @@
         self.retry(id, mailboxes);
     }
 
-    /// Refunds the retry for an attempt that reached no host. A connection fault uses its own budget
-    /// instead, and its host may be tried again, as that is healthy.
+    /// Refunds the retry for an attempt that reached no host. A connection fault uses its own
+    /// budget instead, and its host may be tried again, as that is healthy.
     fn settle_retry_cost(&mut self, id: RequestId, outcome: AttemptOutcome, sent: Option<SentAttempt>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let is_fault = outcome == AttemptOutcome::ConnectionFault;
--- a/src/policy/host.rs
+++ b/src/policy/host.rs
@@ -6,8 +6,8 @@
 use crate::types::{AttemptOutcome, Endpoint, Lifecycle, Micros};
 
 impl HostStatus {
-    /// The share of its own keys that the host keeps. While it warms up, only `warm_up_share` of its
-    /// current capacity is used.
+    /// The share of its own keys that the host keeps. While it warms up, only `warm_up_share` of
+    /// its current capacity is used.
     pub fn kept_key_share(&self, warm_up_share: f64) -> f64 {
         let capacity_share =
             if self.is_warming_up() { (warm_up_share * self.capacity).min(1.0) } else { 1.0 };
@@ -51,19 +51,19 @@
         self.status.endpoint = Some(endpoint);
     }
 
-    /// Applies the limit that the predecessor process learned: both processes are the same balancer,
-    /// with the same traffic.
+    /// Applies the limit that the predecessor process learned: both processes are the same
+    /// balancer, with the same traffic.
     pub fn restore_limit(&mut self, limit: f64) {
         self.status.limit.limit = limit.clamp(MIN_LIMIT, MAX_LIMIT);
     }
 
-    /// Whether this balancer itself has seen the host answer and does not suspect it.
+    /// Whether the host is up and not suspected, and has answered this balancer itself.
     fn is_seen_alive(&self) -> bool {
         self.suspected_since.is_none() && self.status.is_up() && self.status.activity.answered_at > 0
     }
 
-    /// Withdraws the assumption that the silent host was restarted: its warm-up counts only from the
-    /// start time in the endpoint list.
+    /// Withdraws the assumption that the silent host was restarted: its warm-up counts only from
+    /// the start time in the endpoint list.
     pub fn mark_not_restarted(&mut self, now: Micros) {
         self.warming_since = self.status.endpoint.as_ref().and_then(|endpoint| endpoint.started_at);
         self.status.activity.answered_at = now;
@@ -133,8 +133,8 @@
         }
     }
 
-    /// Suspects the host if there is enough evidence against its health, and ends its ejection after
-    /// `MIN_EJECTION_TIME` or longer.
+    /// Suspects the host if there is enough evidence against its health, and ends its ejection
+    /// after `MIN_EJECTION_TIME` or longer.
     pub fn sweep(&mut self, fleet: FleetMeasures, mailboxes: &mut Mailboxes) {
         let now = mailboxes.now;
         let may_be_suspected = self.suspected_since.is_none() && !self.status.is_origin();
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -14,7 +14,7 @@
     Usable,
     /// The host would be selected, but is at its concurrency limit.
     Full,
-    /// The host is used if no other is usable; the fallback with the highest preference is selected.
+    /// Used if no other host is usable; the fallback with the highest preference is selected.
     Fallback(f64),
     Unusable,
 }
@@ -147,9 +147,9 @@
         Ok(origin)
     }
 
-    /// The holders of a hot key, one from each of several equal ranges of the ring that start at the
-    /// key's position; the first holder is the home. The holders are marked. All ranges together
-    /// visit at most `MAX_POINTS_FOR_HOLDERS` points, independent of the number of hosts.
+    /// The holders of a hot key, one from each of several equal ranges of the ring that start at
+    /// the key's position; the first holder is the home. The holders are marked. All ranges
+    /// together visit at most `MAX_POINTS_FOR_HOLDERS` points, independent of the number of hosts.
     fn hot_key_holders(&self, key: RingPosition, now: Micros, marks: &mut HostMarks) -> Vec<HostId> {
         let by_load = (self.loads.counts.share_of(key) * self.ring.host_count() as f64) as u64;
         let count = by_load.clamp(MIN_HOT_KEY_HOLDERS, MAX_HOSTS_ASSESSED as u64);
--- a/src/policy/send_permit.rs
+++ b/src/policy/send_permit.rs
@@ -54,8 +54,8 @@
 }
 
 impl Policy {
-    /// Whether the first byte of an attempt may be written now; to be called right before the write.
-    /// `client_present` is whether the client's connection was open when last checked.
+    /// Whether the first byte of an attempt may be written now; to be called right before the
+    /// write. `client_present` is whether the client's connection was open when last checked.
     ///
     /// # Errors
     /// [`SendRefusal`] if a rule forbids it; then nothing may be written.
@@ -117,7 +117,7 @@
         check_repeat(safety, earlier, target, self.capabilities.hedging, now)
     }
 
-    /// The details of an earlier attempt that rule 2 depends on.
+    /// The details of an earlier attempt that decide whether a repeat is allowed (rule 2).
     pub(crate) fn possible_run(&self, earlier: SentAttempt, others_in_flight: bool) -> PossibleRun<'_> {
         PossibleRun {
             endpoint: self.host_statuses[earlier.host.index()].endpoint.as_ref(),
@@ -126,8 +126,9 @@
         }
     }
 
-    /// Checks rule 4 again for an attempt that is sent in a later window than it was counted in, or
-    /// whose host has restarted since the decision: it is counted in the window in which it is sent.
+    /// Checks the slow-start budget (rule 4) again for an attempt that is sent in a later window
+    /// than it was counted in, or whose host has restarted since the decision. The attempt is
+    /// counted in the window in which it is sent.
     fn slow_start_allows_late(&mut self, attempt: AttemptKey, sent: SentAttempt, now: Micros) -> bool {
         let status = &self.host_statuses[sent.host.index()];
         let window = self.warm_up.slow_start.overload_window;
--- a/src/router.rs
+++ b/src/router.rs
@@ -199,8 +199,8 @@
         (request, self.take_actions(request))
     }
 
-    /// Whether the first byte of an attempt may be written now; to be called right before the write.
-    /// `client_present` is whether the client's connection was open when last checked.
+    /// Whether the first byte of an attempt may be written now; to be called right before the
+    /// write. `client_present` is whether the client's connection was open when last checked.
     ///
     /// # Errors
     /// [`SendRefusal`] if a rule forbids it: nothing may be written, and the attempt is to be
@@ -287,8 +287,8 @@
         self.take_actions(request)
     }
 
-    /// Abandons a request that the caller can no longer serve: its client counts as disconnected and
-    /// its attempts in flight as cancelled.
+    /// Abandons a request that the caller can no longer serve: its client counts as disconnected
+    /// and its attempts in flight as cancelled.
     pub fn abandon(&mut self, now: Micros, request: RequestId) {
         self.client_gone(now, request);
         let Some(open) = self.requests.get(&request) else { return };
@@ -312,8 +312,8 @@
         self.policy.set_loop_lag(lag);
     }
 
-    /// Gives final answers to requests whose deadlines passed `OVERDUE_GRACE` ago. Their attempts may
-    /// not have ended yet if the process is late.
+    /// Gives final answers to requests whose deadlines passed `OVERDUE_GRACE` ago. Their attempts
+    /// may not have ended yet if the process is late.
     pub fn expire(&mut self, now: Micros) {
         while let Some(&(deadline, request)) = self.deadlines.first() {
             if now < deadline + OVERDUE_GRACE {
--- a/src/send_windows.rs
+++ b/src/send_windows.rs
@@ -29,8 +29,8 @@
 /// The bounds on the sends to a host in a window.
 #[derive(Clone, Copy)]
 pub(crate) struct SendBounds {
-    /// The bound for the host. A fractional part allows one more send with that probability, so that
-    /// the sum over many balancers has the right mean.
+    /// The bound for the host. A fractional part allows one more send with that probability, so
+    /// that the sum over many balancers has the right mean.
     pub(crate) max_sends: f64,
     /// The bound for the key of the current send.
     pub(crate) key: Option<KeyBound>,
--- a/src/types/events.rs
+++ b/src/types/events.rs
@@ -204,7 +204,7 @@
 pub enum EndReason {
     /// The concurrency limit of the whole fleet is reached.
     FleetAtLimit,
-    /// The selected host and the one for spills are at their concurrency limits.
+    /// The selected host is at its concurrency limit, and the request can't spill to the next one.
     HostsAtLimit,
     /// No host is up, or all that are up were tried or are suspected.
     NoUsableHost,
@@ -218,7 +218,7 @@
     OutOfTime,
     /// The request has used its retries, or the retry budget is empty.
     RetriesExhausted,
-    /// The key gets errors from every host.
+    /// The key got errors from two hosts, and no value since.
     KeyFails,
     /// The event loop is late, so new requests are rejected until it has caught up.
     Overloaded,
--- a/src/types/ids.rs
+++ b/src/types/ids.rs
@@ -24,7 +24,7 @@
     ZoneId(u32),
     /// A group of hosts that may share a deduplication table.
     CellId(u32),
-    /// A position on the consistent-hash ring; a given text has the same position at every balancer.
+    /// A position on the consistent-hash ring; a text has the same position at every balancer.
     RingPosition(u64),
 }
 
--- a/tests/common/peers.rs
+++ b/tests/common/peers.rs
@@ -42,7 +42,7 @@
     /// With `dedup`, a request that is repeated unchanged on its connection is reported once.
     fn start(read: Reader, rule: Rule, dedup: bool) -> Peer {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-        let address = listener.local_addr().expect("the address is known");
+        let address = listener.local_addr().expect("the listener has an address");
         let (sender, received) = channel();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -117,8 +117,8 @@
         self.request(now);
     }
 
-    /// The successor gets the current endpoint list and the limits that its predecessor learned; the
-    /// predecessor finishes its requests in flight.
+    /// The successor gets the current endpoint list and the limits that its predecessor learned;
+    /// the predecessor finishes its requests in flight.
     fn replace_first_process(&mut self, now: Micros) {
         let config = PolicyConfig { seed: 901, ..self.config.clone() };
         let mut new = TestBalancer::new(&config, Simulation::endpoints());
@@ -175,13 +175,13 @@
     (max_load, worst.iter().sum::<f64>() / worst.len() as f64, simulation.unsent)
 }
 
-/// A table with the outcomes for each number of balancers; asserts that each load is below `under`.
-fn table(cold: &SlowStart, balancers: &[u32], takeover: bool, under: f64) -> String {
+/// A table with the outcomes for each number of balancers; asserts that each load is below `bound`.
+fn table(cold: &SlowStart, balancers: &[u32], takeover: bool, bound: f64) -> String {
     let mut table = "balancers  hot key  most of what overloads    mean  requests given up\n".to_owned();
     for &balancers in balancers {
         for with_hot_key in [false, true] {
             let (max_load, mean, unsent) = simulate(cold, balancers, with_hot_key, takeover);
-            assert!(max_load < under, "{balancers} balancers, hot key {with_hot_key}: {max_load}");
+            assert!(max_load < bound, "{balancers} balancers, hot key {with_hot_key}: {max_load}");
             table +=
                 &format!("{balancers:<9}  {with_hot_key:<7}  {max_load:<24.2}  {mean:.2}  {unsent:.3}\n");
         }
--- a/tests/send_rules.rs
+++ b/tests/send_rules.rs
@@ -217,7 +217,7 @@
                 }
             }
             Step::Ended { nth, outcome } => {
-                // An unsent attempt ends only with an outcome that proves no run; a miss is an answer.
+                // An unsent attempt ends only with an outcome that proves no run, except a miss.
                 let proves = outcome.proves_not_run() && outcome != AttemptOutcome::Miss;
                 if let Some(key) = self.nth_in_flight(nth, |attempt| attempt.sent_at.is_some() || proves) {
                     self.ended(key, outcome);
