--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -56,13 +56,13 @@
     }
 
     /// Rule 4: no more sends in a window to a host that is warming up than this balancer's share of
-    /// what the host can handle. A warm host handles at least the mean load, and this balancer's own
-    /// sends already are its share of that.
+    /// what the host can handle. A warm host handles at least the mean load, and this balancer's
+    /// own sends already are its share of that.
     pub(super) fn warm_up_allows(
         &mut self,
         host: HostId,
         key: Option<RingPosition>,
-        retry: bool,
+        is_retry: bool,
         now: Micros,
     ) -> bool {
         let status = &self.host_statuses[host.index()];
@@ -70,7 +70,7 @@
             return true;
         }
         // Retries of what other hosts rejected or lost come from all balancers at once.
-        if retry {
+        if is_retry {
             return false;
         }
         let bounds = self.warm_up_bounds(status, key);
--- a/src/types/events.rs
+++ b/src/types/events.rs
@@ -7,7 +7,7 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The host served it.
+    /// The host served the request.
     Succeeded,
     /// The host answered with an error; the request may have run.
     Error,
@@ -195,7 +195,7 @@
     pub is_suspected: bool,
     /// Whether the host is warming up.
     pub is_warming_up: bool,
-    /// The evidence that the host does not answer, in typical latencies.
+    /// The evidence against the host's health, in typical latencies.
     pub failure_evidence: f64,
 }
 
@@ -204,7 +204,7 @@
 pub enum EndReason {
     /// The concurrency limit of the whole fleet is reached.
     FleetAtLimit,
-    /// The selected host and the one for spills are at their concurrency limits.
+    /// The selected host is at its concurrency limit, and the request can't spill to the next one.
     HostsAtLimit,
     /// No host is up, or all that are up were tried or are suspected.
     NoUsableHost,
@@ -218,7 +218,7 @@
     OutOfTime,
     /// The request has used its retries, or the retry budget is empty.
     RetriesExhausted,
-    /// The key gets errors from every host.
+    /// The key got errors from two hosts, and no value since.
     KeyFails,
     /// The event loop is late, so new requests are rejected until it has caught up.
     Overloaded,
