--- a/balancer/src/budget.rs
+++ b/balancer/src/budget.rs
@@ -51,8 +51,8 @@
     max_stream_bytes: usize,
     /// Notified when a descriptor or memory is returned to the budget.
     pub freed: Notify,
-    /// Clients that can be shed: those that are idle, and those that sent part of a first or later
-    /// command or nothing at all.
+    /// Clients that can be shed: those that are idle, and those that sent part of a command or
+    /// nothing yet.
     idle_clients: SheddableClients,
     partial_clients: SheddableClients,
     /// Clients whose connections are shut down on this side and that have not closed yet.
--- a/balancer/src/downstream/accept.rs
+++ b/balancer/src/downstream/accept.rs
@@ -18,8 +18,8 @@
 /// How often a free descriptor is looked for.
 const DESCRIPTOR_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// In the last phase of the process, more than this number of consecutive failed accepts abandons
-/// the clients that are still waiting.
+/// In [`Phase::Flushing`], more than this number of consecutive failed accepts abandons the clients
+/// that are still waiting.
 const MAX_FAILURES_AT_END: u32 = 20;
 
 /// Accepts connections while the phase allows it, and serves each in a task of its own. The next
--- a/balancer/src/downstream/closing.rs
+++ b/balancer/src/downstream/closing.rs
@@ -44,7 +44,7 @@
     ProtocolError,
     /// The client sent no command, or not the rest of one, in time.
     ClientSilent,
-    /// The client received nothing of a reply for too long.
+    /// The client received nothing of a reply between two checks of its unacknowledged bytes.
     ReaderStalled,
     /// Another client needs the descriptor.
     Shed,
--- a/balancer/src/downstream/connection.rs
+++ b/balancer/src/downstream/connection.rs
@@ -162,8 +162,8 @@
 
     async fn take_command(&mut self, command: Command) {
         // The runtime assumes that a new connection is readable before it polls the kernel, which
-        // also reports a disconnect. A client that sent a command and left while it waited for a
-        // descriptor must be known to be gone before an attempt begins.
+        // also reports a disconnect. If a client sent a command and left while it waited for a
+        // descriptor, this must be noticed before an attempt begins.
         if !self.activity.had_command {
             yield_now().await;
         }
--- a/balancer/src/downstream/reply.rs
+++ b/balancer/src/downstream/reply.rs
@@ -38,7 +38,7 @@
     Wrote(io::Result<usize>),
     /// The next chunk of a long value can be written.
     ChunkReady,
-    /// The host ended before it sent the rest of a long value.
+    /// The host did not send the rest of a long value.
     StreamBroken,
 }
 
@@ -94,7 +94,7 @@
         OutputEvent::Wrote(write_some(writer, &self.text).await)
     }
 
-    /// Takes note that `count` bytes were written. With the last byte of the reply the request has
+    /// Records that `count` bytes were written. With the last byte of the reply the request has
     /// ended for its client.
     pub fn written(&mut self, count: usize) {
         self.text.advance(count);
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -39,8 +39,8 @@
     Streamed(StreamedValue),
 }
 
-/// A value that is received in chunks, as fast as they are taken. If the chunks end before `length`
-/// is reached, the host did not send the rest.
+/// A value that is received in chunks, as fast as they are taken. If the chunks end while `length`
+/// is above 0, the host did not send the rest.
 pub struct StreamedValue {
     /// The number of bytes that are still to come.
     pub length: usize,
@@ -100,8 +100,8 @@
         let _ = self.finished.subscribe().wait_for(|finished| *finished).await;
     }
 
-    /// The client's facts with the timeout replaced by the time left for the attempt, at least 1
-    /// ms.
+    /// The client's facts with the timeout replaced by `time_left`, which is raised to at least
+    /// 1 ms.
     pub fn facts_within(&self, time_left: Micros) -> Bytes {
         let wait_ms = (time_left / 1000).max(1) as u64;
         facts::with_timeout(&self.facts, wait_ms)
--- a/balancer/src/upstream/cache.rs
+++ b/balancer/src/upstream/cache.rs
@@ -9,7 +9,7 @@
 };
 use crate::request::{AttemptResult, ClientRequest, Value};
 
-/// Encodes the command for a request; `time_left` is the time that the host is told.
+/// Encodes the command for a request, with `time_left` as its timeout.
 pub fn encode(request: &ClientRequest, time_left: Micros) -> RequestBytes {
     let facts = request.facts_within(time_left);
     let mut words: Vec<&[u8]> = vec![&request.command, &request.key, &request.id, &facts];
--- a/balancer/src/upstream/duplicates.rs
+++ b/balancer/src/upstream/duplicates.rs
@@ -12,7 +12,8 @@
 use crate::request::ClientRequest;
 
 /// How long a host is suspected of answering twice after it sent more than it was asked for. During
-/// this time a response equal to the previous one on its connection is treated as a copy.
+/// this time a response that [repeats](ResponseFingerprint::repeated_by) the previous one on its
+/// connection is treated as a copy.
 const SUSPECTED_FOR: Duration = Duration::from_secs(10);
 /// How long each request gets a connection of its own after a sign of duplicates. Copies arrive
 /// only milliseconds late, and every new connection costs its host: with 10 s, the day of corrupted
--- a/balancer/src/upstream/exchange.rs
+++ b/balancer/src/upstream/exchange.rs
@@ -55,7 +55,7 @@
         if let Err(outcome) = self.write(&mut checked_out, permit, message).await {
             return AttemptResult::without_value(outcome);
         }
-        self.sent(&checked_out, bytes);
+        self.record_sent(&checked_out, bytes);
         self.upstreams.audit(&SentAttempt {
             request: self.request,
             number: self.attempt.number,
@@ -135,7 +135,7 @@
     }
 
     /// Records that the last byte of the request was written.
-    fn sent(&self, checked_out: &CheckedOut<'_>, bytes: usize) {
+    fn record_sent(&self, checked_out: &CheckedOut<'_>, bytes: usize) {
         let id = checked_out.id();
         let AttemptKey { request, number } = self.attempt;
         log::debug!(
--- a/balancer/src/upstream/mod.rs
+++ b/balancer/src/upstream/mod.rs
@@ -47,9 +47,9 @@
     AttemptInDoubt(AttemptKey),
     /// The attempt waits until this balancer may open a connection.
     AttemptWaits(AttemptKey),
-    /// The attempt got a connection after waiting.
+    /// The attempt no longer waits: it got an idle connection or opens a new one.
     AttemptProceeds(AttemptKey),
-    /// The attempt uses a new connection.
+    /// The attempt opens a new connection.
     NewConnection(AttemptKey),
     /// The host answered again after a silence, and was not restarted.
     HostAlive(HostId),
@@ -105,7 +105,7 @@
     pub host: HostId,
     /// When the attempt times out.
     pub deadline: Micros,
-    /// When the request's last byte has to be written; otherwise the attempt was not sent.
+    /// By when the request's last byte must be written; otherwise the attempt ends unsent.
     pub send_by: Micros,
 }
 
--- a/balancer/src/upstream/origin.rs
+++ b/balancer/src/upstream/origin.rs
@@ -12,7 +12,7 @@
 };
 use crate::request::{AttemptResult, ClientRequest, Value};
 
-/// Encodes the HTTP request to the origin at `address`; `time_left` is the time that it is told.
+/// Encodes the HTTP request to the origin at `address`, with `time_left` as its timeout.
 pub fn encode(address: SocketAddr, request: &ClientRequest, time_left: Micros) -> RequestBytes {
     let path = format!("/{}", http::percent_encode(&request.key));
     let facts = request.facts_within(time_left);
--- a/balancer/src/upstream/send_audit.rs
+++ b/balancer/src/upstream/send_audit.rs
@@ -15,7 +15,7 @@
 #[cfg(test)]
 mod tests;
 
-/// A client's close is handled within this time, as documented for operators (page on real days).
+/// A client's close is handled within this time. Source: the operators' page on real days.
 const DEPARTURE_SLACK: Duration = Duration::from_millis(100);
 /// How long a process may be held up between reading its clock and a write, by the same page.
 const STALL_SLACK: Duration = Duration::from_millis(150);
--- a/balancer/tests/drains.rs
+++ b/balancer/tests/drains.rs
@@ -218,7 +218,7 @@
 
 /// A response that arrives byte by byte does not extend the timeout.
 #[test]
-fn drain_behind_a_dripping_list_is_honoured_in_time() {
+fn drain_in_a_list_that_arrives_byte_by_byte_is_honoured_in_time() {
     assert_honoured_in_time(0, |news| Reply::Trickle(news, Duration::from_secs(1)), calls_without_failures());
 }
 
@@ -282,7 +282,7 @@
 #[test]
 fn drain_in_a_list_of_any_form_is_honoured() {
     let b = Peer::host(|_| hit("from b"));
-    for layout in ["indented", "chunked", "dripping", "unlisted"] {
+    for layout in ["indented", "chunked", "byte by byte", "unlisted"] {
         let (_release, a) = breaking_host();
         let leaves = if layout == "unlisted" { "c" } else { "a" };
         let entries = [entry(leaves, a.address, "leaving"), entry("b", b.address, "active")].join(",\n  ");
@@ -298,7 +298,7 @@
             _ => format!("{head}Content-Length: {}\r\n\r\n{list}", list.len()),
         };
         let discovery = Peer::http(move |request| match request.contains("from=1&") {
-            true if layout == "dripping" => Reply::Trickle(whole.clone(), Duration::from_millis(1)),
+            true if layout == "byte by byte" => Reply::Trickle(whole.clone(), Duration::from_millis(1)),
             true => Reply::Text(whole.clone()),
             false => Reply::Nothing,
         });
@@ -339,7 +339,7 @@
     clients.iter_mut().for_each(|client| assert_eq!(client.answer(), "from b"));
     // A request that was read first may have connected, but the list precedes its first byte.
     let sent: Vec<String> = std::iter::from_fn(|| a.try_next()).filter(|seen| seen != "closed").collect();
-    assert!(sent.is_empty(), "nothing goes to the host that leaves: {sent:?}");
+    assert!(sent.is_empty(), "no request is sent to the leaving host: {sent:?}");
 }
 
 /// By changes to the list two hosts leave and one of them returns under its name. It then has
--- a/balancer/tests/faults/main.rs
+++ b/balancer/tests/faults/main.rs
@@ -1,6 +1,5 @@
-//! Rare events that coincide, forced over sockets; the cases come from the search for faults before
-//! production. The preload library of `basaltwood-fault-shim` makes system calls fail and steps the
-//! wall clock.
+//! Rare events that coincide, forced over sockets. The preload library of `basaltwood-fault-shim`
+//! makes system calls fail and steps the wall clock.
 
 #[path = "../../../tests/common/mod.rs"]
 mod common;
--- a/balancer/tests/long_values.rs
+++ b/balancer/tests/long_values.rs
@@ -240,7 +240,7 @@
     assert_eq!(client.answer(), "-ERR Protocol error: a bulk string without its end");
 }
 
-/// Starts a host that reads the first 100 bytes of each connection and passes it to the test.
+/// Starts a host that reads 100 bytes of each connection and then passes the stream to the test.
 fn stalled_host() -> (SocketAddr, Receiver<TcpStream>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
--- a/balancer/tests/mixed_fleet.rs
+++ b/balancer/tests/mixed_fleet.rs
@@ -25,7 +25,7 @@
 }
 
 /// Starts a host that closes its connection on the key `break` and otherwise answers with its name.
-/// Returns its counts of all requests and of those that broke the connection.
+/// Returns its counts of all requests and of those with that key; closed connections do not count.
 fn host(name: &'static str) -> (Peer, Arc<[AtomicU32; 2]>) {
     let counts: Arc<[AtomicU32; 2]> = Arc::default();
     let counted = counts.clone();
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn balancers_with_old_and_new_settings_agree_on_the_same_hosts() {
+fn balancers_with_old_and_new_settings_on_the_same_hosts_keep_the_rules() {
     let ((a, counts_a), (b, counts_b), discovery) = (host("from a"), host("from b"), Discovery::start());
     let known = [entry("a", a.address, "active"), entry("b", b.address, "active")];
     let old = Program::start_with(BINARY, discovery.peer.address, &known, [192, 1024], SETTINGS);
--- a/balancer/tests/sockets/discovery.rs
+++ b/balancer/tests/sockets/discovery.rs
@@ -51,8 +51,8 @@
     .assert_eq(&trace.join("\n"));
 }
 
-/// Discovery does not repeat changes that it would have reported while a balancer had no open call.
-/// So a balancer must call at once at its start, even if many are started together.
+/// A change counts as announced once discovery would have reported it, even if the balancer has no
+/// open call. So a balancer must call at once at its start, even if many are started together.
 #[test]
 fn start_among_many_balancers_calls_discovery_at_once() {
     let (a, b) = (Peer::host(|_| hit("from a")), Peer::host(|_| hit("from b")));
--- a/balancer/tests/stand_ins/mod.rs
+++ b/balancer/tests/stand_ins/mod.rs
@@ -66,9 +66,9 @@
     (hosts, known)
 }
 
-/// Brings an attempt in flight at a [`breaking_host`], on the only connection there, with its
-/// response held back; the next connection may be opened after a second. Returns the attempt's
-/// client and the trace so far.
+/// Sends an attempt to a [`breaking_host`] over the only connection there, with its response held
+/// back; the next connection may be opened after a second. Returns the attempt's client and the
+/// trace so far.
 pub fn one_attempt_in_flight(program: &Program, a: &Peer) -> (Client, Vec<String>) {
     let (mut first, mut slow) = (program.client(), program.client());
     first.get("break", "id0", "c=read,d=9000");
--- a/connection_pool/src/stats.rs
+++ b/connection_pool/src/stats.rs
@@ -5,8 +5,8 @@
 /// Counts since process start; displayed as `name=count` pairs separated by spaces.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PoolStats {
-    /// Connections closed because they were idle or awaited a late response for too long, or
-    /// because others that had been idle as long turned out stale.
+    /// Connections closed because they reached the limit on idle time or on the wait for a late
+    /// response, or because others that had been idle as long turned out stale.
     pub presumed_stale: u64,
     /// Idle connections closed because the recent peak of use did not need them.
     pub surplus_closed: u64,
--- a/connection_pool/tests/traces.rs
+++ b/connection_pool/tests/traces.rs
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn stale_connections_with_a_good_one_between_leave_other_hosts_alone() {
+fn good_reuse_sent_at_the_first_fault_does_not_spare_other_hosts() {
     let mut scenario = Scenario::new(2, 300);
     scenario.exchange_with(0..5);
     scenario.advance(900 * MS);
@@ -353,7 +353,7 @@
 }
 
 #[test]
-fn hung_host_holds_no_more_than_its_share_of_scarce_descriptors() {
+fn hung_host_beyond_its_share_is_refused_once_descriptors_are_short() {
     let mut scenario = Scenario::new(2, 120);
     scenario.exchange_with(1..10);
     let mut open = 0;
