--- a/connection_pool/tests/traces.rs
+++ b/connection_pool/tests/traces.rs
@@ -447,7 +447,7 @@
 }
 
 #[test]
-fn surplus_idle_connections_are_closed_and_the_oldest_is_evicted_first() {
+fn surplus_idle_connections_are_closed_and_the_remaining_one_can_be_evicted() {
     let mut scenario = Scenario::new(2, 300);
     let many: Vec<ConnectionId> = (0..6).map(|_| scenario.send(0)).collect();
     scenario.now += 5 * MS;
