--- a/testbed/src/experiment/arms.rs
+++ b/testbed/src/experiment/arms.rs
@@ -4,38 +4,40 @@
 
 use serde::Deserialize;
 
-/// What is played: a program, or one of the testbed's baselines.
+/// One alternative of a comparison: a balancer program or one of the testbed's baselines.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Arm {
     /// The name under which results list it.
     pub name: String,
-    /// A balancer that reads PROXY_CONFIG; the one beside the testbed where neither is given.
+    /// A balancer that reads PROXY_CONFIG. With neither a program nor a baseline, the balancer in
+    /// the testbed's own folder is played.
     pub program: Option<PathBuf>,
-    /// A baseline instead.
+    /// A baseline to play instead of a program.
     pub baseline: Option<Baseline>,
-    /// An operators' file with a map of zones to regions, beside the experiment's; the balancer
-    /// finds its path in the variable `BASALTWOOD_REGIONS`. Absent, the variable is not set.
+    /// A file that maps zones to regions; a relative path starts at the experiment file's folder.
+    /// The balancer finds the path in the variable `BASALTWOOD_REGIONS`, which is not set if this
+    /// is absent.
     pub regions: Option<PathBuf>,
 }
 
-/// A simple router in a balancer's place.
+/// A simple router that takes a balancer's place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, clap::ValueEnum)]
 #[serde(rename_all = "kebab-case")]
 pub enum Baseline {
-    /// A host at random.
+    /// Routes to a random host.
     Random,
-    /// The host with the fewest attempts in flight.
+    /// Routes to the host with the fewest attempts in flight.
     LeastInFlight,
-    /// The first host of a hash ring.
+    /// Routes to the first host on a hash ring.
     PlainRing,
 }
 
 impl Baseline {
-    /// All of them.
+    /// All baselines.
     pub const ALL: [Baseline; 3] = [Baseline::Random, Baseline::LeastInFlight, Baseline::PlainRing];
 
-    /// Its name on the command line and in results.
+    /// The baseline's name on the command line and in results.
     pub fn name(self) -> &'static str {
         match self {
             Baseline::Random => "random",
--- a/testbed/src/experiment/check.rs
+++ b/testbed/src/experiment/check.rs
@@ -1,11 +1,11 @@
-//! What is checked of an experiment before anything starts.
+//! Checks of an experiment before anything starts.
 
 use super::{Category, Experiment, Fault, FaultKind, HostSelection, InvalidExperiment, RetrySafety};
 
-/// Descriptors of the process that are neither listeners nor connections: logs, timers, pipes.
+/// Allowance for descriptors that are neither listeners nor connections: logs, timers, pipes.
 const OTHER_DESCRIPTORS: usize = 64;
 
-/// Faults that may be seen by one balancer only.
+/// Faults that can be limited to one balancer.
 const FAULTS_OF_ONE_BALANCER: [FaultKind; 13] = [
     FaultKind::Silent,
     FaultKind::Stale,
@@ -22,14 +22,14 @@
     FaultKind::DiscoveryWrong,
 ];
 
-/// How many descriptors this process may hold, where the system says.
+/// The soft limit on this process's open descriptors, if the system reports one.
 pub fn allowed_descriptors() -> Option<usize> {
     let limits = std::fs::read_to_string("/proc/self/limits").unwrap_or_default();
     let soft = limits.lines().find_map(|line| line.strip_prefix("Max open files"));
     soft.and_then(|line| line.split_whitespace().next()?.parse::<usize>().ok())
 }
 
-fn in_range(field: &str, value: f64, min: f64, max: f64) -> Result<(), InvalidExperiment> {
+fn check_range(field: &str, value: f64, min: f64, max: f64) -> Result<(), InvalidExperiment> {
     if (min..=max).contains(&value) {
         Ok(())
     } else {
@@ -38,10 +38,10 @@
 }
 
 impl Experiment {
-    /// Whether it can be played here.
+    /// Checks that the experiment is consistent and fits this machine's limits.
     ///
     /// # Errors
-    /// The first thing that can't be played, and what to change.
+    /// Returns the first problem; its message says what to change.
     pub fn check(&self) -> Result<(), InvalidExperiment> {
         self.check_ranges()?;
         if self.seeds.is_empty() {
@@ -56,30 +56,30 @@
     }
 
     fn check_ranges(&self) -> Result<(), InvalidExperiment> {
-        in_range("seconds", self.seconds, 0.5, 3_600.0)?;
-        in_range("balancers", self.balancers as f64, 1.0, 64.0)?;
-        in_range("fleet.hosts", self.fleet.hosts as f64, 1.0, 4_000.0)?;
-        in_range("fleet.zones", self.fleet.zones as f64, 1.0, 256.0)?;
-        in_range("fleet.cores", self.fleet.cores as f64, 1.0, 1_024.0)?;
-        in_range("fleet.speed", self.fleet.speed, 0.001, 1_000.0)?;
-        in_range("fleet.filled", self.fleet.filled, 0.0, 1.0)?;
-        in_range("fleet.store", self.fleet.store as f64, 1.0, 1e7)?;
-        in_range("origin.cores", self.origin.cores as f64, 1.0, 1_024.0)?;
-        in_range("cold.from", self.slow_start.from, 0.001, 1.0)?;
+        check_range("seconds", self.seconds, 0.5, 3_600.0)?;
+        check_range("balancers", self.balancers as f64, 1.0, 64.0)?;
+        check_range("fleet.hosts", self.fleet.hosts as f64, 1.0, 4_000.0)?;
+        check_range("fleet.zones", self.fleet.zones as f64, 1.0, 256.0)?;
+        check_range("fleet.cores", self.fleet.cores as f64, 1.0, 1_024.0)?;
+        check_range("fleet.speed", self.fleet.speed, 0.001, 1_000.0)?;
+        check_range("fleet.filled", self.fleet.filled, 0.0, 1.0)?;
+        check_range("fleet.store", self.fleet.store as f64, 1.0, 1e7)?;
+        check_range("origin.cores", self.origin.cores as f64, 1.0, 1_024.0)?;
+        check_range("cold.from", self.slow_start.from, 0.001, 1.0)?;
         self.check_load_ranges()
     }
 
     fn check_load_ranges(&self) -> Result<(), InvalidExperiment> {
         let load = &self.load;
-        in_range("load.rate", load.rate, 0.1, 200_000.0)?;
-        in_range("load.rate times seconds", load.rate * self.seconds, 1.0, 2e7)?;
-        in_range("load.keys", load.keys as f64, 1.0, 1e7)?;
-        in_range("load.zipf", load.zipf, 0.0, 5.0)?;
-        in_range("load.value_bytes", load.value_bytes as f64, 48.0, 65_536.0)?;
-        in_range("load.pipeline", load.pipeline as f64, 1.0, 1_024.0)?;
-        in_range("load.late_ms", load.late_ms, 0.1, 1_000.0)?;
-        in_range("load.connections", load.connections as f64, 1.0, 100_000.0)?;
-        in_range("load.speed", load.speed, 0.01, 1_000.0)
+        check_range("load.rate", load.rate, 0.1, 200_000.0)?;
+        check_range("load.rate times seconds", load.rate * self.seconds, 1.0, 2e7)?;
+        check_range("load.keys", load.keys as f64, 1.0, 1e7)?;
+        check_range("load.zipf", load.zipf, 0.0, 5.0)?;
+        check_range("load.value_bytes", load.value_bytes as f64, 48.0, 65_536.0)?;
+        check_range("load.pipeline", load.pipeline as f64, 1.0, 1_024.0)?;
+        check_range("load.late_ms", load.late_ms, 0.1, 1_000.0)?;
+        check_range("load.connections", load.connections as f64, 1.0, 100_000.0)?;
+        check_range("load.speed", load.speed, 0.01, 1_000.0)
     }
 
     fn check_categories(&self) -> Result<(), InvalidExperiment> {
@@ -106,12 +106,12 @@
     }
 
     fn check_fault(&self, name: &str, fault: &Fault) -> Result<(), InvalidExperiment> {
-        in_range(&format!("{name}: from_s"), fault.from_s, 0.0, self.seconds)?;
+        check_range(&format!("{name}: from_s"), fault.from_s, 0.0, self.seconds)?;
         if let Some(to) = fault.to_s {
-            in_range(&format!("{name}: to_s"), to, fault.from_s, self.seconds)?;
+            check_range(&format!("{name}: to_s"), to, fault.from_s, self.seconds)?;
         }
-        in_range(&format!("{name}: part"), fault.part, 0.0, 1.0)?;
-        in_range(&format!("{name}: factor"), fault.factor, 0.01, 10_000.0)?;
+        check_range(&format!("{name}: part"), fault.part, 0.0, 1.0)?;
+        check_range(&format!("{name}: factor"), fault.factor, 0.01, 10_000.0)?;
         if fault.overlaps_itself() {
             return Err(InvalidExperiment::FaultOverlapsItself { fault: name.to_owned() });
         }
@@ -145,14 +145,14 @@
         }
     }
 
-    /// Whether this process can hold all listeners and connections: both ends of clients' and the
-    /// hosts' end of attempts.
+    /// Checks that this process can hold all descriptors: listeners, clients' connections and the
+    /// hosts' end of attempts' connections.
     fn check_descriptors(&self) -> Result<(), InvalidExperiment> {
         let added: usize = self.faults.iter().map(Fault::hosts_added).sum();
         let origin = 1;
         let hosts = self.fleet.hosts + added + origin;
-        // A balancer holds half of its descriptors at the most for clients, and all others may go
-        // to hosts.
+        // A balancer uses at most half of its descriptors for clients; all the others may be
+        // connections to hosts.
         let per_balancer = hosts + 1 + self.load.connections + self.limits.sockets;
         let needed = self.balancers * per_balancer + OTHER_DESCRIPTORS;
         match allowed_descriptors() {
@@ -167,9 +167,9 @@
 impl Category {
     fn check(&self) -> Result<(), InvalidExperiment> {
         let name = &self.name;
-        in_range(&format!("category {name}: share"), self.share, 0.0, 1e6)?;
-        in_range(&format!("category {name}: ttl_ms"), self.ttl_ms, 1.0, 600_000.0)?;
-        in_range(&format!("category {name}: target_ms"), self.target_ms, 1.0, self.ttl_ms)?;
+        check_range(&format!("category {name}: share"), self.share, 0.0, 1e6)?;
+        check_range(&format!("category {name}: ttl_ms"), self.ttl_ms, 1.0, 600_000.0)?;
+        check_range(&format!("category {name}: target_ms"), self.target_ms, 1.0, self.ttl_ms)?;
         if self.retry_safety == RetrySafety::Deduplicated && self.window_ms <= 0.0 {
             return Err(InvalidExperiment::NoDeduplicationWindow { name: name.clone() });
         }
@@ -178,12 +178,12 @@
 }
 
 impl Fault {
-    /// Whether it begins again before it has ended, or never ends.
+    /// Whether a repeated fault starts again before it has ended, or has no end.
     fn overlaps_itself(&self) -> bool {
         self.every_s.is_some_and(|every| every <= self.to_s.unwrap_or(every) - self.from_s)
     }
 
-    /// How many hosts it adds to the fleet.
+    /// The number of hosts that the fault adds to the fleet.
     fn hosts_added(&self) -> usize {
         match (self.kind, &self.hosts) {
             (FaultKind::Grow, HostSelection::Count(count)) => *count,
--- a/testbed/src/experiment/error.rs
+++ b/testbed/src/experiment/error.rs
@@ -5,23 +5,23 @@
 
 use thiserror::Error;
 
-/// An experiment's file is of no use.
+/// Why an experiment's file can't be used.
 #[derive(Debug, Error)]
 pub enum ExperimentError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error("{}: {cause}", path.display())]
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The I/O error.
         cause: io::Error,
     },
-    /// Its text is of no use.
+    /// The file's text is invalid.
     #[error("{}:{cause}", path.display())]
     InFile {
         /// The file.
         path: PathBuf,
-        /// What is wrong with the text.
+        /// The error in the text.
         cause: Box<ExperimentError>,
     },
     /// An arm's map of regions is missing.
@@ -29,106 +29,107 @@
     NoRegionsFile {
         /// The experiment's file.
         path: PathBuf,
-        /// The map that it names.
+        /// The missing file.
         regions: PathBuf,
     },
-    /// It is no TOML, or not that of an experiment.
+    /// The text is not TOML, or its fields are not those of an experiment.
     #[error("{line}: {message}")]
     Syntax {
-        /// The line, from 1; 0 where none is known.
+        /// The line, counted from 1; 0 if unknown.
         line: usize,
-        /// What is wrong there.
+        /// The parser's message.
         message: String,
     },
-    /// A value, or values together, can't be played. (It follows the file's name and a colon.)
+    /// The values can't be played. The message follows the file's name and a colon, hence its
+    /// leading space.
     #[error(" {0}")]
     Invalid(#[from] InvalidExperiment),
 }
 
-/// What can't be played, and what to change.
+/// Why an experiment can't be played; the message says what to change.
 #[derive(Debug, Error)]
 pub enum InvalidExperiment {
     /// A number is out of range.
     #[error("{field} = {value} is not between {min} and {max}")]
     OutOfRange {
-        /// The field.
+        /// The field's name in the file.
         field: String,
         /// Its value.
         value: f64,
-        /// The smallest that will do.
+        /// The smallest allowed value.
         min: f64,
-        /// The largest that will do.
+        /// The largest allowed value.
         max: f64,
     },
-    /// No seed.
-    #[error("seeds is empty: name one at least")]
+    /// The list of seeds is empty.
+    #[error("seeds is empty: write at least one")]
     NoSeeds,
-    /// No request class.
-    #[error("there are no categories: write one [[categories]] at least")]
+    /// There is no request class.
+    #[error("there are no categories: write at least one [[categories]]")]
     NoCategories,
-    /// Two request classes with one name.
+    /// Two request classes have the same name.
     #[error("two categories are named {name}: rename one")]
     DuplicateCategory {
         /// The name.
         name: String,
     },
-    /// A request class that is deduplicated for no time.
+    /// A deduplicated request class has no deduplication window.
     #[error("category {name} is deduplicated: give its window_ms")]
     NoDeduplicationWindow {
         /// The request class.
         name: String,
     },
-    /// A flood of a tenant that is not there.
-    #[error("load.flood: there is no customer {name}")]
+    /// A flood names a tenant that does not exist.
+    #[error("load.flood: there is no customer {name}: add it to [[customers]]")]
     NoSuchTenant {
         /// The name.
         name: String,
     },
-    /// A fault begins again before it has ended.
+    /// A repeated fault starts again before it has ended.
     #[error("{fault}: every_s must be longer than the fault itself, which needs to_s")]
     FaultOverlapsItself {
         /// The fault's number and kind.
         fault: String,
     },
-    /// A fault names a balancer that is not there.
-    #[error("{fault}: there are balancers 0 to {last} only")]
+    /// A fault names a balancer that does not exist.
+    #[error("{fault}: there are only balancers 0 to {last}")]
     NoSuchBalancer {
         /// The fault's number and kind.
         fault: String,
-        /// The last balancer.
+        /// The last balancer's number.
         last: usize,
     },
-    /// A fault that can't be one balancer's alone names one.
-    #[error("{fault}: it is the same for every balancer, so leave `balancer` out")]
+    /// A fault names a balancer although its kind can't be limited to one.
+    #[error("{fault}: this kind affects all balancers alike: leave `balancer` out")]
     SameForEveryBalancer {
         /// The fault's number and kind.
         fault: String,
     },
-    /// A fault names a host that is not there.
-    #[error("{fault}: there are hosts 0 to {last} only")]
+    /// A fault names a host that does not exist.
+    #[error("{fault}: there are only hosts 0 to {last}")]
     NoSuchHost {
         /// The fault's number and kind.
         fault: String,
-        /// The last host.
+        /// The last host's number.
         last: usize,
     },
-    /// A fault takes more hosts than there are.
-    #[error("{fault}: there are {hosts} hosts only")]
+    /// A fault affects more hosts than there are.
+    #[error("{fault}: there are only {hosts} hosts")]
     TooFewHosts {
         /// The fault's number and kind.
         fault: String,
-        /// How many there are.
+        /// The number of hosts.
         hosts: usize,
     },
-    /// The process may not hold so many descriptors.
+    /// The run may need more descriptors than the process may open.
     #[error(
-        "it needs up to {needed} descriptors and {allowed} are allowed: fewer hosts, balancers, \
+        "the run needs up to {needed} descriptors and {allowed} are allowed: fewer hosts, balancers, \
          load.connections or limits.sockets, or a higher `ulimit -n`"
     )]
     TooFewDescriptors {
-        /// How many it may need.
+        /// The number that the run may need.
         needed: usize,
-        /// How many the system allows.
+        /// The process's limit.
         allowed: usize,
     },
 }
--- a/testbed/src/experiment/faults.rs
+++ b/testbed/src/experiment/faults.rs
@@ -1,105 +1,108 @@
-//! The faults of an experiment: what goes wrong, where and when.
+//! The faults of an experiment: their kinds, the affected hosts and their times.
 
 use serde::{Deserialize, Serialize};
 
 use crate::time::{seconds, Micros};
 
-/// What goes wrong.
+/// The kind of a fault. Its effect lasts from `from_s` to `to_s`; it concerns the selected hosts
+/// unless said otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Works `factor` times as long on all.
+    /// Commands take `factor` times as long.
     Slow,
-    /// Takes connections and commands and does nothing until the end.
+    /// The host accepts connections and commands but does no work until the end.
     Hang,
-    /// Sends nothing more: open connections stay open and dead, new ones never come up; both are
-    /// reset at the end.
+    /// The host sends nothing: open connections stay open without traffic, new ones are not
+    /// established; all are reset at the end.
     Silent,
-    /// New connections come up only once it is over; open ones go on.
+    /// New connections are established only after the end; open ones keep working.
     LateConnect,
-    /// Connections opened before are dead from then on, new ones work.
+    /// Connections opened before the start carry nothing any more; new ones work.
     Stale,
-    /// Connections opened before are gone at the host: the next command on one is met by a reset
-    /// and never runs.
+    /// The host has dropped the connections opened before the start: the next command on one is
+    /// answered by a reset and never runs.
     StaleReset,
-    /// All connections are reset, and further commands with probability `part` once they have run.
+    /// All connections are reset at the start; then each command resets its connection with
+    /// probability `part` after it has run.
     Reset,
-    /// Not there: connections are reset, new ones refused, until the end. What it held stays.
+    /// Connections are reset and new ones refused until the end. The stored values are kept.
     Refuse,
-    /// Commands run, their answers get lost with probability `part`, and their connection sends
-    /// nothing more from then on.
+    /// Commands run, but with probability `part` their reply is lost and their connection sends
+    /// nothing from then on.
     Lost,
     /// Commands are rejected with probability `part`.
     Busy,
-    /// Commands run and are answered -ERR failed with probability `part`.
+    /// Commands run and are answered `-ERR failed` with probability `part`.
     Error,
-    /// Commands run and are answered by noise with probability `part`.
+    /// Commands run and are answered by garbage bytes with probability `part`.
     Spoil,
-    /// Dies, and is back at the end: empty, cold.
+    /// The host dies and restarts at the end with an empty, cold store.
     Die,
-    /// Dies, and another one comes up at its address at the end, under a new id.
+    /// The host dies; at the end another one starts at its address under a new id.
     Replace,
-    /// Drains, and is gone at the end.
+    /// The host drains and is gone at the end.
     Drain,
-    /// Hosts one after the other: drained for a third of their time, restarted empty and cold.
+    /// The hosts take turns: each is drained for a third of its turn and restarted empty and cold.
     RollOut,
-    /// As many new hosts, cold.
+    /// Adds the given number of new, cold hosts.
     Grow,
-    /// The origin works `factor` times as long.
+    /// The origin takes `factor` times as long.
     OriginSlow,
     /// The origin is down.
     OriginDown,
-    /// Discovery is silent.
+    /// Discovery does not answer.
     DiscoveryDown,
     /// Discovery answers, but announces no change.
     DiscoveryStale,
-    /// Discovery names addresses where nothing listens, for these hosts.
+    /// Discovery lists addresses where nothing listens for the selected hosts.
     DiscoveryWrong,
-    /// A balancer is killed, and started again at the end.
+    /// A balancer is killed and started again at the end.
     BalancerKill,
-    /// Between balancer and machine: a piece of a response comes late with probability `part`.
+    /// The proxy between balancer and host delays a piece of a response with probability `part`.
     ProxyDelay,
-    /// The same: it comes byte by byte.
+    /// The proxy passes a piece on byte by byte, with probability `part`.
     ProxyDrip,
-    /// The same: half of it comes, and the connection is reset.
+    /// The proxy passes half of a piece on and resets the connection, with probability `part`.
     ProxyCut,
-    /// The same: it comes a second time, some milliseconds later.
+    /// The proxy sends a piece again some milliseconds later, with probability `part`.
     ProxyCopy,
-    /// The same: nothing passes on its connection any more, which stays open.
+    /// The proxy passes nothing more on a connection, which stays open, with probability `part`.
     ProxySilence,
-    /// The same: it comes, and the machine's side of the connection is closed behind it.
+    /// The proxy passes a piece on and closes the host's side of the connection after it, with
+    /// probability `part`.
     ProxyHalfClose,
-    /// The same: the connection is reset instead.
+    /// The proxy resets the connection instead of passing a piece on, with probability `part`.
     ProxyReset,
-    /// The generator itself stops: this voids the run, and shows that it does.
+    /// The load generator's thread stops; shows that this voids the run.
     GeneratorStop,
-    /// Each request costs the generator's thread `factor` milliseconds more: this voids the run,
-    /// and shows that it does.
+    /// Each request costs the load generator's thread `factor` milliseconds more; shows that this
+    /// voids the run.
     GeneratorSlow,
 }
 
-/// A fault with its time and place.
+/// A fault: its kind, the affected hosts and its times.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What goes wrong.
+    /// The kind.
     pub kind: FaultKind,
-    /// Where.
+    /// The affected hosts.
     #[serde(default)]
     pub hosts: HostSelection,
-    /// Seen by this balancer only; for `balancer-kill` the one that is killed.
+    /// The only balancer that sees the fault, or the balancer that `balancer-kill` kills.
     pub balancer: Option<usize>,
-    /// When it begins.
+    /// When the fault begins.
     pub from_s: f64,
-    /// The end of the run otherwise.
+    /// When the fault ends; the end of the run if absent.
     pub to_s: Option<f64>,
-    /// The probability, for the kinds that have one.
+    /// The probability, for the kinds that use one.
     #[serde(default = "super::one")]
     pub part: f64,
-    /// The factor, for the kinds that have one.
+    /// The factor, for the kinds that use one.
     #[serde(default = "default_factor")]
     pub factor: f64,
-    /// It begins again so often, each time for as long.
+    /// The interval at which the fault is repeated, each time with the same duration.
     pub every_s: Option<f64>,
 }
 
@@ -107,23 +110,23 @@
     10.0
 }
 
-/// The hosts of a fault.
+/// The hosts that a fault affects.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged)]
 pub enum HostSelection {
-    /// So many, drawn from the seed.
+    /// This number of hosts, drawn from the seed.
     Count(usize),
-    /// These, from 0.
+    /// The hosts with these numbers, counted from 0.
     These(Vec<usize>),
-    /// `"all"`.
+    /// The word `"all"`.
     Named(AllHosts),
 }
 
-/// The word for all hosts.
+/// The word that selects all hosts.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum AllHosts {
-    /// All of them.
+    /// Selects all hosts.
     All,
 }
 
@@ -134,7 +137,7 @@
 }
 
 impl Fault {
-    /// When it begins, in microseconds.
+    /// When the fault begins, in microseconds.
     pub fn from(&self) -> Micros {
         seconds(self.from_s)
     }
--- a/testbed/src/experiment/fleet.rs
+++ b/testbed/src/experiment/fleet.rs
@@ -6,13 +6,14 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SlowStart {
-    /// The part of its capacity with which a host starts.
+    /// The fraction of its capacity that a host starts with.
     pub from: f64,
-    /// How long until it has all of it.
+    /// The time until a host has its full capacity.
     pub warm_ms: f64,
-    /// It stops when it gets more than this many times the work that it can do at that time
+    /// A host that warms up stops when the work that arrived within the last `window_ms` exceeds
+    /// this multiple of what it can do in that time.
     pub multiple: f64,
-    /// for this long.
+    /// The length of the window over which arriving work is summed.
     pub window_ms: f64,
 }
 
@@ -26,29 +27,29 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fleet {
-    /// Cache hosts at the start.
+    /// The number of cache hosts at the start.
     pub hosts: usize,
-    /// Zones that they are spread over.
+    /// The number of zones that the hosts are spread over.
     pub zones: usize,
-    /// Cores of each.
+    /// Cores per host.
     pub cores: usize,
-    /// Relative speed: 1 is that which service times are given for.
+    /// Relative speed; service times are given for a speed of 1.
     pub speed: f64,
-    /// Commands that may wait for a core; more are rejected.
+    /// Commands that may wait for a core of a host; more are rejected.
     pub queue: usize,
     /// Connections that a host accepts.
     pub connections: usize,
-    /// After so long without a command a host closes a connection.
+    /// A host closes a connection after this time without a command.
     pub idle_ms: f64,
-    /// What the first command on a new connection costs more.
+    /// Additional service time of the first command on a new connection.
     pub open_ms: f64,
-    /// For so long a balancer waits for a connection to come up.
+    /// How long a balancer waits for a connection to be established.
     pub connect_timeout_ms: f64,
-    /// Keys a host holds.
+    /// The number of keys that a host can hold.
     pub store: usize,
-    /// The part of those that it holds at the start of the run.
+    /// The fraction of the keys that a host holds at the start of the run.
     pub filled: f64,
-    /// How old a load report may be; 0 for none.
+    /// The largest age of a load report; 0 for no load reports.
     pub report_ms: f64,
     /// How long a host works on a command.
     pub service: ServiceTime,
@@ -78,16 +79,16 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceTime {
-    /// How it is distributed.
+    /// The distribution.
     pub kind: TimeDistribution,
-    /// Its mean.
+    /// The mean.
     pub mean_ms: f64,
     /// The standard deviation of the logarithm, for `log-normal`.
     #[serde(default)]
     pub sigma: f64,
 }
 
-/// How a time is distributed.
+/// The distribution of a service time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TimeDistribution {
@@ -103,19 +104,20 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Origin {
-    /// Its cores.
+    /// The number of cores.
     pub cores: usize,
-    /// Commands that may wait for a core; more are rejected.
+    /// Commands that may wait for a core of the origin; more are rejected.
     pub queue: usize,
-    /// Connections that it accepts.
+    /// Connections that the origin accepts.
     pub connections: usize,
-    /// It stops when it gets more than this many times the work that it can do (0: never)
+    /// The origin goes down when the work that arrived within the last `fall_ms` exceeds this
+    /// multiple of what it can do in that time; 0 for never.
     pub fall_multiple: f64,
-    /// for this long;
+    /// The length of the window over which arriving work is summed.
     pub fall_ms: f64,
-    /// it is down for this long.
+    /// How long the origin stays down.
     pub down_ms: f64,
-    /// How long it works on a command.
+    /// How long the origin works on a command.
     pub service: ServiceTime,
 }
 
@@ -137,11 +139,11 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
-    /// Until a change reaches a balancer, at least;
+    /// The shortest time until a change reaches a balancer.
     pub lag_ms: f64,
-    /// each has this much more at most, drawn for it.
+    /// The largest random delay on top of `lag_ms`, drawn for each balancer.
     pub spread_ms: f64,
-    /// No new attempt goes to a host so long after its drain was announced.
+    /// From this time after a host's drain was announced, no new attempt may go to it.
     pub grace_ms: f64,
 }
 
--- a/testbed/src/experiment/load.rs
+++ b/testbed/src/experiment/load.rs
@@ -1,5 +1,4 @@
-//! The load of an experiment: how many requests arrive when, for which keys, and what clients do
-//! where they get no answer.
+//! The load of an experiment: the rate of requests over time, their keys, and how clients retry.
 
 use std::path::PathBuf;
 
@@ -11,27 +10,27 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Requests a second where the shape stands at 1.
+    /// Requests per second at a shape level of 1.
     pub rate: f64,
-    /// How arrivals are spread.
+    /// The distribution of the times between arrivals.
     #[serde(default)]
     pub arrivals: Arrivals,
     /// The rate over time.
     #[serde(default)]
     pub shape: RateShape,
-    /// How many keys there are.
+    /// The number of keys.
     #[serde(default = "default_keys")]
     pub keys: usize,
-    /// The exponent of the keys' popularity; 0 for all alike.
+    /// The Zipf exponent of the keys' popularity; 0 for equally popular keys.
     #[serde(default = "default_zipf")]
     pub zipf: f64,
-    /// The size of a value.
+    /// The size of a value, in bytes.
     #[serde(default = "default_value_bytes")]
     pub value_bytes: usize,
-    /// Connections to each balancer at most.
+    /// The largest number of connections to each balancer.
     #[serde(default = "default_connections")]
     pub connections: usize,
-    /// Commands in flight on one of them at a time.
+    /// The largest number of commands in flight on one connection.
     #[serde(default = "default_pipeline")]
     pub pipeline: usize,
     /// What clients do after a rejection or a failure.
@@ -39,29 +38,29 @@
     pub retry: ClientRetry,
     /// A tenant that sends more than its share.
     pub flood: Option<TenantFlood>,
-    /// A key that is read far more than others.
+    /// A hot key.
     pub hot: Option<HotKey>,
-    /// A working set that changes.
+    /// A working set that changes over time.
     pub shift: Option<WorkingSetShift>,
-    /// Clients that go away before the answer.
+    /// Clients that disconnect before the reply.
     pub give_up: Option<GiveUp>,
-    /// The part of the answers after which the client closes its connection.
+    /// The fraction of replies after which the client closes its connection.
     #[serde(default)]
     pub close: f64,
-    /// How late clients notice that a balancer is dead.
+    /// How long clients keep sending to a dead balancer.
     #[serde(default = "default_notice_s")]
     pub notice_s: f64,
-    /// A request that leaves later than this is late; more than a hundredth of them by the
-    /// testbed's own fault void the run.
+    /// A request sent more than this after its due time is late. The run is void if over 1% of the
+    /// requests are late through the testbed's own fault.
     #[serde(default = "default_late_ms")]
     pub late_ms: f64,
-    /// How not to measure: each connection sends only once it has its answer, and times count from
-    /// then. For comparison.
+    /// Plays a closed loop, to show its error: each connection sends its next request only after
+    /// the reply to the last one, and latency counts from then.
     #[serde(default)]
     pub closed_loop: bool,
-    /// Arrivals from this file instead, played at `speed` times its pace.
+    /// A recorded trace to play instead of generated arrivals.
     pub trace: Option<PathBuf>,
-    /// How many times as fast as recorded the trace is played.
+    /// The factor by which the trace is played faster than recorded.
     #[serde(default = "super::one")]
     pub speed: f64,
 }
@@ -94,14 +93,14 @@
     2.0
 }
 
-/// How arrivals are spread.
+/// The distribution of the times between arrivals.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Arrivals {
     /// A Poisson process.
     #[default]
     Poisson,
-    /// At even distances.
+    /// Evenly spaced.
     Even,
 }
 
@@ -109,39 +108,39 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum RateShape {
-    /// 1 throughout.
+    /// A constant level of 1.
     #[default]
     Steady,
-    /// From one level to another, evenly.
+    /// A linear change from one level to another.
     Ramp {
-        /// At the start.
+        /// The level at the start.
         from: f64,
-        /// At the end.
+        /// The level at the end.
         to: f64,
     },
-    /// 1, then another level.
+    /// A level of 1, then another one.
     Step {
-        /// When it changes.
+        /// When the level changes.
         at_s: f64,
-        /// The level from then on.
+        /// The level after the change.
         level: f64,
     },
-    /// A salary day: it rises to `peak` from `at_s` within `rise_s`, holds, and falls back.
+    /// A surge, as on a salary day: a rise from 1 to `peak`, a plateau, and a return to 1.
     Surge {
-        /// When it begins to rise.
+        /// When the rise begins.
         at_s: f64,
-        /// How long it rises.
+        /// How long the rise takes.
         rise_s: f64,
-        /// How long it holds.
+        /// How long the plateau lasts.
         hold_s: f64,
-        /// How long it falls back to 1.
+        /// How long the return to 1 takes.
         fall_s: f64,
-        /// The level that it holds.
+        /// The level of the plateau.
         peak: f64,
     },
-    /// A day's curve with this period, between `low` and 1.
+    /// A cosine between `low` and 1, as over a day.
     Daily {
-        /// The period.
+        /// The length of one cycle.
         period_s: f64,
         /// The lowest level.
         low: f64,
@@ -152,83 +151,84 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum ClientRetry {
-    /// Nothing.
+    /// No retry.
     #[default]
     None,
-    /// They send again at once.
+    /// An immediate retry.
     AtOnce {
-        /// How often at most.
+        /// The largest number of retries.
         times: u32,
     },
-    /// They send again after a pause.
+    /// A retry after a constant pause.
     After {
-        /// How often at most.
+        /// The largest number of retries.
         times: u32,
-        /// The pause.
+        /// The pause before each retry.
         pause_ms: f64,
     },
-    /// The pause doubles each time and is drawn from its upper half.
+    /// Exponential backoff: the bound doubles with each retry, and the pause is drawn from its
+    /// upper half.
     BackOff {
-        /// How often at most.
+        /// The largest number of retries.
         times: u32,
         /// The first pause.
         pause_ms: f64,
     },
 }
 
-/// `times` as many arrivals of one tenant, for a time.
+/// A tenant that sends `times` its usual load for a time.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantFlood {
     /// The tenant's name.
     pub customer: String,
-    /// When it begins.
+    /// When the flood begins.
     pub from_s: f64,
-    /// When it ends.
+    /// When the flood ends.
     pub to_s: f64,
-    /// How many times its usual arrivals.
+    /// The multiple of the tenant's usual rate.
     pub times: f64,
 }
 
-/// One key gets this part of the reads, on and off with a period (0: all the time).
+/// A key that takes a fixed fraction of the reads.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HotKey {
-    /// When it begins.
+    /// When the key becomes hot.
     pub from_s: f64,
-    /// When it ends.
+    /// When the key stops being hot.
     pub to_s: f64,
-    /// The part of the reads.
+    /// The fraction of the reads that go to the key.
     pub part: f64,
-    /// The period with which it goes on and off; 0 for no pause.
+    /// The key is hot for this time and then not for the same time, in turns; 0 for always hot.
     #[serde(default)]
     pub period_s: f64,
 }
 
-/// A set of keys with this part of the reads, another set every so often.
+/// A set of keys that takes a fixed fraction of the reads and is replaced at intervals.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkingSetShift {
-    /// How often the set changes.
+    /// The interval between replacements of the set.
     pub every_s: f64,
-    /// How many keys it has.
+    /// The number of keys in the set.
     pub set: usize,
-    /// The part of the reads.
+    /// The fraction of the reads that go to the set.
     pub part: f64,
 }
 
-/// This part of the clients goes away after so long.
+/// Clients that disconnect if the reply takes too long.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GiveUp {
-    /// The part of the clients.
+    /// The fraction of requests whose client does so.
     pub part: f64,
-    /// How long they wait.
+    /// How long such a client waits after sending an attempt.
     pub after_ms: f64,
 }
 
 impl Load {
-    /// A request that leaves later than this is late, in microseconds.
+    /// The lateness, in microseconds, above which a request counts as late.
     pub fn late(&self) -> Micros {
         millis(self.late_ms)
     }
--- a/testbed/src/experiment/mod.rs
+++ b/testbed/src/experiment/mod.rs
@@ -1,6 +1,5 @@
-//! An experiment as its file writes it (TOML), and what is checked before anything starts. Times
-//! bear their unit in the field's name: `_s` seconds, `_ms` milliseconds. An unknown field is
-//! refused with its line.
+//! The experiment file (TOML) and its checks. The suffix of a field's name gives its unit: `_s`
+//! seconds, `_ms` milliseconds. Unknown fields are rejected with their line.
 
 mod arms;
 mod check;
@@ -22,32 +21,32 @@
 use crate::lateness::LatenessBounds;
 use crate::time::{millis, seconds, Micros};
 
-/// An experiment.
+/// An experiment, as written in its file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// The name of its result's folder.
+    /// The name of the experiment and of its result folder.
     pub name: String,
-    /// What it is for, in words.
+    /// A description of the experiment's purpose.
     #[serde(default)]
     pub about: String,
     /// How long requests arrive, in seconds.
     pub seconds: f64,
-    /// Each arm is played with each of these.
+    /// The seeds; each arm is played with each seed.
     #[serde(default = "default_seeds")]
     pub seeds: Vec<u64>,
-    /// How many balancers share the load.
+    /// The number of balancers that share the load.
     #[serde(default = "default_balancers")]
     pub balancers: usize,
-    /// Who asks the origin for what a cache host lacks.
+    /// Who fetches missing keys from the origin.
     #[serde(default)]
     pub mode: CacheMode,
-    /// What a balancer is given.
+    /// The balancers' resource and retry limits.
     #[serde(default)]
     pub limits: BalancerLimits,
     /// The request classes.
     pub categories: Vec<Category>,
-    /// The tenants; none for a single nameless one.
+    /// The tenants; if empty, requests name no tenant.
     #[serde(default)]
     pub customers: Vec<Tenant>,
     /// How hosts warm up after their start.
@@ -63,10 +62,10 @@
     pub discovery: Discovery,
     /// The requests that clients send.
     pub load: Load,
-    /// What goes wrong, and when.
+    /// The injected faults.
     #[serde(default)]
     pub faults: Vec<Fault>,
-    /// What is compared; none for the balancer beside the testbed.
+    /// The arms to compare; if empty, the balancer in the testbed's own folder is the only arm.
     #[serde(default)]
     pub arms: Vec<Arm>,
 }
@@ -79,32 +78,32 @@
     2
 }
 
-/// Who asks the origin for what a cache host lacks.
+/// Who fetches missing keys from the origin.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CacheMode {
-    /// The balancer does, and writes go to the origin.
+    /// Cache-aside: the balancer fetches them, and writes go to the origin.
     #[default]
     Aside,
-    /// The hosts do.
+    /// Read-through: the cache hosts fetch them.
     Through,
 }
 
-/// What a balancer is given.
+/// A balancer's resource and retry limits.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct BalancerLimits {
     /// Memory, in MB.
     pub memory_mb: f64,
-    /// Sockets, listeners and connections together.
+    /// Sockets: the sum of listeners and connections.
     pub sockets: usize,
-    /// Attempts for one request.
+    /// The largest number of attempts for one request.
     #[serde(rename = "max_pushes")]
     pub max_attempts: u32,
-    /// Whether two attempts of one request may be in flight together.
+    /// Whether two attempts of one request may be in flight at the same time.
     #[serde(rename = "second_copies")]
     pub may_hedge: bool,
-    /// The longest time after which a rejection may ask clients to retry; 0 for no such hint.
+    /// The longest Retry-After of a rejection; 0 for rejections without one.
     #[serde(rename = "come_back_ms")]
     pub max_retry_after_ms: f64,
 }
@@ -125,34 +124,34 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Category {
-    /// Its name; no two are alike.
+    /// The class's name; it is unique.
     pub name: String,
-    /// Its part of the arrivals, in proportion to the others'.
+    /// The class's weight in the distribution of arrivals over classes.
     #[serde(default = "one")]
     pub share: f64,
-    /// Whether its requests write.
+    /// Whether requests of the class write.
     #[serde(default)]
     pub write: bool,
     /// The latency objective.
     pub target_ms: f64,
-    /// The time limit: an answer after it counts for nothing.
+    /// The deadline, from when a request is due; a later reply earns no benefit.
     pub ttl_ms: f64,
-    /// What an answer within the objective is worth.
+    /// The benefit of a reply within the latency objective.
     #[serde(default = "one")]
     pub benefit: f64,
-    /// The part of that which an answer between objective and time limit earns.
+    /// The fraction of `benefit` that a reply between objective and deadline earns.
     #[serde(default)]
     pub late_benefit: f64,
-    /// Whether a request may be sent again.
+    /// Whether a request may be retried.
     #[serde(rename = "repeats")]
     pub retry_safety: RetrySafety,
-    /// Which hosts deduplicate together.
+    /// The hosts that share one deduplication table.
     #[serde(default, rename = "group")]
     pub deduplication_scope: DeduplicationScope,
-    /// For how long they do.
+    /// The deduplication window.
     #[serde(default)]
     pub window_ms: f64,
-    /// How long a host works on one; the fleet's otherwise.
+    /// The service time of the class's commands; if absent, the fleet's.
     pub service: Option<ServiceTime>,
 }
 
@@ -162,35 +161,35 @@
         millis(self.target_ms)
     }
 
-    /// The time limit, in microseconds.
+    /// The time from when a request is due to its deadline, in microseconds.
     pub fn ttl(&self) -> Micros {
         millis(self.ttl_ms)
     }
 }
 
-/// Whether a request may be sent again.
+/// Whether a request may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RetrySafety {
-    /// Always.
+    /// It may always be retried.
     #[serde(rename = "redeliverable")]
     Idempotent,
-    /// Within the time and the group of hosts that deduplicate.
+    /// It may be retried within the deduplication window and scope.
     Deduplicated,
-    /// Only where it is known not to have run.
+    /// It may be retried only if it is known not to have run.
     AtMostOnce,
 }
 
-/// Which hosts deduplicate together.
+/// The hosts that share one deduplication table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DeduplicationScope {
-    /// All.
+    /// All hosts.
     #[default]
     All,
-    /// Those of a zone.
+    /// The hosts of a zone.
     Zone,
-    /// Each for itself.
+    /// A single host.
     Cell,
 }
 
@@ -198,12 +197,12 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name.
+    /// The tenant's name.
     pub name: String,
-    /// Its part of the arrivals, in proportion to the others'.
+    /// The tenant's weight in the distribution of arrivals over tenants.
     #[serde(default = "one")]
     pub share: f64,
-    /// Requests a second over all balancers that fall within its share; 0 for no bound.
+    /// The tenant's quota, in requests per second over all balancers; 0 for no bound.
     #[serde(default)]
     pub quota_per_s: f64,
 }
@@ -212,16 +211,16 @@
     1.0
 }
 
-/// A zone's name in the list, from its number (0 is the first): `z01` and on.
+/// The name of the zone with this number in endpoint lists: `z01` for 0, `z02` for 1.
 pub fn zone_name(nth: u32) -> String {
     format!("z{:02}", nth + 1)
 }
 
 impl Experiment {
-    /// Reads and checks a file.
+    /// Reads and checks an experiment's file.
     ///
     /// # Errors
-    /// Names the file, the line where there is one, what is wrong and the way out, in one line.
+    /// The message is one line with the file, the line number if known, the problem and its remedy.
     pub fn read(path: &Path) -> Result<Experiment, ExperimentError> {
         let in_file = |cause| ExperimentError::InFile { path: path.to_owned(), cause: Box::new(cause) };
         let text = std::fs::read_to_string(path)
@@ -231,7 +230,7 @@
         Ok(experiment)
     }
 
-    /// What a file names lies beside it.
+    /// Resolves paths relative to the experiment file's folder.
     fn resolve_paths(&mut self, file: &Path) -> Result<(), ExperimentError> {
         let folder = file.parent().unwrap_or(Path::new(""));
         if let Some(trace) = &mut self.load.trace {
@@ -249,10 +248,10 @@
         Ok(())
     }
 
-    /// Reads and checks a file's text.
+    /// Parses and checks the text of an experiment's file.
     ///
     /// # Errors
-    /// As [`Experiment::read`], without the file's name.
+    /// The message is that of [`Experiment::read`] without the file's name.
     pub fn parse(text: &str) -> Result<Experiment, ExperimentError> {
         let experiment: Experiment = toml::from_str(text).map_err(|cause| {
             let line = cause.span().map_or(0, |span| text[..span.start].matches('\n').count() + 1);
@@ -267,7 +266,7 @@
         seconds(self.seconds)
     }
 
-    /// What its figures need of testbed and machine, where so much of the benefit was earned.
+    /// The bounds on lateness for a run in which this fraction of the benefit was earned.
     pub fn bounds(&self, benefit: f64) -> LatenessBounds {
         let target = self.categories.iter().map(Category::target).min().unwrap_or(0);
         LatenessBounds { late: self.load.late(), target, missed: 1.0 - benefit }
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -1,11 +1,11 @@
-//! An emulated world in which a balancer can be started, loaded, hurt and judged: a fleet with its
-//! origin and discovery ([`world`]), an open-loop load generator ([`load`]), experiments with their
-//! faults ([`experiment`]), a ledger of all that crossed the sockets ([`ledger`]) and the audit of
-//! the four rules over it ([`audit`]).
+//! A testbed that starts balancers, loads them, injects faults and audits their behaviour: an
+//! emulated fleet with its origin and discovery ([`world`]), an open-loop load generator
+//! ([`load`]), experiments with their faults ([`experiment`]), a ledger of everything observed on
+//! the sockets ([`ledger`]) and an audit of the ledger against the four rules ([`audit`]).
 //!
-//! [`play::play`] plays one arm of an experiment with one seed. The testbed starts balancers as
-//! programs and speaks to them over sockets; it never uses their insides, and it decides nothing
-//! for them. Everything stays on loopback addresses (127.0.0.0/8), and a run ends by itself.
+//! [`play::play`] plays one arm of an experiment with one seed. Balancers run as separate programs
+//! and are reached over sockets only: the testbed uses none of their internals and makes no
+//! decision for them. All addresses are loopback (127.0.0.0/8), and a run ends by itself.
 
 pub mod audit;
 pub mod balancers;
--- a/testbed/src/load/client.rs
+++ b/testbed/src/load/client.rs
@@ -1,5 +1,4 @@
-//! One request as its client makes it: from when it is due to its outcome, with the attempts that
-//! the client makes by itself.
+//! A client's request, from its due time to its outcome, including the client's own retries.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -20,34 +19,34 @@
 use crate::ledger::{Observation, Reply, RequestId};
 use crate::time::{millis, seconds, to_duration, Micros, MS};
 
-/// How long after its deadline a reply is still awaited, so that one that is late is seen as late.
+/// How long a client waits for a reply after the deadline, so that a late reply is recorded as one.
 const LATE_REPLY_WAIT: Micros = 400 * MS;
-/// The time before the end of its deduplication window in which a write is no longer repeated.
+/// A write is not retried in this time before its deduplication window ends.
 const DEDUPLICATION_MARGIN: Micros = 100 * MS;
-/// The most that a balancer can make a client wait before it tries again, in milliseconds.
+/// The largest Retry-After that a client obeys, in milliseconds.
 const MAX_RETRY_AFTER_MS: u64 = 600_000;
-/// A connection that did not come up is tried again elsewhere, as any client would: so often in
-/// all, after a pause.
+/// The attempts of a client without retries whose connection fails, the first one included.
 const MAX_CONNECT_ATTEMPTS: u32 = 3;
+/// The pause before such a client chooses a balancer again.
 const CONNECT_RETRY_PAUSE: Micros = 10 * MS;
-/// Pauses double no more after so many attempts.
+/// The number of attempts after which the backoff no longer doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
 
-/// A request on its way.
+/// A request for which attempts are made.
 struct ClientRequest {
     planned: PlannedRequest,
     deadline: Micros,
-    /// Sent along where the class has one; drawn for each request.
+    /// Drawn for each request; sent if the request class is deduplicated.
     idempotency_key: u64,
-    /// How long after an attempt its client goes away, if it does.
+    /// How long the client waits after sending an attempt before it disconnects, if it does.
     abandon_after: Option<Micros>,
     sent_at: SentAt,
 }
 
-/// What came of one attempt.
+/// The result of one attempt.
 struct AttemptResult {
     outcome: RequestOutcome,
-    /// The Retry-After of a rejection, if it had one.
+    /// The Retry-After of a rejection, if present.
     retry_after_ms: Option<u64>,
 }
 
@@ -62,14 +61,14 @@
     id: RequestId,
     connection: Rc<Connection>,
     reply: oneshot::Receiver<ClientReply>,
-    /// When it left.
+    /// When the attempt was sent.
     sent_at: Micros,
-    /// When its reply is due.
+    /// The deadline for the reply.
     reply_due: Micros,
 }
 
 impl Player {
-    /// Makes one request, and records its outcome.
+    /// Makes one request with its retries and records its outcome.
     pub(super) async fn request(self: Rc<Player>, planned: PlannedRequest) {
         let request = self.prepare(planned);
         self.progress.sent.fetch_add(1, Ordering::Relaxed);
@@ -126,8 +125,7 @@
         &self.experiment.categories[usize::from(planned.category)]
     }
 
-    /// After which pause the client tries again by itself; `None` where it does not, or not in
-    /// time.
+    /// The pause before the client's next attempt; `None` if there is no retry or not enough time.
     fn pause_before_retry(
         &self,
         request: &ClientRequest,
@@ -148,7 +146,7 @@
             | RequestOutcome::WrongValue
             | RequestOutcome::TimedOut
             | RequestOutcome::Abandoned => false,
-            // It never ran.
+            // The command did not run.
             RequestOutcome::Rejected | RequestOutcome::Unreachable => true,
             RequestOutcome::Failed | RequestOutcome::ConnectionLost => match class.retry_safety {
                 RetrySafety::Idempotent => true,
@@ -162,7 +160,7 @@
         }
     }
 
-    /// The pause by the experiment's rule for retries, if it allows one more.
+    /// The pause before a retry, if the experiment's retry policy allows another one.
     fn pause(&self, attempts: u32, result: &AttemptResult) -> Option<Micros> {
         let retry_after_ms = result.retry_after_ms.map_or(0, |ms| ms.min(MAX_RETRY_AFTER_MS));
         let retry_after = retry_after_ms as Micros * MS;
@@ -181,7 +179,7 @@
         }
     }
 
-    /// Exponential backoff with jitter over its upper half.
+    /// Exponential backoff with jitter over its upper half, and not shorter than the Retry-After.
     fn backoff(&self, attempts: u32, base: Micros, retry_after: Micros) -> Micros {
         let longest = base << (attempts - 1).min(MAX_BACKOFF_DOUBLINGS);
         let half = longest / 2;
@@ -208,24 +206,25 @@
         let mut sent = self.send(request, &target, connection, now, is_retry);
         let wait_until = sent.reply_due + LATE_REPLY_WAIT;
         let abandon_at = request.abandon_after.map(|after| sent.sent_at + after);
-        let mut patience_ends = abandon_at.map_or(wait_until, |at| at.min(wait_until));
+        let mut give_up_at = abandon_at.map_or(wait_until, |at| at.min(wait_until));
         loop {
-            match timeout_at(clock.tokio_instant(patience_ends), &mut sent.reply).await {
+            match timeout_at(clock.tokio_instant(give_up_at), &mut sent.reply).await {
                 Ok(reply) => return self.handle_reply(&sent, &target, reply.ok()),
-                // Time spent behind other replies does not count against this one.
-                Err(_) if patience_ends >= wait_until && !sent.connection.is_closed() => {
+                // The time spent waiting behind earlier replies on the connection does not count.
+                Err(_) if give_up_at >= wait_until && !sent.connection.is_closed() => {
                     let next_since = sent.connection.next_since(sent.id).unwrap_or(clock.now());
-                    patience_ends = next_since + LATE_REPLY_WAIT;
-                    if patience_ends <= clock.now() {
-                        return self.go_away(&sent, wait_until);
+                    give_up_at = next_since + LATE_REPLY_WAIT;
+                    if give_up_at <= clock.now() {
+                        return self.stop_waiting(&sent, wait_until);
                     }
                 }
-                Err(_) => return self.go_away(&sent, patience_ends),
+                Err(_) => return self.stop_waiting(&sent, give_up_at),
             }
         }
     }
 
-    /// One balancer at random, evenly; one that fails is left out once clients have noticed.
+    /// Chooses a random balancer of those that clients do not know to be failing; of all balancers
+    /// if every one is.
     fn choose_target(&self) -> Rc<Target> {
         let now = self.ledger.clock.now();
         let notice_after = seconds(self.experiment.load.notice_s);
@@ -246,7 +245,7 @@
         is_retry: bool,
     ) -> SentAttempt {
         let id = RequestId(self.rng.borrow_mut().random());
-        // Whole milliseconds, rounded down: the balancer may not think that it has longer than the
+        // Whole milliseconds, rounded down: the balancer must not be told a longer time than the
         // client waits.
         let timeout_ms = (request.deadline - now) / MS;
         let reply_due = now + timeout_ms * MS;
@@ -261,10 +260,10 @@
         SentAttempt { id, connection, reply, sent_at: now, reply_due }
     }
 
-    /// The client waits no longer and ends its connection.
-    fn go_away(&self, sent: &SentAttempt, patience_ended_at: Micros) -> AttemptResult {
+    /// Stops waiting for the reply and closes the connection.
+    fn stop_waiting(&self, sent: &SentAttempt, waited_until: Micros) -> AttemptResult {
         let id = sent.id;
-        let reply_was_still_due = patience_ended_at < sent.reply_due;
+        let reply_was_still_due = waited_until < sent.reply_due;
         let (observation, outcome) = if reply_was_still_due {
             (Observation::ClientLeft { id }, RequestOutcome::Abandoned)
         } else {
@@ -275,13 +274,13 @@
         AttemptResult::new(outcome)
     }
 
-    /// A reply has come, or the connection has ended without one (`None`).
+    /// Handles a reply, or the end of the connection without one (`None`).
     fn handle_reply(&self, sent: &SentAttempt, target: &Target, reply: Option<ClientReply>) -> AttemptResult {
         let id = sent.id;
         let Some(reply) = reply else {
             target.freed.notify_one();
-            // Another request of the same client gave the connection up.
-            if sent.connection.was_left() {
+            // Another request on the connection stopped waiting and closed it.
+            if sent.connection.was_closed_by_client() {
                 self.ledger.note(Observation::ClientLeft { id });
                 return AttemptResult::new(RequestOutcome::Abandoned);
             }
--- a/testbed/src/load/connection.rs
+++ b/testbed/src/load/connection.rs
@@ -1,5 +1,5 @@
-//! One connection of the load generator to a balancer: commands go out in a pipeline, replies come
-//! in their order.
+//! A connection of the load generator to a balancer: commands are pipelined, and replies arrive in
+//! the order of the commands.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -15,30 +15,30 @@
 use crate::ledger::{Ledger, Observation, RequestId};
 use crate::time::Micros;
 
-/// Bytes beside the value that one read may bring.
+/// Space for what one read brings beyond a whole reply, in bytes.
 const READ_AHEAD_BYTES: usize = 16 * 1024;
-/// A value begins with the id of the request for which it was made, of so many digits.
+/// The number of digits of the request id with which a value begins.
 const REQUEST_ID_DIGITS: usize = 16;
 
 /// A balancer's reply to a command.
 pub(super) enum ClientReply {
-    /// A value; `own` where it was made for this command.
+    /// A value; `own` if it was made for this command.
     Value {
         own: bool,
     },
-    /// `-BUSY`, perhaps with the time after which the client may try again.
+    /// `-BUSY`, optionally with a Retry-After.
     Rejected {
         retry_after_ms: Option<u64>,
     },
     Failed,
 }
 
-/// When a request's first attempt was written; shared by its attempts.
+/// When a request's first attempt was written; shared by all its attempts.
 pub(super) type SentAt = Rc<Cell<Option<Micros>>>;
 
-/// A command that stands in the output.
+/// A command in the output buffer.
 struct Unsent {
-    /// To be recorded once it is written.
+    /// Recorded in the ledger once the command is written.
     observation: Observation,
     sent_at: SentAt,
 }
@@ -46,12 +46,12 @@
 /// A command whose reply is awaited.
 struct Awaited {
     id: RequestId,
-    /// Since when no other reply is awaited before its own.
+    /// Since when no other reply precedes this one.
     next_since: Option<Micros>,
     reply: oneshot::Sender<ClientReply>,
 }
 
-/// An open connection. Its task ends it once it is marked as closed.
+/// An open connection. Its task ends once the connection is marked as closed.
 #[derive(Default)]
 pub(super) struct Connection {
     output: RefCell<BytesMut>,
@@ -59,8 +59,8 @@
     awaited: RefCell<VecDeque<Awaited>>,
     changed: Notify,
     closed: Cell<bool>,
-    /// This side ended it.
-    left: Cell<bool>,
+    /// Whether the client closed the connection.
+    closed_by_client: Cell<bool>,
 }
 
 impl Connection {
@@ -68,12 +68,12 @@
         self.closed.get()
     }
 
-    /// Commands without a reply.
+    /// The number of commands without a reply.
     pub(super) fn in_flight(&self) -> usize {
         self.awaited.borrow().len()
     }
 
-    /// Sends a command. The receiver fails where the connection ends before its reply.
+    /// Sends a command. The receiver fails if the connection ends before the reply.
     pub(super) fn send(
         &self,
         id: RequestId,
@@ -91,24 +91,24 @@
         receiver
     }
 
-    /// Since when the reply to this command is the next one; none while others are awaited before it.
+    /// Since when the reply to this command is the next one; none if other replies precede it.
     pub(super) fn next_since(&self, id: RequestId) -> Option<Micros> {
         self.awaited.borrow().front().filter(|first| first.id == id).and_then(|first| first.next_since)
     }
 
-    /// Whether this side ended it: all its commands were given up then.
-    pub(super) fn was_left(&self) -> bool {
-        self.left.get()
+    /// Whether the client closed the connection, and with it abandoned all its commands.
+    pub(super) fn was_closed_by_client(&self) -> bool {
+        self.closed_by_client.get()
     }
 
-    /// Ends the connection.
+    /// Closes the connection from the client's side.
     pub(super) fn close(&self) {
-        self.left.set(true);
+        self.closed_by_client.set(true);
         self.closed.set(true);
         self.changed.notify_one();
     }
 
-    /// Writes what stands in the output; whether there was anything.
+    /// Writes the output buffer; returns whether it held anything.
     async fn write_output(
         &self,
         writing: &mut (impl AsyncWrite + Unpin),
@@ -130,7 +130,7 @@
         Ok(true)
     }
 
-    /// Gives each whole reply in the buffer to the command that it answers.
+    /// Passes each whole reply in the buffer to its command's receiver.
     fn deliver_replies(
         &self,
         buffer: &mut Buffer,
@@ -150,7 +150,7 @@
                 resp::BalancerReply::Busy(retry_after_ms) => ClientReply::Rejected { retry_after_ms },
                 resp::BalancerReply::Failed => ClientReply::Failed,
             };
-            // A client that has gone away in this moment needs none.
+            // The send fails if the client has just stopped waiting.
             let _ = awaited.reply.send(reply);
             if let Some(next) = self.awaited.borrow_mut().front_mut() {
                 next.next_since = Some(ledger.clock.now());
@@ -161,21 +161,21 @@
     }
 }
 
-/// Sets when a request was first sent.
+/// Records when a request was first sent; later calls have no effect.
 pub(super) fn set_if_unset(sent_at: &Cell<Option<Micros>>, now: Micros) {
     if sent_at.get().is_none() {
         sent_at.set(Some(now));
     }
 }
 
-/// The request for which a value was made.
+/// The id of the request for which a value was made.
 fn made_for(reply: &resp::BalancerReply, bytes: &[u8]) -> Option<RequestId> {
     let resp::BalancerReply::Value(range) = reply else { return None };
     let value = bytes.get(range.clone())?;
     RequestId::read(value.get(..REQUEST_ID_DIGITS)?)
 }
 
-/// Serves a connection to a balancer until either side ends it, and notifies `freed` then.
+/// Reads and writes a connection until either side closes it, then notifies `freed`.
 pub(super) async fn run(
     connection: Rc<Connection>,
     mut stream: TcpStream,
@@ -202,7 +202,7 @@
         }
     }
     connection.closed.set(true);
-    // Those who await a reply learn by this that the connection is over.
+    // Dropping the senders tells the waiting requests that the connection has ended.
     connection.awaited.borrow_mut().clear();
     freed.notify_one();
 }
--- a/testbed/src/load/mod.rs
+++ b/testbed/src/load/mod.rs
@@ -1,6 +1,6 @@
-//! The load generator. Which request leaves when is laid out ahead ([`plan`]) or read from a
-//! recorded trace ([`trace`]), and played as an open loop ([`player`]): a slow balancer never slows
-//! it, and the latency of a request counts from when it was due.
+//! The load generator. The times of all requests are planned in advance ([`plan`]) or read from a
+//! recorded trace ([`trace`]), and played as an open loop ([`player`]): a slow balancer does not
+//! slow the load down, and the latency of a request counts from when it was due.
 
 mod client;
 mod connection;
--- a/testbed/src/load/plan.rs
+++ b/testbed/src/load/plan.rs
@@ -1,5 +1,5 @@
-//! Arrivals laid out ahead: when each request is due, of which class, for whom, on which key. Pure;
-//! all from one seed.
+//! The planned arrivals: due time, request class, tenant and key of each request, drawn from one
+//! seed. No input or output.
 
 use std::f64::consts::TAU;
 use std::ops::Range;
@@ -13,35 +13,35 @@
 use crate::experiment::{Arrivals, Experiment, HotKey, RateShape, Tenant, WorkingSetShift};
 use crate::time::{seconds, Micros, SECOND};
 
-/// Tells the plan's draws apart from those of other parts with the same seed ("load").
+/// Separates the plan's random numbers from those of other parts with the same seed ("load").
 const SEED_MASK: u64 = 0x6c6f_6164;
-/// Where no request comes for a while, evenly spaced arrivals look again as if so many came a
-/// second.
+/// Evenly spaced arrivals step by at most the interval of this rate, so that they notice the end of
+/// a time without requests.
 const MIN_EVEN_RATE_PER_S: f64 = 10.0;
-/// A period can't be shorter than this, in seconds.
+/// The shortest period, in seconds.
 const MIN_PERIOD_S: f64 = 0.001;
 
-/// One request as it is due.
+/// A planned request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannedRequest {
-    /// When it is due, in microseconds of the run.
+    /// The due time, in microseconds since the start of the run.
     pub at: Micros,
-    /// The index of its request class in the experiment.
+    /// The index of the request class in the experiment.
     pub category: u16,
-    /// The index of its tenant in the experiment, if it has one.
+    /// The index of the tenant in the experiment, if any.
     pub customer: Option<u16>,
-    /// The index of its key in [`Plan::keys`].
+    /// The index of the key in [`Plan::keys`].
     pub key: u32,
-    /// Bytes of its value.
+    /// The size of the value, in bytes.
     pub size: u32,
 }
 
 /// All requests of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
-    /// In the order in which they are due.
+    /// The requests, ordered by due time.
     pub requests: Vec<PlannedRequest>,
-    /// The keys by their index.
+    /// The keys by index.
     pub keys: Vec<String>,
 }
 
@@ -66,19 +66,19 @@
                 break;
             }
             let arrives = match load.arrivals {
-                // Arrivals at the highest rate, thinned out to the present one.
+                // Thinning: arrivals at the highest rate are kept in proportion to the present one.
                 Arrivals::Poisson => rng.random::<f64>() * max_rate < rate.at(at_s),
                 Arrivals::Even => rate.at(at_s) > 0.0,
             };
             if !arrives {
                 continue;
             }
-            let category = classes.as_ref().map_or(0, |law| law.sample(&mut rng));
+            let category = classes.as_ref().map_or(0, |distribution| distribution.sample(&mut rng));
             let is_write = experiment.categories[category].write;
             requests.push(PlannedRequest {
                 at: seconds(at_s),
                 category: category as u16,
-                customer: rate.tenants_at(at_s).map(|law| law.sample(&mut rng) as u16),
+                customer: rate.tenants_at(at_s).map(|distribution| distribution.sample(&mut rng) as u16),
                 key: key_popularity.draw(at_s, is_write, &mut rng),
                 size: load.value_bytes as u32,
             });
@@ -86,38 +86,38 @@
         Plan { requests, keys: key_popularity.names }
     }
 
-    /// The mean rate, in requests a second.
+    /// The mean rate, in requests per second.
     pub fn mean_rate(&self) -> f64 {
         let length = self.requests.last().map_or(SECOND, |request| request.at.max(1));
         self.requests.len() as f64 / (length as f64 / 1e6)
     }
 }
 
-/// The rate of arrivals over the run, and from whom they are.
+/// The rate of arrivals over the run and their distribution over tenants.
 struct Rate<'a> {
     experiment: &'a Experiment,
-    calm: TenantShares,
-    /// The times, in seconds, and the shares of a flood by one tenant.
+    base: TenantShares,
+    /// The time span, in seconds, and the tenants' shares during a flood by one tenant.
     flood: Option<(Range<f64>, TenantShares)>,
 }
 
-/// How arrivals divide over the tenants.
+/// The distribution of arrivals over tenants.
 struct TenantShares {
     sum: f64,
-    law: Option<WeightedIndex<f64>>,
+    distribution: Option<WeightedIndex<f64>>,
 }
 
 impl TenantShares {
     fn new(tenants: &[Tenant], share: impl Fn(usize, &Tenant) -> f64) -> TenantShares {
         let shares: Vec<f64> = tenants.iter().enumerate().map(|(nth, tenant)| share(nth, tenant)).collect();
-        TenantShares { sum: shares.iter().sum(), law: WeightedIndex::new(&shares).ok() }
+        TenantShares { sum: shares.iter().sum(), distribution: WeightedIndex::new(&shares).ok() }
     }
 }
 
 impl Rate<'_> {
     fn new(experiment: &Experiment) -> Rate<'_> {
         let tenants = &experiment.customers;
-        let calm = TenantShares::new(tenants, |_, tenant| tenant.share);
+        let base = TenantShares::new(tenants, |_, tenant| tenant.share);
         let flood = experiment.load.flood.as_ref().map(|flood| {
             let flooder = tenants.iter().position(|tenant| tenant.name == flood.customer).unwrap_or(0);
             let times = flood.times.max(1.0);
@@ -125,13 +125,13 @@
                 |nth, tenant: &Tenant| if nth == flooder { tenant.share * times } else { tenant.share };
             (flood.from_s..flood.to_s, TenantShares::new(tenants, share))
         });
-        Rate { experiment, calm, flood }
+        Rate { experiment, base, flood }
     }
 
-    /// How much a flood adds to the rate: it comes on top of what all others ask for.
+    /// The multiple of the rate during a flood: the flood's requests come on top of all others.
     fn flood_multiple(&self) -> f64 {
         match &self.flood {
-            Some((_, shares)) if self.calm.sum > 0.0 => shares.sum / self.calm.sum,
+            Some((_, shares)) if self.base.sum > 0.0 => shares.sum / self.base.sum,
             _ => 1.0,
         }
     }
@@ -141,25 +141,25 @@
         span.contains(&at_s).then_some(shares)
     }
 
-    /// Requests a second at a time.
+    /// The rate at a time, in requests per second.
     fn at(&self, at_s: f64) -> f64 {
         let load = &self.experiment.load;
         let multiple = if self.flood_at(at_s).is_some() { self.flood_multiple() } else { 1.0 };
         load.rate * level(load.shape, at_s, self.experiment.seconds) * multiple
     }
 
-    /// A rate that is never exceeded.
+    /// An upper bound of the rate over the run.
     fn max(&self) -> f64 {
         let load = &self.experiment.load;
         load.rate * max_level(load.shape) * self.flood_multiple()
     }
 
     fn tenants_at(&self, at_s: f64) -> Option<&WeightedIndex<f64>> {
-        self.flood_at(at_s).unwrap_or(&self.calm).law.as_ref()
+        self.flood_at(at_s).unwrap_or(&self.base).distribution.as_ref()
     }
 }
 
-/// The rate at a time of a run of this length (both in seconds), as a multiple of the load's.
+/// The level of a shape at a time of a run of this length (both in seconds).
 pub fn level(shape: RateShape, at_s: f64, length_s: f64) -> f64 {
     let level = match shape {
         RateShape::Steady => 1.0,
@@ -183,7 +183,7 @@
     level.max(0.0)
 }
 
-/// From 0 to 1 and back, by the time since a surge began.
+/// The height of a surge from 0 to 1 at a time since it began.
 fn surge_height(since_s: f64, rise_s: f64, hold_s: f64, fall_s: f64) -> f64 {
     let progress = |span: f64, all: f64| if all > 0.0 { (span / all).clamp(0.0, 1.0) } else { 1.0 };
     if since_s < 0.0 {
@@ -204,16 +204,16 @@
     }
 }
 
-/// Which key a request asks for.
+/// The distribution of requests over keys.
 struct KeyPopularity {
     names: Vec<String>,
-    law: Option<Zipf<f64>>,
-    /// Key indices from the most popular one on; shuffled, so that a name tells nothing of its
-    /// popularity.
+    distribution: Option<Zipf<f64>>,
+    /// Key indices from the most to the least popular key; shuffled, so that a key's index is
+    /// independent of its popularity.
     by_rank: Vec<u32>,
-    /// One key takes a part of all reads for a time.
+    /// A hot key that takes a fraction of the reads for a time.
     hot: Option<HotKey>,
-    /// A changing set of keys takes a part of all reads.
+    /// A changing set of keys that takes a fraction of the reads.
     shift: Option<WorkingSetShift>,
 }
 
@@ -224,7 +224,7 @@
         by_rank.shuffle(rng);
         KeyPopularity {
             names: (0..load.keys).map(|_| format!("{:016x}", rng.random::<u64>())).collect(),
-            law: Zipf::new(load.keys as f64, load.zipf).ok().filter(|_| load.zipf > 0.0),
+            distribution: Zipf::new(load.keys as f64, load.zipf).ok().filter(|_| load.zipf > 0.0),
             by_rank,
             hot: load.hot,
             shift: load.shift,
@@ -240,23 +240,23 @@
                 return key;
             }
         }
-        match &self.law {
-            Some(law) => {
-                let rank = law.sample(rng) as usize;
+        match &self.distribution {
+            Some(distribution) => {
+                let rank = distribution.sample(rng) as usize;
                 self.by_rank[rank.clamp(1, self.by_rank.len()) - 1]
             }
             None => rng.random_range(0..self.names.len() as u32),
         }
     }
 
-    /// The hot key, where this read falls to it. With a period it is hot in every other one.
+    /// The hot key, if this read is drawn for it. With a period, the key is hot in every other one.
     fn draw_hot(&self, at_s: f64, rng: &mut ChaCha8Rng) -> Option<u32> {
         let hot = self.hot.filter(|hot| (hot.from_s..hot.to_s).contains(&at_s))?;
         let is_on = hot.period_s <= 0.0 || (((at_s - hot.from_s) / hot.period_s) as u64).is_multiple_of(2);
         (is_on && rng.random::<f64>() < hot.part).then(|| self.by_rank[0])
     }
 
-    /// A key of the set that is popular in this round, where this read falls to it.
+    /// A key of the current working set, if this read is drawn for the set.
     fn draw_shifted(&self, at_s: f64, rng: &mut ChaCha8Rng) -> Option<u32> {
         let shift = self.shift?;
         if rng.random::<f64>() >= shift.part {
--- a/testbed/src/load/player.rs
+++ b/testbed/src/load/player.rs
@@ -1,5 +1,5 @@
-//! Plays a plan against balancers: on one thread, with a second that only looks at the clock. How
-//! long a reply takes has no bearing on when the next request leaves.
+//! Plays a plan against balancers as an open loop: all requests run on one thread, and a second
+//! thread releases each one at its due time, whether or not earlier ones have their reply.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -25,26 +25,26 @@
 use crate::thread_stats::{record_lateness, thread_cpu_seconds};
 use crate::time::{to_duration, Clock, Micros};
 
-/// Tells the clients' draws apart from those of other parts with the same seed ("clie").
+/// Separates the clients' random numbers from those of other parts with the same seed ("clie").
 const SEED_MASK: u64 = 0x636c_6965;
 
 /// Why a plan can't be played.
 #[derive(Debug, Error)]
 pub enum LoadError {
-    /// No runtime could be had for the thread.
-    #[error("the runtime: {0}")]
+    /// The thread's async runtime could not be built.
+    #[error("cannot build the async runtime: {0}")]
     Runtime(std::io::Error),
 }
 
-/// A lateness that is planted in the generator, to show that it is found.
+/// An injected delay of the generator's thread, to test that its lateness is detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stall {
-    /// When it begins, in microseconds of the run.
+    /// The start, in microseconds since the start of the run.
     pub from: Micros,
-    /// When it ends.
+    /// The end, on the same clock.
     pub to: Micros,
-    /// What each request costs the generator's thread; with `None` the thread stands still all the
-    /// while.
+    /// How long each request blocks the generator's thread; `None` blocks the thread for the whole
+    /// time.
     pub each: Option<Micros>,
 }
 
@@ -54,34 +54,34 @@
     }
 }
 
-/// What was played.
+/// The result of playing a plan.
 #[derive(Debug, Default)]
 pub struct PlayedLoad {
-    /// Each request, in the order of their ends.
+    /// All requests, in the order in which they ended.
     pub records: Vec<RequestRecord>,
     /// CPU time of the generator's thread, in seconds.
     pub cpu_s: f64,
 }
 
-/// Counts that others can read while the load goes on.
+/// Counters that other threads can read while the load is played.
 #[derive(Debug, Default)]
 pub struct Progress {
-    /// Requests that were due and left.
+    /// Requests that were started.
     pub sent: AtomicI64,
     /// Requests that ended with their value.
     pub served: AtomicI64,
     /// Requests that ended.
     pub ended: AtomicI64,
-    /// The sum of the latencies of those served, in microseconds.
+    /// The sum of the latencies of the served requests, in microseconds.
     pub latency_sum_us: AtomicI64,
 }
 
-/// Plays a plan and returns when its last request has ended. Blocks: it is a thread's whole work.
-/// `stalls` are planted in it; `late` records how late this thread was.
+/// Plays a plan on the calling thread and returns when its last request has ended. `stalls` are
+/// injected into the thread, and `late` records the thread's lateness.
 ///
 /// # Errors
-/// Where the thread can't have a runtime.
-#[allow(clippy::too_many_arguments)] // each is a part of the run that others share
+/// Fails if no async runtime can be built.
+#[allow(clippy::too_many_arguments)] // each is shared with other parts of the run
 pub fn play(
     experiment: &Experiment,
     plan: Arc<Plan>,
@@ -133,7 +133,7 @@
 }
 
 impl Player {
-    /// Each request leaves when it is due, whatever became of those before.
+    /// Starts each request when it is due, regardless of the state of earlier ones.
     async fn run_open_loop(self: Rc<Player>, stalls: Vec<Stall>) {
         let (due, mut when_due) = mpsc::unbounded_channel();
         let (plan, clock) = (self.plan.clone(), self.ledger.clock.clone());
@@ -160,7 +160,7 @@
         let _ = pacer.join();
     }
 
-    /// Blocks the thread for what stalls make one request cost.
+    /// Blocks the thread for the cost that the present stalls add to one request.
     fn spend_stalls(&self, per_request: &[Stall]) {
         if per_request.is_empty() {
             return;
@@ -171,8 +171,8 @@
         thread::sleep(to_duration(cost));
     }
 
-    /// How not to do it, for comparison: so many clients, each of which makes its next request once
-    /// it has the reply to the last one, and latency counts from then.
+    /// Plays a closed loop, to show its error: each client makes its next request only after the
+    /// reply to the last one, and latency counts from then.
     async fn run_closed_loop(self: Rc<Player>) {
         let next = Rc::new(Cell::new(0));
         let mut clients = JoinSet::new();
@@ -195,7 +195,7 @@
     }
 }
 
-/// Sends the indices of requests as they are due; the work of a thread of its own, so that no other
+/// Sends the indices of requests when they are due. Runs on a thread of its own, so that no other
 /// work delays it.
 fn send_when_due(plan: &Plan, clock: &Clock, due: &mpsc::UnboundedSender<Range<usize>>) {
     let mut next = 0;
@@ -213,7 +213,7 @@
     }
 }
 
-/// The whole thread stands still, as on a machine that stalls.
+/// Blocks the whole thread, as on a machine that stalls.
 async fn stop_thread(stall: Stall, clock: Clock) {
     sleep_until(clock.tokio_instant(stall.from)).await;
     thread::sleep(to_duration(stall.to - stall.from));
--- a/testbed/src/load/record.rs
+++ b/testbed/src/load/record.rs
@@ -1,54 +1,53 @@
-//! What became of each request, as its client saw it.
+//! The outcome of each request, as observed by its client.
 
 use crate::time::Micros;
 
-/// How a request ended for its client.
+/// The outcome of a request for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// With the value made for it.
+    /// The reply was the value made for the request.
     Served,
-    /// With a value made for another request.
+    /// The reply was a value made for another request.
     WrongValue,
-    /// With `-BUSY`.
+    /// The reply was `-BUSY`.
     Rejected,
-    /// With another error.
+    /// The reply was another error.
     Failed,
-    /// The balancer ended the connection, and the client did not try again, or in vain.
+    /// The balancer closed the connection before a reply.
     ConnectionLost,
-    /// No reply came in time.
+    /// No reply arrived in time.
     TimedOut,
-    /// The client went away before a reply.
+    /// The client disconnected before a reply was due.
     Abandoned,
     /// No balancer could be reached in time.
     Unreachable,
 }
 
-/// One request with its outcome. Times are in microseconds of the run.
+/// A request with its outcome. Times are in microseconds since the start of the run.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestRecord {
-    /// When it was due; its latency counts from here.
+    /// When the request was due; its latency counts from here.
     pub due_at: Micros,
-    /// When its first attempt was written, or when it would have been but for a connection that was
-    /// not there.
+    /// When the first attempt was written, or began to wait for a connection.
     pub sent_at: Micros,
-    /// When its outcome was known.
+    /// When the outcome was known.
     pub ended_at: Micros,
-    /// The index of its request class.
+    /// The index of the request class.
     pub category: u16,
-    /// The index of its tenant, if it has one.
+    /// The index of the tenant, if any.
     pub customer: Option<u16>,
-    /// The outcome of its last attempt.
+    /// The outcome of the last attempt.
     pub outcome: RequestOutcome,
     /// Attempts that the client made.
     pub attempts: u32,
     /// Attempts that the balancer rejected.
     pub rejections: u32,
-    /// Attempts whose connection the balancer ended.
+    /// Attempts whose connection the balancer closed.
     pub connections_lost: u32,
 }
 
 impl RequestRecord {
-    /// From when the request was due until its outcome was known.
+    /// The time from when the request was due until its outcome was known.
     pub fn latency(&self) -> Micros {
         self.ended_at - self.due_at
     }
--- a/testbed/src/load/target.rs
+++ b/testbed/src/load/target.rs
@@ -1,5 +1,4 @@
-//! A balancer as its clients see it: its address, the connections to it, and since when it can't be
-//! reached.
+//! A balancer as seen by its clients: its address, the connections to it and its reachability.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -15,7 +14,7 @@
 use crate::ledger::Ledger;
 use crate::time::Micros;
 
-/// A connection that is not up by then is given up.
+/// How long a client waits for a connection to be established.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// How often a balancer that could not be reached is probed.
 const PROBE_INTERVAL: Duration = Duration::from_millis(250);
@@ -31,7 +30,7 @@
 
 /// One balancer.
 pub(super) struct Target {
-    /// Its number.
+    /// The balancer's number.
     pub(super) balancer: usize,
     address: SocketAddr,
     connections: RefCell<Vec<Rc<Connection>>>,
@@ -54,19 +53,19 @@
         }
     }
 
-    /// Whether clients still send to it: they notice only after a while that it fails.
+    /// Whether clients send to the balancer: they stop `notice_after` after it began to fail.
     pub(super) fn is_in_use(&self, now: Micros, notice_after: Micros) -> bool {
         self.failing_since.get().is_none_or(|since| now - since < notice_after)
     }
 
-    /// It could not be reached.
+    /// Records that the balancer could not be reached.
     pub(super) fn record_failure(&self, now: Micros) {
         if self.failing_since.get().is_none() {
             self.failing_since.set(Some(now));
         }
     }
 
-    /// Looks again and again whether it can be reached, while it could not.
+    /// Probes the balancer at intervals while it counts as failing.
     pub(super) async fn probe(self: Rc<Target>) {
         loop {
             sleep(PROBE_INTERVAL).await;
@@ -79,10 +78,9 @@
         }
     }
 
-    /// A connection for one more command: one that is open or a new one; where there may be no
-    /// more, the first that is free. `None` where it can't be had by the deadline. A request that
-    /// has to wait for a connection counts as sent all the same: the wait is not the generator's
-    /// lateness.
+    /// A connection that can take one more command: an open one, else a new one, else, at the limit
+    /// on connections, the first to become free. `None` if there is none by the deadline. A request
+    /// that waits for a connection counts as sent: the wait is not lateness of the generator.
     pub(super) async fn check_out(
         self: &Rc<Target>,
         bounds: ConnectionBounds,
@@ -106,7 +104,7 @@
     fn free_connection(&self, bounds: ConnectionBounds) -> Option<Rc<Connection>> {
         let mut connections = self.connections.borrow_mut();
         connections.retain(|connection| !connection.is_closed());
-        // The newest one first, so that those not needed grow old.
+        // The newest one first, so that connections that are not needed become idle.
         let mut newest_first = connections.iter().rev();
         newest_first.find(|connection| connection.in_flight() < bounds.max_pipelined).cloned()
     }
--- a/testbed/src/load/trace.rs
+++ b/testbed/src/load/trace.rs
@@ -1,12 +1,12 @@
-//! Recorded arrivals: JSON lines, one request each, in the order of time.
+//! Recorded arrivals: JSON lines, one request each, ordered by time.
 //!
 //! ```text
 //! {"at_us":0,"category":"read","customer":"acme","key":"7f3a","size":128}
 //! ```
 //!
-//! `at_us` counts from the start of the trace in whole microseconds; `customer` may be left out or
-//! null; `size` is the value's bytes, 128 where it is left out. Empty lines are skipped; any other
-//! line that is no such object is refused by its number.
+//! `at_us` is the time since the start of the trace in whole microseconds; `customer` may be absent
+//! or null; `size` is the value's size in bytes, 128 if absent. Empty lines are skipped; any other
+//! line that is not such an object is rejected with its number.
 
 use std::collections::HashMap;
 use std::io::{BufRead, Write};
@@ -18,25 +18,25 @@
 use crate::experiment::Experiment;
 use crate::time::Micros;
 
-/// The size of a value where the trace gives none, in bytes.
+/// The size of a value if the trace gives none, in bytes.
 const DEFAULT_VALUE_BYTES: u32 = 128;
 /// The largest value that is played, in bytes.
 const MAX_VALUE_BYTES: u32 = 65_536;
-/// A value that is played has at least so many bytes: it begins with ids.
+/// The smallest value that is played, in bytes: a value begins with ids.
 const MIN_VALUE_BYTES: u32 = 48;
 
-/// Why a trace can't be played. Each text names the line and the way out.
+/// Why a trace can't be played. Each message names the line and the remedy.
 #[derive(Debug, Error)]
 pub enum TraceError {
-    /// The file can't be read on from here.
+    /// The file can't be read any further.
     #[error("line {line}: {cause}")]
     Unreadable {
         /// Counted from 1.
         line: usize,
-        /// What the system says.
+        /// The I/O error.
         cause: std::io::Error,
     },
-    /// A line is not the JSON object that is expected.
+    /// A line is not the expected JSON object.
     #[error(
         "line {line}: {cause}: {}write at_us, category, key and perhaps customer and size",
         if cause.is_eof() { "it is torn off; cut it or " } else { "" }
@@ -44,17 +44,17 @@
     Malformed {
         /// Counted from 1.
         line: usize,
-        /// What is wrong with it.
+        /// The parser's error.
         cause: serde_json::Error,
     },
-    /// A line is due before the one ahead of it.
+    /// A line's time is before that of the preceding line.
     #[error("line {line}: at_us {at_us} runs backwards from {before}: sort the lines by at_us")]
     OutOfOrder {
         /// Counted from 1.
         line: usize,
         /// The time of this line.
         at_us: Micros,
-        /// The time of the line ahead of it.
+        /// The time of the preceding line.
         before: Micros,
     },
     /// A line names a request class that the experiment does not have.
@@ -76,36 +76,36 @@
         name: String,
     },
     /// A key has control characters or is empty, or a value is too large.
-    #[error("line {line}: a key without control characters and at most 65536 bytes, please")]
+    #[error("line {line}: key must be non-empty and without control characters, size at most 65536 bytes")]
     InvalidKeyOrSize {
         /// Counted from 1.
         line: usize,
     },
-    /// The trace has no request.
-    #[error("it holds no op")]
+    /// The trace has no requests.
+    #[error("the trace holds no requests")]
     Empty,
 }
 
-/// Why comma-separated values are no trace.
+/// Why a CSV file can't be made into a trace.
 #[derive(Debug, Error)]
 pub enum CsvError {
-    /// A row is no such row, or the columns are others.
+    /// A row can't be parsed, or a column is missing.
     #[error("row {row}: {cause}")]
     Malformed {
-        /// Counted from 1, without the head.
+        /// Counted from 1, without the header.
         row: usize,
-        /// What is wrong with it.
+        /// The parser's error.
         cause: csv::Error,
     },
-    /// A time is infinite or no number.
-    #[error("row {row}: {time_s} is no time in seconds")]
+    /// A time is infinite or not a number.
+    #[error("row {row}: time_s = {time_s} is not a finite number of seconds")]
     InvalidTime {
-        /// Counted from 1, without the head.
+        /// Counted from 1, without the header.
         row: usize,
-        /// The time as it was read.
+        /// The time that was read.
         time_s: f64,
     },
-    /// A row can't be written as a line.
+    /// A row can't be written as a line of the trace.
     #[error(transparent)]
     Unwritable(#[from] serde_json::Error),
 }
@@ -126,11 +126,11 @@
     DEFAULT_VALUE_BYTES
 }
 
-/// Reads a trace for the request classes and tenants of an experiment, to be played `speed` times
-/// as fast.
+/// Reads a trace with the request classes and tenants of an experiment, and divides its times by
+/// `speed`.
 ///
 /// # Errors
-/// The first line that can't be played.
+/// Returns the first line that can't be played.
 pub fn import(from: impl BufRead, experiment: &Experiment, speed: f64) -> Result<Plan, TraceError> {
     let mut import = Import { experiment, speed, plan: Plan::default(), keys: HashMap::new(), last_at_us: 0 };
     for (nth, text) in from.lines().enumerate() {
@@ -210,7 +210,7 @@
 /// Writes a plan as a trace.
 ///
 /// # Errors
-/// What the system says where it can't be written.
+/// Returns the I/O error if writing fails.
 pub fn export(plan: &Plan, experiment: &Experiment, mut to: impl Write) -> std::io::Result<()> {
     for request in &plan.requests {
         let tenant = request.customer.and_then(|index| experiment.customers.get(usize::from(index)));
@@ -238,12 +238,11 @@
     size: Option<u32>,
 }
 
-/// Makes a trace of comma-separated values whose head names the columns `time_s`, `category`, `key`
-/// and perhaps `customer` and `size`. Times count from the first row, and rows may stand in any
-/// order.
+/// Makes a trace from CSV whose header names the columns `time_s`, `category`, `key` and optionally
+/// `customer` and `size`. Rows may be in any order; times are made relative to the earliest one.
 ///
 /// # Errors
-/// The first row that is wrong.
+/// Returns the first row that is invalid.
 pub fn from_csv(from: impl std::io::Read) -> Result<String, CsvError> {
     let mut reader = csv::ReaderBuilder::new().trim(csv::Trim::All).from_reader(from);
     let mut rows = Vec::new();
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -1,5 +1,4 @@
-//! The testbed as a program: `basaltwood-testbed COMMAND`. The exit codes stand at
-//! [`cli::ExitStatus`].
+//! The testbed's program, `basaltwood-testbed COMMAND`. [`cli::ExitStatus`] lists the exit codes.
 
 mod cli;
 
--- a/testbed/src/settings.rs
+++ b/testbed/src/settings.rs
@@ -1,4 +1,4 @@
-//! The configuration of a balancer of a run, in the form of PROXY_CONFIG.
+//! The PROXY_CONFIG file of a balancer that takes part in a run.
 
 use std::net::SocketAddr;
 
@@ -8,16 +8,17 @@
     zone_name, CacheMode, Category, DeduplicationScope, Experiment, RetrySafety, Tenant,
 };
 
-/// What a balancer of a run has to know of the world before it starts.
+/// The part of a balancer's configuration that depends on the running world.
 #[derive(Clone, Debug)]
 pub struct BalancerBootstrap {
-    /// Where its discovery agent listens.
+    /// The address of its discovery agent.
     pub discovery: SocketAddr,
-    /// The endpoint list as it stands, in the form of a discovery response.
+    /// The current endpoint list, in the form of a discovery response.
     pub known: Value,
 }
 
-/// The whole configuration of one balancer, which listens on `listen` and draws from `seed`.
+/// The whole configuration of one balancer, which listens on `listen` and seeds its random numbers
+/// with `seed`.
 pub fn balancer_config(
     experiment: &Experiment,
     name: &str,
@@ -40,7 +41,7 @@
     })
 }
 
-/// The operators' settings object.
+/// The `settings` object, which operators write in production.
 fn settings(experiment: &Experiment) -> Value {
     let Experiment { slow_start, .. } = experiment;
     let classes: Vec<Value> = experiment.categories.iter().map(class_settings).collect();
--- a/testbed/tests/input.rs
+++ b/testbed/tests/input.rs
@@ -1,4 +1,4 @@
-//! Bad input: one clear line that names the place and the way out.
+//! Invalid input is refused with one line that names the place and the remedy.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use expect_test::expect;
 
 #[test]
-fn invalid_trace_is_refused_by_its_line() {
+fn invalid_trace_is_refused_with_its_line() {
     let experiment = experiment("seconds = 1.0", "[load]\nrate = 1");
     let good = r#"{"at_us":5,"category":"read","key":"a"}"#;
     let lines = [
@@ -21,39 +21,39 @@
         r#"{"at_us":6,"category":"read","key":"a","colour":1}"#,
         "at_us 6",
     ];
-    let mut told = vec![trace::import(&b""[..], &experiment, 1.0).expect_err("it is empty").to_string()];
+    let mut messages = vec![trace::import(&b""[..], &experiment, 1.0).expect_err("it is empty").to_string()];
     for line in lines {
         let text = format!("{good}\n\n{line}");
-        told.push(trace::import(text.as_bytes(), &experiment, 1.0).expect_err(line).to_string());
+        messages.push(trace::import(text.as_bytes(), &experiment, 1.0).expect_err(line).to_string());
     }
-    told.push(
+    messages.push(
         trace::from_csv(&b"time_s,category,key\n1,read,a\nx,read,b\n"[..]).expect_err("no time").to_string(),
     );
     expect![[r#"
-        it holds no op
+        the trace holds no requests
         line 3: at_us 4 runs backwards from 5: sort the lines by at_us
         line 3: no category "unheard": the experiment has read, once, put
         line 3: no customer "acme": add it to the experiment's [[customers]]
-        line 3: a key without control characters and at most 65536 bytes, please
+        line 3: key must be non-empty and without control characters, size at most 65536 bytes
         line 3: EOF while parsing a string at line 1 column 32: it is torn off; cut it or write at_us, category, key and perhaps customer and size
         line 3: unknown field `colour`, expected one of `at_us`, `category`, `customer`, `key`, `size` at line 1 column 47: write at_us, category, key and perhaps customer and size
         line 3: expected value at line 1 column 1: write at_us, category, key and perhaps customer and size
-        row 2: CSV deserialize error: record 2 (line: 3, byte: 29): field 0: invalid float literal"#]].assert_eq(&told.join("\n"));
+        row 2: CSV deserialize error: record 2 (line: 3, byte: 29): field 0: invalid float literal"#]].assert_eq(&messages.join("\n"));
 }
 
 #[test]
-fn exported_trace_is_played_alike_and_as_much_faster_as_requested() {
+fn exported_trace_imports_with_the_same_requests_at_the_requested_speed() {
     let experiment =
         experiment("seconds = 2.0", "[load]\nrate = 100\nhot = { from_s = 0, to_s = 1, part = 0.5 }");
     let plan = Plan::generate(&experiment, 3);
-    assert!(plan.requests == Plan::generate(&experiment, 3).requests, "one seed, one plan");
+    assert!(plan.requests == Plan::generate(&experiment, 3).requests, "the same seed gives the same plan");
     let mut file = Vec::new();
     trace::export(&plan, &experiment, &mut file).expect("it is written");
     let again = trace::import(&file[..], &experiment, 1.0).expect("it is read");
-    let told = |plan: &Plan| -> Vec<(i64, u16, String)> {
+    let summary = |plan: &Plan| -> Vec<(i64, u16, String)> {
         plan.requests.iter().map(|op| (op.at, op.category, plan.keys[op.key as usize].clone())).collect()
     };
-    assert_eq!(told(&plan), told(&again));
+    assert_eq!(summary(&plan), summary(&again));
     let faster = trace::import(&file[..], &experiment, 4.0).expect("it is read");
     assert!(plan.requests.iter().zip(&faster.requests).all(|(op, fast)| fast.at == op.at / 4));
     let csv = "time_s,category,key,customer,size\n10.5,read,b,,64\n10,put,a,,\n";
@@ -65,11 +65,11 @@
 }
 
 #[test]
-fn invalid_experiment_is_refused_with_the_way_out() {
+fn invalid_experiment_is_refused_with_a_remedy() {
     let good =
         "name = \"x\"\nseconds = 2.0\n[[categories]]\nname = \"read\"\ntarget_ms = 100\nttl_ms = 400\n\
                 repeats = \"redeliverable\"\n[fleet]\nhosts = 4\n[load]\nrate = 10.0\n";
-    Experiment::parse(good).expect("that one is good");
+    Experiment::parse(good).expect("a valid experiment");
     let fault = |lines: &str| format!("{good}[[faults]]\n{lines}\n");
     let bad = [
         good.replace("hosts = 4", "hots = 4"),
@@ -88,12 +88,12 @@
         fault("kind = \"reset\"\nfrom_s = 0.5\nto_s = 1.5\nevery_s = 0.5"),
         fault("kind = \"earthquake\"\nfrom_s = 1"),
     ];
-    let told: Vec<String> = bad
+    let messages: Vec<String> = bad
         .iter()
         .map(|text| {
             let cause = Experiment::parse(text).expect_err(text).to_string();
             assert!(!cause.contains('\n'), "one line: {cause}");
-            // How many descriptors are allowed is this machine's matter.
+            // The number of allowed descriptors depends on the machine.
             match cause.split_once(" and ") {
                 Some((before, after)) if after.contains("are allowed") => {
                     format!("{before} and .. {}", after.split_once(' ').map_or("", |rest| rest.1))
@@ -110,12 +110,12 @@
          category read: target_ms = 100 is not between 1 and 40
          fleet.hosts = 0 is not between 1 and 4000
          load.zipf = NaN is not between 0 and 5
-         it needs up to 18006260 descriptors and .. are allowed: fewer hosts, balancers, load.connections or limits.sockets, or a higher `ulimit -n`
-         fault 1 (Hang): there are hosts 0 to 3 only
-         fault 1 (Hang): there are 4 hosts only
+         the run needs up to 18006260 descriptors and .. are allowed: fewer hosts, balancers, load.connections or limits.sockets, or a higher `ulimit -n`
+         fault 1 (Hang): there are only hosts 0 to 3
+         fault 1 (Hang): there are only 4 hosts
          fault 1 (Hang): from_s = 3 is not between 0 and 2
-         fault 1 (Hang): it is the same for every balancer, so leave `balancer` out
-         fault 1 (BalancerKill): there are balancers 0 to 1 only
+         fault 1 (Hang): this kind affects all balancers alike: leave `balancer` out
+         fault 1 (BalancerKill): there are only balancers 0 to 1
          fault 1 (Reset): every_s must be longer than the fault itself, which needs to_s
-        13: unknown variant `earthquake`, expected one of `slow`, `hang`, `silent`, `late-connect`, `stale`, `stale-reset`, `reset`, `refuse`, `lost`, `busy`, `error`, `spoil`, `die`, `replace`, `drain`, `roll-out`, `grow`, `origin-slow`, `origin-down`, `discovery-down`, `discovery-stale`, `discovery-wrong`, `balancer-kill`, `proxy-delay`, `proxy-drip`, `proxy-cut`, `proxy-copy`, `proxy-silence`, `proxy-half-close`, `proxy-reset`, `generator-stop`, `generator-slow`"#]].assert_eq(&told.join("\n"));
+        13: unknown variant `earthquake`, expected one of `slow`, `hang`, `silent`, `late-connect`, `stale`, `stale-reset`, `reset`, `refuse`, `lost`, `busy`, `error`, `spoil`, `die`, `replace`, `drain`, `roll-out`, `grow`, `origin-slow`, `origin-down`, `discovery-down`, `discovery-stale`, `discovery-wrong`, `balancer-kill`, `proxy-delay`, `proxy-drip`, `proxy-cut`, `proxy-copy`, `proxy-silence`, `proxy-half-close`, `proxy-reset`, `generator-stop`, `generator-slow`"#]].assert_eq(&messages.join("\n"));
 }
