--- a/testbed/src/cli/load.rs
+++ b/testbed/src/cli/load.rs
@@ -55,7 +55,7 @@
     // The hosts are somebody else's: nothing is known of their lateness.
     let world = LatenessHistograms::default();
     figures.note_late(&reference, &world, experiment.load.late());
-    let requests = figures::late(&played.records);
+    let requests = figures::request_lateness(&played.records);
     let verdict = judge(experiment.bounds(figures.benefit), &requests, &world, &reference);
     let (void, warning) = verdict.into_void_and_warning();
     Ok(Run {
--- a/testbed/src/figures.rs
+++ b/testbed/src/figures.rs
@@ -307,7 +307,7 @@
 ) -> Figures {
     let requests = records.len().max(1) as f64;
     let served = records.iter().filter(|record| record.outcome == RequestOutcome::Served);
-    let late = late(records);
+    let late = request_lateness(records);
     let mut figures = Figures {
         requests: records.len() as u64,
         benefit: Benefit::sum(records.iter(), experiment).part_or(0.0),
@@ -403,7 +403,7 @@
 }
 
 /// By how much each request left later than it was due.
-pub fn late(records: &[RequestRecord]) -> Histogram<u64> {
+pub fn request_lateness(records: &[RequestRecord]) -> Histogram<u64> {
     let mut late = lateness::histogram();
     for record in records {
         late.saturating_record((record.sent_at - record.due_at).max(0) as u64);
--- a/testbed/src/lateness.rs
+++ b/testbed/src/lateness.rs
@@ -72,11 +72,11 @@
 
     /// Records a lateness of which no part is the machine's; a negative one counts as 0.
     pub fn record(&self, late: Micros) {
-        self.record_beside(late, 0);
+        self.record_with_wait(late, 0);
     }
 
     /// Records a lateness, for `waited` of which the thread had no core.
-    pub fn record_beside(&self, late: Micros, waited: Micros) {
+    pub fn record_with_wait(&self, late: Micros, waited: Micros) {
         self.with(|histograms| {
             histograms.late.saturating_record(late.max(0) as u64);
             histograms.own.saturating_record((late - waited).max(0) as u64);
@@ -196,7 +196,7 @@
     while !stopped.load(Ordering::Relaxed) {
         thread::sleep(due.saturating_duration_since(Instant::now()));
         let late = due.elapsed().as_micros() as Micros;
-        lateness.record_beside(late, waits.since(due));
+        lateness.record_with_wait(late, waits.since(due));
         due += REFERENCE_PERIOD;
     }
 }
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -22,7 +22,7 @@
 
 use crate::balancers::{BalancerError, Balancers, Program, ResourceUsage};
 use crate::experiment::{zone_name, Experiment, ExperimentError};
-use crate::figures::{figures, late, Figures};
+use crate::figures::{figures, request_lateness, Figures};
 use crate::lateness::{judge, LatenessHistograms, ReferenceThread, ThreadError, Verdict};
 use crate::ledger::Ledger;
 use crate::load::plan::Plan;
@@ -307,7 +307,7 @@
         let (progress, lateness) = (Arc::default(), Arc::default());
         let reference = ReferenceThread::start()?;
         let played = player::play(&experiment, plan, self.seed, to, &ledger, Vec::new(), progress, lateness)?;
-        let (requests, reference) = (late(&played.records), reference.stop());
+        let (requests, reference) = (request_lateness(&played.records), reference.stop());
         let figures = figures(&experiment, &played.records, &ledger.take(), played.cpu_s);
         let bounds = experiment.bounds(figures.benefit);
         let verdict = judge(bounds, &requests, &LatenessHistograms::default(), &reference);
--- a/testbed/src/play.rs
+++ b/testbed/src/play.rs
@@ -290,7 +290,7 @@
         let mut breaches = audit(&events, &settings);
         let exits = unexpected_exits.into_iter().map(|exit| exit_breach(exit, &events));
         breaches.extend(exits);
-        let late = figures::late(&played.records);
+        let late = figures::request_lateness(&played.records);
         let verdict = judge(experiment.bounds(figures.benefit), &late, &world_lateness, &reference);
         let (void, warning) = verdict.into_void_and_warning();
         drop(balancers);
--- a/testbed/src/scale/run/mod.rs
+++ b/testbed/src/scale/run/mod.rs
@@ -23,7 +23,7 @@
 use super::experiment::{Conditions, ScaleExperiment, FINAL_CHANGES_S};
 use super::point::{Figures, MeasuredPoint};
 use super::protocol::WorkerCommand;
-use crate::figures::late as request_lateness;
+use crate::figures::request_lateness;
 use crate::lateness::ReferenceThread;
 
 /// Plays one point with one seed; files and logs of a real balancer go to `folder`. All processes
--- a/testbed/src/thread_stats.rs
+++ b/testbed/src/thread_stats.rs
@@ -24,7 +24,7 @@
     loop {
         sleep_until(due).await;
         // A millisecond is the timer's own resolution.
-        lateness.record_beside(due.elapsed().as_micros() as Micros - MS, waits.since(due.into_std()));
+        lateness.record_with_wait(due.elapsed().as_micros() as Micros - MS, waits.since(due.into_std()));
         due += TICK;
     }
 }
