--- a/testbed/src/cli/arguments.rs
+++ b/testbed/src/cli/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line: commands and options.
+//! The command line: subcommands and options.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,11 +7,11 @@
 use basaltwood_testbed::router::InjectedFault;
 use clap::{Parser, Subcommand};
 
-/// A world for balancers: emulated hosts, open-loop load, faults, and an audit of what crossed the
-/// sockets.
+/// A testbed for balancers: emulated hosts, open-loop load, faults, and an audit of the messages on
+/// the sockets.
 ///
-/// Start with `basaltwood-testbed demo`. Exit codes: 0 well, 1 could not be done, 2 bad input, 3
-/// rules broken, 4 void (the lab itself or the machine was too late; the line says which), 130
+/// Start with `basaltwood-testbed demo`. Exit codes: 0 success, 1 failed, 2 bad input, 3 rules
+/// broken, 4 void (the testbed or the machine was too late; the output says which), 130
 /// interrupted.
 #[derive(Parser)]
 #[command(
@@ -25,10 +25,10 @@
 
 #[derive(Subcommand)]
 pub(crate) enum Command {
-    /// A small fleet, two balancers and load; one host hangs in the middle. Needs nothing but the
-    /// built programs.
+    /// Plays a small fleet with two balancers; one host hangs halfway. Needs only the built
+    /// programs.
     Demo {
-        /// Where results go.
+        /// The folder for results.
         #[arg(long, default_value = "lab-results")]
         out: PathBuf,
     },
@@ -36,26 +36,26 @@
     #[command(after_help = "Example: basaltwood-testbed run testbed/experiments/surge.toml --seeds 1,2,3")]
     Run {
         file: PathBuf,
-        /// Only these arms of the file; `random`, `least-in-flight` and `plain-ring` are always
-        /// there.
+        /// Plays only these arms of the file; `today` and the baselines `random`, `least-in-flight`
+        /// and `plain-ring` are always available.
         #[arg(long)]
         arm: Vec<String>,
-        /// A further arm: NAME=PROGRAM, such as an older build.
+        /// Adds an arm with this name and program, such as an older build.
         #[arg(long, value_name = "NAME=PROGRAM")]
         program: Vec<String>,
-        /// Seeds instead of the file's.
+        /// Overrides the file's seeds.
         #[arg(long, value_delimiter = ',')]
         seeds: Vec<u64>,
         #[arg(long, default_value = "lab-results")]
         out: PathBuf,
-        /// One JSON line a run on standard output instead of words.
+        /// Prints one JSON line per run on standard output instead of text.
         #[arg(long)]
         json: bool,
-        /// Keeps what was asked as a trace beside the result.
+        /// Writes the requests as a trace into the result folder.
         #[arg(long)]
         keep_trace: bool,
     },
-    /// Brings a world up without load or balancers, and writes the PROXY_CONFIG files to use.
+    /// Starts a world without load or balancers and writes the PROXY_CONFIG files for balancers.
     #[command(after_help = "Then: PROXY_CONFIG=up/balancer-0.json basaltwood-balancer")]
     Up {
         file: PathBuf,
@@ -63,11 +63,11 @@
         seed: u64,
         #[arg(long, default_value = "up")]
         out: PathBuf,
-        /// Ends by itself after so many seconds; otherwise with Ctrl-C.
+        /// Ends after this number of seconds; without it, at Ctrl-C.
         #[arg(long = "for")]
         seconds: Option<f64>,
     },
-    /// Plays an experiment's load against balancers that run already.
+    /// Plays an experiment's load against running balancers.
     Load {
         file: PathBuf,
         #[arg(long, required = true, value_name = "ADDRESS")]
@@ -77,90 +77,93 @@
         #[arg(long)]
         json: bool,
     },
-    /// Says of each figure whether the difference between two arms is above noise.
+    /// Compares two arms and tells for each figure whether the difference is above noise.
     #[command(
         after_help = "Example: basaltwood-testbed compare lab-results/hang:today lab-results/hang:random"
     )]
     Compare {
-        /// A result's folder, with :ARM where it holds several.
+        /// A result folder, followed by :ARM if it holds several arms.
         a: String,
         b: String,
         #[arg(long)]
         json: bool,
     },
-    /// How figures grow with one axis of the fleet: hollow balancers beside a real one, a value at
-    /// each point, the slope with its interval, and what that gives at the plan's size.
+    /// Measures how figures grow with one dimension of the fleet: simulated balancers load the
+    /// fleet beside a real one. Writes each point's figures, their slopes with intervals, and a
+    /// prediction at the planned size.
     ///
-    /// Exit codes as for `run`; 2 also where descriptors, memory (half of the machine's at most) or
-    /// processes would not do, before anything starts.
+    /// Exit codes as for `run`; also 2, before anything starts, if there are not enough
+    /// descriptors, memory (half of the machine's is the most) or processes.
     #[command(after_help = "Example: basaltwood-testbed scale testbed/scale/hosts.toml --quick")]
     Scale {
         file: PathBuf,
-        /// Small and under a minute: the file's [quick], or its first two points, once each.
+        /// Plays a small version that takes under a minute: the file's [quick], or its first two
+        /// points, once each.
         #[arg(long)]
         quick: bool,
         #[arg(long, default_value = "lab-results")]
         out: PathBuf,
-        /// A JSON line for each point and each figure's line on standard output instead of words.
+        /// Prints a JSON line for each point and each fitted line on standard output instead of
+        /// text.
         #[arg(long)]
         json: bool,
     },
-    /// A process of a scale run.
+    /// Serves as a worker process of a scale run.
     #[command(hide = true)]
     ScalePart,
-    /// Two or three troubles that overlap in time, drawn from a seed, against many balancer
+    /// Plays two or three troubles that overlap in time, drawn from a seed, against many balancer
     /// processes: faults of hosts, proxies and discovery, signals, failing system calls and stepped
-    /// clocks. Judged by the audit and by the balancers' own invariants; a script that fails is cut
-    /// down to the troubles it needs.
+    /// clocks. The audit and the balancers' own invariants decide; a script that fails is reduced
+    /// to the troubles that it needs to fail.
     #[command(after_help = "Example: basaltwood-testbed soak --seed 1 --seeds 20 --seconds 12")]
     Soak {
         /// The first seed.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// How many seeds, one after the other.
+        /// The number of consecutive seeds.
         #[arg(long, default_value_t = 1)]
         seeds: u64,
-        /// How long requests arrive.
+        /// How long requests arrive, in seconds.
         #[arg(long, default_value_t = 12.0)]
         seconds: f64,
-        /// Balancer processes.
+        /// The number of balancer processes.
         #[arg(long, default_value_t = 24)]
         balancers: usize,
-        /// Cache hosts at the start; each listens once for each balancer.
+        /// The number of cache hosts at the start; each opens a listener for each balancer.
         #[arg(long, default_value_t = 12)]
         hosts: usize,
-        /// These troubles instead of drawn ones.
+        /// Plays these troubles instead of drawn ones.
         #[arg(long, value_name = "TROUBLE+TROUBLE")]
         only: Option<String>,
-        /// A balancer; the one beside this program otherwise.
+        /// The balancer program; by default the one in this program's folder.
         #[arg(long)]
         program: Option<PathBuf>,
-        /// A script that fails is not cut down.
+        /// Does not reduce scripts that fail.
         #[arg(long)]
         keep_whole: bool,
         #[arg(long, default_value = "lab-results")]
         out: PathBuf,
     },
-    /// Writes a result's page anew.
+    /// Writes the page of a result again.
     Report { folder: PathBuf },
-    /// Measures the generator's own ceiling, what a balancer carries on one core and what time it
-    /// adds, and its memory.
+    /// Measures the load generator's highest rate, and a balancer's: the rate it carries on one
+    /// core, the latency it adds and its memory.
     Measure {
-        /// A balancer; the one beside this program otherwise.
+        /// The balancer program; by default the one in this program's folder.
         #[arg(long)]
         program: Option<PathBuf>,
         #[arg(long)]
         json: bool,
     },
-    /// A host that answers at once, for `measure`.
+    /// Serves as a host that answers at once, for `measure`.
     #[command(hide = true)]
     StandIn,
-    /// Recorded arrivals.
+    /// Works with traces of recorded requests.
     Trace {
         #[command(subcommand)]
         command: TraceCommand,
     },
-    /// A baseline in a balancer's place, told by PROXY_CONFIG.
+    /// Serves as a baseline in a balancer's place, configured by PROXY_CONFIG.
     #[command(hide = true)]
     Router {
         kind: Baseline,
@@ -171,7 +174,7 @@
 
 #[derive(Subcommand)]
 pub(crate) enum TraceCommand {
-    /// Writes an experiment's arrivals as a trace.
+    /// Writes an experiment's requests as a trace.
     Export {
         file: PathBuf,
         #[arg(long, default_value_t = 1)]
@@ -179,14 +182,14 @@
         #[arg(long)]
         out: PathBuf,
     },
-    /// Makes a trace from a CSV file with the columns time_s, category, key and perhaps customer
+    /// Makes a trace from a CSV file with the columns time_s, category, key and optionally customer
     /// and size.
     Import {
         csv: PathBuf,
         #[arg(long)]
         out: PathBuf,
     },
-    /// Reads a trace for an experiment and says what is in it, or the first line that is of no use.
+    /// Checks a trace against an experiment, and prints its size or the first invalid line.
     Check {
         trace: PathBuf,
         #[arg(long)]
--- a/testbed/src/cli/compare.rs
+++ b/testbed/src/cli/compare.rs
@@ -1,4 +1,4 @@
-//! `compare` and `report`: what is made from results that were written.
+//! `compare` and `report`: commands on results that have been written.
 
 use std::path::Path;
 
@@ -16,12 +16,12 @@
     if json {
         println!("{}", serde_json::json!({"pairs": pairs, "rows": rows}));
     } else {
-        print!("{}", comparison::written(&rows, pairs));
+        print!("{}", comparison::format_table(&rows, pairs));
     }
     Ok(ExitStatus::Success)
 }
 
-/// Writes a result's page anew.
+/// Writes the page of a result again.
 pub(super) fn report(folder: &Path) -> Result<ExitStatus, CommandError> {
     let runs = comparison::read(folder).map_err(bad_input)?;
     let name = runs.first().map_or("nothing", |run| &run.experiment).to_owned();
@@ -46,7 +46,7 @@
     let listed = names.join(", ");
     match arm {
         Some(arm) if !names.iter().any(|name| name == arm) => {
-            return Err(bad_input(format!("{folder}: no arm {arm}: it holds {listed}")));
+            return Err(bad_input(format!("{folder}: no arm {arm}: the result holds {listed}")));
         }
         Some(arm) => runs.retain(|run| run.arm == arm),
         None if names.len() > 1 => {
--- a/testbed/src/cli/error.rs
+++ b/testbed/src/cli/error.rs
@@ -11,13 +11,13 @@
 /// Why a command ends without a result, in one line for standard error.
 #[derive(Debug, Error)]
 pub(crate) enum CommandError {
-    /// A file or an option is of no use.
+    /// A file or an option is invalid.
     #[error("{0}")]
     BadInput(String),
-    /// It could not be done.
+    /// The command failed.
     #[error("{0}")]
     Failed(String),
-    /// Ctrl-C or SIGTERM.
+    /// Ctrl-C or SIGTERM interrupted the command.
     #[error("{INTERRUPTED}")]
     Interrupted,
 }
--- a/testbed/src/cli/load.rs
+++ b/testbed/src/cli/load.rs
@@ -1,4 +1,4 @@
-//! `load`: plays an experiment's load against balancers that run already.
+//! `load`: plays an experiment's load against running balancers.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -16,7 +16,7 @@
 use super::output::to_json;
 use super::ExitStatus;
 
-/// From the start of the generator to the first request.
+/// The time from the start of the generator to the start of the run.
 const START_DELAY: Micros = 200 * MS;
 
 pub(super) fn load(
@@ -27,7 +27,7 @@
 ) -> Result<ExitStatus, CommandError> {
     if let Some(address) = to.iter().find(|address| !address.ip().is_loopback()) {
         return Err(bad_input(format!(
-            "--to {address}: the lab loads loopback addresses only (127.0.0.0/8)"
+            "--to {address}: only loopback addresses (127.0.0.0/8) can be loaded"
         )));
     }
     let experiment = Experiment::read(file).map_err(bad_input)?;
@@ -52,9 +52,9 @@
     let events = ledger.take();
     let mut figures = figures::figures(experiment, &played.records, &events, played.cpu_s);
     let reference = reference.stop();
-    // The hosts are somebody else's: nothing is known of their lateness.
+    // The hosts do not belong to this run, so their lateness is unknown.
     let world = LatenessHistograms::default();
-    figures.note_late(&reference, &world, experiment.load.late());
+    figures.add_lateness(&reference, &world, experiment.load.late());
     let requests = figures::request_lateness(&played.records);
     let verdict = judge(experiment.bounds(figures.benefit), &requests, &world, &reference);
     let (void, warning) = verdict.into_void_and_warning();
@@ -72,11 +72,12 @@
 fn print_figures(figures: &Figures) {
     let times = &figures.until_end;
     println!(
-        "until the end: p50 {:.2} p90 {:.2} p99 {:.2} p99.9 {:.2} p99.99 {:.2} most {:.2} ms; {} over 1 s",
+        "time until the end: p50 {:.2} p90 {:.2} p99 {:.2} p99.9 {:.2} p99.99 {:.2} max {:.2} ms; \
+         {} over 1 s",
         times.p50, times.p90, times.p99, times.p999, times.p9999, times.max, figures.over_1s
     );
     println!(
-        "generator: {:.1} us of CPU an op; late by {:.3} ms at the 99th percentile, {:.1} ms at most",
+        "generator: {:.1} us of CPU per request; lateness p99 {:.3} ms, max {:.1} ms",
         figures.generator_us_per_request, figures.late_p99_ms, figures.late_max_ms
     );
 }
--- a/testbed/src/cli/measure.rs
+++ b/testbed/src/cli/measure.rs
@@ -1,4 +1,4 @@
-//! `measure`: the testbed's own ceiling, and what a balancer costs.
+//! `measure`: measures the load generator's highest rate and a balancer's costs.
 
 use std::path::PathBuf;
 
--- a/testbed/src/cli/mod.rs
+++ b/testbed/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The commands of the program, one file each, and its exit codes.
+//! The program's commands, one file each, and its exit codes.
 
 mod arguments;
 mod compare;
@@ -23,20 +23,20 @@
 use self::error::{failed, CommandError};
 pub(crate) use self::signals::stop_on_signals;
 
-/// How the program ends.
+/// The program's exit codes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ExitStatus {
-    /// All is well.
+    /// The command succeeded.
     Success = 0,
-    /// It could not be done.
+    /// The command failed.
     Failed = 1,
-    /// Bad input.
+    /// A file or an option is invalid.
     BadInput = 2,
-    /// A rule was broken.
+    /// A run that is not void broke a rule.
     RuleBroken = 3,
     /// A run was void.
     Void = 4,
-    /// It was interrupted.
+    /// The command was interrupted.
     Interrupted = 130,
 }
 
@@ -47,8 +47,8 @@
 }
 
 impl ExitStatus {
-    /// A breach counts only in a run that is not void; a void run only where there is no such
-    /// breach.
+    /// The exit code of a set of runs. Breaches in void runs are ignored, and a breach in a valid
+    /// run takes precedence over void runs.
     fn of_runs(runs: &[Run]) -> ExitStatus {
         if runs.iter().any(|run| run.in_breach() && run.void.is_none()) {
             ExitStatus::RuleBroken
@@ -61,16 +61,17 @@
 }
 
 impl Command {
-    /// Processes that a run starts are ended by it, not by the terminal's signals.
+    /// Whether the command handles Ctrl-C and SIGTERM. Processes that a run starts do not: the run
+    /// ends them.
     pub(crate) fn ends_on_signals(&self) -> bool {
         !matches!(self, Command::Router { .. } | Command::ScalePart)
     }
 }
 
-/// Executes a command to its end.
+/// Executes a command.
 ///
 /// # Errors
-/// What went wrong, in one line.
+/// The message is one line.
 pub(crate) fn execute(command: Command) -> Result<ExitStatus, CommandError> {
     match command {
         Command::Demo { out } => run::demo(&out),
--- a/testbed/src/cli/output.rs
+++ b/testbed/src/cli/output.rs
@@ -1,4 +1,4 @@
-//! Files and folders that commands write.
+//! The files and folders that commands write.
 
 use std::fs::File;
 use std::io::{self, Write};
@@ -8,10 +8,10 @@
 
 use super::error::{failed, failed_at, CommandError};
 
-/// So many results of one name may stand in a folder.
+/// Bounds the number of results of one name in a folder.
 const MAX_RESULTS_OF_ONE_NAME: usize = 10_000;
 
-/// Makes a result's folder that is not there yet: nothing is written over.
+/// Creates a new result folder, with a number added to the name if the folder exists already.
 pub(super) fn new_result_folder(out: &Path, name: &str) -> Result<PathBuf, CommandError> {
     create_folder(out)?;
     for nth in 1..MAX_RESULTS_OF_ONE_NAME {
@@ -46,7 +46,7 @@
         Ok(JsonLines(file))
     }
 
-    /// Writes a line, and returns it.
+    /// Writes a value as a line and returns the line.
     pub(super) fn append(&mut self, value: &impl Serialize) -> Result<String, CommandError> {
         let line = to_json(value)?;
         writeln!(self.0, "{line}").map_err(failed)?;
--- a/testbed/src/cli/run.rs
+++ b/testbed/src/cli/run.rs
@@ -14,29 +14,29 @@
 use super::ExitStatus;
 
 const DEMO: &str = include_str!("../../experiments/demo.toml");
-/// The arm that is the balancer beside this program.
+/// The name of the arm that plays the balancer in this program's folder.
 const DEFAULT_ARM: &str = "today";
 
-/// What of an experiment is played.
+/// The arms and seeds of an experiment to play.
 pub(super) struct Selection {
-    /// Names of arms; none for all of the file.
+    /// Names of arms; if empty, all arms of the file.
     pub(super) arms: Vec<String>,
-    /// Further arms as NAME=PROGRAM.
+    /// Additional arms as NAME=PROGRAM.
     pub(super) programs: Vec<String>,
-    /// Seeds instead of the file's.
+    /// Seeds; if empty, those of the file.
     pub(super) seeds: Vec<u64>,
 }
 
-/// Where results go, and in which form.
+/// The place and form of results.
 pub(super) struct Output {
     pub(super) folder: PathBuf,
-    /// JSON lines on standard output instead of words.
+    /// Whether to print JSON lines on standard output instead of text.
     pub(super) json: bool,
-    /// Whether the arrivals are kept as a trace beside the result.
+    /// Whether to write the requests as a trace into the result folder.
     pub(super) keep_trace: bool,
 }
 
-/// Plays the experiment that comes with the program.
+/// Plays the experiment that is built into the program.
 pub(super) fn demo(out: &Path) -> Result<ExitStatus, CommandError> {
     let mut experiment = Experiment::parse(DEMO).map_err(failed)?;
     println!("{}\n", experiment.about);
@@ -46,14 +46,14 @@
     Ok(demo_status(&runs))
 }
 
-/// A first run is to show what there is, also on a busy machine: it ends well, with a warning,
-/// unless a rule was broken.
+/// The exit code of the demo: a void run is only a warning, so that the demo succeeds on a busy
+/// machine unless a rule is broken.
 fn demo_status(runs: &[Run]) -> ExitStatus {
     if runs.iter().any(Run::in_breach) {
         return ExitStatus::RuleBroken;
     }
     for cause in runs.iter().filter_map(|run| run.void.as_deref()) {
-        println!("WARNING: these figures count for nothing ({cause}). Try again when less else runs here.");
+        println!("WARNING: these figures are invalid ({cause}). Try again while the machine is less busy.");
     }
     ExitStatus::Success
 }
@@ -78,7 +78,8 @@
     Arm { name: DEFAULT_ARM.to_owned(), program: None, baseline: None, regions: None }
 }
 
-/// The arms to play: those named, or the file's, or the balancer beside this program.
+/// The arms to play: the named ones or else all arms of the file, and the additional programs. The
+/// arm of a file without arms is the balancer in this program's folder.
 fn selected_arms(
     experiment: &Experiment,
     names: &[String],
@@ -113,10 +114,11 @@
         return Ok(Arm { name, program: None, baseline: Some(baseline), regions: None });
     }
     let names: Vec<&str> = known.iter().map(|arm| arm.name.as_str()).collect();
-    Err(bad_input(format!("no arm {name}: there are {} and the baselines", names.join(", "))))
+    let baselines = Baseline::ALL.map(Baseline::name);
+    Err(bad_input(format!("no arm {name}: there are {}, {}", names.join(", "), baselines.join(", "))))
 }
 
-/// NAME=PROGRAM.
+/// Parses an additional arm, NAME=PROGRAM.
 fn program_arm(option: &str) -> Result<Arm, CommandError> {
     let Some((name, path)) = option.split_once('=') else {
         return Err(bad_input(format!("--program {option}: write NAME=PROGRAM")));
@@ -125,14 +127,14 @@
     Ok(Arm { name: name.to_owned(), program, baseline: None, regions: None })
 }
 
-/// Plays every arm with every seed, and writes the result's folder as it goes.
+/// Plays every arm with every seed, and writes each run to the result folder as it ends.
 fn play_all(experiment: &Experiment, text: &str, output: &Output) -> Result<Vec<Run>, CommandError> {
     let mut result = ResultFolder::create(experiment, text, output)?;
     for (nth, &seed) in experiment.seeds.iter().enumerate() {
         if output.keep_trace {
             result.keep_trace(seed)?;
         }
-        // Another arm goes first each time, so that whatever drifts hurts all alike.
+        // Another arm goes first with each seed, so that a drift of the machine affects all alike.
         let mut arms = experiment.arms.clone();
         arms.rotate_left(nth % experiment.arms.len());
         for arm in &arms {
@@ -146,7 +148,7 @@
     Ok(result.runs)
 }
 
-/// A result's folder while it is filled.
+/// A result folder that is being filled.
 struct ResultFolder<'a> {
     experiment: &'a Experiment,
     folder: PathBuf,
@@ -172,7 +174,7 @@
         export(&plan, self.experiment, &self.folder.join(format!("trace-{seed}.jsonl")))
     }
 
-    /// Plays an arm with a seed, and writes and prints what it comes to.
+    /// Plays an arm with a seed, and writes and prints the result.
     fn play(&mut self, arm: &Arm, seed: u64) -> Result<(), CommandError> {
         let (experiment, json) = (self.experiment, self.json);
         let count = experiment.arms.len() * experiment.seeds.len();
@@ -203,9 +205,9 @@
 fn print_progress(title: &str, tick: Tick, json: bool) {
     let line = format!(
         "{title}  {:>3}/{} s  {:>6} ops/s  {:>6} served  {:>7.1} ms  {:>6} kB",
-        tick.second, tick.of, tick.left, tick.served, tick.mean_ms, tick.resident_kb
+        tick.second, tick.total_seconds, tick.sent, tick.served, tick.mean_ms, tick.resident_kb
     );
-    // Standard output is for machines then.
+    // With --json, standard output holds JSON lines only.
     if json {
         eprintln!("{line}");
     } else {
--- a/testbed/src/cli/scale.rs
+++ b/testbed/src/cli/scale.rs
@@ -11,14 +11,14 @@
 use super::output::{create_folder, new_result_folder, to_json, write, JsonLines};
 use super::ExitStatus;
 
-/// Plays the points of a scale experiment, and writes raw points, lines and drawings as it goes.
+/// Plays the points of a scale experiment, and writes the points, the fitted lines and their plots.
 pub(super) fn scale(file: &Path, quick: bool, out: &Path, json: bool) -> Result<ExitStatus, CommandError> {
     let experiment = ScaleExperiment::read(file, quick).map_err(bad_input)?;
     experiment.fits(MachineLimits::this()).map_err(|cause| bad_file(file, cause))?;
     let mut result = ResultFolder::create(file, &experiment, out, json)?;
     let count = experiment.points.len() * experiment.repeats;
     let length_s = experiment.length_s();
-    result.print(&format!("{}\n{count} points, {length_s:.0} s at the least", experiment.about));
+    result.print(&format!("{}\n{count} points, at least {length_s:.0} s", experiment.about));
     for repeat in 0..experiment.repeats {
         for &at in &experiment.points {
             result.play(at, 1 + repeat as u64)?;
@@ -29,7 +29,7 @@
     Ok(if is_void { ExitStatus::Void } else { ExitStatus::Success })
 }
 
-/// A result's folder while it is filled.
+/// A result folder that is being filled.
 struct ResultFolder<'a> {
     experiment: &'a ScaleExperiment,
     folder: PathBuf,
@@ -52,7 +52,7 @@
         Ok(ResultFolder { experiment, folder, lines, json, points: Vec::new() })
     }
 
-    /// Standard output is for machines where they are to read it.
+    /// Prints a line of text; with --json, standard output holds JSON lines only.
     fn print(&self, line: &str) {
         if self.json {
             eprintln!("{line}");
@@ -87,7 +87,7 @@
         Ok(())
     }
 
-    /// Writes the lines through the points, their drawings and the table.
+    /// Writes the lines fitted to the points, their plots and the table.
     fn write_lines(&self) -> Result<(), CommandError> {
         let axis = self.experiment.axis.name();
         let fitted = scale::fit::fit_figures(self.experiment, &self.points);
--- a/testbed/src/cli/signals.rs
+++ b/testbed/src/cli/signals.rs
@@ -1,11 +1,11 @@
-//! Ctrl-C and SIGTERM.
+//! Handles Ctrl-C and SIGTERM.
 
 use std::sync::atomic::Ordering;
 
 use basaltwood_testbed::play::STOP;
 use tokio::signal::unix::{signal, SignalKind};
 
-/// From now on Ctrl-C and SIGTERM end what was started, and only that.
+/// Makes Ctrl-C and SIGTERM end the command and the processes that it started, no others.
 pub(crate) fn stop_on_signals() {
     std::thread::spawn(|| {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
--- a/testbed/src/cli/soak.rs
+++ b/testbed/src/cli/soak.rs
@@ -1,4 +1,4 @@
-//! `soak`: overlapping troubles against many balancer processes, a script for each seed.
+//! `soak`: plays overlapping troubles against many balancer processes, with a script for each seed.
 
 use std::path::{Path, PathBuf};
 
@@ -14,12 +14,12 @@
 use super::output::{create_folder, new_result_folder, JsonLines};
 use super::ExitStatus;
 
-/// How often a script is played to see whether it fails, while it is cut down.
+/// How often each shorter script is played during reduction to see whether it fails.
 const REDUCTION_ATTEMPTS: usize = 2;
-/// Breaches and violations of one verdict that are shown.
-const SHOWN: usize = 5;
+/// The largest number of breaches, and of violations, that are printed per verdict.
+const MAX_PRINTED: usize = 5;
 
-/// What is soaked.
+/// The scripts to play and their options.
 pub(super) struct Selection {
     pub(super) seed: u64,
     pub(super) seeds: u64,
@@ -29,12 +29,12 @@
     /// Troubles joined by `+`.
     pub(super) only: Option<String>,
     pub(super) program: Option<PathBuf>,
-    /// Whether a script that fails is cut down.
+    /// Whether a script that fails is reduced.
     pub(super) reduces: bool,
     pub(super) out: PathBuf,
 }
 
-/// Plays a script for each seed, and cuts down those that fail.
+/// Plays a script for each seed and reduces those that fail.
 pub(super) fn soak(selection: &Selection) -> Result<ExitStatus, CommandError> {
     let program = program(selection.program.clone())?;
     let only = only(selection.only.as_deref())?;
@@ -65,8 +65,8 @@
                 Ok::<bool, CommandError>(!verdict.holds())
             };
             match reduce(&script, REDUCTION_ATTEMPTS, &mut fails)? {
-                Some(shortest) => println!("  cut down: --seed {seed} --only {}", shortest.names()),
-                None => println!("  it did not fail again"),
+                Some(shortest) => println!("  reduced to: --seed {seed} --only {}", shortest.names()),
+                None => println!("  not reduced: the script did not fail again"),
             }
         }
     }
@@ -85,7 +85,7 @@
     names.map(|name| name.parse::<Trouble>().map_err(bad_input)).collect()
 }
 
-/// The balancer beside this program, with the preload library that lies there too.
+/// The given balancer or the one in this program's folder, with the preload library in that folder.
 fn program(path: Option<PathBuf>) -> Result<Program, CommandError> {
     let arm = Arm { name: "soak".to_owned(), program: path, baseline: None, regions: None };
     let program = Program::for_arm(&arm).map_err(bad_input)?;
@@ -93,7 +93,7 @@
     let library = own.with_file_name(LIBRARY_FILE);
     if !library.is_file() {
         return Err(bad_input(format!(
-            "there is no {}: cargo build --release --workspace",
+            "{} is missing: run `cargo build --release --workspace`",
             library.display()
         )));
     }
@@ -102,19 +102,19 @@
 
 fn print(verdict: &Verdict) {
     let troubles: Vec<String> = verdict.troubles.iter().map(ToString::to_string).collect();
-    let says = if verdict.holds() { "holds" } else { "FAILS" };
+    let result = if verdict.holds() { "holds" } else { "FAILS" };
     println!(
-        "seed {}: {says}; {}; {} requests, {} served, {} crossed an end",
+        "seed {}: {result}; {}; {} requests, {} served, {} unread at a balancer's end",
         verdict.seed,
         troubles.join(", "),
         verdict.requests,
         verdict.served,
         verdict.crossed
     );
-    verdict.breaches.iter().take(SHOWN).for_each(|breach| println!("  {breach}"));
-    if verdict.breaches.len() > SHOWN {
+    verdict.breaches.iter().take(MAX_PRINTED).for_each(|breach| println!("  {breach}"));
+    if verdict.breaches.len() > MAX_PRINTED {
         println!("  ... {} breaches in all", verdict.breaches.len());
     }
-    verdict.violations.iter().take(SHOWN).for_each(|line| println!("  inside: {line}"));
+    verdict.violations.iter().take(MAX_PRINTED).for_each(|line| println!("  balancer log: {line}"));
     verdict.failures.iter().for_each(|line| println!("  {line}"));
 }
--- a/testbed/src/cli/trace.rs
+++ b/testbed/src/cli/trace.rs
@@ -1,4 +1,4 @@
-//! `trace`: recorded arrivals.
+//! `trace`: exports, imports and checks traces of recorded requests.
 
 use std::fs::File;
 use std::io::{BufReader, BufWriter};
@@ -51,6 +51,6 @@
     let experiment = Experiment::read(experiment).map_err(bad_input)?;
     let plan = trace::import(open(path)?, &experiment, 1.0).map_err(|cause| bad_file(path, cause))?;
     let (requests, keys, rate) = (plan.requests.len(), plan.keys.len(), plan.mean_rate());
-    println!("{requests} ops, {keys} keys, {rate:.1} ops a second");
+    println!("{requests} requests, {keys} keys, {rate:.1} requests/s");
     Ok(())
 }
--- a/testbed/src/cli/up.rs
+++ b/testbed/src/cli/up.rs
@@ -1,4 +1,4 @@
-//! `up`: a world without load or balancers.
+//! `up`: starts a world without load or balancers.
 
 use std::path::Path;
 use std::sync::atomic::Ordering;
@@ -16,9 +16,9 @@
 use super::output::{create_folder, write};
 use super::ExitStatus;
 
-/// The first balancer listens on this port, each further one on the next.
+/// The first balancer's port; each further balancer listens on the next one.
 const FIRST_PORT: u16 = 6379;
-/// How often it looks whether it is to end.
+/// How often the command checks whether it is to end.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 pub(super) fn up(
@@ -39,12 +39,12 @@
         let discovery = bootstrap.discovery;
         println!("PROXY_CONFIG={} # listens on {listen}, discovery {discovery}", path.display());
     }
-    println!("up; Ctrl-C ends it");
+    println!("the world is up; Ctrl-C ends it");
     let started = Instant::now();
     let is_over = || seconds.is_some_and(|limit| started.elapsed().as_secs_f64() >= limit);
     while !STOP.load(Ordering::Relaxed) && !is_over() {
         thread::sleep(POLL_INTERVAL);
-        // Nobody audits this world: what it records is not to fill the memory.
+        // Nothing audits this world: discard its events, so that they do not fill the memory.
         ledger.take();
     }
     Ok(ExitStatus::Success)
--- a/testbed/src/compare.rs
+++ b/testbed/src/compare.rs
@@ -1,5 +1,5 @@
-//! Sets two arms side by side, paired over the seeds, and says of each figure whether the difference
-//! is above noise.
+//! Compares two arms by pairing their runs by seed, and tells for each figure whether the
+//! difference is above noise.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -10,16 +10,16 @@
 
 use crate::figures::Run;
 
-/// The quantile of both ends of a 95% interval.
+/// The quantile of Student's t distribution that bounds a two-sided 95% interval.
 const QUANTILE_OF_INTERVAL: f64 = 0.975;
 
-/// A figure that is compared.
+/// A figure of runs that is compared.
 pub struct ComparedFigure {
-    /// Its name in tables and JSON.
+    /// The figure's name in tables and JSON.
     pub name: &'static str,
-    /// Whether more of it is better.
+    /// Whether a larger value is better.
     pub more_is_better: bool,
-    /// Reads it from a run.
+    /// Reads the figure from a run.
     pub read: fn(&Run) -> f64,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// All that are compared, in the order in which tables list them.
+/// All compared figures, in the order of tables.
 pub const COMPARED: [ComparedFigure; 13] = [
     ComparedFigure::more("benefit", |run| run.figures.benefit),
     ComparedFigure::more("served %", |run| percent(run, run.figures.served)),
@@ -58,20 +58,20 @@
     run.figures.balancers.iter().map(|used| used.peak_kb).max().unwrap_or(0) as f64
 }
 
-/// One figure of two arms.
+/// The comparison of one figure.
 #[derive(Clone, Debug, Serialize, PartialEq)]
 pub struct Row {
-    /// Its name.
+    /// The figure's name.
     pub figure: &'static str,
-    /// The mean of A.
+    /// The mean of arm A.
     pub a: f64,
-    /// The mean of B.
+    /// The mean of arm B.
     pub b: f64,
-    /// Mean of B less A over the pairs.
+    /// The mean over the pairs of B minus A.
     pub difference: f64,
-    /// Half of the difference's 95% interval; none with fewer than two pairs.
+    /// Half the width of the difference's 95% interval; none with fewer than two pairs.
     pub half: Option<f64>,
-    /// What that means, in words.
+    /// The conclusion, in words.
     pub verdict: &'static str,
 }
 
@@ -82,7 +82,7 @@
         let a = pairs.iter().map(|pair| read(pair.0)).sum::<f64>() / count;
         let b = pairs.iter().map(|pair| read(pair.1)).sum::<f64>() / count;
         let differences: Vec<f64> = pairs.iter().map(|pair| read(pair.1) - read(pair.0)).collect();
-        let (difference, half) = interval(&differences);
+        let (difference, half) = mean_and_half_interval(&differences);
         let verdict = match half {
             None => "one pair: no interval",
             Some(half) if difference.abs() <= half || difference == 0.0 => "within noise",
@@ -93,21 +93,21 @@
     }
 }
 
-/// Two arms have no seed in common that was not void on either side.
+/// Two arms have no seed for which both hold a run that is not void.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("no seed was played on both sides without being void")]
+#[error("no pair to compare: no seed has a run that is not void on both sides")]
 pub struct NoPairs;
 
-/// Compares two arms: the number of pairs, and a row for each figure. Runs with the same seed on
-/// both sides are pairs; void ones count for nothing.
+/// Compares two arms. Returns the number of pairs and a row for each figure. Runs with the same
+/// seed form a pair; void runs are ignored.
 ///
 /// # Errors
-/// Where there is no pair.
+/// Fails if there is no pair.
 pub fn compare(a: &[&Run], b: &[&Run]) -> Result<(usize, Vec<Row>), NoPairs> {
     let mut pairs = Vec::new();
     for &run_a in a.iter().filter(|run| run.void.is_none()) {
-        let mut sound_b = b.iter().filter(|run| run.void.is_none());
-        if let Some(&run_b) = sound_b.find(|run| run.seed == run_a.seed) {
+        let mut valid_b = b.iter().filter(|run| run.void.is_none());
+        if let Some(&run_b) = valid_b.find(|run| run.seed == run_a.seed) {
             pairs.push((run_a, run_b));
         }
     }
@@ -118,8 +118,8 @@
     Ok((pairs.len(), rows))
 }
 
-/// Mean and half of the 95% interval (Student's t); no interval of fewer than two values.
-pub fn interval(values: &[f64]) -> (f64, Option<f64>) {
+/// The mean and half the width of its 95% interval (Student's t), which needs at least two values.
+pub fn mean_and_half_interval(values: &[f64]) -> (f64, Option<f64>) {
     let count = values.len() as f64;
     let mean = values.iter().sum::<f64>() / count.max(1.0);
     if values.len() < 2 {
@@ -131,33 +131,33 @@
     (mean, Some(quantile * (variance / count).sqrt()))
 }
 
-/// A result can't be read.
+/// Why a result can't be read.
 #[derive(Debug, Error)]
 pub enum ResultError {
-    /// Its file can't be read.
+    /// The file can't be read.
     #[error("{}: {cause}", path.display())]
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The I/O error.
         cause: io::Error,
     },
-    /// A line of it is no run.
+    /// A line is not a run.
     #[error("{}:{line}: {cause}", path.display())]
     InvalidLine {
         /// The file.
         path: PathBuf,
-        /// The line, from 1.
+        /// The line, counted from 1.
         line: usize,
-        /// What is wrong with it.
+        /// The parser's error.
         cause: serde_json::Error,
     },
 }
 
-/// The runs of a result's folder.
+/// Reads the runs of a result, given its folder or its `runs.jsonl`.
 ///
 /// # Errors
-/// Names the file and the line of it, in one line.
+/// The message is one line with the file and the invalid line's number.
 pub fn read(folder: &Path) -> Result<Vec<Run>, ResultError> {
     let path = if folder.is_dir() { folder.join("runs.jsonl") } else { folder.to_owned() };
     let text = match std::fs::read_to_string(&path) {
@@ -176,9 +176,9 @@
     Ok(runs)
 }
 
-/// A comparison as a table for a terminal.
-pub fn written(rows: &[Row], pairs: usize) -> String {
-    let mut out = format!("{pairs} pairs of seeds; difference is B less A with its 95% interval\n");
+/// Formats a comparison as a table for a terminal.
+pub fn format_table(rows: &[Row], pairs: usize) -> String {
+    let mut out = format!("{pairs} pairs of seeds; difference is B minus A with its 95% interval\n");
     for row in rows {
         let half = row.half.map_or(String::new(), |half| format!(" ± {half:.3}"));
         out += &format!(
--- a/testbed/src/figures.rs
+++ b/testbed/src/figures.rs
@@ -1,5 +1,5 @@
-//! What a run comes to: figures over the whole and by second, from the generator's records and the
-//! ledger. Pure.
+//! The figures of a run, in total and by second, computed from the generator's records and the
+//! ledger. No input or output.
 
 use std::collections::BTreeMap;
 
@@ -9,21 +9,21 @@
 use crate::audit::Breach;
 use crate::balancers::ResourceUsage;
 use crate::experiment::Experiment;
-use crate::lateness::{self, part_over, LatenessHistograms};
+use crate::lateness::{self, fraction_over, LatenessHistograms};
 use crate::ledger::{Event, HostNo, Observation};
 use crate::load::player::{RequestOutcome, RequestRecord};
 use crate::time::{Micros, SECOND};
 use crate::world::faults::FaultWindow;
 
-/// The longest latency that histograms tell apart from longer ones: an hour, in microseconds.
+/// The longest latency that histograms can record, in microseconds: an hour.
 const LONGEST_LATENCY: u64 = 3_600_000_000;
-/// Up to which part of the requests a percentile curve goes: five nines.
+/// A percentile curve ends where this fraction of the requests is above it: five nines.
 const SMALLEST_PART_OF_CURVE: f64 = 1e-5;
 
-/// Times in milliseconds by percentile.
+/// The percentiles of a set of times, in milliseconds.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Latency {
-    /// How many times there were.
+    /// The number of times in the set.
     pub count: u64,
     /// The median.
     pub p50: f64,
@@ -38,14 +38,14 @@
     /// The longest.
     #[serde(rename = "most")]
     pub max: f64,
-    /// (percentile, milliseconds), for a plot.
+    /// Pairs of percentile and milliseconds, for a plot.
     pub curve: Vec<(f64, f64)>,
 }
 
 impl Latency {
-    /// Of times in microseconds.
+    /// Computes the percentiles of times in microseconds.
     pub fn of(times: impl Iterator<Item = Micros>) -> Latency {
-        // To three digits: an hour fits.
+        // Three significant digits.
         let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, LONGEST_LATENCY, 3) else {
             return Latency::default();
         };
@@ -64,7 +64,7 @@
     }
 }
 
-/// As many points for each further nine.
+/// The points of a percentile curve, evenly spaced on the axis of nines.
 fn curve(at: impl Fn(f64) -> f64) -> Vec<(f64, f64)> {
     let mut points = Vec::new();
     let mut above: f64 = 1.0;
@@ -76,140 +76,140 @@
     points
 }
 
-/// What one host did.
+/// Counts of the attempts at one host.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct HostFigures {
-    /// Attempts that reached it.
+    /// Attempts that reached the host.
     #[serde(rename = "pushed")]
     pub attempts: u64,
-    /// Those that ran.
+    /// Attempts that ran.
     #[serde(rename = "ran")]
     pub executed: u64,
-    /// Those whose key it lacked.
+    /// Attempts whose key the host did not hold.
     #[serde(rename = "missed")]
     pub misses: u64,
-    /// Those that it rejected.
+    /// Attempts that the host rejected.
     #[serde(rename = "turned")]
     pub rejected: u64,
 }
 
-/// A second of a run: the requests that were due in it.
+/// The figures of one second of a run, over the requests that were due in it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Second {
-    /// Requests.
+    /// The number of requests.
     #[serde(rename = "ops")]
     pub requests: u64,
-    /// Benefit within the latency objective over the benefit that all could have earned.
+    /// The earned fraction of the possible benefit.
     pub benefit: f64,
     /// Rejected requests.
     #[serde(rename = "nacked")]
     pub rejected: u64,
-    /// Requests that ended otherwise without a value, but for those whose client went away.
+    /// Requests that were neither served, rejected nor abandoned by their client.
     pub failed: u64,
-    /// The median time until the end, in milliseconds.
+    /// The median time until a request ended, in milliseconds.
     pub p50: f64,
-    /// The 99th percentile of it.
+    /// The 99th percentile of the time until a request ended, in milliseconds.
     pub p99: f64,
-    /// The longest.
+    /// The longest time until a request ended, in milliseconds.
     #[serde(rename = "most")]
     pub max: f64,
 }
 
-/// A run's figures. Results keep the names that fields had at first; a reader passes over fields
-/// that it does not know.
+/// The figures of a run. The `rename` attributes keep the field names of results written by older
+/// versions; readers ignore unknown fields.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Figures {
-    /// Requests.
+    /// The number of requests.
     #[serde(rename = "ops")]
     pub requests: u64,
-    /// Benefit earned over the benefit that all could have earned: 1 is all within the objective.
+    /// The earned fraction of the possible benefit; 1 if all were served within the objective.
     pub benefit: f64,
-    /// Requests that got their value.
+    /// Requests that were served with their value.
     pub served: u64,
-    /// Those that got it within the latency objective.
+    /// Requests that were served within the latency objective.
     pub in_target: u64,
     /// Requests that were rejected (`-BUSY`).
     #[serde(rename = "nacked")]
     pub rejected: u64,
-    /// Requests that got another error.
+    /// Requests that ended with another error.
     pub failed: u64,
-    /// Ended with the balancer's connection, or without an answer, or with another request's value.
+    /// Requests that ended with a lost connection, no reply, or the value of another request.
     pub lost: u64,
-    /// Requests whose client went away.
+    /// Requests whose client disconnected before a reply.
     #[serde(rename = "left")]
     pub abandoned: u64,
-    /// Requests that no balancer could be reached for.
+    /// Requests for which no balancer could be reached.
     #[serde(rename = "unreached")]
     pub unreachable: u64,
-    /// What clients sent, their retries included.
+    /// Attempts by clients, retries included.
     #[serde(rename = "tries")]
     pub client_attempts: u64,
-    /// Of requests that were served, from when they were due.
+    /// The time from when served requests were due until their reply.
     pub latency: Latency,
-    /// Of all requests, however they ended.
+    /// The time from when requests were due until they ended, over all outcomes.
     pub until_end: Latency,
     /// Requests that took over a second.
     pub over_1s: u64,
-    /// By how much requests left later than they were due, in milliseconds.
+    /// The 99th percentile of the requests' lateness when sent, in milliseconds.
     pub late_p99_ms: f64,
-    /// The most that one left late.
+    /// The largest lateness of a request when sent, in milliseconds.
     #[serde(rename = "late_most_ms")]
     pub late_max_ms: f64,
-    /// The part that left over `load.late_ms` late.
+    /// The fraction of the requests that were sent more than `load.late_ms` late.
     pub late_part: f64,
-    /// CPU of the generator.
+    /// CPU time of the generator per request.
     #[serde(rename = "generator_us_per_op")]
     pub generator_us_per_request: f64,
-    /// CPU of the emulated hosts, origin and discovery.
+    /// CPU time of the emulated hosts, origin and discovery per request.
     #[serde(default, rename = "world_us_per_op")]
     pub world_us_per_request: f64,
-    /// The longest that the emulated fleet stood still.
+    /// The largest lateness of the emulated world's thread.
     pub world_late_ms: f64,
-    /// The part of its periods that came over `load.late_ms` late.
+    /// The fraction of the world thread's periods that were more than `load.late_ms` late.
     #[serde(default)]
     pub world_late_part: f64,
-    /// The same less the time for which it stood ready and had no core.
+    /// The same fraction without the time for which the thread was runnable but had no core.
     #[serde(default)]
     pub world_own_part: f64,
-    /// The lateness of a thread that only sleeps, a period of a millisecond: what the machine did
-    /// to any thread in this run.
+    /// The 99th percentile of the reference thread's lateness. The thread only sleeps, with a
+    /// period of a millisecond, and so shows the lateness that the machine causes in any thread.
     #[serde(default, rename = "bare_p99_ms")]
     pub reference_p99_ms: f64,
-    /// Its largest.
+    /// The largest lateness of the reference thread.
     #[serde(default, rename = "bare_most_ms")]
     pub reference_max_ms: f64,
-    /// The part over `load.late_ms`.
+    /// The fraction of the reference thread's periods that were more than `load.late_ms` late.
     #[serde(default, rename = "bare_late_part")]
     pub reference_late_part: f64,
-    /// Connections that hosts and origin accepted, a second of the run.
+    /// Connections that hosts and origin accepted, per second of the run.
     #[serde(default)]
     pub opened_per_s: f64,
-    /// Attempts at hosts and origin.
+    /// Attempts at hosts and origin per request.
     #[serde(rename = "pushes_per_op")]
     pub attempts_per_request: f64,
     /// Attempts at the origin.
     #[serde(rename = "origin_pushes")]
     pub origin_attempts: u64,
-    /// By the hosts' names.
+    /// The figures of each host by its name.
     pub hosts: BTreeMap<String, HostFigures>,
-    /// What each balancer used.
+    /// The resources that each balancer used.
     pub balancers: Vec<ResourceUsage>,
-    /// CPU of all balancers.
+    /// CPU time of all balancers per request.
     #[serde(rename = "cpu_us_per_op")]
     pub cpu_us_per_request: f64,
-    /// Second by second, from the first.
+    /// The figures of each second, from the first.
     pub seconds: Vec<Second>,
 }
 
-/// A fault's time, for plots. Stored as an array of these three.
+/// The time span of a fault, shaded in plots. Stored as an array of the three fields.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(from = "(String, f64, f64)", into = "(String, f64, f64)")]
 pub struct ShadedFault {
-    /// What went wrong.
+    /// The fault's title.
     pub title: String,
-    /// When it began, in seconds.
+    /// When the fault began, in seconds since the start of the run.
     pub from_s: f64,
-    /// When it ended.
+    /// When the fault ended.
     pub to_s: f64,
 }
 
@@ -234,16 +234,16 @@
     pub arm: String,
     /// The seed.
     pub seed: u64,
-    /// Why it counts for nothing, where it does.
+    /// Why the run is void, that is its figures are invalid; absent for a valid run.
     pub void: Option<String>,
-    /// What is to be known of one that counts: the machine was late.
+    /// A warning about a valid run: how late the machine was.
     #[serde(default)]
     pub warning: Option<String>,
-    /// What it comes to.
+    /// The run's figures.
     pub figures: Figures,
-    /// The rules that were broken.
+    /// Breaches of the four rules.
     pub breaches: Vec<Breach>,
-    /// What went wrong by the experiment's will.
+    /// The injected faults.
     pub faults: Vec<ShadedFault>,
     /// The balancers' own counters, summed, by name.
     #[serde(default)]
@@ -265,7 +265,7 @@
 }
 
 impl Benefit {
-    /// Of one request.
+    /// The benefit of one request.
     fn of(record: &RequestRecord, experiment: &Experiment) -> Benefit {
         let category = &experiment.categories[usize::from(record.category)];
         let part = match record.outcome {
@@ -276,7 +276,7 @@
         Benefit { earned: part * category.benefit, possible: category.benefit }
     }
 
-    /// Of several, added in their order.
+    /// The benefit of several requests, added in their order.
     fn sum<'a>(records: impl Iterator<Item = &'a RequestRecord>, experiment: &Experiment) -> Benefit {
         let mut sum = Benefit::default();
         for record in records {
@@ -287,8 +287,8 @@
         sum
     }
 
-    /// The part that was earned, or this where none was possible.
-    fn part_or(self, none_possible: f64) -> f64 {
+    /// The earned fraction, or `none_possible` if no benefit was possible.
+    fn earned_fraction_or(self, none_possible: f64) -> f64 {
         if self.possible > 0.0 {
             self.earned / self.possible
         } else {
@@ -297,8 +297,8 @@
     }
 }
 
-/// The figures of a run that records and events give; the caller adds what it knows of lateness
-/// and of the balancers.
+/// Computes the figures that follow from records and events. The caller adds those of lateness and
+/// of the balancers.
 pub fn figures(
     experiment: &Experiment,
     records: &[RequestRecord],
@@ -310,12 +310,12 @@
     let late = request_lateness(records);
     let mut figures = Figures {
         requests: records.len() as u64,
-        benefit: Benefit::sum(records.iter(), experiment).part_or(0.0),
+        benefit: Benefit::sum(records.iter(), experiment).earned_fraction_or(0.0),
         latency: Latency::of(served.map(RequestRecord::latency)),
         until_end: Latency::of(records.iter().map(RequestRecord::latency)),
         late_p99_ms: late.value_at_quantile(0.99) as f64 / 1e3,
         late_max_ms: late.max() as f64 / 1e3,
-        late_part: part_over(&late, experiment.load.late()),
+        late_part: fraction_over(&late, experiment.load.late()),
         generator_us_per_request: generator_cpu_s * 1e6 / requests,
         seconds: by_second(records, experiment),
         ..Figures::default()
@@ -345,7 +345,7 @@
     let latency = Latency::of(records.iter().map(|record| record.latency()));
     Second {
         requests,
-        benefit: Benefit::sum(records.iter().copied(), experiment).part_or(1.0),
+        benefit: Benefit::sum(records.iter().copied(), experiment).earned_fraction_or(1.0),
         rejected,
         failed: requests - served - rejected - count(RequestOutcome::Abandoned),
         p50: latency.p50,
@@ -391,18 +391,23 @@
         self.hosts = hosts.into_iter().map(|(no, figures)| (no.to_string(), figures)).collect();
     }
 
-    /// Adds how late the machine woke the reference thread, and how late the world's thread was.
-    pub fn note_late(&mut self, reference: &LatenessHistograms, world: &LatenessHistograms, bound: Micros) {
+    /// Adds the lateness of the reference thread and of the world's thread.
+    pub fn add_lateness(
+        &mut self,
+        reference: &LatenessHistograms,
+        world: &LatenessHistograms,
+        bound: Micros,
+    ) {
         self.reference_p99_ms = reference.late.value_at_quantile(0.99) as f64 / 1e3;
         self.reference_max_ms = reference.late.max() as f64 / 1e3;
-        self.reference_late_part = part_over(&reference.late, bound);
+        self.reference_late_part = fraction_over(&reference.late, bound);
         self.world_late_ms = world.late.max() as f64 / 1e3;
-        self.world_late_part = part_over(&world.late, bound);
-        self.world_own_part = part_over(&world.own, bound);
+        self.world_late_part = fraction_over(&world.late, bound);
+        self.world_own_part = fraction_over(&world.own, bound);
     }
 }
 
-/// By how much each request left later than it was due.
+/// The lateness of each request when it was sent.
 pub fn request_lateness(records: &[RequestRecord]) -> Histogram<u64> {
     let mut late = lateness::histogram();
     for record in records {
@@ -411,8 +416,8 @@
     late
 }
 
-/// The faults as plots show them.
-pub fn shaded(windows: &[FaultWindow]) -> Vec<ShadedFault> {
+/// The time spans of faults, for plots.
+pub fn shaded_faults(windows: &[FaultWindow]) -> Vec<ShadedFault> {
     let shade = |window: &FaultWindow| ShadedFault {
         title: window.title(),
         from_s: window.from as f64 / 1e6,
--- a/testbed/src/lateness.rs
+++ b/testbed/src/lateness.rs
@@ -1,9 +1,9 @@
-//! How late the testbed's own threads were, how late the machine wakes a thread that does nothing
-//! else, and what can be told of a run in spite of either. The verdict ([`judge`]) is pure;
-//! [`ReferenceThread`] is the thread that does nothing else (reports call it the bare thread).
+//! Measures how late the testbed's threads were and how late the machine wakes an idle thread, and
+//! judges from both which figures of a run are valid. [`judge`] does no input or output;
+//! [`ReferenceThread`] is the idle thread, whose stored figures are named `bare_*`.
 //!
-//! Every lateness here is measured as in an open loop: by a schedule that goes on whatever became
-//! of the period before, so a stall of 20 ms is seen by each period that was due within it.
+//! Lateness is measured against a fixed schedule, as in an open loop: a late period does not shift
+//! later ones, so a stall of 20 ms is seen by every period that was due within it.
 
 mod verdict;
 
@@ -22,28 +22,28 @@
 pub use self::verdict::{judge, LatenessBounds, Responsible, Verdict};
 use crate::time::{Micros, MS};
 
-/// More than this part of the requests, late by the testbed's own fault, voids a run; of the
-/// benefit no larger part may be in doubt, either.
+/// A run is void if more than this fraction of the requests is late through the testbed's own
+/// fault, or if more than this fraction of the benefit is in doubt.
 pub const MAX_LATE_FRACTION: f64 = 0.01;
-/// The longest that a thread of the emulated world may stand still, in microseconds.
+/// The longest stall of the emulated world's thread in a valid run, in microseconds.
 pub const MAX_STALL: Micros = 250 * MS;
-/// How often threads are woken for one request, from its being due to its end, where a cache host
-/// serves it: clock, generator, balancer, host, the host's timer, balancer, generator.
+/// The number of thread wakeups from the due time of a request to its end if a cache host serves
+/// it: clock, generator, balancer, host, the host's timer, balancer, generator.
 pub const WAKEUPS_PER_REQUEST: u32 = 7;
-/// How often threads are woken until a request has left: clock, generator.
-pub const WAKEUPS_TO_LEAVE: u32 = 2;
+/// The number of thread wakeups until a request is sent: clock, generator.
+pub const WAKEUPS_TO_SEND: u32 = 2;
 /// The period of the reference thread.
 const REFERENCE_PERIOD: Duration = Duration::from_millis(1);
-/// The largest lateness that histograms tell apart from larger ones: an hour, in microseconds.
+/// The largest lateness that histograms can record, in microseconds: an hour.
 const LARGEST_LATENESS: u64 = 3_600_000_000;
 
 /// The lateness of a thread, in microseconds.
 #[derive(Clone, Debug)]
 pub struct LatenessHistograms {
-    /// By how much each period came late.
+    /// The lateness of each period.
     pub late: Histogram<u64>,
-    /// The same less the time for which the thread stood ready and had no core, which is the
-    /// machine's.
+    /// The same without the time for which the thread was runnable but had no core, for which the
+    /// machine is responsible.
     pub own: Histogram<u64>,
 }
 
@@ -58,9 +58,9 @@
 #[derive(Debug, Default)]
 pub struct Lateness(Mutex<LatenessHistograms>);
 
-/// An empty histogram of lateness: 1 us to an hour, three digits.
+/// An empty histogram of lateness, from 1 us to an hour with three significant digits.
 pub fn histogram() -> Histogram<u64> {
-    // hdrhistogram takes these constants; its smallest histogram stands in where it would not.
+    // hdrhistogram accepts these bounds; the fallback is the smallest histogram that it can make.
     Histogram::new_with_bounds(1, LARGEST_LATENESS, 3)
         .unwrap_or_else(|_| Histogram::new(1).expect("one digit"))
 }
@@ -70,12 +70,12 @@
         act(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Records a lateness of which no part is the machine's; a negative one counts as 0.
+    /// Records a lateness without a wait for a core; a negative one counts as 0.
     pub fn record(&self, late: Micros) {
         self.record_with_wait(late, 0);
     }
 
-    /// Records a lateness, for `waited` of which the thread had no core.
+    /// Records a lateness of which the thread waited for a core during `waited`.
     pub fn record_with_wait(&self, late: Micros, waited: Micros) {
         self.with(|histograms| {
             histograms.late.saturating_record(late.max(0) as u64);
@@ -83,7 +83,7 @@
         });
     }
 
-    /// Forgets what was recorded until now: the run begins.
+    /// Discards everything recorded so far, as at the start of a run.
     pub fn clear(&self) {
         self.with(|histograms| {
             histograms.late.reset();
@@ -91,7 +91,7 @@
         });
     }
 
-    /// A copy of what was recorded so far.
+    /// A copy of the histograms recorded so far.
     pub fn snapshot(&self) -> LatenessHistograms {
         self.with(|histograms| histograms.clone())
     }
@@ -102,12 +102,11 @@
     }
 }
 
-/// For how long a thread stood ready and had no core: Linux counts it in the second field of
-/// `schedstat`. Where the system does not count it, nothing is excused. To be made and read on that
-/// thread.
+/// Reads for how long the calling thread was runnable but had no core, from the second field of
+/// Linux's `schedstat`. The wait is 0 on systems without it. Create and read it on the same thread.
 pub struct CpuWaits {
     file: Option<File>,
-    /// Earlier readings: when, and the total wait by then.
+    /// Earlier readings: the time and the total wait until then.
     readings: VecDeque<(Instant, Micros)>,
 }
 
@@ -129,8 +128,9 @@
         text.split(' ').nth(1).and_then(|ns| ns.parse::<Micros>().ok()).unwrap_or(0) / 1_000
     }
 
-    /// How long the thread waited for a core since a period was due, in microseconds. It counts
-    /// from the last reading before that time, so a reading in each period keeps the result near.
+    /// How long the thread waited for a core since a period was due, in microseconds. The wait
+    /// counts from the last reading before that time, so a reading in every period keeps the error
+    /// small.
     pub fn since(&mut self, due: Instant) -> Micros {
         let total = self.total();
         while self.readings.get(1).is_some_and(|reading| reading.0 <= due) {
@@ -142,13 +142,13 @@
     }
 }
 
-/// A thread could not be started: the system allows no further one.
+/// A thread could not be started.
 #[derive(Debug, Error)]
-#[error("a thread: {0}")]
+#[error("cannot start a thread: {0}")]
 pub struct ThreadError(#[from] io::Error);
 
-/// A thread that sleeps until the next whole millisecond of its schedule and records how late it
-/// woke: what the machine does to any thread, in the same run. It ends when this is dropped.
+/// A thread that sleeps until each millisecond of its schedule and records how late it woke, which
+/// is the lateness that the machine causes in any thread of the run. It ends on drop.
 pub struct ReferenceThread {
     lateness: Arc<Lateness>,
     stop: Arc<AtomicBool>,
@@ -156,10 +156,10 @@
 }
 
 impl ReferenceThread {
-    /// Starts it.
+    /// Starts the thread.
     ///
     /// # Errors
-    /// Where there is no further thread.
+    /// Fails if the system allows no further thread.
     pub fn start() -> Result<ReferenceThread, ThreadError> {
         let lateness = Arc::new(Lateness::default());
         let stop = Arc::new(AtomicBool::new(false));
@@ -170,7 +170,7 @@
         Ok(ReferenceThread { lateness, stop, thread: Some(thread) })
     }
 
-    /// Ends it and returns what it recorded.
+    /// Ends the thread and returns its lateness.
     pub fn stop(mut self) -> LatenessHistograms {
         self.join();
         self.lateness.snapshot()
@@ -201,26 +201,26 @@
     }
 }
 
-/// The part of what was recorded that is over a bound.
-pub fn part_over(histogram: &Histogram<u64>, bound: Micros) -> f64 {
+/// The fraction of the recorded values above a bound.
+pub fn fraction_over(histogram: &Histogram<u64>, bound: Micros) -> f64 {
     match histogram.len() {
         0 => 0.0,
         count => histogram.count_between(bound.max(0) as u64 + 1, u64::MAX) as f64 / count as f64,
     }
 }
 
-/// The part that would be over a bound after two such wakes one after the other, were they
-/// independent.
-pub fn part_over_twice(histogram: &Histogram<u64>, bound: Micros) -> f64 {
+/// The fraction of sums of two values above a bound, if the values are independent: the lateness
+/// after two wakeups in a row.
+pub fn fraction_over_after_two(histogram: &Histogram<u64>, bound: Micros) -> f64 {
     let count = histogram.len().max(1) as f64;
     let second_over = |first: u64| match first as Micros {
         first if first > bound => 1.0,
-        first => part_over(histogram, bound - first),
+        first => fraction_over(histogram, bound - first),
     };
     let mut sum = 0.0;
     for step in histogram.iter_recorded() {
-        let part = step.count_since_last_iteration() as f64 / count;
-        sum += part * second_over(step.value_iterated_to());
+        let fraction = step.count_since_last_iteration() as f64 / count;
+        sum += fraction * second_over(step.value_iterated_to());
     }
     sum
 }
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -1,7 +1,7 @@
-//! The testbed measures itself and the balancer's own cost: how much the generator can play, what a
-//! balancer can carry on one core and how much time it adds, what memory connections take. Against
-//! trivial stand-ins in processes of their own, so that nothing but the measured program is busy;
-//! every figure stands beside the direct path's in the same run.
+//! Measures the load generator's highest rate and a balancer's costs: the rate it carries on one
+//! core, the latency it adds, and the memory that idle connections take. Trivial stand-ins in
+//! separate processes serve as hosts, so that only the measured program is busy. The balancer's
+//! figures are compared with those of the direct path in the same run.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -31,36 +31,37 @@
 use crate::settings::BalancerBootstrap;
 use crate::time::{Clock, Micros, MS};
 
-/// How many stand-ins serve as hosts.
+/// The number of stand-ins that serve as hosts.
 const HOSTS: usize = 4;
-/// From the start of the generator to the first request.
+/// The time from the start of the generator to the start of the run.
 const START_DELAY: Micros = 100 * MS;
-/// The rates at which the generator plays alone, in requests a second.
+/// The rates of the generator without a balancer, in requests per second.
 const GENERATOR_RATES: [f64; 6] = [10_000.0, 20_000.0, 35_000.0, 50_000.0, 70_000.0, 100_000.0];
-/// The connections of the generator alone.
+/// The connections of the generator without a balancer.
 const GENERATOR_LOAD: Connections = Connections { pipeline: 32, count: 8 };
-/// As clients do: one command at a time on a connection.
+/// The connections of usual clients: one command at a time on each.
 const CLIENT_LOAD: Connections = Connections { pipeline: 1, count: 512 };
-/// The search for the ceiling starts here and goes up by a quarter each time, in requests a second.
+/// The first rate of the search for the ceiling, in requests per second; each next rate is a
+/// quarter higher.
 const FIRST_CEILING_RATE: f64 = 2_000.0;
-/// The search ends here at the latest.
+/// The upper bound of the search for the ceiling, in requests per second.
 const LAST_CEILING_RATE: f64 = 60_000.0;
-/// The ceiling where not even the first rate is carried.
+/// The ceiling if not even the first rate is carried, in requests per second.
 const SMALLEST_CEILING: f64 = 1_000.0;
-/// A rate is carried where nothing is refused,
+/// The fraction of the requests that must be served for a rate to count as carried.
 const CARRIED_SERVED: f64 = 0.999;
-/// and nearly all is answered without standing in a queue.
+/// The highest 99th percentile of a carried rate: nearly all requests are served without queueing.
 const CARRIED_P99_MS: f64 = 20.0;
-/// At these parts of the ceiling the balancer is compared with the direct path.
+/// The fractions of the ceiling at which the balancer is compared with the direct path.
 const COMPARED_PARTS: [f64; 3] = [0.1, 0.5, 0.9];
-/// Memory is measured with so many idle connections.
+/// The numbers of idle connections at which memory is measured.
 const IDLE_CONNECTIONS: [usize; 3] = [10, 1_000, 10_000];
-/// How long a client of those waits for its connection and for its answer.
+/// How long a client with an idle connection waits for the connection and for its one reply.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a measurement plays: reads of 128 bytes, evenly spread, with a target far above what is to
-/// be seen.
-const PLAYED: &str = r#"
+/// The experiment that measurements play: reads of 128 bytes with Poisson arrivals and a latency
+/// objective far above the latencies expected.
+const EXPERIMENT: &str = r#"
 name = "measure"
 seconds = 3.0
 seeds = [1]
@@ -79,53 +80,53 @@
 rate = 1000
 "#;
 
-/// Nothing could be measured.
+/// Why a measurement failed.
 #[derive(Debug, Error)]
 pub enum MeasureError {
-    /// The user wanted it to end.
+    /// The user interrupted the measurement.
     #[error("{INTERRUPTED}")]
     Interrupted,
-    /// No runtime could be had.
-    #[error("the runtime: {0}")]
+    /// The async runtime could not be built.
+    #[error("cannot build the async runtime: {0}")]
     Runtime(io::Error),
-    /// A stand-in can't listen, or this program can't be found.
+    /// A stand-in can't listen, or the path of this program can't be found.
     #[error(transparent)]
     System(#[from] io::Error),
     /// A stand-in can't be started.
-    #[error("a stand-in: {0}")]
+    #[error("cannot start a stand-in host: {0}")]
     StandIn(io::Error),
     /// A stand-in printed no address.
-    #[error("a stand-in did not come up: {0:?}")]
+    #[error("a stand-in host printed no address; result of reading its output: {0:?}")]
     StandInSilent(Option<io::Result<usize>>),
-    /// What is to be played is of no use.
+    /// The experiment that measurements play is invalid.
     #[error(transparent)]
     Experiment(#[from] ExperimentError),
-    /// There is no further thread.
+    /// A thread could not be started.
     #[error(transparent)]
     Thread(#[from] ThreadError),
     /// The load can't be played.
     #[error(transparent)]
     Load(#[from] LoadError),
-    /// The balancer did not come up.
+    /// The balancer could not be started.
     #[error(transparent)]
     Balancer(#[from] BalancerError),
-    /// A client of the balancer has no connection or no answer.
+    /// A client got no connection to the balancer or no reply.
     #[error("client {nth} of {count}: {cause}")]
     Client {
-        /// Which client, from 0.
+        /// The client's number, from 0.
         nth: usize,
-        /// How many there are.
+        /// The number of clients.
         count: usize,
-        /// What went wrong.
+        /// The I/O error.
         cause: io::Error,
     },
 }
 
-/// A stand-in host that answers every read at once with a value made for it. Prints its address and
-/// serves until it is ended.
+/// Serves as a stand-in host that answers every read at once with a value made for it. Prints its
+/// address and serves until the process is ended.
 ///
 /// # Errors
-/// One line where no address is free.
+/// Fails if no address is free.
 pub fn stand_in() -> Result<(), MeasureError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(MeasureError::Runtime)?;
@@ -135,13 +136,13 @@
         println!("{}", listener.local_addr()?);
         loop {
             if let Ok((stream, _)) = listener.accept().await {
-                tokio::task::spawn_local(attend(stream));
+                tokio::task::spawn_local(serve_connection(stream));
             }
         }
     })
 }
 
-async fn attend(mut stream: Stream) {
+async fn serve_connection(mut stream: Stream) {
     let _ = stream.set_nodelay(true);
     let mut buffer = Buffer::new(resp::MAX_BUFFERED_MESSAGE + 64 * 1024);
     let mut out = BytesMut::new();
@@ -165,14 +166,14 @@
         if !out.is_empty() && stream.write_all(&out.split()).await.is_err() {
             return;
         }
-        let Ok(room) = buffer.unfilled() else { return };
-        if !matches!(stream.read_buf(room).await, Ok(1..)) {
+        let Ok(unfilled) = buffer.unfilled() else { return };
+        if !matches!(stream.read_buf(unfilled).await, Ok(1..)) {
             return;
         }
     }
 }
 
-/// A stand-in process, ended when dropped.
+/// A stand-in process; it is killed on drop.
 struct StandIn {
     child: Child,
     address: SocketAddr,
@@ -208,30 +209,30 @@
 /// One point of a measurement.
 #[derive(Clone, Debug, Serialize)]
 pub struct Point {
-    /// What was measured: `generator`, `ceiling`, `direct` or `through`.
+    /// The measured path: `generator`, `ceiling`, `direct` or `through`.
     pub path: &'static str,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// The part of them that was served.
+    /// The fraction of the requests that were served.
     pub served: f64,
-    /// Median latency.
+    /// The median latency.
     pub p50_ms: f64,
-    /// Its 99th percentile.
+    /// The 99th percentile of the latency.
     pub p99_ms: f64,
-    /// Its 99.9th percentile.
+    /// The 99.9th percentile of the latency.
     pub p999_ms: f64,
-    /// The longest.
+    /// The longest latency.
     #[serde(rename = "most_ms")]
     pub max_ms: f64,
-    /// By how much requests left late.
+    /// The 99th percentile of the requests' lateness when sent.
     pub late_p99_ms: f64,
-    /// CPU of the generator, microseconds a request.
+    /// CPU time of the generator, in microseconds per request.
     pub generator_us: f64,
-    /// CPU of the balancer, microseconds a request.
+    /// CPU time of the balancer, in microseconds per request.
     pub balancer_us: f64,
-    /// The part of one core that the balancer used.
+    /// The fraction of one core that the balancer used.
     pub balancer_core: f64,
-    /// Whether it counts for nothing: generator or machine were late.
+    /// Whether the point is invalid because the generator or the machine was late.
     pub void: bool,
 }
 
@@ -240,7 +241,7 @@
         !self.void && self.served >= CARRIED_SERVED && self.p99_ms <= CARRIED_P99_MS
     }
 
-    /// A line for a terminal.
+    /// The point as a line for a terminal.
     fn line(&self, what: &str) -> String {
         format!(
             "{what:<22}{:>8.0} ops/s  served {:>7.3}%  p50 {:>7.3}  p99 {:>8.3}  p99.9 {:>8.3} ms  \
@@ -259,10 +260,10 @@
     }
 }
 
-/// What a balancer takes for idle connections.
+/// The resources that a balancer uses for idle connections.
 #[derive(Clone, Debug, Serialize)]
 pub struct Memory {
-    /// How many.
+    /// The number of connections.
     pub connections: usize,
     /// Resident memory.
     pub resident_kb: u64,
@@ -273,12 +274,13 @@
 /// How the generator uses its connections.
 #[derive(Clone, Copy)]
 struct Connections {
-    /// Commands in flight on one at a time.
+    /// The largest number of commands in flight on one connection.
     pipeline: usize,
-    /// How many to each address.
+    /// The largest number of connections to each address.
     count: usize,
 }
 
+/// The setting of the measurements: the experiment, the stand-ins and the seed.
 struct Bench {
     experiment: Experiment,
     hosts: Vec<StandIn>,
@@ -286,8 +288,8 @@
 }
 
 impl Bench {
-    /// Plays so many requests a second for the experiment's length against these addresses: the
-    /// figures, and whether they are void.
+    /// Plays this rate, in requests per second, for the experiment's length against these
+    /// addresses. Returns the figures and whether they are void.
     fn play(
         &self,
         rate: f64,
@@ -360,7 +362,7 @@
             })
         };
         let instances: Vec<serde_json::Value> = self.hosts.iter().enumerate().map(instance).collect();
-        // Nothing listens at discovery: what is known serves.
+        // Nothing listens at the discovery address: the balancer keeps its configured list.
         let known = json!({"generation": 1, "reset": true, "instances": instances});
         let discovery = SocketAddr::from(([127, 0, 0, 1], 1));
         let bootstrap = BalancerBootstrap { discovery, known };
@@ -370,7 +372,7 @@
         Ok(started)
     }
 
-    /// The generator alone, as fast as it goes.
+    /// Measures the generator without a balancer, at rising rates until it is too late.
     fn measure_generator(&self, print: &mut PrintPoint) -> Result<(), MeasureError> {
         for rate in GENERATOR_RATES {
             let point = self.point("generator", rate, GENERATOR_LOAD, &self.addresses(), None)?;
@@ -382,7 +384,7 @@
         Ok(())
     }
 
-    /// The highest rate that a balancer carries, in requests a second.
+    /// The highest rate that a balancer carries, in requests per second.
     fn measure_ceiling(&self, balancer: &Balancers, print: &mut PrintPoint) -> Result<f64, MeasureError> {
         let through = balancer.addresses();
         let mut ceiling = SMALLEST_CEILING;
@@ -399,7 +401,7 @@
         Ok(ceiling)
     }
 
-    /// The balancer beside the direct path.
+    /// Measures the direct path and the balancer at the same rates.
     fn compare_with_direct(
         &self,
         balancer: &Balancers,
@@ -417,7 +419,7 @@
         Ok(())
     }
 
-    /// A balancer that so many clients have spoken to once and keep their connections to.
+    /// Measures a balancer with this many connections that carried one command and are now idle.
     fn measure_memory(
         &self,
         program: &Program,
@@ -425,7 +427,7 @@
         connections: usize,
     ) -> Result<Memory, MeasureError> {
         let mut wide = Bench { experiment: self.experiment.clone(), hosts: Vec::new(), seed: self.seed };
-        // Clients hold half of a balancer's descriptors at the most.
+        // A balancer uses at most half of its descriptors for clients.
         wide.experiment.limits.sockets = 2 * connections + 1_024;
         let balancer = wide.start_balancer(program, folder)?;
         let address = balancer.addresses()[0];
@@ -447,7 +449,7 @@
     usage.iter().map(|used| used.cpu_s).sum()
 }
 
-/// A connection on which one command was answered.
+/// Opens a connection and exchanges one command on it.
 fn ping(address: SocketAddr) -> io::Result<TcpStream> {
     let mut client = TcpStream::connect_timeout(&address, CLIENT_TIMEOUT)?;
     client.write_all(b"PING\r\n")?;
@@ -456,10 +458,10 @@
     Ok(client)
 }
 
-/// Measures all of it, and passes each line as it comes, for people and as JSON.
+/// Runs all measurements and calls `print` for each result, with a line of text and its JSON.
 ///
 /// # Errors
-/// Where a program does not come up, or where it was interrupted.
+/// Fails if a program can't be started or the measurement is interrupted.
 pub fn measure(
     program: &Program,
     folder: &Path,
@@ -467,7 +469,7 @@
     print: &mut dyn FnMut(&str, serde_json::Value),
 ) -> Result<(), MeasureError> {
     let hosts = (0..HOSTS).map(|_| StandIn::start()).collect::<Result<Vec<_>, _>>()?;
-    let bench = Bench { experiment: Experiment::parse(PLAYED)?, hosts, seed };
+    let bench = Bench { experiment: Experiment::parse(EXPERIMENT)?, hosts, seed };
     let mut print_point = |what: &str, point: &Point| {
         print(&point.line(what), serde_json::to_value(point).unwrap_or_default());
     };
--- a/testbed/src/play.rs
+++ b/testbed/src/play.rs
@@ -1,5 +1,5 @@
-//! Plays one arm of an experiment with one seed: a world, its balancers, its load; then the audit
-//! and the figures.
+//! Plays one arm of an experiment with one seed: starts the world, the balancers and the load, then
+//! audits the run and computes its figures.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -25,88 +25,88 @@
 use crate::world::faults::FaultWindow;
 use crate::world::{World, WorldError};
 
-/// Set when the user wants it all to end; what was started is ended, and only that.
+/// Set when the user interrupts the program. Runs then end the processes they started, no others.
 pub static STOP: AtomicBool = AtomicBool::new(false);
 
-/// What an error says where [`STOP`] was set.
+/// The message of errors that are caused by [`STOP`].
 pub const INTERRUPTED: &str = "interrupted";
 
-/// What the protocol grants beyond each time: 20 ms for a final answer, 50 ms for sockets.
-const GRANTED_BY_PROTOCOL: Micros = 70 * MS;
-/// From when all is up to the first request.
+/// The slack that the protocol allows on each time: 20 ms for a final answer, 50 ms for sockets.
+const PROTOCOL_SLACK: Micros = 70 * MS;
+/// The time from the start of world and balancers to the start of the run.
 const START_DELAY: Micros = 200 * MS;
-/// So long after the end of the last request what a balancer still sends is seen.
+/// How long after the last request ended a balancer's messages are still recorded.
 const SETTLE_TIME: Duration = Duration::from_millis(300);
-/// How often a run that goes on is looked at.
+/// How often a running arm is checked for its end.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// How long after the last request's time limit the generator must have ended.
+/// How long after the last possible deadline the generator must have ended.
 const GENERATOR_GRACE: Micros = 20 * SECOND;
 
-/// An arm could not be played.
+/// Why an arm could not be played.
 #[derive(Debug, Error)]
 pub enum PlayError {
-    /// The user wanted it to end.
+    /// The user interrupted the run.
     #[error("{INTERRUPTED}")]
     Interrupted,
     /// A file or folder can't be used.
     #[error("{}: {cause}", path.display())]
     Unusable {
-        /// Which one.
+        /// The file or folder.
         path: PathBuf,
-        /// What the system says.
+        /// The I/O error.
         cause: io::Error,
     },
-    /// A trace is of no use.
+    /// A trace can't be read.
     #[error("{}: {cause}", path.display())]
     Trace {
         /// The trace.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The error in the trace.
         cause: trace::TraceError,
     },
-    /// The world did not come up.
+    /// The world could not be started.
     #[error(transparent)]
     World(#[from] WorldError),
-    /// A balancer did not come up.
+    /// A balancer could not be started.
     #[error(transparent)]
     Balancers(#[from] BalancerError),
-    /// There is no further thread.
+    /// A thread could not be started.
     #[error(transparent)]
     Thread(#[from] ThreadError),
     /// The load can't be played.
     #[error(transparent)]
     Load(#[from] LoadError),
-    /// The generator goes on where all requests should have ended.
-    #[error("the generator did not come to its end")]
+    /// The generator still runs although the deadlines of all requests have passed.
+    #[error("the load generator still runs {} s after the last deadline", GENERATOR_GRACE / SECOND)]
     GeneratorStuck,
-    /// The generator's thread panicked.
-    #[error("the generator failed")]
-    GeneratorPanicked,
+    /// The generator's thread, or that of `disturb` in [`play_disturbed`], panicked.
+    #[error("the thread of the load generator or of the disturbance panicked")]
+    ThreadPanicked,
 }
 
-/// A second of a run as it goes on.
+/// The progress of a run since the tick before, reported about once a second.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tick {
-    /// Which one, from the start of the run.
+    /// Seconds since the start of the run.
     pub second: i64,
-    /// How many there are.
-    pub of: i64,
-    /// Requests that left in it.
-    pub left: i64,
-    /// Requests that were served in it.
+    /// The length of the run, in seconds.
+    pub total_seconds: i64,
+    /// Requests that were sent.
+    pub sent: i64,
+    /// Requests that were served.
     pub served: i64,
-    /// Requests that ended in it.
+    /// Requests that ended.
     pub ended: i64,
-    /// Their mean latency, of those served.
+    /// The mean latency of the served requests.
     pub mean_ms: f64,
     /// Resident memory of all balancers.
     pub resident_kb: u64,
 }
 
-/// The arrivals of an experiment: drawn, or from its trace.
+/// The requests of an experiment: generated from the seed, or read from its trace.
 ///
 /// # Errors
-/// Where the trace is of no use.
+/// Fails if the trace can't be read.
 pub fn plan(experiment: &Experiment, seed: u64) -> Result<Plan, PlayError> {
     let mut plan = match &experiment.load.trace {
         Some(path) => import(path, experiment)?,
@@ -122,11 +122,11 @@
         .map_err(|cause| PlayError::Trace { path: path.to_owned(), cause })
 }
 
-/// Plays `program` under the name of an arm, calls `on_tick` for each second, and leaves the
+/// Plays `program` as the arm with this name, calls `on_tick` about once a second, and leaves the
 /// balancers' files and logs in `folder`.
 ///
 /// # Errors
-/// Where the world or a balancer does not come up, or where it was interrupted.
+/// Fails if the world or a balancer can't be started, or if the run is interrupted.
 pub fn play(
     experiment: &Experiment,
     arm: &str,
@@ -142,12 +142,11 @@
     run.finish(arm, seed)
 }
 
-/// Plays as [`play`] does, while `disturb` runs beside it on a thread of its own and does to the
-/// balancers what it likes; `extra_slack` is allowed on top of each time that the audit compares.
-/// Returns what `disturb` returned too.
+/// Plays like [`play`] while `disturb` acts on the balancers from a thread of its own. The audit
+/// adds `extra_slack` to each time that it compares. Returns the run and the result of `disturb`.
 ///
 /// # Errors
-/// As of [`play`].
+/// As for [`play`].
 pub fn play_disturbed<T: Send + 'static>(
     experiment: &Experiment,
     program: &Program,
@@ -164,11 +163,11 @@
     let thread = thread::Builder::new().name("disturb".to_owned());
     let disturbing = thread.spawn(move || disturb(balancers, ledger)).map_err(ThreadError::from)?;
     run.wait(&mut |_| {})?;
-    let disturbed = disturbing.join().map_err(|_| PlayError::GeneratorPanicked)?;
+    let disturbed = disturbing.join().map_err(|_| PlayError::ThreadPanicked)?;
     Ok((run.finish("soak", seed)?, disturbed))
 }
 
-/// What a fault plants in the generator, if it does.
+/// The stall that a fault injects into the generator, if it does.
 fn stall(window: &FaultWindow) -> Option<Stall> {
     let each = match window.kind {
         FaultKind::GeneratorStop => None,
@@ -178,8 +177,8 @@
     Some(Stall { from: window.from, to: window.to, each })
 }
 
-/// An arm while it is played. The fields are dropped in this order, also where it is interrupted:
-/// balancers end before their world.
+/// An arm that is being played. Fields are dropped in their order, also after an interruption, so
+/// that balancers end before their world.
 struct RunningArm<'a> {
     experiment: &'a Experiment,
     generator: JoinHandle<Result<PlayedLoad, LoadError>>,
@@ -189,9 +188,9 @@
     balancers: Balancers,
     world: World,
     ledger: Ledger,
-    /// The world's CPU time until the run began.
+    /// The world's CPU time before the run began, in microseconds.
     world_us_before: u64,
-    /// Allowed on top of each time that the audit compares.
+    /// Slack that the audit adds to each time that it compares.
     extra_slack: Micros,
 }
 
@@ -207,7 +206,7 @@
         let mut world = World::start(experiment, seed, &ledger)?;
         let balancers =
             Balancers::start(program.clone(), experiment, &world.bootstraps, seed, &ledger, folder)?;
-        // What was recorded until now, the lists that balancers took in, was before the run.
+        // Discard events from before the run: the balancers' first endpoint lists.
         ledger.take();
         ledger.clock.start_run_in(START_DELAY);
         world.lateness.clear();
@@ -264,11 +263,11 @@
         Ok(())
     }
 
-    /// Ends it all, audits it and draws up its figures.
+    /// Ends the run, audits it and computes its figures.
     fn finish(self, arm: &str, seed: u64) -> Result<Run, PlayError> {
-        // Dropped in the reverse order: balancers end before their world.
+        // Locals are dropped in reverse order, so that balancers end before their world.
         let RunningArm { experiment, ledger, world, balancers, .. } = self;
-        let played = self.generator.join().map_err(|_| PlayError::GeneratorPanicked)??;
+        let played = self.generator.join().map_err(|_| PlayError::ThreadPanicked)??;
         let reference = self.reference.stop();
         let world_lateness = world.lateness.snapshot();
         let connections = world.connections_accepted.load(Ordering::Relaxed);
@@ -276,11 +275,11 @@
         thread::sleep(SETTLE_TIME);
         let usage = balancers.sample_usage();
         let unexpected_exits = balancers.unexpected_exits();
-        let counters = summed(balancers.counters());
+        let counters = sum_counters(balancers.counters());
         let events = ledger.take();
         let requests = played.records.len().max(1) as f64;
         let mut figures = figures::figures(experiment, &played.records, &events, played.cpu_s);
-        figures.note_late(&reference, &world_lateness, experiment.load.late());
+        figures.add_lateness(&reference, &world_lateness, experiment.load.late());
         figures.world_us_per_request = world_us as f64 / requests;
         figures.opened_per_s = connections as f64 / experiment.seconds;
         figures.cpu_us_per_request = usage.iter().map(|used| used.cpu_s).sum::<f64>() * 1e6 / requests;
@@ -290,8 +289,8 @@
         let mut breaches = audit(&events, &settings);
         let exits = unexpected_exits.into_iter().map(|exit| exit_breach(exit, &events));
         breaches.extend(exits);
-        let late = figures::request_lateness(&played.records);
-        let verdict = judge(experiment.bounds(figures.benefit), &late, &world_lateness, &reference);
+        let requests_late = figures::request_lateness(&played.records);
+        let verdict = judge(experiment.bounds(figures.benefit), &requests_late, &world_lateness, &reference);
         let (void, warning) = verdict.into_void_and_warning();
         drop(balancers);
         Ok(Run {
@@ -302,7 +301,7 @@
             warning,
             figures,
             breaches,
-            faults: figures::shaded(&world.fault_windows),
+            faults: figures::shaded_faults(&world.fault_windows),
             counters,
         })
     }
@@ -317,19 +316,19 @@
         categories: &experiment.categories,
         zones: experiment.fleet.zones as u32,
         grace: millis(experiment.discovery.grace_ms),
-        slack: GRANTED_BY_PROTOCOL + world.late.max() as Micros + generator.max(),
+        slack: PROTOCOL_SLACK + world.late.max() as Micros + generator.max(),
     }
 }
 
-/// A balancer that ended by itself breaks rule 1.
+/// The breach of rule 1 by a balancer process that ended without being told to.
 fn exit_breach(what: String, events: &[Event]) -> Breach {
     let is_end = |event: &&Event| matches!(event.observation, Observation::BalancerProcess { up: false, .. });
     let at_us = events.iter().rev().find(is_end).map_or(0, |event| event.at);
     Breach { rule: Rule::Answered, at_us, what, around: Vec::new() }
 }
 
-/// The counters of all balancers, summed by name.
-fn summed(counters: Vec<BTreeMap<String, u64>>) -> BTreeMap<String, u64> {
+/// Sums the counters of all balancers by name.
+fn sum_counters(counters: Vec<BTreeMap<String, u64>>) -> BTreeMap<String, u64> {
     let mut sums = BTreeMap::new();
     for (name, count) in counters.into_iter().flatten() {
         *sums.entry(name).or_default() += count;
@@ -337,10 +336,10 @@
     sums
 }
 
-/// The progress of the generator at one time.
+/// A reading of the generator's progress counters.
 #[derive(Clone, Copy, Default)]
 struct Counts {
-    left: i64,
+    sent: i64,
     served: i64,
     ended: i64,
     latency_sum_us: i64,
@@ -350,7 +349,7 @@
     fn of(progress: &Progress) -> Counts {
         let read = |count: &AtomicI64| count.load(Ordering::Relaxed);
         Counts {
-            left: read(&progress.sent),
+            sent: read(&progress.sent),
             served: read(&progress.served),
             ended: read(&progress.ended),
             latency_sum_us: read(&progress.latency_sum_us),
@@ -358,16 +357,17 @@
     }
 }
 
-/// Makes a tick from what the generator has done since the last one.
+/// Makes each tick from the generator's progress since the last one.
 struct Ticks {
     second: i64,
-    of: i64,
+    total_seconds: i64,
     before: Counts,
 }
 
 impl Ticks {
     fn new(experiment: &Experiment) -> Ticks {
-        Ticks { second: 0, of: experiment.seconds.ceil() as i64, before: Counts::default() }
+        let total_seconds = experiment.seconds.ceil() as i64;
+        Ticks { second: 0, total_seconds, before: Counts::default() }
     }
 
     fn next(&mut self, second: i64, progress: &Progress, resident_kb: u64) -> Tick {
@@ -378,8 +378,8 @@
         let latency_us = (now.latency_sum_us - before.latency_sum_us) as f64;
         Tick {
             second,
-            of: self.of,
-            left: now.left - before.left,
+            total_seconds: self.total_seconds,
+            sent: now.sent - before.sent,
             served,
             ended: now.ended - before.ended,
             mean_ms: latency_us / 1e3 / served.max(1) as f64,
--- a/testbed/src/report.rs
+++ b/testbed/src/report.rs
@@ -1,6 +1,5 @@
-//! The result of an experiment: a folder with `runs.jsonl` (a run a line), the experiment's file
-//! and
-//! `report.html`, one page that needs nothing else.
+//! The report of an experiment's result, as text and as a self-contained page. A result folder
+//! holds `runs.jsonl` (one run per line), the experiment's file and the page, `report.html`.
 
 mod plot;
 
@@ -8,18 +7,18 @@
 use std::fmt::Write as _;
 
 use crate::balancers::ResourceUsage;
-use crate::compare::{compare, interval, COMPARED};
+use crate::compare::{compare, mean_and_half_interval, COMPARED};
 use crate::figures::{Run, ShadedFault};
 
-/// So many breaches of a run are printed.
+/// The largest number of breaches per run in the summary.
 const BREACHES_IN_SUMMARY: usize = 5;
-/// So many breaches of a run stand on the page.
+/// The largest number of breaches per run on the page.
 const BREACHES_ON_PAGE: usize = 20;
 
 /// Each arm's name with its runs.
 pub(crate) type Arms<'a> = Vec<(&'a str, Vec<&'a Run>)>;
 
-/// Arms in the order in which they were first played.
+/// Groups runs by arm, in the order in which the arms were first played.
 pub fn by_arm(runs: &[Run]) -> Arms<'_> {
     let mut arms: Arms = Vec::new();
     for run in runs {
@@ -31,7 +30,7 @@
     arms
 }
 
-/// A few lines for a terminal.
+/// The summary of a result for a terminal: a table of the arms, then remarks on runs.
 pub fn summary(runs: &[Run]) -> String {
     let mut out = String::new();
     let _ = writeln!(
@@ -40,10 +39,11 @@
         "arm", "runs", "benefit", "served%", "nacked%", "p50 ms", "p99 ms", "p99.9 ms", "us/op", "breaches"
     );
     for (name, runs) in by_arm(runs) {
-        let sound: Vec<&Run> = runs.iter().copied().filter(|run| run.void.is_none()).collect();
-        let counted = if sound.is_empty() { &runs } else { &sound };
-        let mean =
-            |read: &dyn Fn(&Run) -> f64| interval(&counted.iter().map(|run| read(run)).collect::<Vec<f64>>());
+        let valid: Vec<&Run> = runs.iter().copied().filter(|run| run.void.is_none()).collect();
+        let counted = if valid.is_empty() { &runs } else { &valid };
+        let mean = |read: &dyn Fn(&Run) -> f64| {
+            mean_and_half_interval(&counted.iter().map(|run| read(run)).collect::<Vec<f64>>())
+        };
         let (benefit, half) = mean(&|run| run.figures.benefit);
         let half = half.map_or(String::new(), |half| format!("±{half:.3}"));
         let part = |count: u64, run: &Run| 100.0 * count as f64 / run.figures.requests.max(1) as f64;
@@ -51,7 +51,7 @@
         let _ = writeln!(
             out,
             "{name:<18}{:>8}{:>16}{:>9.2}{:>9.2}{:>9.2}{:>10.2}{:>10.2}{:>9.1}{breaches:>9}",
-            format!("{}/{}", sound.len(), runs.len()),
+            format!("{}/{}", valid.len(), runs.len()),
             format!("{benefit:.3}{half}"),
             mean(&|run| part(run.figures.served, run)).0,
             mean(&|run| part(run.figures.rejected, run)).0,
@@ -64,7 +64,7 @@
     out + &remarks(runs)
 }
 
-/// What is to be known of runs: void ones, warnings, breaches.
+/// Remarks on runs: the void ones, warnings and breaches.
 fn remarks(runs: &[Run]) -> String {
     let mut out = String::new();
     for run in runs.iter().filter(|run| run.void.is_some()) {
@@ -87,20 +87,21 @@
     out
 }
 
-/// The page.
+/// The page of a result, as HTML.
 pub fn html(name: &str, about: &str, runs: &[Run]) -> String {
     let arms = by_arm(runs);
     let mut body = String::new();
-    let _ = write!(body, "<h1>{}</h1><p>{}</p>", escaped(name), escaped(about));
+    let _ = write!(body, "<h1>{}</h1><p>{}</p>", escape(name), escape(about));
     let void = runs.iter().filter(|run| run.void.is_some()).count();
     if void > 0 {
         let _ = write!(
             body,
-            "<p class=bad>{void} of {} runs are void: see below whose lateness it was.</p>",
+            "<p class=bad>{void} of {} runs are void: see below whether the testbed or the machine was \
+             late.</p>",
             runs.len()
         );
     }
-    let _ = write!(body, "<pre>{}</pre>", escaped(&summary(runs)));
+    let _ = write!(body, "<pre>{}</pre>", escape(&summary(runs)));
     let faults = runs.first().map_or(&[][..], |run| &run.faults);
     body += &plots(faults, &arms);
     body += &resources(&arms);
@@ -115,14 +116,14 @@
          table{{border-collapse:collapse;font-size:13px}}\
          td,th{{padding:.15em .7em;text-align:right;border-bottom:1px solid #ddd}}\
          .bad{{color:#b00}}</style>{body}</html>",
-        escaped(name)
+        escape(name)
     )
 }
 
 fn plots(faults: &[ShadedFault], arms: &Arms) -> String {
-    let benefit = "Benefit within target latency, by second";
-    let p99 = "99th percentile until the end of an op (ms), by second";
-    let rejected = "Nacked ops, by second";
+    let benefit = "Earned fraction of the benefit, by second";
+    let p99 = "99th percentile of the time until a request ended (ms), by second";
+    let rejected = "Rejected requests, by second";
     [
         plot::by_second(benefit, faults, |second| second.benefit, arms),
         plot::by_second(p99, faults, |second| second.p99, arms),
@@ -132,24 +133,25 @@
     .concat()
 }
 
-/// The first arm against each other one.
+/// Comparisons of the first arm with each other arm.
 fn comparisons(arms: &Arms) -> String {
     let mut out = String::new();
     let Some(((first, base), others)) = arms.split_first() else { return out };
     for (other, runs) in others {
         if let Ok((pairs, rows)) = compare(base, runs) {
-            let text = crate::compare::written(&rows, pairs);
-            let _ = write!(out, "<h2>A: {} against B: {}</h2>", escaped(first), escaped(other));
-            let _ = write!(out, "<pre>{}</pre>", escaped(&text));
+            let text = crate::compare::format_table(&rows, pairs);
+            let _ = write!(out, "<h2>A: {} against B: {}</h2>", escape(first), escape(other));
+            let _ = write!(out, "<pre>{}</pre>", escape(&text));
         }
     }
     out
 }
 
 fn resources(arms: &Arms) -> String {
-    let mut out = "<h2>What it took</h2><table><tr><th>arm<th>CPU us an op<th>peak memory kB<th>descriptors\
-                   <th>pushes an op<th>origin pushes<th>generator late p99 ms<th>world late ms\
-                   <th>bare thread p99 ms<th>new connections a second</tr>"
+    let mut out = "<h2>Resources</h2><table><tr><th>arm<th>CPU us per request<th>peak memory kB\
+                   <th>descriptors<th>attempts per request<th>attempts at origin\
+                   <th>generator late p99 ms<th>world late ms<th>reference thread p99 ms\
+                   <th>new connections/s</tr>"
         .to_owned();
     for (name, runs) in arms {
         let mean = |read: &dyn Fn(&Run) -> f64| {
@@ -162,7 +164,7 @@
             out,
             "<tr><td>{}<td>{:.1}<td>{:.0}<td>{:.0}<td>{:.3}<td>{:.0}<td>{:.2}<td>{:.1}<td>{:.2}\
              <td>{:.1}</tr>",
-            escaped(name),
+            escape(name),
             mean(&|run| run.figures.cpu_us_per_request),
             max(&|used| used.peak_kb as f64),
             max(&|used| used.descriptors as f64),
@@ -177,7 +179,7 @@
     out + "</table>"
 }
 
-/// What each host got, ran and rejected, in the first run of each arm.
+/// The counts of attempts at each host, in the first run of each arm.
 fn hosts(arms: &Arms) -> String {
     let mut out = "<h2>Hosts</h2>".to_owned();
     for (name, runs) in arms {
@@ -185,15 +187,15 @@
         let _ = write!(
             out,
             "<details><summary>{}, seed {}</summary><table>\
-             <tr><th>host<th>pushed<th>ran<th>missed<th>turned away</tr>",
-            escaped(name),
+             <tr><th>host<th>attempts<th>executed<th>misses<th>rejected</tr>",
+            escape(name),
             run.seed
         );
         for (host, figures) in &run.figures.hosts {
             let _ = write!(
                 out,
                 "<tr><td>{}<td>{}<td>{}<td>{}<td>{}</tr>",
-                escaped(host),
+                escape(host),
                 figures.attempts,
                 figures.executed,
                 figures.misses,
@@ -217,12 +219,9 @@
             continue;
         }
         let lines: Vec<String> = sums.iter().map(|(name, count)| format!("{name}={count}")).collect();
-        let lines = escaped(&lines.join("\n"));
-        let _ = write!(
-            out,
-            "<details><summary>Counters: {}</summary><pre>{lines}</pre></details>",
-            escaped(name)
-        );
+        let lines = escape(&lines.join("\n"));
+        let _ =
+            write!(out, "<details><summary>Counters: {}</summary><pre>{lines}</pre></details>", escape(name));
     }
     out
 }
@@ -233,24 +232,24 @@
         let _ = write!(
             out,
             "<h2 class=bad>Rules broken: {}, seed {} ({})</h2>",
-            escaped(&run.arm),
+            escape(&run.arm),
             run.seed,
             run.breaches.len()
         );
         for breach in run.breaches.iter().take(BREACHES_ON_PAGE) {
-            let around = escaped(&breach.around.join("\n"));
-            let what = escaped(&breach.to_string());
+            let around = escape(&breach.around.join("\n"));
+            let what = escape(&breach.to_string());
             let _ = write!(out, "<details><summary>{what}</summary><pre>{around}</pre></details>");
         }
     }
     out
 }
 
-fn escaped(text: &str) -> String {
+fn escape(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-/// The compared figures of a run by their names, for machines.
+/// The compared figures of a run by name, as JSON.
 pub fn as_json(run: &Run) -> serde_json::Value {
     let figures: serde_json::Map<String, serde_json::Value> =
         COMPARED.iter().map(|figure| (figure.name.to_owned(), (figure.read)(run).into())).collect();
--- a/testbed/src/report/plot.rs
+++ b/testbed/src/report/plot.rs
@@ -1,4 +1,4 @@
-//! The drawings of a report, as SVG.
+//! The plots of a report, as SVG.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -6,12 +6,12 @@
 use plotters::coord::Shift;
 use plotters::prelude::*;
 
-use super::{escaped, Arms};
+use super::{escape, Arms};
 use crate::figures::{Second, ShadedFault};
 
 /// Width and height in pixels.
 const SIZE: (u32, u32) = (900, 320);
-/// One for each arm, and again from the first.
+/// The colours of the arms, reused from the first one if there are more arms.
 const COLOURS: [RGBColor; 6] = [
     RGBColor(31, 119, 180),
     RGBColor(214, 39, 40),
@@ -20,15 +20,15 @@
     RGBColor(255, 127, 14),
     RGBColor(23, 190, 207),
 ];
-/// The titles of further faults would lie over each other.
+/// The largest number of faults with a title; more titles would overlap.
 const MAX_FAULT_TITLES: usize = 6;
-/// The nines of the axis of percentiles, evenly spaced.
+/// The labels of the percentile axis, on which nines are evenly spaced.
 const PERCENTILE_LABELS: [&str; 6] = ["0%", "90%", "99%", "99.9%", "99.99%", "99.999%"];
 
 type Point = (f64, f64);
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
-/// A line of a plot, with its name.
+/// A line of a plot and its name.
 struct Series<'a> {
     name: &'a str,
     points: Vec<Point>,
@@ -40,11 +40,11 @@
     x_title: &'a str,
     faults: &'a [ShadedFault],
     series: Vec<Series<'a>>,
-    /// The labels at 0, 1 and on; numbers otherwise.
+    /// The labels at 0, 1, 2 and so on; if absent, the axis shows numbers.
     x_labels: Option<&'a [&'a str]>,
 }
 
-/// A figure by second, the mean over the seeds of each arm, with the faults shaded.
+/// Plots a figure by second, as the mean over the runs of each arm, with the faults shaded.
 pub(super) fn by_second(
     title: &str,
     faults: &[ShadedFault],
@@ -65,7 +65,7 @@
     Plot { title, x_title: "s", faults, series, x_labels: None }.to_svg()
 }
 
-/// Latency by percentile, the nines evenly spaced.
+/// Plots latency by percentile, with evenly spaced nines.
 pub(super) fn percentiles(arms: &Arms) -> String {
     let mut series = Vec::new();
     for (name, runs) in arms {
@@ -79,7 +79,7 @@
         series.push(Series { name, points });
     }
     let plot = Plot {
-        title: "Latency of served ops (ms) by percentile",
+        title: "Latency of served requests (ms) by percentile",
         x_title: "percentile",
         faults: &[],
         series,
@@ -88,20 +88,20 @@
     plot.to_svg()
 }
 
-/// How many nines a percentile has, which is given in millionths of a percent.
+/// The number of nines of a percentile that is given in millionths of a percent.
 fn nines(percentile: u64) -> f64 {
     -(1.0 - percentile as f64 / 1e8).max(1e-6).log10()
 }
 
 impl Plot<'_> {
-    /// The drawing, or a paragraph with the cause where it fails.
+    /// The plot as SVG, or a paragraph with the cause if drawing fails.
     fn to_svg(&self) -> String {
         let mut svg = String::new();
         let drawn = self.draw(&SVGBackend::with_string(&mut svg, SIZE).into_drawing_area());
         match drawn {
             Ok(()) => svg,
             Err(cause) => {
-                format!("<p class=bad>{}: {}</p>", escaped(self.title), escaped(&cause.to_string()))
+                format!("<p class=bad>{}: {}</p>", escape(self.title), escape(&cause.to_string()))
             }
         }
     }
--- a/testbed/tests/cli.rs
+++ b/testbed/tests/cli.rs
@@ -1,5 +1,5 @@
-//! The program as a user has it: exit codes, what it writes, and that Ctrl-C ends all that it
-//! started.
+//! The program from its command line: exit codes, result files, and the end of all started
+//! processes at Ctrl-C.
 
 use std::io::{BufRead, BufReader};
 use std::path::Path;
@@ -8,7 +8,8 @@
 
 const TESTBED: &str = env!("CARGO_BIN_EXE_basaltwood-testbed");
 
-/// Of files, codes and words, not of times: a machine whose timers wake late must not void it.
+/// A short experiment for tests of files, exit codes and messages. `late_ms` is large so that late
+/// timers of the machine do not void the run.
 const SHORT: &str = r#"
 name = "short"
 seconds = 1.0
@@ -55,7 +56,7 @@
     );
     let cold =
         "[cold]\nfrom = 0.05\nmultiple = 0.01\nwindow_ms = 300\n[[faults]]\nkind = \"grow\"\nfrom_s = 0.2\n";
-    // A busy machine may make it void, which says nothing of the breach.
+    // A busy machine may void a run, which says nothing about the breach.
     let tries = (0..8).map(|_| run(&format!("{SHORT}\n{cold}")));
     let (code, out, _) =
         tries.into_iter().find(|(code, ..)| *code != 4).expect("eight runs in a row were void");
@@ -67,9 +68,9 @@
     assert!(out.contains("VOID: random seed 1: the generator was late"), "{out}");
 }
 
-/// What is said of a run that was not void for the machine's lateness: a busy machine says nothing
-/// of the program. Each try has a folder of its own.
-fn sound(arguments: &[&str]) -> (tempfile::TempDir, i32, String) {
+/// Repeats a run, each time in a new folder, until it is not void: a run that is void because of a
+/// busy machine says nothing about the program.
+fn run_until_not_void(arguments: &[&str]) -> (tempfile::TempDir, i32, String) {
     for _ in 0..8 {
         let folder = folder_with("x.toml", SHORT);
         let (code, out, _) = run_testbed(folder.path(), arguments);
@@ -81,7 +82,7 @@
 }
 
 #[test]
-fn result_folder_is_never_written_over_and_can_be_compared() {
+fn result_folder_is_not_overwritten_and_can_be_compared() {
     let arguments = [
         "run",
         "x.toml",
@@ -94,7 +95,7 @@
         "--keep-trace",
         "--json",
     ];
-    let (folder, code, out) = sound(&arguments);
+    let (folder, code, out) = run_until_not_void(&arguments);
     assert_eq!((code, out.lines().count()), (0, 4), "{out}");
     let result = folder.path().join("lab-results/short");
     let page = std::fs::read_to_string(result.join("report.html")).expect("a page");
@@ -106,7 +107,7 @@
         folder.path(),
         &["trace", "check", "lab-results/short/trace-2.jsonl", "--experiment", "x.toml"],
     );
-    assert!(code == 0 && out.contains("ops, "), "{out}");
+    assert!(code == 0 && out.contains("requests, "), "{out}");
     let (code, out, _) =
         run_testbed(folder.path(), &["compare", "lab-results/short:random", "lab-results/short:plain-ring"]);
     assert!(code == 0 && out.starts_with("2 pairs of seeds") && out.contains("benefit"), "{out}");
@@ -118,12 +119,12 @@
 }
 
 #[test]
-fn demo_on_a_busy_machine_ends_well() {
+fn demo_succeeds_on_a_busy_machine() {
     let folder = tempfile::tempdir().expect("a folder");
     let (code, out, err) = run_testbed(folder.path(), &["demo"]);
     assert_eq!(code, 0, "{out}{err}");
     assert!(out.contains("report: lab-results/demo/report.html"), "{out}");
-    assert!(out.contains("VOID") == out.contains("WARNING: these figures count for nothing"), "{out}");
+    assert!(out.contains("VOID") == out.contains("WARNING: these figures are invalid"), "{out}");
 }
 
 #[test]
@@ -132,33 +133,33 @@
     let folder = folder_with("x.toml", &SHORT.replace(arm, &format!("{arm}\nregions = \"r.toml\"")));
     let (code, _, err) = run_testbed(folder.path(), &["run", "x.toml"]);
     assert!(code == 2 && err.contains("regions: there is no file r.toml"), "{code} {err}");
-    // A program that writes down what it was told, and ends.
-    let said = |regions: bool| {
-        let tells = "#!/bin/sh\necho \"regions ${BASALTWOOD_REGIONS-unset}\" >&2\n";
-        std::fs::write(folder.path().join("tells"), tells).expect("a file");
+    // Stands in for a balancer: prints the variable to its log and ends.
+    let error_of_run = |regions: bool| {
+        let script = "#!/bin/sh\necho \"regions ${BASALTWOOD_REGIONS-unset}\" >&2\n";
+        std::fs::write(folder.path().join("script"), script).expect("a file");
         std::fs::write(folder.path().join("r.toml"), "").expect("a file");
-        let run = Command::new("chmod").arg("+x").arg(folder.path().join("tells")).status();
+        let run = Command::new("chmod").arg("+x").arg(folder.path().join("script")).status();
         assert!(run.expect("chmod").success());
-        let path = folder.path().join("tells");
+        let path = folder.path().join("script");
         let line = format!("program = \"{}\"", path.display());
         let line = if regions { format!("{line}\nregions = \"r.toml\"") } else { line };
         let text = SHORT.replace(arm, &format!("name = \"random\"\n{line}"));
         std::fs::write(folder.path().join("x.toml"), text).expect("a file");
         run_testbed(folder.path(), &["run", "x.toml"]).2
     };
-    let err = said(true);
+    let err = error_of_run(true);
     assert!(err.contains("regions ") && err.contains("r.toml"), "{err}");
-    let err = said(false);
+    let err = error_of_run(false);
     assert!(err.contains("regions unset"), "{err}");
 }
 
 #[test]
-fn ctrl_c_during_a_run_ends_all_that_it_started() {
+fn ctrl_c_during_a_run_ends_all_processes_that_it_started() {
     let folder = folder_with("x.toml", &SHORT.replace("seconds = 1.0", "seconds = 60.0"));
     let mut command = Command::new(TESTBED);
     command.args(["run", "x.toml"]).current_dir(folder.path()).stdout(Stdio::piped()).stderr(Stdio::null());
     let mut run = command.spawn().expect("it starts");
-    let mut lines = BufReader::new(run.stdout.take().expect("its words")).lines();
+    let mut lines = BufReader::new(run.stdout.take().expect("its output")).lines();
     assert!(lines.next().expect("a line").expect("text").contains("1/60 s"));
     let children =
         std::fs::read_to_string(format!("/proc/{0}/task/{0}/children", run.id())).expect("children");
--- a/testbed/tests/common/mod.rs
+++ b/testbed/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Short runs for tests: experiments from a few lines, routers and the balancer as programs.
-#![allow(dead_code)] // each test file uses its part
+//! Helpers for tests with short runs: experiments from a few lines, and the programs to play.
+#![allow(dead_code)] // no test file uses all helpers
 
 use std::path::Path;
 
@@ -8,8 +8,8 @@
 use basaltwood_testbed::figures::Run;
 use basaltwood_testbed::play::play;
 
-/// A quick fleet: two hosts and an origin that answer within milliseconds, one category of each
-/// kind.
+/// A fast fleet: two hosts and an origin that answer within milliseconds, and one request class of
+/// each retry safety.
 const BASE: &str = r#"
 name = "test"
 balancers = 1
@@ -49,12 +49,12 @@
 grace_ms = 200
 "#;
 
-/// The base, with top-level lines ahead of it and tables behind.
+/// The base experiment with top-level lines before it and tables after it.
 pub fn experiment(top: &str, tables: &str) -> Experiment {
     Experiment::parse(&format!("{top}\n{BASE}\n{tables}")).expect("an experiment")
 }
 
-/// The same with two balancers and six hosts.
+/// Like [`experiment`], with two balancers and six hosts.
 pub fn larger(top: &str, tables: &str) -> Experiment {
     let base = BASE.replace("balancers = 1", "balancers = 2").replace("hosts = 2", "hosts = 6");
     Experiment::parse(&format!("{top}\n{base}\n{tables}")).expect("an experiment")
@@ -83,7 +83,7 @@
     play(experiment, "test", program, 7, folder.path(), &mut |_| {}).expect("it is played")
 }
 
-/// The titles of all breaches, for a failing test's message.
+/// Descriptions of all breaches, for assertion messages.
 pub fn breaches(run: &Run) -> Vec<String> {
     run.breaches.iter().map(|breach| format!("{breach} {:#?}", breach.around)).collect()
 }
--- a/testbed/tests/runs.rs
+++ b/testbed/tests/runs.rs
@@ -1,5 +1,6 @@
-//! Runs on real sockets: the generator's honesty, the balancer's death, and short experiments with
-//! the balancer itself. Judged by rules and counts, never by the machine's speed.
+//! Runs on real sockets: the generator's lateness, a killed balancer, and short experiments with
+//! the real balancer. The checks are on rules and counts, which do not depend on the machine's
+//! speed.
 
 mod common;
 
@@ -9,7 +10,7 @@
 use common::*;
 
 #[test]
-fn pause_shows_in_the_open_loop_tail_and_a_closed_loop_hides_it() {
+fn pause_shows_in_the_open_loop_tail_but_not_in_a_closed_loop() {
     let pause = "[[faults]]\nkind = \"hang\"\nhosts = \"all\"\nfrom_s = 1.0\nto_s = 3.0\n\
                  [[faults]]\nkind = \"hang\"\nhosts = \"all\"\nfrom_s = 3.99\nto_s = 4.0";
     let load =
@@ -27,42 +28,42 @@
         let closed = scope.spawn(|| played(&closed, &router("random", None)));
         (open.join().expect("played").figures, closed.join().expect("played").figures)
     });
-    let told = |figures: &Figures| {
+    let describe = |figures: &Figures| {
         let end = &figures.until_end;
         format!(
-            "{} ops, {} over 1 s, p99 {:.0} ms, most {:.0} ms",
+            "{} requests, {} over 1 s, p99 {:.0} ms, max {:.0} ms",
             figures.requests, figures.over_1s, end.p99, end.max
         )
     };
-    let both = format!("open: {}; closed: {}", told(&open), told(&closed));
+    let both = format!("open: {}; closed: {}", describe(&open), describe(&closed));
     println!("{both}");
-    // One in 5 ms: those due in the pause's first second wait for longer than one more.
+    // One request every 5 ms: those due in the first second of the pause wait for over a second.
     assert!((190..=260).contains(&open.over_1s), "{both}");
     assert!(open.until_end.p99 > 1_800.0 && open.until_end.max > 1_900.0, "{both}");
     assert!(closed.over_1s <= 2 && closed.until_end.p99 < 1_000.0, "{both}");
 }
 
 #[test]
-fn generator_that_stalled_voids_its_run() {
+fn stalled_generator_voids_its_run() {
     let stop = "[load]\nrate = 200\n[[faults]]\nkind = \"generator-stop\"\nfrom_s = 1.0\nto_s = 1.3";
     let run = played(&experiment("seconds = 2.0", stop), &router("random", None));
     let void = run.void.clone().expect("it is void");
     assert!(void.starts_with("the generator was late:"), "{void}");
-    assert!(breaches(&run).is_empty(), "its own stop is nobody's breach: {:#?}", breaches(&run));
+    assert!(breaches(&run).is_empty(), "the generator's stop is no breach: {:#?}", breaches(&run));
 }
 
 #[test]
-fn generator_slow_with_each_request_voids_its_run_by_its_own_fault() {
+fn slow_generator_voids_its_run_by_the_testbeds_own_fault() {
     let slow = "[load]\nrate = 200\n[[faults]]\nkind = \"generator-slow\"\nfactor = 4.0\nfrom_s = 0.0";
     let run = played(&experiment("seconds = 2.0", slow), &router("random", None));
     let void = run.void.clone().expect("it is void");
-    assert!(void.starts_with("the generator was late:") && void.ends_with("the lab's own"), "{void}");
+    assert!(void.starts_with("the generator was late:") && void.ends_with("the testbed's own"), "{void}");
     assert!(run.warning.is_none() && run.figures.late_part > 0.2, "{void}");
 }
 
 #[test]
-fn balancer_killed_loses_its_open_requests_and_the_run_ends() {
-    // All is slow, so that ops are open when it dies.
+fn killed_balancer_loses_its_open_requests_and_the_run_ends() {
+    // All hosts are slow, so that requests are open when the balancer is killed.
     let slow = "[load]\nrate = 200\nretry = { kind = \"RETRY\" }\n\
                 [[faults]]\nkind = \"slow\"\nhosts = \"all\"\nfactor = 100\nfrom_s = 0.0\n\
                 [[faults]]\nkind = \"balancer-kill\"\nbalancer = 0\nfrom_s = 1.0\nto_s = 1.5";
@@ -77,9 +78,9 @@
             + figures.lost
             + figures.abandoned
             + figures.unreachable;
-        assert_eq!(sum, figures.requests, "every op has one end");
-        assert!(breaches(&run).is_empty(), "killed, not broken: {:#?}", breaches(&run));
-        // At-most-once ops are not asked again even so.
+        assert_eq!(sum, figures.requests, "every request has one outcome");
+        assert!(breaches(&run).is_empty(), "a kill is no breach: {:#?}", breaches(&run));
+        // At-most-once requests are not retried even with client retries.
         assert!(
             if again { figures.client_attempts > figures.requests } else { figures.lost > 5 },
             "{retry}: {figures:?}"
@@ -116,7 +117,7 @@
         ("killed", fault("balancer-kill", "balancer = 1\nto_s = 1.2")),
     ];
     let program = balancer();
-    // A few at a time: the machine is not to be the trouble.
+    // Four at a time, so as not to overload the machine.
     for few in cases.chunks(4) {
         thread::scope(|scope| {
             for (name, faults) in few {
@@ -128,9 +129,9 @@
                     let run = played(&larger("seconds = 2.5", &tables), program);
                     assert!(breaches(&run).is_empty(), "{name}: {:#?}", breaches(&run));
                     let figures = &run.figures;
-                    assert!(figures.requests > 200, "{name}: {} ops", figures.requests);
-                    // Half is far below what any of them leaves; a balancer that serves nothing is
-                    // caught.
+                    assert!(figures.requests > 200, "{name}: {} requests", figures.requests);
+                    // Every case serves far more than half; the bound catches a balancer that
+                    // serves nothing.
                     assert!(figures.served * 2 > figures.requests, "{name}: {} of {} served", figures.served, figures.requests);
                 });
             }
