--- a/testbed/src/experiment/error.rs
+++ b/testbed/src/experiment/error.rs
@@ -86,7 +86,7 @@
         name: String,
     },
     /// A repeated fault starts again before it has ended.
-    #[error("{fault}: every_s must be longer than the fault itself, which needs to_s")]
+    #[error("{fault}: every_s needs to_s and must be longer than the fault lasts")]
     FaultOverlapsItself {
         /// The fault's number and kind.
         fault: String,
@@ -123,8 +123,8 @@
     },
     /// The run may need more descriptors than the process may open.
     #[error(
-        "the run needs up to {needed} descriptors and {allowed} are allowed: fewer hosts, balancers, \
-         load.connections or limits.sockets, or a higher `ulimit -n`"
+        "the run needs up to {needed} descriptors and {allowed} are allowed: lower hosts, balancers, \
+         load.connections or limits.sockets, or raise `ulimit -n`"
     )]
     TooFewDescriptors {
         /// The number that the run may need.
--- a/testbed/src/lateness/verdict.rs
+++ b/testbed/src/lateness/verdict.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// The run is valid.
-    Sound,
+    Valid,
     /// The run is valid, with a warning.
     Warned(String),
     /// The run's figures are invalid: the cause of the lateness, and its description.
@@ -45,7 +45,7 @@
     /// The verdict as the fields `void` and `warning` of a run.
     pub fn into_void_and_warning(self) -> (Option<String>, Option<String>) {
         match self {
-            Verdict::Sound => (None, None),
+            Verdict::Valid => (None, None),
             Verdict::Warned(line) => (None, Some(line)),
             Verdict::Void(_, line) => (Some(line), None),
         }
@@ -70,7 +70,7 @@
         .or_else(|| measured.benefit_in_doubt());
     match void {
         Some((responsible, line)) => Verdict::Void(responsible, line),
-        None => measured.machine_late().map_or(Verdict::Sound, Verdict::Warned),
+        None => measured.machine_late().map_or(Verdict::Valid, Verdict::Warned),
     }
 }
 
--- a/testbed/src/load/trace.rs
+++ b/testbed/src/load/trace.rs
@@ -38,8 +38,8 @@
     },
     /// A line is not the expected JSON object.
     #[error(
-        "line {line}: {cause}: {}write at_us, category, key and perhaps customer and size",
-        if cause.is_eof() { "it is torn off; cut it or " } else { "" }
+        "line {line}: {cause}: {}write at_us, category, key and optionally customer and size",
+        if cause.is_eof() { "the line is incomplete: remove it or " } else { "" }
     )]
     Malformed {
         /// Counted from 1.
@@ -48,7 +48,7 @@
         cause: serde_json::Error,
     },
     /// A line's time is before that of the preceding line.
-    #[error("line {line}: at_us {at_us} runs backwards from {before}: sort the lines by at_us")]
+    #[error("line {line}: at_us {at_us} is before {before} of the preceding line: sort the lines by at_us")]
     OutOfOrder {
         /// Counted from 1.
         line: usize,
--- a/testbed/tests/cli.rs
+++ b/testbed/tests/cli.rs
@@ -30,9 +30,9 @@
 
 fn run_testbed(folder: &Path, arguments: &[&str]) -> (i32, String, String) {
     let Output { status, stdout, stderr } =
-        Command::new(TESTBED).args(arguments).current_dir(folder).output().expect("it starts");
+        Command::new(TESTBED).args(arguments).current_dir(folder).output().expect("the testbed starts");
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
-    (status.code().expect("a code"), text(stdout), text(stderr))
+    (status.code().expect("an exit code"), text(stdout), text(stderr))
 }
 
 fn folder_with(name: &str, text: &str) -> tempfile::TempDir {
@@ -54,12 +54,12 @@
         err.starts_with("basaltwood-testbed: x.toml:12: unknown field `rite`") && err.lines().count() == 1,
         "{err}"
     );
-    let cold =
+    let overload_while_cold =
         "[cold]\nfrom = 0.05\nmultiple = 0.01\nwindow_ms = 300\n[[faults]]\nkind = \"grow\"\nfrom_s = 0.2\n";
     // A busy machine may void a run, which says nothing about the breach.
-    let tries = (0..8).map(|_| run(&format!("{SHORT}\n{cold}")));
+    let attempts = (0..8).map(|_| run(&format!("{SHORT}\n{overload_while_cold}")));
     let (code, out, _) =
-        tries.into_iter().find(|(code, ..)| *code != 4).expect("eight runs in a row were void");
+        attempts.into_iter().find(|(code, ..)| *code != 4).expect("eight runs in a row were void");
     assert_eq!(code, 3, "{out}");
     assert!(out.contains("BREACH: random seed 1: rule 4 at"), "{out}");
     let stop = "[[faults]]\nkind = \"generator-stop\"\nfrom_s = 0.5\nto_s = 0.8\n";
@@ -158,7 +158,7 @@
     let folder = folder_with("x.toml", &SHORT.replace("seconds = 1.0", "seconds = 60.0"));
     let mut command = Command::new(TESTBED);
     command.args(["run", "x.toml"]).current_dir(folder.path()).stdout(Stdio::piped()).stderr(Stdio::null());
-    let mut run = command.spawn().expect("it starts");
+    let mut run = command.spawn().expect("the testbed starts");
     let mut lines = BufReader::new(run.stdout.take().expect("its output")).lines();
     assert!(lines.next().expect("a line").expect("text").contains("1/60 s"));
     let children =
@@ -167,7 +167,7 @@
     assert_eq!(children.len(), 2, "two balancers");
     let kill = Command::new("kill").args(["-INT", &run.id().to_string()]).status().expect("kill");
     assert!(kill.success());
-    assert_eq!(run.wait().expect("it ends").code(), Some(130));
+    assert_eq!(run.wait().expect("the testbed ends").code(), Some(130));
     let began = Instant::now();
     while children.iter().any(|child| Path::new(&format!("/proc/{child}")).exists()) {
         assert!(began.elapsed() < Duration::from_secs(10), "a child still runs");
--- a/testbed/tests/common/mod.rs
+++ b/testbed/tests/common/mod.rs
@@ -80,7 +80,7 @@
 
 pub fn played(experiment: &Experiment, program: &Program) -> Run {
     let folder = tempfile::tempdir().expect("a folder");
-    play(experiment, "test", program, 7, folder.path(), &mut |_| {}).expect("it is played")
+    play(experiment, "test", program, 7, folder.path(), &mut |_| {}).expect("the run is played")
 }
 
 /// Descriptions of all breaches, for assertion messages.
--- a/testbed/tests/input.rs
+++ b/testbed/tests/input.rs
@@ -21,23 +21,26 @@
         r#"{"at_us":6,"category":"read","key":"a","colour":1}"#,
         "at_us 6",
     ];
-    let mut messages = vec![trace::import(&b""[..], &experiment, 1.0).expect_err("it is empty").to_string()];
+    let mut messages =
+        vec![trace::import(&b""[..], &experiment, 1.0).expect_err("an empty trace").to_string()];
     for line in lines {
         let text = format!("{good}\n\n{line}");
         messages.push(trace::import(text.as_bytes(), &experiment, 1.0).expect_err(line).to_string());
     }
     messages.push(
-        trace::from_csv(&b"time_s,category,key\n1,read,a\nx,read,b\n"[..]).expect_err("no time").to_string(),
+        trace::from_csv(&b"time_s,category,key\n1,read,a\nx,read,b\n"[..])
+            .expect_err("an invalid time")
+            .to_string(),
     );
     expect![[r#"
         the trace holds no requests
-        line 3: at_us 4 runs backwards from 5: sort the lines by at_us
+        line 3: at_us 4 is before 5 of the preceding line: sort the lines by at_us
         line 3: no category "unheard": the experiment has read, once, put
         line 3: no customer "acme": add it to the experiment's [[customers]]
         line 3: key must be non-empty and without control characters, size at most 65536 bytes
-        line 3: EOF while parsing a string at line 1 column 32: it is torn off; cut it or write at_us, category, key and perhaps customer and size
-        line 3: unknown field `colour`, expected one of `at_us`, `category`, `customer`, `key`, `size` at line 1 column 47: write at_us, category, key and perhaps customer and size
-        line 3: expected value at line 1 column 1: write at_us, category, key and perhaps customer and size
+        line 3: EOF while parsing a string at line 1 column 32: the line is incomplete: remove it or write at_us, category, key and optionally customer and size
+        line 3: unknown field `colour`, expected one of `at_us`, `category`, `customer`, `key`, `size` at line 1 column 47: write at_us, category, key and optionally customer and size
+        line 3: expected value at line 1 column 1: write at_us, category, key and optionally customer and size
         row 2: CSV deserialize error: record 2 (line: 3, byte: 29): field 0: invalid float literal"#]].assert_eq(&messages.join("\n"));
 }
 
@@ -48,20 +51,24 @@
     let plan = Plan::generate(&experiment, 3);
     assert!(plan.requests == Plan::generate(&experiment, 3).requests, "the same seed gives the same plan");
     let mut file = Vec::new();
-    trace::export(&plan, &experiment, &mut file).expect("it is written");
-    let again = trace::import(&file[..], &experiment, 1.0).expect("it is read");
+    trace::export(&plan, &experiment, &mut file).expect("the trace is written");
+    let imported = trace::import(&file[..], &experiment, 1.0).expect("the trace is read");
     let summary = |plan: &Plan| -> Vec<(i64, u16, String)> {
-        plan.requests.iter().map(|op| (op.at, op.category, plan.keys[op.key as usize].clone())).collect()
+        plan.requests
+            .iter()
+            .map(|request| (request.at, request.category, plan.keys[request.key as usize].clone()))
+            .collect()
     };
-    assert_eq!(summary(&plan), summary(&again));
-    let faster = trace::import(&file[..], &experiment, 4.0).expect("it is read");
-    assert!(plan.requests.iter().zip(&faster.requests).all(|(op, fast)| fast.at == op.at / 4));
+    assert_eq!(summary(&plan), summary(&imported));
+    let faster = trace::import(&file[..], &experiment, 4.0).expect("the trace is read");
+    let mut pairs = plan.requests.iter().zip(&faster.requests);
+    assert!(pairs.all(|(request, faster)| faster.at == request.at / 4));
     let csv = "time_s,category,key,customer,size\n10.5,read,b,,64\n10,put,a,,\n";
     expect![[r#"
         {"at_us":0,"category":"put","customer":null,"key":"a","size":128}
         {"at_us":500000,"category":"read","customer":null,"key":"b","size":64}
     "#]]
-    .assert_eq(&trace::from_csv(csv.as_bytes()).expect("it is read"));
+    .assert_eq(&trace::from_csv(csv.as_bytes()).expect("the CSV is read"));
 }
 
 #[test]
@@ -92,7 +99,7 @@
         .iter()
         .map(|text| {
             let cause = Experiment::parse(text).expect_err(text).to_string();
-            assert!(!cause.contains('\n'), "one line: {cause}");
+            assert!(!cause.contains('\n'), "not one line: {cause}");
             // The number of allowed descriptors depends on the machine.
             match cause.split_once(" and ") {
                 Some((before, after)) if after.contains("are allowed") => {
@@ -110,12 +117,12 @@
          category read: target_ms = 100 is not between 1 and 40
          fleet.hosts = 0 is not between 1 and 4000
          load.zipf = NaN is not between 0 and 5
-         the run needs up to 18006260 descriptors and .. are allowed: fewer hosts, balancers, load.connections or limits.sockets, or a higher `ulimit -n`
+         the run needs up to 18006260 descriptors and .. are allowed: lower hosts, balancers, load.connections or limits.sockets, or raise `ulimit -n`
          fault 1 (Hang): there are only hosts 0 to 3
          fault 1 (Hang): there are only 4 hosts
          fault 1 (Hang): from_s = 3 is not between 0 and 2
          fault 1 (Hang): this kind affects all balancers alike: leave `balancer` out
          fault 1 (BalancerKill): there are only balancers 0 to 1
-         fault 1 (Reset): every_s must be longer than the fault itself, which needs to_s
+         fault 1 (Reset): every_s needs to_s and must be longer than the fault lasts
         13: unknown variant `earthquake`, expected one of `slow`, `hang`, `silent`, `late-connect`, `stale`, `stale-reset`, `reset`, `refuse`, `lost`, `busy`, `error`, `spoil`, `die`, `replace`, `drain`, `roll-out`, `grow`, `origin-slow`, `origin-down`, `discovery-down`, `discovery-stale`, `discovery-wrong`, `balancer-kill`, `proxy-delay`, `proxy-drip`, `proxy-cut`, `proxy-copy`, `proxy-silence`, `proxy-half-close`, `proxy-reset`, `generator-stop`, `generator-slow`"#]].assert_eq(&messages.join("\n"));
 }
--- a/testbed/tests/lateness.rs
+++ b/testbed/tests/lateness.rs
@@ -44,9 +44,9 @@
 }
 
 #[test]
-fn run_in_time_is_sound() {
+fn run_in_time_is_valid() {
     let calm = late_by_work(&[(4, 5 * MS)]);
-    assert_eq!(judge(BOUNDS, &late_by(&[(4, 5 * MS)]), &calm, &calm), Verdict::Sound);
+    assert_eq!(judge(BOUNDS, &late_by(&[(4, 5 * MS)]), &calm, &calm), Verdict::Valid);
 }
 
 #[test]
@@ -92,10 +92,10 @@
     );
     // Lateness can only reduce the benefit: only the part that was not earned is in doubt.
     let earned = LatenessBounds { missed: 0.009, ..BOUNDS };
-    assert_eq!(judge(earned, &requests, &late, &late), Verdict::Sound);
+    assert_eq!(judge(earned, &requests, &late, &late), Verdict::Valid);
     // With a longer latency objective the same machine is good enough.
     let slack = LatenessBounds { target: 800 * MS, ..BOUNDS };
-    assert_eq!(judge(slack, &requests, &late, &late), Verdict::Sound);
+    assert_eq!(judge(slack, &requests, &late, &late), Verdict::Valid);
 }
 
 #[test]
--- a/testbed/tests/runs.rs
+++ b/testbed/tests/runs.rs
@@ -26,7 +26,7 @@
     let (open, closed) = thread::scope(|scope| {
         let open = scope.spawn(|| played(&open, &router("random", None)));
         let closed = scope.spawn(|| played(&closed, &router("random", None)));
-        (open.join().expect("played").figures, closed.join().expect("played").figures)
+        (open.join().expect("the open loop").figures, closed.join().expect("the closed loop").figures)
     });
     let describe = |figures: &Figures| {
         let end = &figures.until_end;
@@ -47,7 +47,7 @@
 fn stalled_generator_voids_its_run() {
     let stop = "[load]\nrate = 200\n[[faults]]\nkind = \"generator-stop\"\nfrom_s = 1.0\nto_s = 1.3";
     let run = played(&experiment("seconds = 2.0", stop), &router("random", None));
-    let void = run.void.clone().expect("it is void");
+    let void = run.void.clone().expect("a void run");
     assert!(void.starts_with("the generator was late:"), "{void}");
     assert!(breaches(&run).is_empty(), "the generator's stop is no breach: {:#?}", breaches(&run));
 }
@@ -56,7 +56,7 @@
 fn slow_generator_voids_its_run_by_the_testbeds_own_fault() {
     let slow = "[load]\nrate = 200\n[[faults]]\nkind = \"generator-slow\"\nfactor = 4.0\nfrom_s = 0.0";
     let run = played(&experiment("seconds = 2.0", slow), &router("random", None));
-    let void = run.void.clone().expect("it is void");
+    let void = run.void.clone().expect("a void run");
     assert!(void.starts_with("the generator was late:") && void.ends_with("the testbed's own"), "{void}");
     assert!(run.warning.is_none() && run.figures.late_part > 0.2, "{void}");
 }
@@ -68,9 +68,10 @@
                 [[faults]]\nkind = \"slow\"\nhosts = \"all\"\nfactor = 100\nfrom_s = 0.0\n\
                 [[faults]]\nkind = \"balancer-kill\"\nbalancer = 0\nfrom_s = 1.0\nto_s = 1.5";
     let top = "seconds = 2.5";
-    let two = |retry: &str| larger(top, &slow.replace("kind = \"RETRY\"", retry));
-    for (retry, again) in [("kind = \"none\"", false), ("kind = \"after\", times = 5, pause_ms = 50", true)] {
-        let run = played(&two(retry), &router("least-in-flight", None));
+    let with_retry = |retry: &str| larger(top, &slow.replace("kind = \"RETRY\"", retry));
+    for (retry, retries) in [("kind = \"none\"", false), ("kind = \"after\", times = 5, pause_ms = 50", true)]
+    {
+        let run = played(&with_retry(retry), &router("least-in-flight", None));
         let figures = &run.figures;
         let sum = figures.served
             + figures.rejected
@@ -82,7 +83,7 @@
         assert!(breaches(&run).is_empty(), "a kill is no breach: {:#?}", breaches(&run));
         // At-most-once requests are not retried even with client retries.
         assert!(
-            if again { figures.client_attempts > figures.requests } else { figures.lost > 5 },
+            if retries { figures.client_attempts > figures.requests } else { figures.lost > 5 },
             "{retry}: {figures:?}"
         );
         assert!(figures.served * 2 > figures.requests, "{retry}: {figures:?}");
