--- a/adapter/src/protocol/events.rs
+++ b/adapter/src/protocol/events.rs
@@ -93,7 +93,7 @@
     PeerMessage,
 }
 
-/// The types of [`Event`]: an event of another type is skipped, a malformed one of these an error.
+/// The types of [`Event`]. A malformed event of these is an error; one of another type is skipped.
 const EVENT_TYPES: [&str; 11] = [
     "SPAWN",
     "DETACH",
--- a/balancer/src/config.rs
+++ b/balancer/src/config.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The variable that names the configuration file is missing.
-    #[error("PROXY_CONFIG is not set")]
+    #[error("PROXY_CONFIG is not set: expected the path of the configuration file")]
     NotSet,
     /// The configuration file can't be read.
     #[error("PROXY_CONFIG {path}: {cause}")]
--- a/balancer/src/discovery/watch.rs
+++ b/balancer/src/discovery/watch.rs
@@ -25,8 +25,8 @@
     schedule: WatchSchedule,
 }
 
-/// The watch at one address.
-struct WatchAt<'a> {
+/// The watch of the list at one address.
+struct AddressWatch<'a> {
     shared: &'a Shared,
     schedule: &'a mut WatchSchedule,
     client: DiscoveryClient<'a>,
@@ -56,14 +56,14 @@
     pub async fn run(mut self) {
         loop {
             let address = *self.address.borrow_and_update();
-            let watch_at = WatchAt {
+            let address_watch = AddressWatch {
                 shared: &self.shared,
                 schedule: &mut self.schedule,
                 client: DiscoveryClient::new(address, &self.shared.loop_profile),
                 state: WatchState::Calling,
             };
             tokio::select! {
-                () = watch_at.run() => {}
+                () = address_watch.run() => {}
                 moved = self.address.changed() => match moved {
                     Ok(()) => self.schedule.discovery_moved(),
                     Err(_) => return,
@@ -73,7 +73,7 @@
     }
 }
 
-impl WatchAt<'_> {
+impl AddressWatch<'_> {
     /// Alternates between call and pause; never returns.
     async fn run(mut self) {
         loop {
--- a/balancer/src/lifecycle.rs
+++ b/balancer/src/lifecycle.rs
@@ -16,7 +16,7 @@
     /// After SIGTERM or SIGINT, if another process accepts: each connection is closed after its
     /// next answer.
     Takeover,
-    /// No connection is accepted; each is closed as soon as all its requests are answered.
+    /// No connection is accepted; an open one is closed once all its requests are answered.
     Closing,
     /// All open requests have got their final answers, and new ones are rejected. Connections are
     /// closed once these answers are written.
--- a/balancer/src/listener.rs
+++ b/balancer/src/listener.rs
@@ -45,7 +45,7 @@
             ListenError::Inherited { cause: InheritedError::Io(cause), .. } => cause,
             ListenError::Inherited { .. } => return false,
         };
-        // Permanent: another program or another machine has the address, or it is forbidden.
+        // Permanent: another program has the address, this machine does not, or it is forbidden.
         let is_address = matches!(
             cause.kind(),
             io::ErrorKind::AddrInUse | io::ErrorKind::AddrNotAvailable | io::ErrorKind::PermissionDenied
@@ -89,8 +89,8 @@
     socket.listen(BACKLOG)
 }
 
-/// Takes the listening socket that was inherited as this descriptor. It must not be shut down: that
-/// would stop it for every process that holds it.
+/// Takes the listening socket that was inherited as this descriptor. The socket must not be shut
+/// down: it would stop listening for every process that holds it.
 ///
 /// # Errors
 /// [`ListenError::Inherited`] if the descriptor is not a socket that listens on this address.
--- a/balancer/src/process/mod.rs
+++ b/balancer/src/process/mod.rs
@@ -47,10 +47,10 @@
     tasks: JoinSet<()>,
 }
 
-/// The phases from the signal that ends the process to the exit.
+/// The phases from SIGTERM or SIGINT to the exit.
 struct Shutdown {
     phase: Rc<watch::Sender<Phase>>,
-    /// The phase that begins with that signal.
+    /// The phase that begins with SIGTERM or SIGINT.
     first_phase: Phase,
     /// How long accepted requests may take to be answered.
     answer_time: Duration,
--- a/balancer/src/process/retry.rs
+++ b/balancer/src/process/retry.rs
@@ -17,14 +17,14 @@
     is_temporary: impl Fn(&E) -> bool,
     mut call: impl FnMut() -> Result<T, E>,
 ) -> Result<T, E> {
-    let give_up_at = Instant::now() + span;
+    let deadline = Instant::now() + span;
     let mut is_first = true;
     loop {
         let cause = match call() {
             Ok(value) => return Ok(value),
             Err(cause) => cause,
         };
-        if !is_temporary(&cause) || Instant::now() >= give_up_at {
+        if !is_temporary(&cause) || Instant::now() >= deadline {
             return Err(cause);
         }
         if is_first {
--- a/balancer/src/takeover.rs
+++ b/balancer/src/takeover.rs
@@ -41,12 +41,12 @@
 }
 
 impl LimitShare {
-    /// The value of this share of the limit `whole`.
-    pub fn of(self, whole: usize) -> usize {
+    /// The value of this share of `limit`.
+    pub fn of(self, limit: usize) -> usize {
         match self {
-            LimitShare::Alone => whole - whole / 3,
-            LimitShare::Beginning => whole / 3,
-            LimitShare::Half => whole / 2,
+            LimitShare::Alone => limit - limit / 3,
+            LimitShare::Beginning => limit / 3,
+            LimitShare::Half => limit / 2,
         }
     }
 }
@@ -92,7 +92,7 @@
 
 #[derive(Debug, thiserror::Error)]
 enum UnusableRecord {
-    #[error("the record is older than {} s, or its time is in the future", MAX_RECORD_AGE.as_secs())]
+    #[error("the record's time is more than {} s in the past or the future", MAX_RECORD_AGE.as_secs())]
     TooOld,
     #[error("the record is longer than {} bytes", handover::MAX_RECORD_BYTES)]
     TooLong,
--- a/balancer/src/takeover/tests.rs
+++ b/balancer/src/takeover/tests.rs
@@ -20,7 +20,7 @@
 
     let new = acquire(&folder);
     assert_eq!(new.limit_share(), LimitShare::Beginning);
-    let earlier = old.started_at.checked_sub(SETTLING_TIME).expect("a time before");
+    let earlier = old.started_at.checked_sub(SETTLING_TIME).expect("an earlier time");
     let old = ProcessSlot { started_at: earlier, ..old };
     assert_eq!(old.limit_share(), LimitShare::Half);
     assert_eq!(acquire(&folder).limit_share(), LimitShare::Half);
--- a/balancer/tests/endings.rs
+++ b/balancer/tests/endings.rs
@@ -278,7 +278,7 @@
     drop((release, holder));
 }
 
-/// Unread bytes fill the client's TCP window, and its close comes behind them: it is still
+/// Unread bytes fill the client's TCP window, and its close comes behind them. The close is still
 /// detected.
 #[test]
 fn departure_behind_a_full_window_abandons_the_requests() {
--- a/balancer/tests/regions/fleet.rs
+++ b/balancer/tests/regions/fleet.rs
@@ -100,7 +100,7 @@
     /// Accepts connections, and answers every key with `name`. Returns the counter of accepted
     /// connections.
     pub fn opened(self, name: &'static str) -> Arc<AtomicU32> {
-        self.socket.listen(128).expect("it listens");
+        self.socket.listen(128).expect("the host listens");
         let (listener, accepted) = (TcpListener::from(self.socket), self.accepted.clone());
         thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
--- a/balancer/tests/regions/hosts.rs
+++ b/balancer/tests/regions/hosts.rs
@@ -67,7 +67,7 @@
 fn drain_of_a_ring_host_is_honoured_with_any_zone_in_its_entry() {
     for invalid in [
         r#"{"instanceId":"a","lifecycle":"leaving"}"#,
-        r#"{"instanceId":"a","zone":"absurd","hostPort":"::","lifecycle":"left"}"#,
+        r#"{"instanceId":"a","zone":"unknown","hostPort":"::","lifecycle":"left"}"#,
         r#"{"instanceId":"a","zone":"s1","lifecycle":"leaving"}"#,
         r#"{"instanceId":"a","zone":[],"hostPort":7,"lifecycle":"leaving"}"#,
     ] {
@@ -178,7 +178,7 @@
     for (round, (change, awaited)) in [
         (r#"{"instanceId":"a","lifecycle":"leaving"}"#.to_owned(), "b"),
         (zoned_entry("a", "n2", a.address, "active"), "a"),
-        (zoned_entry("a", "absurd", a.address, "left"), "b"),
+        (zoned_entry("a", "unknown", a.address, "left"), "b"),
         (zoned_entry("c", "n1", a.address, "active"), "a"),
         (zoned_entry("d", "n1", a.address, "active"), "a"),
         (zoned_entry("d", "n1", a.address, "left"), "a"),
--- a/balancer/tests/regions/minimum.rs
+++ b/balancer/tests/regions/minimum.rs
@@ -5,24 +5,26 @@
 use crate::common::*;
 use crate::fleet::*;
 
-const SIX: [&str; 6] = ["n0", "n1", "n2", "n3", "n4", "n5"];
+const NORTH: [&str; 6] = ["n0", "n1", "n2", "n3", "n4", "n5"];
 const SOUTH: [&str; 2] = ["s0", "s1"];
 
 /// Starts with all six hosts of the north up, and applies lists in which only the named ones are
 /// up. Returns the hosts that serve after each list, and the counters of regions.
 fn trace_of_six_hosts(map: &str, lists: &[&[&str]]) -> String {
-    let (north, south) = (SIX.map(host_named), SOUTH.map(host_named));
+    let (north, south) = (NORTH.map(host_named), SOUTH.map(host_named));
     let discovery = Discovery::start();
     let list = |up: &[&str]| -> Vec<String> {
         let lifecycle = |name| if up.contains(name) { "active" } else { "leaving" };
-        let north =
-            SIX.iter().zip(&north).map(|(name, peer)| zoned_entry(name, "n1", peer.address, lifecycle(name)));
+        let north = NORTH
+            .iter()
+            .zip(&north)
+            .map(|(name, peer)| zoned_entry(name, "n1", peer.address, lifecycle(name)));
         let south =
             SOUTH.iter().zip(&south).map(|(name, peer)| zoned_entry(name, "s1", peer.address, "active"));
         north.chain(south).collect()
     };
-    let program = start_with_map(map, discovery.peer.address, &list(&SIX), SETTINGS);
-    let mut trace = vec![answering_hosts(&program, &SIX)];
+    let program = start_with_map(map, discovery.peer.address, &list(&NORTH), SETTINGS);
+    let mut trace = vec![answering_hosts(&program, &NORTH)];
     for (round, up) in lists.iter().enumerate() {
         discovery.publish(&list(up));
         wait_until_read(&discovery.peer, round + 2);
@@ -37,7 +39,7 @@
 
 #[test]
 fn region_that_loses_and_regains_hosts_serves_with_any_that_is_up() {
-    let lists = [&["n0", "n1", "n2", "n3", "n4"][..], &["n0"], &[], &["n3"], &["n3", "n1"], &SIX];
+    let lists = [&["n0", "n1", "n2", "n3", "n4"][..], &["n0"], &[], &["n3"], &["n3", "n1"], &NORTH];
     expect![[r#"
         n0 n1 n2 n3 n4 n5
         5: n0 n1 n2 n3 n4
@@ -64,7 +66,7 @@
         &["n3", "n1"],
         &["n3", "n1", "n0"],
         &["n3", "n1", "n0", "n5"],
-        &SIX,
+        &NORTH,
     ];
     expect![[r#"
         n0 n1 n2 n3 n4 n5
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -9,7 +9,7 @@
 //! [`WatchSchedule::succeeded`], or [`WatchSchedule::failed`], which returns the pause before the
 //! next call. Report [`WatchSchedule::discovery_moved`] when discovery's address changes. The first
 //! call is due at once: a change that discovery has while a balancer has no call open counts as
-//! delivered, and from then on the balancer has to treat draining hosts as such.
+//! delivered, and from then on a draining host in it must get no requests.
 //!
 //! [`StartTimes`] converts start times that a list gives by the wall clock to the caller's clock.
 //!
--- a/membership/src/schedule.rs
+++ b/membership/src/schedule.rs
@@ -39,9 +39,9 @@
 /// The longest pause after a call without an answer, before jitter.
 const MAX_PAUSE_AFTER_TIMEOUT: Micros = 300_000;
 
-/// The first pause after a refusal is this long for each balancer of the group, which spreads the
-/// calls: a discovery that gets more calls than it can serve still works on calls that it has
-/// refused already, and has to become idle first.
+/// The first pause after a refusal is this times the number of balancers, which spreads the calls: a
+/// discovery that gets more calls than it can serve still works on calls that it has refused
+/// already, and has to become idle first.
 const PAUSE_PER_BALANCER: Micros = 60_000;
 
 /// The maximum number of doublings of a pause or timeout, which keeps the shift in range.
@@ -63,9 +63,9 @@
 /// When to call discovery, and with which timeouts. All spans are in microseconds.
 pub struct WatchSchedule {
     rng: SeededRng,
-    /// The first pause after a call that was refused or answered with an invalid list.
+    /// The first pause after a call that was refused or got an invalid answer, before jitter.
     first_pause_after_refusal: Micros,
-    /// The longest pause after a call without an answer.
+    /// The longest pause after a call without an answer, before jitter.
     max_pause_after_timeout: Micros,
     known_version: Option<u64>,
     consecutive_failures: u32,
--- a/membership/src/start_times.rs
+++ b/membership/src/start_times.rs
@@ -66,8 +66,8 @@
             }
         }
         let converted = self.convert(listed, now);
-        // A host whose start differs from the last list has started since that list. A start before
-        // that list means that its machine's clock was set back, and can't be used.
+        // A host whose start differs from the last list has started since that list. An earlier
+        // start means that the clock of the host's machine was set back, and can't be used.
         let is_impossible = known.is_some() && converted < self.earliest_change();
         let at = if is_impossible { now } else { converted };
         self.starts.insert(host.to_owned(), KnownStart::Given { listed, at });
--- a/membership/tests/delivery_deadline.rs
+++ b/membership/tests/delivery_deadline.rs
@@ -1,5 +1,5 @@
 //! A changed list has to be in force at every balancer 6 s after discovery has it and is reachable,
-//! whatever calls were refused, unanswered, abandoned or answered invalidly before.
+//! whatever calls before were refused, unanswered or abandoned, or got an invalid answer.
 
 use basaltwood::types::Micros;
 use basaltwood_membership::{WatchConfig, WatchError, WatchSchedule, MAX_CALL_INTERVAL};
--- a/regions/src/file.rs
+++ b/regions/src/file.rs
@@ -62,14 +62,14 @@
         RegionEntry {
             name: raw.name.into_inner(),
             zones: raw.zones.into_inner().into_iter().map(Spanned::into_inner).collect(),
-            balancers: raw.balancers.as_ref().and_then(positive),
-            min_hosts: raw.min_hosts.as_ref().and_then(positive),
+            balancers: raw.balancers.as_ref().and_then(valid_count),
+            min_hosts: raw.min_hosts.as_ref().and_then(valid_count),
         }
     }
 }
 
 /// The value if it is a valid count: 1 to 4,294,967,295.
-fn positive(value: &Spanned<i64>) -> Option<u32> {
+fn valid_count(value: &Spanned<i64>) -> Option<u32> {
     u32::try_from(*value.get_ref()).ok().filter(|&count| count > 0)
 }
 
@@ -204,7 +204,7 @@
         value: Option<&Spanned<i64>>,
         remedy: &'static str,
     ) -> Result<(), RegionMapError> {
-        let Some(invalid) = value.filter(|value| positive(value).is_none()) else { return Ok(()) };
+        let Some(invalid) = value.filter(|value| valid_count(value).is_none()) else { return Ok(()) };
         let region = region.name.get_ref().clone();
         let problem = RegionMapProblem::CountOutOfRange { region, field, value: *invalid.get_ref(), remedy };
         Err(self.error(invalid, problem))
--- a/regions/src/hosts.rs
+++ b/regions/src/hosts.rs
@@ -50,9 +50,9 @@
         }
     }
 
-    /// Removes the host from the policy. The host is first set to draining: a policy with the
-    /// capability `keeps_dropped_hosts` goes on sending to a host that is only gone while it
-    /// answers.
+    /// Removes the host from the policy: it is draining first, then gone. With the capability
+    /// `keeps_dropped_hosts` the policy would go on sending to a host that is gone without a drain,
+    /// as long as the host answers.
     fn withdraw(&mut self, name: &str, map: &RegionMap, update: &mut RingUpdate<T>) {
         self.announced = false;
         update.hosts_removed += usize::from(self.lifecycle == Lifecycle::Up);
--- a/regions/src/update.rs
+++ b/regions/src/update.rs
@@ -20,7 +20,7 @@
 /// An event for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegionEvent {
-    /// A host is up in a zone that no region has, or has no zone (`None`); reported once per zone.
+    /// A cache host is up in a zone that no region has, or in none (`None`); reported once per zone.
     UnknownZone(Option<Box<str>>),
     /// Another region became the ring.
     RingChanged {
@@ -31,10 +31,10 @@
     },
 }
 
-/// Entries for the policy, in this order; they form a full list if a full list was applied.
+/// The result of [`Regions::apply`](crate::Regions::apply).
 #[derive(Debug, PartialEq)]
 pub struct RingUpdate<T> {
-    /// The entries for the policy.
+    /// Entries for the policy, in this order; a full list if a full list was applied.
     pub entries: Vec<ListedHost<T>>,
     /// Events for the log.
     pub events: Vec<RegionEvent>,
--- a/regions/tests/properties.rs
+++ b/regions/tests/properties.rs
@@ -145,7 +145,10 @@
             }
             for name in up.iter().filter(|(_, entry)| !entry.origin).map(|(name, _)| name) {
                 let in_ring = ring_of(&list, min_hosts).contains_key(name);
-                prop_assert!(in_ring || policy.hosts[name].dropped, "{name} is neither in the ring nor dropped by the list");
+                prop_assert!(
+                    in_ring || policy.hosts[name].dropped,
+                    "{name} is neither in the ring nor dropped by the list"
+                );
                 // A region's name and its zones begin with the same letter.
                 let zone = zones[name].as_deref().and_then(|zone| zone.chars().next());
                 prop_assert_eq!(zone, regions.ring().chars().next(), "{} is outside the ring", name);
--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -52,7 +52,7 @@
     },
 }
 
-/// A name that the looked-up table has no id for.
+/// A name that has no id in its table.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("unknown {kind} {name}")]
 pub struct UnknownName {
--- a/settings/src/operator_settings.rs
+++ b/settings/src/operator_settings.rs
@@ -105,7 +105,8 @@
     pub(crate) keeps_dropped_hosts: bool,
 }
 
-/// How much of a class's value depends on few of its requests missing the latency objective.
+/// The tail objective: the part of a class's value that is earned in full only while few of its
+/// requests miss the latency objective.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct ObjectiveMix {
