--- a/balancer/src/lifecycle.rs
+++ b/balancer/src/lifecycle.rs
@@ -1,6 +1,6 @@
 //! The phases of the process between start and exit.
 
-/// A phase of the process. Signals and admin requests lead from one to the next.
+/// A phase of the process. Signals and admin requests change it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// The process reads its configuration and begins to listen.
--- a/balancer/src/process/start.rs
+++ b/balancer/src/process/start.rs
@@ -54,7 +54,7 @@
 
 impl Process {
     /// Reads the configuration, assembles the process and listens. While this machine temporarily
-    /// lacks descriptors or memory, it waits and tries again.
+    /// lacks descriptors or memory, the process waits and tries again.
     ///
     /// # Errors
     /// [`StartError`] if the configuration can't be used, if the process can't listen on an
