--- a/balancer/src/lifecycle.rs
+++ b/balancer/src/lifecycle.rs
@@ -1,6 +1,6 @@
 //! The phases of the process between start and exit.
 
-/// A phase of the process. Signals and admin requests lead from one to the next.
+/// A phase of the process. Signals and admin requests change it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// The process reads its configuration and begins to listen.
@@ -16,7 +16,7 @@
     /// After SIGTERM or SIGINT, if another process accepts: each connection is closed after its
     /// next answer.
     Takeover,
-    /// No connection is accepted; each is closed as soon as all its requests are answered.
+    /// No connection is accepted; an open one is closed once all its requests are answered.
     Closing,
     /// All open requests have got their final answers, and new ones are rejected. Connections are
     /// closed once these answers are written.
