--- a/testbed/src/audit.rs
+++ b/testbed/src/audit.rs
@@ -1,9 +1,8 @@
-//! The audit: the four rules, judged from the side of the emulated world alone, request by request.
-//! Pure: it reads the events of a ledger ([`crate::ledger`]).
+//! The audit: checks the operators' four rules for each request, by what the emulated world saw.
+//! Does no I/O: it reads the events of a ledger ([`crate::ledger`]).
 //!
-//! It holds the rules as the operators write them. Where a time is compared,
-//! [`AuditSettings::slack`] is allowed on top: what the protocol grants, and the time by which the
-//! world's own threads were late.
+//! Each comparison of times allows [`AuditSettings::slack`]: the tolerance that the protocol grants,
+//! and the time by which the world's own threads were late.
 
 mod request;
 
@@ -18,25 +17,25 @@
 use crate::ledger::{EndpointStatus, Event, HostNo, Observation, RequestId};
 use crate::time::{Micros, SECOND};
 
-/// At most so many events are kept with a breach.
+/// Upper bound of events kept with a breach; events of the breach's own request are all kept.
 const MAX_EVENTS_PER_BREACH: usize = 24;
 
 /// The four rules, in the operators' order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Rule {
-    /// No request is lost: one final answer in time, the value made for it, nothing sent for it
-    /// after.
+    /// No request is lost: each gets one final answer in time, with a value made for it, and no
+    /// attempt begins after that.
     Answered,
-    /// Nothing takes effect twice.
+    /// No write takes effect twice.
     Once,
-    /// Drains are kept.
+    /// No attempt goes to a draining host after the grace period.
     Drain,
-    /// No host that warms up is overloaded, nor the origin by misses at such hosts.
+    /// No host is overloaded while it warms up, nor the origin by misses at such hosts.
     Cold,
 }
 
 impl Rule {
-    /// The rule's number on the operators' pages, from 1.
+    /// The rule's number in the operators' documentation, from 1.
     pub fn number(self) -> u8 {
         self as u8 + 1
     }
@@ -47,11 +46,12 @@
 pub struct Breach {
     /// The rule that was broken.
     pub rule: Rule,
-    /// When, in microseconds since the run began.
+    /// Time of the breach, in microseconds since the run began.
     pub at_us: Micros,
     /// What happened, in one line.
     pub what: String,
-    /// What was recorded of the same request, or of the second before where it is about none.
+    /// Events of the same request. For a breach that concerns no request: those that concern no
+    /// request either, from 1 s before to 0.1 s after the breach.
     pub around: Vec<String>,
 }
 
@@ -61,25 +61,25 @@
     }
 }
 
-/// What the audit has to know of the experiment.
+/// What the audit needs to know of the experiment.
 pub struct AuditSettings<'a> {
     /// The experiment's request classes, in the order in which events number them.
     pub categories: &'a [Category],
-    /// How many zones hosts are spread over.
+    /// Number of zones that hosts are spread over.
     pub zones: u32,
     /// How long after a drain's announcement attempts may still begin at the host.
     pub grace: Micros,
-    /// What is allowed on top of each time that is compared.
+    /// Tolerance of every comparison of times.
     pub slack: Micros,
 }
 
-/// Every breach, in the order of time.
+/// Returns all breaches, in order of time.
 pub fn audit(events: &[Event], settings: &AuditSettings) -> Vec<Breach> {
     let mut history = History::new(settings);
     for event in events {
         history.record(event.at, &event.observation);
     }
-    let mut findings = history.judge();
+    let mut findings = history.into_findings();
     findings.sort_by_key(|finding| (finding.at, finding.rule));
     findings.into_iter().map(|finding| finding.with_events(events)).collect()
 }
@@ -89,7 +89,7 @@
     rule: Rule,
     at: Micros,
     what: String,
-    /// The request that it is about, where it is about one.
+    /// The request that the breach concerns, if it concerns one.
     id: Option<RequestId>,
 }
 
@@ -100,14 +100,14 @@
     }
 }
 
-/// The events of the same request, or those about none from the second before.
+/// The events that [`Breach::around`] keeps for a breach at this time.
 fn events_around(events: &[Event], at: Micros, id: Option<RequestId>) -> Vec<String> {
     let is_related = |event: &&Event| match (event.observation.request_id(), id) {
         (Some(other), Some(id)) => other == id,
         (None, _) => (at - SECOND..=at + SECOND / 10).contains(&event.at),
         _ => false,
     };
-    // Its own events are kept before others, in the order of time all the same.
+    // Events of the request take precedence over others; all stay in order of time.
     let is_own = |event: &&Event| id.is_some() && event.observation.request_id() == id;
     let own = events.iter().filter(is_own).count();
     let mut others_left = MAX_EVENTS_PER_BREACH.saturating_sub(own);
@@ -123,13 +123,13 @@
     kept.map(line).collect()
 }
 
-/// What is known of the run up to an event.
+/// What the events read so far tell of the run.
 struct History<'a> {
     settings: &'a AuditSettings<'a>,
     requests: BTreeMap<RequestId, RequestHistory>,
-    /// When each balancer was killed.
+    /// The times at which each balancer was killed or ended by itself.
     kills: HashMap<usize, Vec<Micros>>,
-    /// Since when a balancer counts as informed that a host drains.
+    /// The time from which a balancer counts as informed that a host drains.
     drained_since: HashMap<(usize, HostNo), Micros>,
     findings: Vec<Finding>,
 }
@@ -158,7 +158,7 @@
             Observation::Unanswered { id } => self.request(*id).unanswered = true,
             Observation::UnsolicitedReply { balancer } => {
                 let what = format!("balancer {balancer} answered where nothing was asked, or a second time");
-                self.find(Rule::Answered, at, what, None);
+                self.add_finding(Rule::Answered, at, what, None);
             }
             Observation::AttemptReceived { id, host, balancer, began } => {
                 let attempt = Attempt::new(at, *began, *host);
@@ -169,14 +169,14 @@
                 self.request(*id).attempt_did_not_run(*host, at);
             }
             Observation::Executed { id, host, effect } => self.request(*id).attempt_ran(*host, *effect),
-            Observation::StatusAnnounced { balancer, host, standing }
-            | Observation::AnnouncementDue { balancer, host, standing } => {
-                self.announced(at, *balancer, *host, *standing);
+            Observation::StatusAnnounced { balancer, host, status }
+            | Observation::AnnouncementDue { balancer, host, status } => {
+                self.record_status(at, *balancer, *host, *status);
             }
             Observation::Overloaded { host, cold, by_cold_misses } => {
-                self.overloaded(at, *host, *cold, *by_cold_misses);
+                self.record_overload(at, *host, *cold, *by_cold_misses);
             }
-            Observation::BalancerProcess { balancer, up } => self.balancer_process(at, *balancer, *up),
+            Observation::BalancerProcess { balancer, up } => self.record_balancer_process(at, *balancer, *up),
             Observation::FaultBoundary { .. } => {}
         }
     }
@@ -185,7 +185,7 @@
         self.requests.entry(id).or_default()
     }
 
-    fn find(&mut self, rule: Rule, at: Micros, what: String, id: Option<RequestId>) {
+    fn add_finding(&mut self, rule: Rule, at: Micros, what: String, id: Option<RequestId>) {
         self.findings.push(Finding { rule, at, what, id });
     }
 
@@ -194,11 +194,11 @@
         if began > since + self.settings.grace + self.settings.slack {
             let elapsed_s = (began - since) as f64 / 1e6;
             let what = format!("balancer {balancer} sent op {id} to {host} {elapsed_s:.3} s after its drain");
-            self.find(Rule::Drain, at, what, Some(id));
+            self.add_finding(Rule::Drain, at, what, Some(id));
         }
     }
 
-    fn announced(&mut self, at: Micros, balancer: usize, host: HostNo, status: EndpointStatus) {
+    fn record_status(&mut self, at: Micros, balancer: usize, host: HostNo, status: EndpointStatus) {
         match status {
             EndpointStatus::Active => {
                 self.drained_since.remove(&(balancer, host));
@@ -209,25 +209,25 @@
         }
     }
 
-    fn overloaded(&mut self, at: Micros, host: HostNo, cold: bool, by_cold_misses: bool) {
+    fn record_overload(&mut self, at: Micros, host: HostNo, cold: bool, by_cold_misses: bool) {
         if host == HostNo::ORIGIN && by_cold_misses {
             let what = "the origin was pushed over by misses at cold hosts".to_owned();
-            self.find(Rule::Cold, at, what, None);
+            self.add_finding(Rule::Cold, at, what, None);
         } else if host != HostNo::ORIGIN && cold {
-            self.find(Rule::Cold, at, format!("{host} was pushed over while it was cold"), None);
+            self.add_finding(Rule::Cold, at, format!("{host} was pushed over while it was cold"), None);
         }
     }
 
-    fn balancer_process(&mut self, at: Micros, balancer: usize, up: bool) {
+    fn record_balancer_process(&mut self, at: Micros, balancer: usize, up: bool) {
         if !up {
             self.kills.entry(balancer).or_default().push(at);
         }
-        // A new process knows nothing yet but a list without those that had left.
+        // A new process starts from a list of its own, which omits hosts that have left.
         self.drained_since.retain(|(other, _), _| *other != balancer);
     }
 
-    /// Judges each request by all that was seen of it.
-    fn judge(mut self) -> Vec<Finding> {
+    /// Checks each request by its whole history, and returns all findings.
+    fn into_findings(mut self) -> Vec<Finding> {
         for (&id, request) in &self.requests {
             let was_killed = |from, to| {
                 let balancer = request.sent.as_ref().map(|sent| sent.balancer);
@@ -235,7 +235,7 @@
                 let near = from - RELEASED_AFTER_KILL..=to + RELEASED_AFTER_KILL;
                 kills.is_some_and(|kills| kills.iter().any(|at| near.contains(at)))
             };
-            for breach in request.judge(id, self.settings, &was_killed) {
+            for breach in request.breaches(id, self.settings, &was_killed) {
                 self.findings.push(Finding {
                     rule: breach.rule,
                     at: breach.at,
--- a/testbed/src/audit/request.rs
+++ b/testbed/src/audit/request.rs
@@ -1,14 +1,14 @@
-//! One request's history, and what rules 1 and 2 say of it.
+//! The history of one request, and its checks against rules 1 and 2.
 
 use super::{AuditSettings, Rule};
 use crate::experiment::{Category, DeduplicationScope, RetrySafety};
 use crate::ledger::{HostNo, Reply, RequestId};
 use crate::time::{millis, Micros, MS, SECOND};
 
-/// An attempt that begins later after its client has gone is a breach. Source: the operators' terms.
+/// Attempts may begin until this long after the client has left (from the operators' terms).
 const DEPARTURE_GRACE: Micros = 100 * MS;
 
-/// How a request left its client.
+/// A request as its client sent it.
 pub(super) struct SentRequest {
     pub(super) at: Micros,
     pub(super) balancer: usize,
@@ -18,12 +18,12 @@
 
 /// One attempt of a balancer at a host.
 pub(super) struct Attempt {
-    /// When its last byte came.
+    /// When the host received its last byte.
     at: Micros,
-    /// When its first byte came.
+    /// When the host received its first byte.
     began: Micros,
     host: HostNo,
-    /// When it was known not to have run: rejected, or the key was missing.
+    /// When the host answered that the attempt did not run: rejected, or the key was missing.
     did_not_run_at: Option<Micros>,
     ran: bool,
 }
@@ -37,19 +37,19 @@
         self.did_not_run_at.is_none() && !self.ran
     }
 
-    /// Whether it was known by then that it had not run.
+    /// Whether the host had answered by `by` that the attempt did not run.
     fn known_not_run_by(&self, by: Micros) -> bool {
         self.did_not_run_at.is_some_and(|at| at <= by)
     }
 }
 
-/// All that was seen of one request.
+/// Everything recorded of one request.
 #[derive(Default)]
 pub(super) struct RequestHistory {
     pub(super) sent: Option<SentRequest>,
     pub(super) replies: Vec<(Micros, Reply)>,
     pub(super) client_left_at: Option<Micros>,
-    /// When the replies before its own had come, if it had to wait for any.
+    /// When the last earlier reply on the connection came, if the request had to wait for one.
     pub(super) next_at: Option<Micros>,
     pub(super) connection_closed_at: Option<Micros>,
     pub(super) unanswered: bool,
@@ -57,7 +57,7 @@
     effects: u32,
 }
 
-/// A breach by one request.
+/// A breach of a rule that concerns one request.
 pub(super) struct RequestBreach {
     pub(super) rule: Rule,
     pub(super) at: Micros,
@@ -82,9 +82,9 @@
         self.attempts.iter_mut().find(|attempt| attempt.host == host && attempt.is_open())
     }
 
-    /// The breaches of this request. `was_killed` says whether its balancer was killed near a span
-    /// of time.
-    pub(super) fn judge(
+    /// Returns the breaches of this request. `was_killed` tells whether its balancer was killed
+    /// close to a span of time.
+    pub(super) fn breaches(
         &self,
         id: RequestId,
         settings: &AuditSettings,
@@ -92,45 +92,45 @@
     ) -> Vec<RequestBreach> {
         let mut breaches = Vec::new();
         let Some(sent) = &self.sent else {
-            self.judge_unsent(id, &mut breaches);
+            self.check_unsent(id, &mut breaches);
             return breaches;
         };
         let Some(category) = settings.categories.get(sent.category) else { return breaches };
-        let mut judge = Judge { id, request: self, sent, category, settings, breaches };
-        judge.final_answer(was_killed);
-        judge.values();
-        judge.attempts_after_end();
-        judge.attempts_after_departure();
+        let mut checks = RequestChecks { id, request: self, sent, category, settings, breaches };
+        checks.check_final_answer(was_killed);
+        checks.check_values();
+        checks.check_attempts_after_end();
+        checks.check_attempts_after_departure();
         match category.retry_safety {
             RetrySafety::Idempotent => {}
-            RetrySafety::AtMostOnce => judge.at_most_once(),
-            RetrySafety::Deduplicated => judge.deduplicated(),
+            RetrySafety::AtMostOnce => checks.check_at_most_once(),
+            RetrySafety::Deduplicated => checks.check_deduplicated(),
         }
-        judge.breaches
+        checks.breaches
     }
 
-    fn judge_unsent(&self, id: RequestId, breaches: &mut Vec<RequestBreach>) {
+    fn check_unsent(&self, id: RequestId, breaches: &mut Vec<RequestBreach>) {
         let Some(attempt) = self.attempts.first() else { return };
-        // The request's last byte may have gone out as the client went away.
+        // The client may have written the last byte just before it left, without recording that.
         if self.client_left_at.is_none() && self.connection_closed_at.is_none() && !self.unanswered {
             let what = format!("{} was sent op {id} that nobody asked", attempt.host);
             breaches.push(RequestBreach { rule: Rule::Answered, at: attempt.at, what });
         }
     }
 
-    /// When it was answered `-BUSY`, if it was.
+    /// The time of its `-BUSY` reply, if there was one.
     fn rejected_at(&self) -> Option<Micros> {
         self.replies.iter().find(|(_, reply)| *reply == Reply::Busy).map(|&(at, _)| at)
     }
 
-    /// Whether, by what was known then, an attempt sent until then may have run.
+    /// Whether, by what was known at `at`, an attempt received until then may have run.
     fn may_have_run_by(&self, at: Micros) -> bool {
         self.attempts.iter().any(|attempt| attempt.at <= at && !attempt.known_not_run_by(at))
     }
 }
 
-/// Judges one request that was sent.
-struct Judge<'a> {
+/// Checks one request that was sent, and collects its breaches.
+struct RequestChecks<'a> {
     id: RequestId,
     request: &'a RequestHistory,
     sent: &'a SentRequest,
@@ -139,7 +139,7 @@
     breaches: Vec<RequestBreach>,
 }
 
-impl Judge<'_> {
+impl RequestChecks<'_> {
     fn add(&mut self, rule: Rule, at: Micros, what: String) {
         self.breaches.push(RequestBreach { rule, at, what });
     }
@@ -149,7 +149,7 @@
     }
 
     /// Rule 1: one final answer in time.
-    fn final_answer(&mut self, was_killed: &dyn Fn(Micros, Micros) -> bool) {
+    fn check_final_answer(&mut self, was_killed: &dyn Fn(Micros, Micros) -> bool) {
         let SentRequest { at: sent_at, balancer, deadline, .. } = *self.sent;
         let id = self.id;
         let due = self.request.next_at.map_or(deadline, |next_at| next_at.max(deadline));
@@ -170,8 +170,8 @@
         }
     }
 
-    /// Rule 1: a served value was made for this request, by a host.
-    fn values(&mut self) {
+    /// Rule 1: a served value was made for this request, by a host that received an attempt.
+    fn check_values(&mut self) {
         let (id, request) = (self.id, self.request);
         for &(at, reply) in &request.replies {
             let made = request.attempts.iter().any(|attempt| attempt.ran && attempt.at <= at);
@@ -190,7 +190,7 @@
     }
 
     /// Rule 1: no attempt begins after the final answer or the deadline.
-    fn attempts_after_end(&mut self) {
+    fn check_attempts_after_end(&mut self) {
         let deadline = self.sent.deadline;
         let end = self.answered_at().unwrap_or(deadline).min(deadline);
         for attempt in &self.request.attempts {
@@ -202,8 +202,8 @@
         }
     }
 
-    /// Rule 1: no attempt begins over a tenth of a second after the client has gone.
-    fn attempts_after_departure(&mut self) {
+    /// Rule 1: no attempt begins later than [`DEPARTURE_GRACE`] after the client has left.
+    fn check_attempts_after_departure(&mut self) {
         let Some(left_at) = self.request.client_left_at else { return };
         for attempt in &self.request.attempts {
             if attempt.began > left_at + DEPARTURE_GRACE + self.settings.slack {
@@ -215,8 +215,8 @@
         }
     }
 
-    /// Rule 2 for requests that may run once at most.
-    fn at_most_once(&mut self) {
+    /// Rule 2 for requests that may run at most once.
+    fn check_at_most_once(&mut self) {
         let (id, request) = (self.id, self.request);
         for (nth, attempt) in request.attempts.iter().enumerate().skip(1) {
             let mut earlier = request.attempts[..nth].iter();
@@ -228,30 +228,30 @@
         if let Some(at) = request.rejected_at().filter(|&at| request.may_have_run_by(at)) {
             self.add(Rule::Once, at, format!("at-most-once op {id} was nacked though it may have run"));
         }
-        self.effects("at-most-once");
+        self.check_effects("at-most-once");
     }
 
-    /// Rule 2 for requests that hosts deduplicate, within a group of hosts and for a time.
-    fn deduplicated(&mut self) {
+    /// Rule 2 for requests that hosts deduplicate, within a group of hosts and a window of time.
+    fn check_deduplicated(&mut self) {
         let (id, request) = (self.id, self.request);
         for (nth, attempt) in request.attempts.iter().enumerate().skip(1) {
             let mut earlier = request.attempts[..nth].iter();
             if let Some(first) = earlier.find(|earlier| !earlier.known_not_run_by(attempt.at)) {
-                self.deduplicated_retry(first, attempt);
+                self.check_deduplicated_retry(first, attempt);
             }
         }
-        // Hosts of all groups deduplicate together: then a client that tries again does no harm.
+        // If all hosts deduplicate together, a client's retry after `-BUSY` can't take effect twice.
         let rejected_at =
             request.rejected_at().filter(|_| self.category.deduplication_scope != DeduplicationScope::All);
         if let Some(at) = rejected_at.filter(|&at| request.may_have_run_by(at)) {
             let what = format!("deduplicated op {id} was nacked though it may have run in one group");
             self.add(Rule::Once, at, what);
         }
-        self.effects("deduplicated");
+        self.check_effects("deduplicated");
     }
 
-    /// `first` may have run as `retry` was sent.
-    fn deduplicated_retry(&mut self, first: &Attempt, retry: &Attempt) {
+    /// Checks the group and window of a retry that was sent while `first` may have run.
+    fn check_deduplicated_retry(&mut self, first: &Attempt, retry: &Attempt) {
         let id = self.id;
         if self.scope_of(first.host) != self.scope_of(retry.host) {
             let what = format!("deduplicated op {id} left its group: {}, then {}", first.host, retry.host);
@@ -262,8 +262,8 @@
         }
     }
 
-    /// Rule 2: what the hosts have seen themselves.
-    fn effects(&mut self, safety: &str) {
+    /// Rule 2: hosts recorded at most one effect of the request.
+    fn check_effects(&mut self, safety: &str) {
         let effects = self.request.effects;
         if effects > 1 {
             let at = self.request.attempts.last().map_or(self.sent.at, |attempt| attempt.at);
@@ -275,7 +275,7 @@
     fn scope_of(&self, host: HostNo) -> u32 {
         match self.category.deduplication_scope {
             DeduplicationScope::All => 0,
-            // The origin stands in the first zone.
+            // The origin is in the first zone.
             DeduplicationScope::Zone if host == HostNo::ORIGIN => 0,
             DeduplicationScope::Zone => host.0 % self.settings.zones.max(1),
             DeduplicationScope::Cell => host.0,
--- a/testbed/src/balancers/mod.rs
+++ b/testbed/src/balancers/mod.rs
@@ -1,6 +1,5 @@
-//! The balancers of a run: started as programs with a file of their own, watched through /proc,
-//! killed and started again by the script. Only what was started here is ever ended, by its process
-//! id.
+//! The balancer processes of a run: each is started with its own settings file, observed through
+//! /proc, and killed and restarted by the script. Signals go only to processes started here.
 
 mod program;
 mod usage;
@@ -26,64 +25,67 @@
 pub use program::{Program, ProgramError};
 pub use usage::ResourceUsage;
 
-/// The environment variable that names a balancer's map of zones to regions.
+/// Environment variable with the path of a balancer's map of zones to regions.
 const REGIONS_VARIABLE: &str = "BASALTWOOD_REGIONS";
-/// How long a balancer may take until it serves.
+/// Time within which a started balancer must answer PING.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// How long balancers may take to write their counters.
+/// Time that balancers are given to write their counters to their logs.
 const COUNTERS_TIMEOUT: Duration = Duration::from_millis(500);
 const COUNTERS_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The time by which a balancer that was killed has surely let go of its connections, as its
-/// clients see it.
+/// Time after a kill by which clients have surely seen all the balancer's connections close, in
+/// microseconds.
 pub const RELEASED_AFTER_KILL: Micros = 500_000;
 
-/// Why balancers do not serve.
+/// Why balancers could not be started.
 #[derive(Debug, Error)]
 pub enum BalancerError {
-    /// No address could be had.
-    #[error("an address for balancer {balancer}: {cause}")]
+    /// No free address was found.
+    #[error("cannot reserve a loopback address for balancer {balancer}: {cause}")]
     Address {
         /// The balancer's number.
         balancer: usize,
-        /// Observation the system says.
+        /// The system's error.
         cause: std::io::Error,
     },
-    /// Its files could not be written, or its process not be started.
-    #[error("balancer {balancer}: {cause}")]
+    /// Its files could not be written, or its process could not be started.
+    #[error("cannot start balancer {balancer}: {cause}")]
     Start {
         /// The balancer's number.
         balancer: usize,
-        /// Observation the system says.
+        /// The system's error.
         cause: std::io::Error,
     },
-    /// Its process ended before it served.
-    #[error("balancer {balancer} ended with {status}: {last_line}")]
+    /// Its process ended before it answered PING.
+    #[error("balancer {balancer} ended with {status} before it was ready; last log line: {last_line}")]
     Ended {
         /// The balancer's number.
         balancer: usize,
-        /// How it ended.
+        /// The exit status.
         status: ExitStatus,
-        /// Of its log.
+        /// The last line of its log.
         last_line: String,
     },
-    /// It did not serve in time.
-    #[error("balancer {balancer} does not answer PING: {last_line}")]
+    /// It did not answer PING within [`START_TIMEOUT`].
+    #[error(
+        "balancer {balancer} does not answer PING after {} s; last log line: {last_line}",
+        START_TIMEOUT.as_secs()
+    )]
     NotReady {
         /// The balancer's number.
         balancer: usize,
-        /// Of its log.
+        /// The last line of its log.
         last_line: String,
     },
 }
 
-/// A process that runs.
+/// A running process.
 struct Process {
     child: Child,
-    /// The usage of earlier processes of this balancer.
+    /// Usage of the balancer's earlier processes.
     earlier_usage: ResourceUsage,
-    /// The most descriptors that were seen open.
+    /// The most descriptors seen open.
     peak_descriptors: usize,
 }
 
@@ -91,14 +93,14 @@
 struct Balancer {
     listen: SocketAddr,
     process: Option<Process>,
-    /// As it was sampled last, over all its processes.
+    /// The usage sampled last, summed over all its processes.
     usage: ResourceUsage,
-    /// How it ended by itself, if it did.
+    /// Exit status and last log line, if it ended by itself.
     unexpected_exit: Option<String>,
 }
 
 impl Balancer {
-    /// Ends the process outright, if it runs.
+    /// Kills the process with SIGKILL, if it runs.
     fn kill(&mut self) {
         if let Some(mut process) = self.process.take() {
             let _ = process.child.kill();
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Reads what the process uses; its status where it has ended by itself.
+    /// Samples the usage of the process; returns its exit status if it has ended by itself.
     fn sample_usage(&mut self) -> Option<ExitStatus> {
         let process = self.process.as_mut()?;
         if let Ok(Some(status)) = process.child.try_wait() {
@@ -131,8 +133,8 @@
     balancers: Vec<Balancer>,
 }
 
-/// All balancers of a run; clones are the same. Observation still runs when the last is dropped is
-/// ended.
+/// All balancers of a run. Clones share them; processes that still run when the last clone is
+/// dropped are killed.
 #[derive(Clone)]
 pub struct Balancers(Arc<Mutex<Inner>>);
 
@@ -143,11 +145,11 @@
 }
 
 impl Balancers {
-    /// Starts one for each bootstrap, and waits until all serve. Their files and logs go to
-    /// `folder`.
+    /// Starts a balancer for each bootstrap, and waits until all answer PING. Settings files and logs
+    /// go to `folder`.
     ///
     /// # Errors
-    /// Which did not come up, with the last line of its log.
+    /// The first balancer that did not start, with the last line of its log.
     pub fn start(
         program: Program,
         experiment: &Experiment,
@@ -185,12 +187,12 @@
         self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Where each listens.
+    /// The address of each balancer.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.inner().balancers.iter().map(|balancer| balancer.listen).collect()
     }
 
-    /// The processes that run now.
+    /// The ids of the processes that run now.
     pub fn process_ids(&self) -> Vec<u32> {
         let inner = self.inner();
         inner.process_ids()
@@ -215,7 +217,7 @@
         Err(BalancerError::NotReady { balancer: nth, last_line: self.inner().last_log_line(nth) })
     }
 
-    /// Kills one outright.
+    /// Kills a balancer with SIGKILL.
     pub fn kill(&self, nth: usize) {
         let mut inner = self.inner();
         inner.sample_usage();
@@ -223,16 +225,16 @@
         inner.balancers[nth].kill();
     }
 
-    /// Starts one again at its address, with the list as it stands now.
+    /// Starts a balancer again at its address, with the endpoint list `known`.
     pub fn restart(&self, nth: usize, known: &Value) {
         let mut inner = self.inner();
         match inner.spawn(nth, known) {
             Ok(()) => inner.ledger.note(Observation::BalancerProcess { balancer: nth, up: true }),
-            Err(cause) => log::warn!("{cause}"),
+            Err(cause) => log::warn!("restart failed: {cause}"),
         }
     }
 
-    /// Sends a signal to one that runs.
+    /// Sends a signal to a balancer, if it runs.
     pub fn signal(&self, nth: usize, signal: Signal) {
         let inner = self.inner();
         if let Some(process) = inner.balancers[nth].process.as_ref() {
@@ -240,14 +242,14 @@
         }
     }
 
-    /// Ends one as operators do, by SIGTERM, and by SIGKILL where it has not ended after `patience`.
+    /// Ends a balancer as operators do: by SIGTERM, then by SIGKILL if it still runs after `patience`.
     ///
     /// # Errors
-    /// How it ended, where that was neither well nor by that SIGKILL.
+    /// How it ended, if it ended on SIGTERM with another status than success.
     pub fn terminate(&self, nth: usize, patience: Duration) -> Result<(), String> {
         self.signal(nth, Signal::TERM);
         let Some(mut process) = self.inner().balancers[nth].process.take() else { return Ok(()) };
-        // Another disturbance may have stopped it, and finds it no more to let it go on.
+        // Another trouble may have stopped the process, and can't resume it once it is taken from here.
         send_signal(process.child.id(), Signal::CONT);
         let began = Instant::now();
         loop {
@@ -255,7 +257,9 @@
                 Ok(Some(status)) if status.success() => return Ok(()),
                 Ok(Some(status)) => {
                     let last_line = self.inner().last_log_line(nth);
-                    return Err(format!("balancer {nth} ended after SIGTERM with {status}: {last_line}"));
+                    return Err(format!(
+                        "balancer {nth} ended after SIGTERM with {status}; last log line: {last_line}"
+                    ));
                 }
                 Ok(None) if began.elapsed() < patience => std::thread::sleep(READY_POLL_INTERVAL),
                 _ => break,
@@ -266,35 +270,35 @@
         Ok(())
     }
 
-    /// Starts one that was ended again, at its address and with the list that it had at first.
-    pub fn start_again(&self, nth: usize) {
+    /// Starts a balancer again at its address, with the endpoint list of its first start.
+    pub fn restart_with_initial_list(&self, nth: usize) {
         let known = self.inner().bootstraps[nth].known.clone();
         self.restart(nth, &known);
     }
 
-    /// The faults of one's system calls, where its program has the preload library.
+    /// Control of a balancer's system call faults; `None` if it runs without the preload library.
     ///
     /// # Errors
-    /// The system's error if the control file can't be had.
+    /// The system's error if the control file can't be opened.
     pub fn faults(&self, nth: usize) -> std::io::Result<Option<FaultControl>> {
         let inner = self.inner();
         let library = inner.program.fault_library.as_ref();
         library.map(|library| FaultControl::open(&inner.faults_path(nth), library)).transpose()
     }
 
-    /// The lines in each log that hold this text.
+    /// The lines of each log that contain this text, by balancer.
     pub fn log_lines_with(&self, text: &str) -> Vec<Vec<String>> {
         let inner = self.inner();
         (0..inner.balancers.len()).map(|nth| inner.log_lines_with(nth, text)).collect()
     }
 
-    /// Observation each has used so far; also finds those that have ended by themselves.
+    /// Samples what each balancer has used so far, and notices those that have ended by themselves.
     pub fn sample_usage(&self) -> Vec<ResourceUsage> {
         self.inner().sample_usage()
     }
 
-    /// The counters of each, by name: SIGUSR1 makes a balancer write a line of `name=number` in its
-    /// log. For the end of a run: a program that does not know the signal ends by it.
+    /// The counters of each balancer, by name: SIGUSR1 makes a balancer log a line of `name=number`
+    /// words. Only for the end of a run: the signal ends a program that does not handle it.
     pub fn counters(&self) -> Vec<BTreeMap<String, u64>> {
         let before: Vec<usize> = {
             let inner = self.inner();
@@ -314,7 +318,7 @@
         }
     }
 
-    /// Those that ended by themselves, and how.
+    /// The balancers that ended by themselves, and how.
     pub fn unexpected_exits(&self) -> Vec<String> {
         let inner = self.inner();
         let mut exits = Vec::new();
@@ -333,7 +337,7 @@
         processes.map(|process| process.child.id()).collect()
     }
 
-    /// Starts the process of a balancer that has none, with a list of endpoints.
+    /// Starts the process of a balancer that has none, with the endpoint list `known`.
     fn spawn(&mut self, nth: usize, known: &Value) -> Result<(), BalancerError> {
         let child = self.spawn_process(nth, known);
         let child = child.map_err(|cause| BalancerError::Start { balancer: nth, cause })?;
@@ -373,22 +377,22 @@
             if let Some(status) = self.balancers[nth].sample_usage() {
                 let last_line = self.last_log_line(nth);
                 self.balancers[nth].unexpected_exit =
-                    Some(format!("ended by itself with {status}: {last_line}"));
+                    Some(format!("ended by itself with {status}; last log line: {last_line}"));
                 self.ledger.note(Observation::BalancerProcess { balancer: nth, up: false });
             }
         }
         self.balancers.iter().map(|balancer| balancer.usage).collect()
     }
 
-    /// The lines of counters in each log.
+    /// The lines with counters of each log, by balancer.
     fn counter_lines(&self) -> Vec<Vec<String>> {
         let log_lines = |nth| self.log_lines_with(nth, "counters: ");
         (0..self.balancers.len()).map(log_lines).collect()
     }
 
-    fn log_lines_with(&self, nth: usize, what: &str) -> Vec<String> {
+    fn log_lines_with(&self, nth: usize, text: &str) -> Vec<String> {
         let Ok(file) = File::open(self.folder.join(log_name(nth))) else { return Vec::new() };
-        BufReader::new(file).lines().map_while(Result::ok).filter(|line| line.contains(what)).collect()
+        BufReader::new(file).lines().map_while(Result::ok).filter(|line| line.contains(text)).collect()
     }
 
     fn last_log_line(&self, nth: usize) -> String {
@@ -397,11 +401,11 @@
     }
 }
 
-/// Sends a signal to a process that was started here.
+/// Sends a signal to a process that this module started.
 fn send_signal(process: u32, signal: Signal) {
     let sent = Pid::from_raw(process as i32).map(|pid| kill_process(pid, signal));
     if let Some(Err(cause)) = sent {
-        log::warn!("{signal:?} to process {process}: {cause}");
+        log::warn!("sending {signal:?} to process {process} failed: {cause}");
     }
 }
 
@@ -411,7 +415,8 @@
     pairs.filter_map(|(name, count)| Some((name.to_owned(), count.parse().ok()?))).collect()
 }
 
-/// Free now, and taken over at once: the address stays the same when the balancer starts again.
+/// Finds a free address with a fixed port, so that a restarted balancer can listen there again. The
+/// port is free until the balancer binds it, unless another process takes it first.
 fn free_address(nth: usize) -> Result<SocketAddr, BalancerError> {
     let any_port = SocketAddr::from((Ipv4Addr::new(127, 30, 0, nth as u8 + 1), 0));
     let free = TcpListener::bind(any_port).and_then(|listener| listener.local_addr());
--- a/testbed/src/balancers/program.rs
+++ b/testbed/src/balancers/program.rs
@@ -9,21 +9,21 @@
 /// Why an arm has no program.
 #[derive(Debug, Error)]
 pub enum ProgramError {
-    /// The place of this program, beside which others are looked for, is not known.
-    #[error("where this program lies: {0}")]
+    /// The path of this program, beside which others are looked for, could not be read.
+    #[error("cannot determine the path of the running program: {0}")]
     OwnPathUnknown(std::io::Error),
     /// The arm names two programs.
-    #[error("arm {arm}: a program or a baseline, not both")]
+    #[error("arm {arm} sets both `program` and `baseline`; set one of them")]
     Ambiguous {
         /// The arm's name.
         arm: String,
     },
-    /// There is no such file.
-    #[error("arm {arm}: there is no program {}: build it with `cargo build --release`", path.display())]
+    /// The program's file does not exist.
+    #[error("arm {arm}: program {} does not exist; build it with `cargo build --release`", path.display())]
     Missing {
         /// The arm's name.
         arm: String,
-        /// Where it was looked for.
+        /// The path that was tried.
         path: PathBuf,
     },
 }
@@ -31,22 +31,22 @@
 /// What an arm starts: the program and its arguments.
 #[derive(Clone, Debug)]
 pub struct Program {
-    /// The file.
+    /// The path of the executable.
     pub path: PathBuf,
     /// Its arguments.
     pub arguments: Vec<String>,
-    /// An operators' map of zones to regions, if it is given one.
+    /// The path of an operators' map of zones to regions, if any.
     pub regions: Option<PathBuf>,
-    /// The preload library by which its system calls are made to fail, if they are.
+    /// The preload library that injects faults into its system calls, if any.
     pub fault_library: Option<PathBuf>,
 }
 
 impl Program {
-    /// The program that an arm names, a baseline of this program, or else the balancer beside this
-    /// program.
+    /// The program that an arm names, the baseline router of this program that it names, or else the
+    /// balancer beside this program.
     ///
     /// # Errors
-    /// Where there is no such program; the text says what to build.
+    /// If the arm is ambiguous or its program does not exist; the text says how to build it.
     pub fn for_arm(arm: &Arm) -> Result<Program, ProgramError> {
         let regions = arm.regions.clone();
         let program = match (&arm.program, arm.baseline) {
--- a/testbed/src/balancers/usage.rs
+++ b/testbed/src/balancers/usage.rs
@@ -1,24 +1,24 @@
-//! What a process uses, read from /proc.
+//! The resource usage of a process, read from /proc.
 
 use std::path::{Path, PathBuf};
 
 use serde::{Deserialize, Serialize};
 
-/// What a process has used.
+/// The resources that a process has used.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct ResourceUsage {
     /// CPU time, in seconds.
     pub cpu_s: f64,
-    /// Resident memory now, in kB.
+    /// Current resident memory, in kB.
     pub resident_kb: u64,
-    /// The most resident memory so far, in kB.
+    /// Peak resident memory, in kB.
     pub peak_kb: u64,
     /// Open descriptors.
     pub descriptors: usize,
 }
 
 impl ResourceUsage {
-    /// Reads the usage of a process; `None` once it is gone.
+    /// Reads the usage of a process; `None` if it no longer exists.
     pub(super) fn of_process(id: u32) -> Option<ResourceUsage> {
         let folder = PathBuf::from(format!("/proc/{id}"));
         let status = std::fs::read_to_string(folder.join("status")).ok()?;
@@ -30,8 +30,8 @@
         })
     }
 
-    /// The usage of a process together with that of earlier ones in its place. `peak_descriptors`
-    /// is the most that was seen of it so far.
+    /// Adds the usage of earlier processes of the same balancer. `peak_descriptors` is the most
+    /// descriptors seen open in this process so far.
     pub(super) fn added_to(self, earlier: ResourceUsage, peak_descriptors: usize) -> ResourceUsage {
         ResourceUsage {
             cpu_s: earlier.cpu_s + self.cpu_s,
@@ -42,7 +42,7 @@
     }
 }
 
-/// Time on a core is given in nanoseconds: finer than the ticks of `stat`.
+/// CPU time from `schedstat`: its nanoseconds are finer than the ticks of `stat`.
 fn cpu_seconds(folder: &Path) -> Option<f64> {
     let schedstat = std::fs::read_to_string(folder.join("schedstat")).ok()?;
     let on_core_ns = schedstat.split(' ').next()?.trim().parse::<f64>().ok()?;
--- a/testbed/src/ledger.rs
+++ b/testbed/src/ledger.rs
@@ -1,5 +1,5 @@
-//! Everything that crossed the sockets of the emulated world, in the order in which it was
-//! recorded. The audit ([`crate::audit`]) and the figures ([`crate::figures`]) are made from it.
+//! The ledger: records everything that crosses the sockets of the emulated world. The audit
+//! ([`crate::audit`]) and the figures ([`crate::figures`]) are computed from it.
 
 use std::fmt;
 use std::sync::mpsc::{self, Receiver, Sender};
@@ -7,7 +7,7 @@
 
 use crate::time::{Clock, Micros};
 
-/// The id of a command: new with every try of a client.
+/// The id of a command; a client's retry gets a new one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
@@ -18,14 +18,14 @@
 }
 
 impl RequestId {
-    /// Reads the form that `Display` writes: 16 hexadecimal digits; `None` for anything else.
+    /// Parses the form that `Display` writes, 16 hexadecimal digits; `None` for anything else.
     pub fn read(text: &[u8]) -> Option<RequestId> {
         let text = std::str::from_utf8(text).ok().filter(|text| text.len() == 16)?;
         u64::from_str_radix(text, 16).ok().map(RequestId)
     }
 }
 
-/// The number of a machine of the emulated world; the origin is one too.
+/// The number of a machine of the emulated world, a cache host or the origin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct HostNo(pub u32);
 
@@ -48,16 +48,16 @@
 pub enum Reply {
     /// A value.
     Served {
-        /// Whether it is the value that was made for this request.
+        /// Whether the value was made for this request.
         own: bool,
     },
-    /// `-BUSY`: rejected, and it did not take effect.
+    /// `-BUSY`: rejected without effect.
     Busy,
     /// Any other error.
     Failed,
 }
 
-/// What discovery announces of a host.
+/// The status of a host that discovery announces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
     /// In service.
@@ -69,7 +69,7 @@
 }
 
 impl EndpointStatus {
-    /// The word under which results store it.
+    /// The word that stored results have for this status.
     fn stored_name(self) -> &'static str {
         match self {
             EndpointStatus::Active => "Up",
@@ -79,7 +79,7 @@
     }
 }
 
-/// One thing that was seen at a socket of the emulated world.
+/// One event at a socket of the emulated world, or of its script.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Observation {
     /// The last byte of a command was written to a balancer.
@@ -93,35 +93,35 @@
         /// When the answer is due.
         until: Micros,
     },
-    /// A final answer came.
+    /// The client received a final answer.
     ReplyReceived {
         /// The command.
         id: RequestId,
         /// The answer.
         answer: Reply,
     },
-    /// The client went away before its answer.
+    /// The client closed the connection before it received the answer.
     ClientLeft {
         /// The command.
         id: RequestId,
     },
-    /// The replies before this command's on its connection have come: the time until then does not
-    /// count.
+    /// The client received all replies that precede this command's on its connection. The answer is
+    /// not late while it waits for them.
     ReplyIsNext {
         /// The command.
         id: RequestId,
     },
-    /// The balancer ended the connection over the command.
+    /// The balancer closed the connection without answering the command.
     ConnectionClosed {
         /// The command.
         id: RequestId,
     },
-    /// No answer came by the deadline and the client's patience beyond.
+    /// No answer came by the deadline, nor in the time for which the client waited beyond it.
     Unanswered {
         /// The command.
         id: RequestId,
     },
-    /// Bytes came from a balancer that had no open request on that connection.
+    /// A balancer sent bytes on a connection with no open request.
     UnsolicitedReply {
         /// The balancer's index.
         balancer: usize,
@@ -134,30 +134,30 @@
         host: HostNo,
         /// The balancer's index.
         balancer: usize,
-        /// When the first byte came.
+        /// When the host received the first byte.
         began: Micros,
     },
-    /// The host answered -BUSY (or that it did not process the command): it never ran.
+    /// The host answered that it did not run the command (`-BUSY`, or HTTP `X-Unprocessed`).
     AttemptRejected {
         /// The command.
         id: RequestId,
         /// The machine.
         host: HostNo,
     },
-    /// The host lacked the key: no effect.
+    /// The host did not hold the key: no effect.
     KeyMissing {
         /// The command.
         id: RequestId,
         /// The machine.
         host: HostNo,
     },
-    /// The command ran.
+    /// The host ran the command.
     Executed {
         /// The command.
         id: RequestId,
         /// The machine.
         host: HostNo,
-        /// Whether it was a write that was no repeat.
+        /// Whether it was a write that took effect, not a repeat that the host dropped.
         effect: bool,
     },
     /// Discovery wrote the status of a host to a balancer.
@@ -167,9 +167,9 @@
         /// The machine.
         host: HostNo,
         /// The status written.
-        standing: EndpointStatus,
+        status: EndpointStatus,
     },
-    /// From now on a balancer counts as informed of a host's status, whether or not it polled
+    /// A balancer counts as informed of a host's status from now on, whether or not it called
     /// discovery.
     AnnouncementDue {
         /// The balancer's index.
@@ -177,9 +177,9 @@
         /// The machine.
         host: HostNo,
         /// The status.
-        standing: EndpointStatus,
+        status: EndpointStatus,
     },
-    /// A machine stopped under more load than it bears.
+    /// A machine went down because of too much load.
     Overloaded {
         /// The machine.
         host: HostNo,
@@ -188,7 +188,7 @@
         /// Whether misses at hosts that were warming up made most of the load (for the origin).
         by_cold_misses: bool,
     },
-    /// A balancer was started or killed.
+    /// A balancer process was restarted, or was killed or ended by itself.
     BalancerProcess {
         /// The balancer's index.
         balancer: usize,
@@ -204,8 +204,8 @@
     },
 }
 
-/// The form in which results store an observation (`around` of a breach). Its words are older than
-/// the names of the variants, and stay so that lines of old and new results can be compared.
+/// The form in which results store an observation (`around` of a breach). Its words differ from the
+/// names of the variants so that it stays comparable with earlier results.
 impl fmt::Display for Observation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -236,11 +236,11 @@
             Observation::Executed { id, host, effect } => {
                 write!(f, "Ran {{ id: Id({}), host: {host:?}, effect: {effect} }}", id.0)
             }
-            Observation::StatusAnnounced { balancer, host, standing } => {
-                write_status(f, "Told", *balancer, *host, *standing)
+            Observation::StatusAnnounced { balancer, host, status } => {
+                write_status(f, "Told", *balancer, *host, *status)
             }
-            Observation::AnnouncementDue { balancer, host, standing } => {
-                write_status(f, "Due", *balancer, *host, *standing)
+            Observation::AnnouncementDue { balancer, host, status } => {
+                write_status(f, "Due", *balancer, *host, *status)
             }
             Observation::Overloaded { host, cold, by_cold_misses } => {
                 write!(f, "Fell {{ host: {host:?}, cold: {cold}, by_cold_misses: {by_cold_misses} }}")
@@ -267,7 +267,7 @@
 }
 
 impl Observation {
-    /// The request that it is about, where it is about one.
+    /// The request that the observation concerns, if any.
     pub fn request_id(&self) -> Option<RequestId> {
         match self {
             Observation::RequestSent { id, .. }
@@ -288,9 +288,9 @@
 /// An observation with its time.
 #[derive(Clone, Debug)]
 pub struct Event {
-    /// Microseconds since the run began.
+    /// Time in microseconds since the run began.
     pub at: Micros,
-    /// What was seen.
+    /// What was observed.
     pub observation: Observation,
 }
 
@@ -299,8 +299,8 @@
 pub struct Ledger {
     /// The run's clock.
     pub clock: Clock,
-    // A channel and not a locked list: a thread that loses its core while it records holds up no
-    // other thread.
+    // A channel, not a list behind a lock: a thread that is preempted while it records an event must
+    // not block other threads.
     sender: Sender<Event>,
     receiver: Arc<Mutex<Receiver<Event>>>,
 }
@@ -312,13 +312,13 @@
         Ledger { clock, sender, receiver: Arc::new(Mutex::new(receiver)) }
     }
 
-    /// Records an observation, at the time of the call.
+    /// Records an observation with the current time.
     pub fn note(&self, observation: Observation) {
         // Sending can't fail: the receiver lives as long as this sender.
         let _ = self.sender.send(Event { at: self.clock.now(), observation });
     }
 
-    /// Takes all that was recorded since the last call, in the order of its times.
+    /// Takes all events recorded since the last call, in order of time.
     pub fn take(&self) -> Vec<Event> {
         let mut events: Vec<Event> = {
             let receiver = self.receiver.lock().unwrap_or_else(PoisonError::into_inner);
--- a/testbed/src/soak/disturbance.rs
+++ b/testbed/src/soak/disturbance.rs
@@ -1,4 +1,4 @@
-//! What a script does to balancer processes, carried out on threads beside the run.
+//! Carries out a script's process troubles on balancer processes, one thread for each trouble.
 
 use std::io::Write as _;
 use std::net::{SocketAddr, TcpStream};
@@ -14,86 +14,93 @@
 use crate::ledger::Ledger;
 use crate::time::{seconds, Micros, MS};
 
-/// How long a stopped process stands still: what the operators' page on real days allows.
+/// Time between SIGSTOP and SIGCONT: the longest stop that the operators' terms allow.
 const STALL: Duration = Duration::from_millis(150);
-/// Between two steps of a trouble that comes again and again.
-const INTERVAL: Duration = Duration::from_millis(450);
-/// Operators wait so long after SIGTERM before they kill, at the earliest: the longest deadline and
-/// 0.7 s more.
+/// Pause between two steps of a repeated trouble.
+const REPEAT_INTERVAL: Duration = Duration::from_millis(450);
+/// Time from SIGTERM to SIGKILL: the shortest that operators use, the longest deadline plus 0.7 s.
 const TERMINATE_PATIENCE: Duration = LONGEST_DEADLINE.saturating_add(Duration::from_millis(700));
-/// One turn of a process that has a share of a core, and the part of it that it runs.
+/// Period of a process that is limited to a share of a core.
 const SHARE_PERIOD: Duration = Duration::from_millis(20);
-const SHARE_RUNS: Duration = Duration::from_millis(2);
-/// Between two signals of a series.
+/// Time in each [`SHARE_PERIOD`] for which the process runs.
+const SHARE_RUN_TIME: Duration = Duration::from_millis(2);
+/// Pause after each signal of a series.
 const SERIES_INTERVAL: Duration = Duration::from_millis(5);
-/// What comes before the SIGTERM that ends a process, in a series.
+/// Signals sent before the final SIGTERM.
 const SERIES: [Signal; 5] = [Signal::HUP, Signal::USR1, Signal::TERM, Signal::HUP, Signal::TERM];
-/// How far a wall clock is stepped.
+/// Size of a step of the wall clock, in milliseconds.
 const CLOCK_STEP_MS: i64 = 3_600_000;
-/// Calls of a thousand that fail while a shortage lasts.
+/// Calls in a thousand that fail during a shortage.
 const SHORTAGE_RATE: u32 = 500;
+/// Calls in a thousand that are interrupted.
 const INTERRUPTION_RATE: u32 = 100;
-/// Of the balancers, one in so many is concerned.
-const CONCERNED: usize = 2;
-/// Connections of a crowd at each balancer.
-const CROWD: usize = 60;
+/// Each trouble affects one in this many balancers.
+const BALANCERS_PER_AFFECTED: usize = 2;
+/// Connections opened to each affected balancer by [`ProcessTrouble::Crowd`].
+const CROWD_CONNECTIONS: usize = 60;
 
-/// What came of the disturbances.
+/// Results of carrying out process troubles.
 #[derive(Clone, Debug, Default)]
-pub struct Disturbed {
-    /// Processes that ended other than they should, and how.
+pub struct DisturbanceReport {
+    /// Processes that did not end as expected, and how they ended.
     pub failures: Vec<String>,
-    /// When which balancers were told to end, in microseconds of the run, until they had.
+    /// Balancers that were told to end by SIGTERM.
     pub terminations: Vec<Termination>,
 }
 
-/// A balancer that was told to end.
+/// The termination of one balancer process. Times are in microseconds of the run.
 #[derive(Clone, Copy, Debug)]
 pub struct Termination {
-    /// Which.
+    /// The balancer's index.
     pub balancer: usize,
-    /// When it was told.
+    /// Time of the first signal.
     pub from: Micros,
-    /// When it had ended.
+    /// When the process had ended and its successor was started.
     pub to: Micros,
 }
 
-/// One trouble at the balancers that it concerns.
+/// One trouble and the balancers that it affects.
 struct Disturbance {
     balancers: Balancers,
     ledger: Ledger,
-    concerned: Vec<usize>,
+    affected: Vec<usize>,
     scripted: ScriptedTrouble,
 }
 
-/// Carries out all troubles, and returns when the last is over.
-pub fn disturb(
+/// Carries out all troubles concurrently, and returns when the last one is over.
+pub fn run_disturbances(
     troubles: &[(ProcessTrouble, ScriptedTrouble)],
     balancers: &Balancers,
     ledger: &Ledger,
-) -> Disturbed {
+) -> DisturbanceReport {
     let count = balancers.addresses().len();
-    let mut all = Disturbed::default();
+    let mut all = DisturbanceReport::default();
     thread::scope(|scope| {
-        let running: Vec<_> = troubles
+        let threads: Vec<_> = troubles
             .iter()
             .enumerate()
             .map(|(nth, &(trouble, scripted))| {
-                // Troubles concern other balancers each, and some concern the same.
-                let concerned = (0..count).filter(|balancer| (balancer + nth / 2) % CONCERNED == 0).collect();
+                // Troubles 0 and 1 affect the same balancers, trouble 2 affects the others.
+                let affected = (0..count)
+                    .filter(|balancer| (balancer + nth / 2) % BALANCERS_PER_AFFECTED == 0)
+                    .collect();
                 let (balancers, ledger) = (balancers.clone(), ledger.clone());
-                let disturbance = Disturbance { balancers, ledger, concerned, scripted };
+                let disturbance = Disturbance { balancers, ledger, affected, scripted };
                 scope.spawn(move || disturbance.run(trouble))
             })
             .collect();
-        for thread in running {
+        for thread in threads {
             match thread.join() {
-                Ok(Ok(disturbed)) => {
-                    all.failures.extend(disturbed.failures);
-                    all.terminations.extend(disturbed.terminations);
+                Ok(Ok(report)) => {
+                    all.failures.extend(report.failures);
+                    all.terminations.extend(report.terminations);
+                }
+                Ok(Err(cause)) => {
+                    all.failures.push(format!("the soak could not carry out a trouble: {cause}"))
+                }
+                Err(_) => {
+                    all.failures.push("a thread of the soak that carries out a trouble panicked".to_owned())
                 }
-                Ok(Err(cause)) => all.failures.push(format!("the soak itself: {cause}")),
-                Err(_) => all.failures.push("the soak itself: a disturbance panicked".to_owned()),
             }
         }
     });
@@ -101,12 +108,12 @@
 }
 
 impl Disturbance {
-    fn run(self, trouble: ProcessTrouble) -> std::io::Result<Disturbed> {
+    fn run(self, trouble: ProcessTrouble) -> std::io::Result<DisturbanceReport> {
         self.sleep_until(self.scripted.from_s);
         match trouble {
             ProcessTrouble::Terminate => return Ok(self.terminate_each(&[])),
             ProcessTrouble::SignalSeries => return Ok(self.terminate_each(&SERIES)),
-            ProcessTrouble::CoreShare => self.share_core(),
+            ProcessTrouble::CoreShare => self.limit_core_share(),
             ProcessTrouble::Reload => self.repeatedly(|balancers, nth| balancers.signal(nth, Signal::HUP)),
             ProcessTrouble::Stall => self.repeatedly(|balancers, nth| {
                 balancers.signal(nth, Signal::STOP);
@@ -134,9 +141,9 @@
                 self.repeatedly(|balancers, nth| balancers.signal(nth, Signal::HUP));
                 self.restore(&[Call::Open, Call::WriteFile])?;
             }
-            ProcessTrouble::Crowd => self.crowd(),
+            ProcessTrouble::Crowd => self.open_crowds(),
         }
-        Ok(Disturbed::default())
+        Ok(DisturbanceReport::default())
     }
 
     fn sleep_until(&self, at_s: f64) {
@@ -150,26 +157,26 @@
 
     fn repeatedly(&self, step: impl Fn(&Balancers, usize)) {
         while !self.is_over() {
-            self.concerned.iter().for_each(|&nth| step(&self.balancers, nth));
-            thread::sleep(INTERVAL);
+            self.affected.iter().for_each(|&nth| step(&self.balancers, nth));
+            thread::sleep(REPEAT_INTERVAL);
         }
     }
 
-    /// Each runs for a part of every short period.
-    fn share_core(&self) {
+    /// Lets affected processes run for [`SHARE_RUN_TIME`] in each [`SHARE_PERIOD`].
+    fn limit_core_share(&self) {
         while !self.is_over() {
-            self.concerned.iter().for_each(|&nth| self.balancers.signal(nth, Signal::STOP));
-            thread::sleep(SHARE_PERIOD - SHARE_RUNS);
-            self.concerned.iter().for_each(|&nth| self.balancers.signal(nth, Signal::CONT));
-            thread::sleep(SHARE_RUNS);
+            self.affected.iter().for_each(|&nth| self.balancers.signal(nth, Signal::STOP));
+            thread::sleep(SHARE_PERIOD - SHARE_RUN_TIME);
+            self.affected.iter().for_each(|&nth| self.balancers.signal(nth, Signal::CONT));
+            thread::sleep(SHARE_RUN_TIME);
         }
     }
 
-    /// One after the other, evenly over the time; each is started again once it has ended. The series
-    /// of signals comes first.
-    fn terminate_each(&self, series: &[Signal]) -> Disturbed {
-        let mut disturbed = Disturbed::default();
-        for &balancer in &self.concerned {
+    /// Ends affected balancers one after the other, each by the series and a SIGTERM, and restarts
+    /// each once it has ended. Stops early when the trouble's time is over.
+    fn terminate_each(&self, series: &[Signal]) -> DisturbanceReport {
+        let mut report = DisturbanceReport::default();
+        for &balancer in &self.affected {
             if self.is_over() {
                 break;
             }
@@ -179,16 +186,16 @@
                 thread::sleep(SERIES_INTERVAL);
             }
             if let Err(failure) = self.balancers.terminate(balancer, TERMINATE_PATIENCE) {
-                disturbed.failures.push(failure);
+                report.failures.push(failure);
             }
-            self.balancers.start_again(balancer);
-            disturbed.terminations.push(Termination { balancer, from, to: self.ledger.clock.now() });
+            self.balancers.restart_with_initial_list(balancer);
+            report.terminations.push(Termination { balancer, from, to: self.ledger.clock.now() });
         }
-        disturbed
+        report
     }
 
     fn controls(&self) -> std::io::Result<Vec<FaultControl>> {
-        let controls = self.concerned.iter().map(|&nth| self.balancers.faults(nth));
+        let controls = self.affected.iter().map(|&nth| self.balancers.faults(nth));
         controls.filter_map(Result::transpose).collect()
     }
 
@@ -221,21 +228,24 @@
         Ok(())
     }
 
-    fn crowd(&self) {
+    fn open_crowds(&self) {
         let addresses = self.balancers.addresses();
         let mut held: Vec<TcpStream> = Vec::new();
         while !self.is_over() {
             held.clear();
-            for &nth in &self.concerned {
-                held.extend((0..CROWD).filter_map(|number| rude_client(addresses[nth], number)));
+            for &nth in &self.affected {
+                held.extend(
+                    (0..CROWD_CONNECTIONS)
+                        .filter_map(|number| open_unfinished_connection(addresses[nth], number)),
+                );
             }
-            thread::sleep(INTERVAL * 2);
+            thread::sleep(REPEAT_INTERVAL * 2);
         }
     }
 }
 
-/// A connection that sends nothing, half a command, or a command with nothing to be done for.
-fn rude_client(address: SocketAddr, number: usize) -> Option<TcpStream> {
+/// Opens a connection that sends nothing, half a command, or commands whose replies it never reads.
+fn open_unfinished_connection(address: SocketAddr, number: usize) -> Option<TcpStream> {
     let mut stream = TcpStream::connect_timeout(&address, Duration::from_millis(100)).ok()?;
     let bytes: &[u8] = match number % 3 {
         0 => b"",
@@ -246,10 +256,11 @@
     Some(stream)
 }
 
-/// What an audit has to allow on top for these troubles: a stopped process is late by its stop.
-pub fn slack_of(troubles: &[(ProcessTrouble, ScriptedTrouble)]) -> Micros {
-    let stands_still = |trouble| matches!(trouble, ProcessTrouble::Stall | ProcessTrouble::CoreShare);
-    let stalls = troubles.iter().any(|(trouble, _)| stands_still(*trouble));
+/// Slack that the audit allows for these troubles: a stopped process answers later by the length of
+/// its stop; 50 ms more are allowed.
+pub fn audit_slack(troubles: &[(ProcessTrouble, ScriptedTrouble)]) -> Micros {
+    let stops_process = |trouble| matches!(trouble, ProcessTrouble::Stall | ProcessTrouble::CoreShare);
+    let stalls = troubles.iter().any(|(trouble, _)| stops_process(*trouble));
     if stalls {
         STALL.as_micros() as Micros + 50 * MS
     } else {
--- a/testbed/src/soak/mod.rs
+++ b/testbed/src/soak/mod.rs
@@ -1,11 +1,11 @@
-//! The soak: two or three troubles that overlap in time, drawn from a seed, against dozens of real
-//! balancer processes on loopback; judged from outside by the audit and from inside by the
-//! balancers' own invariants.
+//! The soak: runs dozens of real balancer processes on loopback under two or three overlapping
+//! troubles, drawn from a seed. The audit checks the traffic, and the balancers check their own
+//! invariants.
 //!
 //! Troubles are of three kinds: faults of the emulated world (hosts, origin, discovery, and the
-//! proxies on the way to them), what happens to the processes (signals, kills, stops), and their
-//! system calls and wall clock (by the preload library). A script that fails is cut down: troubles
-//! are taken out one by one while it still fails.
+//! proxies in front of them), signals to the processes (terminations, stops, reloads), and faults of
+//! their system calls and wall clock (injected by the preload library). A failing script is reduced:
+//! troubles are removed one by one while it still fails.
 
 pub mod disturbance;
 pub mod reduction;
--- a/testbed/src/soak/reduction.rs
+++ b/testbed/src/soak/reduction.rs
@@ -1,27 +1,28 @@
-//! Cuts a failing script down: troubles are taken out one by one while it still fails.
+//! Reduces a failing script: removes troubles one by one while it still fails.
 
 use super::script::Script;
 
-/// The shortest script found that still fails, by `fails`; `None` where it does not fail again.
+/// Returns the shortest script found for which `fails` holds; `None` if the failure of `script` can't
+/// be reproduced.
 ///
-/// Real sockets do not repeat a run to the microsecond: a script counts as failing if one of
-/// `attempts` plays does.
+/// Timing on real sockets differs from run to run: a script counts as failing if one of `attempts`
+/// plays fails.
 ///
 /// # Errors
-/// What `fails` returns where a script could not be played.
+/// The error of `fails` if a script could not be played.
 pub fn reduce<E>(
     script: &Script,
     attempts: usize,
     fails: &mut dyn FnMut(&Script) -> Result<bool, E>,
 ) -> Result<Option<Script>, E> {
-    if !fails_once(script, attempts, fails)? {
+    if !fails_in_any(script, attempts, fails)? {
         return Ok(None);
     }
     let mut shortest = script.clone();
     let mut nth = 0;
     while nth < shortest.troubles.len() && shortest.troubles.len() > 1 {
         let shorter = shortest.without(nth);
-        if fails_once(&shorter, attempts, fails)? {
+        if fails_in_any(&shorter, attempts, fails)? {
             shortest = shorter;
         } else {
             nth += 1;
@@ -30,7 +31,7 @@
     Ok(Some(shortest))
 }
 
-fn fails_once<E>(
+fn fails_in_any<E>(
     script: &Script,
     attempts: usize,
     fails: &mut dyn FnMut(&Script) -> Result<bool, E>,
--- a/testbed/src/soak/run.rs
+++ b/testbed/src/soak/run.rs
@@ -1,11 +1,11 @@
-//! One soak: a script played, and judged from outside and from inside.
+//! Plays one script, and collects what the audit and the balancers' invariants found.
 
 use std::path::Path;
 
 use serde::Serialize;
 use thiserror::Error;
 
-use super::disturbance::{disturb, slack_of, Disturbed};
+use super::disturbance::{audit_slack, run_disturbances, DisturbanceReport};
 use super::script::{Script, ScriptedTrouble};
 use crate::audit::Breach;
 use crate::balancers::Program;
@@ -13,77 +13,77 @@
 use crate::figures::Run;
 use crate::play::{play_disturbed, PlayError};
 
-/// What balancers write to their log where an invariant is broken.
+/// How a balancer's log line about a violated invariant begins.
 const VIOLATION: &str = "invariant ";
-/// How the audit says that a connection ended over a request, and what follows a request that reached
-/// a machine.
-const ENDED_OVER: &str = "ended the connection over op";
-const REACHED_MACHINE: &str = "Pushed";
+/// The audit's text for a connection that was closed with a request unanswered.
+const CLOSED_UNANSWERED: &str = "ended the connection over op";
+/// The ledger's stored word for an attempt that a machine received.
+const ATTEMPT_RECEIVED: &str = "Pushed";
 
 /// Why a script could not be played.
 #[derive(Debug, Error)]
 pub enum SoakError {
-    /// Its options make no sense.
+    /// The options give no valid experiment.
     #[error(transparent)]
     Options(#[from] ExperimentError),
-    /// The world, or a balancer, did not come up.
+    /// The emulated world or a balancer did not start.
     #[error(transparent)]
     Play(#[from] PlayError),
 }
 
-/// What came of a script.
+/// The result of a script.
 #[derive(Debug, Serialize)]
 pub struct Verdict {
-    /// What it was drawn from.
+    /// The seed of the script.
     pub seed: u64,
-    /// The troubles.
+    /// The troubles of the script.
     pub troubles: Vec<ScriptedTrouble>,
-    /// Requests that were made.
+    /// Number of requests made.
     pub requests: u64,
-    /// Those that were served.
+    /// Number of requests served.
     pub served: u64,
-    /// Breaches that the audit saw.
+    /// Breaches that the audit found, without those counted in `crossed`.
     pub breaches: Vec<Breach>,
-    /// Invariants that balancers saw broken.
+    /// Log lines of balancers about violated invariants.
     pub violations: Vec<String>,
-    /// Processes that ended other than they should.
+    /// Processes that did not end as expected, and troubles that could not be carried out.
     pub failures: Vec<String>,
-    /// Requests whose connection a balancer that was ending closed before it had read them, as far
-    /// as can be seen from outside: their clients send them again.
+    /// Requests whose connection a terminating balancer closed, apparently before it had read them;
+    /// clients retry such requests.
     pub crossed: usize,
 }
 
 impl Verdict {
-    /// Whether everything held.
+    /// Whether no rule, invariant or process failed.
     pub fn holds(&self) -> bool {
         self.breaches.is_empty() && self.violations.is_empty() && self.failures.is_empty()
     }
 }
 
-/// Plays a script against the program, and leaves files and logs in the folder.
+/// Plays a script against the program; its files and logs are kept in the folder.
 ///
 /// # Errors
-/// [`SoakError`] where it could not be played.
+/// [`SoakError`] if the script could not be played.
 pub fn run(script: &Script, program: &Program, folder: &Path) -> Result<Verdict, SoakError> {
     let experiment = script.experiment()?;
     let troubles = script.process_troubles();
-    let slack = slack_of(&troubles);
+    let slack = audit_slack(&troubles);
     let seed = script.options.seed;
-    let (run, (disturbed, violations)) =
+    let (run, (report, violations)) =
         play_disturbed(&experiment, program, seed, folder, slack, move |balancers, ledger| {
-            let disturbed = disturb(&troubles, &balancers, &ledger);
-            (disturbed, balancers)
+            let report = run_disturbances(&troubles, &balancers, &ledger);
+            (report, balancers)
         })
-        .map(|(run, (disturbed, balancers))| {
+        .map(|(run, (report, balancers))| {
             let violations = balancers.log_lines_with(VIOLATION).into_iter().flatten().collect();
-            (run, (disturbed, violations))
+            (run, (report, violations))
         })?;
-    Ok(judge(script, run, disturbed, violations))
+    Ok(verdict(script, run, report, violations))
 }
 
-fn judge(script: &Script, run: Run, disturbed: Disturbed, violations: Vec<String>) -> Verdict {
+fn verdict(script: &Script, run: Run, report: DisturbanceReport, violations: Vec<String>) -> Verdict {
     let (crossed, breaches): (Vec<Breach>, Vec<Breach>) =
-        run.breaches.into_iter().partition(|breach| is_crossing(breach, &disturbed));
+        run.breaches.into_iter().partition(|breach| is_closed_in_transit(breach, &report));
     Verdict {
         seed: script.options.seed,
         troubles: script.troubles.clone(),
@@ -91,19 +91,19 @@
         served: run.figures.served,
         breaches,
         violations,
-        failures: disturbed.failures,
+        failures: report.failures,
         crossed: crossed.len(),
     }
 }
 
-/// Whether a balancer that was told to end closed a connection over a request that went nowhere: it
-/// may have been on its way, and a client sends such a one again. One that had been read is owed its
-/// answer, which the balancer's own invariants see.
-fn is_crossing(breach: &Breach, disturbed: &Disturbed) -> bool {
-    let reached = breach.around.iter().any(|line| line.contains(REACHED_MACHINE));
-    let in_termination = disturbed.terminations.iter().any(|termination| {
+/// Whether a terminating balancer closed a connection with a request for which no machine received an
+/// attempt: the request may have been in transit, and clients retry it. A request that the balancer
+/// had read must be answered; the balancer's own invariants check that.
+fn is_closed_in_transit(breach: &Breach, report: &DisturbanceReport) -> bool {
+    let was_attempted = breach.around.iter().any(|line| line.contains(ATTEMPT_RECEIVED));
+    let in_termination = report.terminations.iter().any(|termination| {
         let balancer = format!("balancer {} ", termination.balancer);
         breach.what.starts_with(&balancer) && (termination.from..=termination.to).contains(&breach.at_us)
     });
-    breach.what.contains(ENDED_OVER) && !reached && in_termination
+    breach.what.contains(CLOSED_UNANSWERED) && !was_attempted && in_termination
 }
--- a/testbed/src/soak/script.rs
+++ b/testbed/src/soak/script.rs
@@ -1,4 +1,4 @@
-//! The script of a soak: which troubles come when, drawn from a seed. Pure.
+//! The script of a soak: which troubles occur and when, drawn from a seed. Does no I/O.
 
 use std::fmt::{self, Write as _};
 use std::time::Duration;
@@ -8,40 +8,41 @@
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
 
-use super::trouble::{ConcernedHosts, ProcessTrouble, Trouble, WorldFault, TROUBLES};
+use super::trouble::{AffectedHosts, ProcessTrouble, Trouble, WorldFault, TROUBLES};
 use crate::experiment::{Experiment, ExperimentError};
 
-/// Of the run, the part before the first trouble begins, and the part in which troubles may begin.
-const CALM_PART: f64 = 0.15;
-const BEGINNINGS_PART: f64 = 0.2;
-/// The part of the run that a trouble lasts, at least and at most.
-const LASTS_PART: std::ops::Range<f64> = 0.2..0.5;
-/// Requests a second at each balancer.
+/// Share of the run before the first trouble may begin.
+const QUIET_SHARE: f64 = 0.15;
+/// Share of the run within which troubles begin, after the quiet share.
+const START_SHARE: f64 = 0.2;
+/// Share of the run for which a trouble lasts.
+const DURATION_SHARE: std::ops::Range<f64> = 0.2..0.5;
+/// Requests per second at each balancer.
 const RATE_PER_BALANCER: f64 = 25.0;
 
-/// What a soak is drawn from.
+/// The options of a soak.
 #[derive(Clone, Debug)]
 pub struct SoakOptions {
-    /// Of all draws.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// How long requests arrive, in seconds.
+    /// Length of the load, in seconds.
     pub seconds: f64,
-    /// Balancer processes.
+    /// Number of balancer processes.
     pub balancers: usize,
-    /// Cache hosts at the start.
+    /// Number of cache hosts at the start.
     pub hosts: usize,
-    /// These troubles instead of drawn ones.
+    /// Troubles to use; if empty, they are drawn.
     pub only: Vec<Trouble>,
 }
 
-/// A trouble with its time.
+/// A trouble and when it lasts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScriptedTrouble {
-    /// What.
+    /// The trouble.
     pub trouble: Trouble,
-    /// From when on, in seconds of the run.
+    /// Its start, in seconds of the run.
     pub from_s: f64,
-    /// Until when.
+    /// Its end, in seconds of the run.
     pub to_s: f64,
 }
 
@@ -57,17 +58,17 @@
     }
 }
 
-/// A script: troubles that overlap, and the fleet they come over.
+/// A script: overlapping troubles, and the options of the fleet that they affect.
 #[derive(Clone, Debug)]
 pub struct Script {
-    /// What it was drawn from.
+    /// The options that it was drawn from.
     pub options: SoakOptions,
     /// The troubles.
     pub troubles: Vec<ScriptedTrouble>,
 }
 
 impl Script {
-    /// Draws a script: two or three troubles, all on at one time.
+    /// Draws two or three troubles, or takes those of `options.only`, with times that overlap.
     pub fn draw(options: SoakOptions) -> Script {
         let mut rng = ChaCha8Rng::seed_from_u64(options.seed);
         let drawn: Vec<Trouble> = if options.only.is_empty() {
@@ -77,29 +78,29 @@
             options.only.clone()
         };
         let troubles = drawn.into_iter().map(|trouble| {
-            let from = CALM_PART + rng.random::<f64>() * BEGINNINGS_PART;
-            let lasts = rng.random_range(LASTS_PART);
+            let from = QUIET_SHARE + rng.random::<f64>() * START_SHARE;
+            let duration = rng.random_range(DURATION_SHARE);
             let from_s = from * options.seconds;
-            ScriptedTrouble { trouble, from_s, to_s: from_s + lasts * options.seconds }
+            ScriptedTrouble { trouble, from_s, to_s: from_s + duration * options.seconds }
         });
         let troubles = troubles.collect();
         Script { options, troubles }
     }
 
-    /// The same without one of its troubles.
+    /// The script without its trouble of this index.
     pub fn without(&self, nth: usize) -> Script {
         let mut shorter = self.clone();
         shorter.troubles.remove(nth);
         shorter
     }
 
-    /// The names of its troubles, joined as `--only` takes them.
+    /// The names of its troubles, joined by `+` as `--only` takes them.
     pub fn names(&self) -> String {
         let names: Vec<&str> = self.troubles.iter().map(|scripted| scripted.trouble.name()).collect();
         names.join("+")
     }
 
-    /// What happens to processes.
+    /// The troubles that affect balancer processes.
     pub fn process_troubles(&self) -> Vec<(ProcessTrouble, ScriptedTrouble)> {
         let process = |scripted: &ScriptedTrouble| match scripted.trouble {
             Trouble::Process(_, trouble) => Some((trouble, *scripted)),
@@ -108,10 +109,10 @@
         self.troubles.iter().filter_map(process).collect()
     }
 
-    /// The experiment that its world and load are.
+    /// The experiment that sets up the script's world, load and world faults.
     ///
     /// # Errors
-    /// Where the options make no sense, such as more balancers than descriptors allow.
+    /// If the options are not valid, such as more balancers than descriptors allow.
     pub fn experiment(&self) -> Result<Experiment, ExperimentError> {
         let SoakOptions { seed, seconds, balancers, hosts, .. } = self.options;
         let rate = RATE_PER_BALANCER * balancers as f64;
@@ -145,24 +146,26 @@
         }
         let hosts = self.options.hosts;
         let _ = match fault.hosts {
-            ConcernedHosts::Nowhere => Ok(()),
-            ConcernedHosts::OfADozen(count) => writeln!(text, "hosts = {}", (count * hosts / DOZEN).max(1)),
-            ConcernedHosts::OneZone => {
+            AffectedHosts::None => Ok(()),
+            AffectedHosts::Twelfths(count) => {
+                writeln!(text, "hosts = {}", (count * hosts / FLEET_PARTS).max(1))
+            }
+            AffectedHosts::OneZone => {
                 writeln!(text, "hosts = {:?}", (0..hosts).step_by(ZONES).collect::<Vec<_>>())
             }
-            ConcernedHosts::SeenByOneBalancer => writeln!(text, "hosts = \"all\"\nbalancer = 0"),
+            AffectedHosts::AllForOneBalancer => writeln!(text, "hosts = \"all\"\nbalancer = 0"),
         };
     }
 }
 
-/// What counts of hosts in troubles are parts of.
-const DOZEN: usize = 12;
-/// The zones of [`FLEET`].
+/// Troubles give their number of hosts in twelfths of the fleet.
+const FLEET_PARTS: usize = 12;
+/// Number of zones in [`FLEET`].
 const ZONES: usize = 3;
-/// The longest deadline of the classes in every script.
+/// The longest deadline among [`CLASSES`].
 pub const LONGEST_DEADLINE: Duration = Duration::from_millis(1_500);
 
-/// Classes of each effect, one with a short window.
+/// Request classes of every retry safety, with short deduplication windows.
 const CLASSES: &str = r#"
 [[categories]]
 name = "read"
@@ -205,7 +208,7 @@
 repeats = "at-most-once"
 "#;
 
-/// Hosts of three zones, behind the line that says how many.
+/// The rest of the experiment's `[fleet]` section after its `hosts`, and the origin and discovery.
 const FLEET: &str = r#"
 zones = 3
 connect_timeout_ms = 1400
--- a/testbed/src/soak/trouble.rs
+++ b/testbed/src/soak/trouble.rs
@@ -1,4 +1,4 @@
-//! The troubles that a soak draws from.
+//! The troubles from which a soak draws.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,131 +7,133 @@
 
 use crate::experiment::FaultKind;
 
-/// How a fault of the world is written in the soak's experiment.
+/// A fault of the emulated world, as the soak's experiment describes it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WorldFault {
-    /// What goes wrong.
+    /// The kind of fault.
     pub kind: FaultKind,
-    /// Where.
-    pub hosts: ConcernedHosts,
-    /// How likely it strikes.
+    /// The hosts that it affects.
+    pub hosts: AffectedHosts,
+    /// Probability that it applies to an attempt or a piece of a response.
     pub part: f64,
-    /// How much slower work is.
+    /// Factor by which work takes longer, for faults that slow hosts down.
     pub factor: f64,
-    /// It comes and goes.
+    /// Its schedule if it recurs; otherwise it is on for the whole trouble.
     pub pulse: Option<Pulse>,
 }
 
-/// The hosts of a fault of the world.
+/// The hosts that a fault of the world affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ConcernedHosts {
-    /// None.
-    Nowhere,
-    /// So many of a dozen.
-    OfADozen(usize),
-    /// All of one zone.
+pub enum AffectedHosts {
+    /// No cache hosts.
+    None,
+    /// This many twelfths of the fleet.
+    Twelfths(usize),
+    /// All hosts of one zone.
     OneZone,
-    /// All, for one balancer alone.
-    SeenByOneBalancer,
+    /// All hosts, as seen by one balancer only.
+    AllForOneBalancer,
 }
 
-/// A fault that comes and goes.
+/// The schedule of a recurring fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Pulse {
-    /// So long it is on, in seconds.
+    /// Duration of each occurrence, in seconds.
     pub on_s: f64,
-    /// It begins again so often.
+    /// Time from one occurrence's start to the next, in seconds.
     pub every_s: f64,
 }
 
 /// What a trouble does to balancer processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessTrouble {
-    /// SIGTERM, and started again once it has ended.
+    /// SIGTERM; the process is restarted once it has ended.
     Terminate,
-    /// The same with other signals before and behind it, and a second SIGTERM.
+    /// As [`ProcessTrouble::Terminate`], after a rapid series of SIGHUP, SIGUSR1 and SIGTERM.
     SignalSeries,
-    /// It runs for a tenth of the time, in short turns.
+    /// The process runs for a tenth of the time, 2 ms in every 20 ms.
     CoreShare,
-    /// SIGHUP, again and again.
+    /// SIGHUP, repeatedly.
     Reload,
-    /// SIGSTOP, and SIGCONT 0.15 s later, again and again.
+    /// SIGSTOP, and SIGCONT 0.15 s later, repeatedly.
     Stall,
-    /// Its wall clock is an hour behind for a while.
+    /// The wall clock of the process is an hour behind during the trouble.
     ClockBack,
-    /// Its wall clock is an hour ahead for a while.
+    /// The wall clock of the process is an hour ahead during the trouble.
     ClockAhead,
-    /// Calls to open connections fail for want of descriptors, memory or ports.
+    /// Half of the calls that open connections fail, for lack of descriptors or local addresses.
     ConnectShortage,
-    /// Accepts fail.
+    /// Half of the `accept` calls fail.
     AcceptShortage,
-    /// Reads and writes are interrupted.
+    /// A tenth of the socket reads and writes are interrupted (`EINTR`).
     Interrupted,
-    /// Files can't be opened or written, while it is told to reload.
+    /// Half of the calls that open or write files fail, while the process receives SIGHUP.
     FilesFail,
-    /// Connections that send nothing, or half a command, fill its descriptors.
+    /// Connections that send nothing, or half a command, occupy descriptors of the process.
     Crowd,
 }
 
-/// A trouble.
+/// A trouble, with its name.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Trouble {
-    /// In the emulated world.
+    /// A fault of the emulated world.
     World(&'static str, WorldFault),
-    /// At balancer processes.
+    /// A fault of balancer processes.
     Process(&'static str, ProcessTrouble),
 }
 
-const fn at_hosts(kind: FaultKind, hosts: usize, part: f64) -> WorldFault {
-    WorldFault { kind, hosts: ConcernedHosts::OfADozen(hosts), part, factor: 8.0, pulse: None }
+const fn on_twelfths(kind: FaultKind, hosts: usize, part: f64) -> WorldFault {
+    WorldFault { kind, hosts: AffectedHosts::Twelfths(hosts), part, factor: 8.0, pulse: None }
 }
 
-const fn elsewhere(kind: FaultKind) -> WorldFault {
-    WorldFault { kind, hosts: ConcernedHosts::Nowhere, part: 1.0, factor: 8.0, pulse: None }
+const fn without_hosts(kind: FaultKind) -> WorldFault {
+    WorldFault { kind, hosts: AffectedHosts::None, part: 1.0, factor: 8.0, pulse: None }
 }
 
-const fn at(kind: FaultKind, hosts: ConcernedHosts) -> WorldFault {
+const fn on(kind: FaultKind, hosts: AffectedHosts) -> WorldFault {
     WorldFault { kind, hosts, part: 1.0, factor: 8.0, pulse: None }
 }
 
-/// Handshakes that began while it was on come up a second later, by the kernel's first repeat.
+/// Handshakes begun during an occurrence complete a second later, at the kernel's first SYN
+/// retransmission.
 const fn late_connects() -> WorldFault {
     let pulse = Pulse { on_s: 0.5, every_s: 0.7 };
-    WorldFault { pulse: Some(pulse), ..at_hosts(FaultKind::LateConnect, 8, 1.0) }
+    WorldFault { pulse: Some(pulse), ..on_twelfths(FaultKind::LateConnect, 8, 1.0) }
 }
 
-/// Each trouble by its name. Copies of responses stand apart: see [`Trouble::is_known_open`].
+/// All troubles that a script may draw. [`RESPONSE_COPIES`] is used only when named: see
+/// [`Trouble::is_known_open`].
 pub const TROUBLES: [Trouble; 42] = [
-    Trouble::World("hang", at_hosts(FaultKind::Hang, 3, 1.0)),
-    Trouble::World("slow", at_hosts(FaultKind::Slow, 3, 1.0)),
-    Trouble::World("silent", at_hosts(FaultKind::Silent, 3, 1.0)),
-    Trouble::World("stale", at_hosts(FaultKind::Stale, 4, 1.0)),
-    Trouble::World("stale-reset", at_hosts(FaultKind::StaleReset, 4, 1.0)),
-    Trouble::World("reset", at_hosts(FaultKind::Reset, 3, 0.2)),
-    Trouble::World("refuse", at_hosts(FaultKind::Refuse, 3, 1.0)),
-    Trouble::World("lost", at_hosts(FaultKind::Lost, 3, 0.1)),
-    Trouble::World("busy", at_hosts(FaultKind::Busy, 3, 0.5)),
-    Trouble::World("error", at_hosts(FaultKind::Error, 3, 0.3)),
-    Trouble::World("spoil", at_hosts(FaultKind::Spoil, 2, 0.1)),
-    Trouble::World("die", at_hosts(FaultKind::Die, 2, 1.0)),
-    Trouble::World("replace", at_hosts(FaultKind::Replace, 2, 1.0)),
-    Trouble::World("drain", at_hosts(FaultKind::Drain, 3, 1.0)),
-    Trouble::World("grow", at_hosts(FaultKind::Grow, 3, 1.0)),
-    Trouble::World("origin-slow", elsewhere(FaultKind::OriginSlow)),
-    Trouble::World("origin-down", elsewhere(FaultKind::OriginDown)),
-    Trouble::World("discovery-down", elsewhere(FaultKind::DiscoveryDown)),
-    Trouble::World("proxy-delay", at_hosts(FaultKind::ProxyDelay, 6, 0.3)),
-    Trouble::World("proxy-drip", at_hosts(FaultKind::ProxyDrip, 6, 0.3)),
-    Trouble::World("proxy-cut", at_hosts(FaultKind::ProxyCut, 6, 0.1)),
-    Trouble::World("proxy-silence", at_hosts(FaultKind::ProxySilence, 4, 0.05)),
-    Trouble::World("proxy-half-close", at_hosts(FaultKind::ProxyHalfClose, 6, 0.1)),
+    Trouble::World("hang", on_twelfths(FaultKind::Hang, 3, 1.0)),
+    Trouble::World("slow", on_twelfths(FaultKind::Slow, 3, 1.0)),
+    Trouble::World("silent", on_twelfths(FaultKind::Silent, 3, 1.0)),
+    Trouble::World("stale", on_twelfths(FaultKind::Stale, 4, 1.0)),
+    Trouble::World("stale-reset", on_twelfths(FaultKind::StaleReset, 4, 1.0)),
+    Trouble::World("reset", on_twelfths(FaultKind::Reset, 3, 0.2)),
+    Trouble::World("refuse", on_twelfths(FaultKind::Refuse, 3, 1.0)),
+    Trouble::World("lost", on_twelfths(FaultKind::Lost, 3, 0.1)),
+    Trouble::World("busy", on_twelfths(FaultKind::Busy, 3, 0.5)),
+    Trouble::World("error", on_twelfths(FaultKind::Error, 3, 0.3)),
+    Trouble::World("spoil", on_twelfths(FaultKind::Spoil, 2, 0.1)),
+    Trouble::World("die", on_twelfths(FaultKind::Die, 2, 1.0)),
+    Trouble::World("replace", on_twelfths(FaultKind::Replace, 2, 1.0)),
+    Trouble::World("drain", on_twelfths(FaultKind::Drain, 3, 1.0)),
+    Trouble::World("grow", on_twelfths(FaultKind::Grow, 3, 1.0)),
+    Trouble::World("origin-slow", without_hosts(FaultKind::OriginSlow)),
+    Trouble::World("origin-down", without_hosts(FaultKind::OriginDown)),
+    Trouble::World("discovery-down", without_hosts(FaultKind::DiscoveryDown)),
+    Trouble::World("proxy-delay", on_twelfths(FaultKind::ProxyDelay, 6, 0.3)),
+    Trouble::World("proxy-drip", on_twelfths(FaultKind::ProxyDrip, 6, 0.3)),
+    Trouble::World("proxy-cut", on_twelfths(FaultKind::ProxyCut, 6, 0.1)),
+    Trouble::World("proxy-silence", on_twelfths(FaultKind::ProxySilence, 4, 0.05)),
+    Trouble::World("proxy-half-close", on_twelfths(FaultKind::ProxyHalfClose, 6, 0.1)),
     Trouble::World("late-connect", late_connects()),
-    Trouble::World("most-hang", at_hosts(FaultKind::Hang, 10, 1.0)),
-    Trouble::World("most-silent", at_hosts(FaultKind::Silent, 10, 1.0)),
-    Trouble::World("all-reset", at_hosts(FaultKind::Reset, 12, 1.0)),
-    Trouble::World("half-replaced", at_hosts(FaultKind::Replace, 6, 1.0)),
-    Trouble::World("zone-dark", at(FaultKind::Silent, ConcernedHosts::OneZone)),
-    Trouble::World("partition", at(FaultKind::Silent, ConcernedHosts::SeenByOneBalancer)),
+    Trouble::World("most-hang", on_twelfths(FaultKind::Hang, 10, 1.0)),
+    Trouble::World("most-silent", on_twelfths(FaultKind::Silent, 10, 1.0)),
+    Trouble::World("all-reset", on_twelfths(FaultKind::Reset, 12, 1.0)),
+    Trouble::World("half-replaced", on_twelfths(FaultKind::Replace, 6, 1.0)),
+    Trouble::World("zone-dark", on(FaultKind::Silent, AffectedHosts::OneZone)),
+    Trouble::World("partition", on(FaultKind::Silent, AffectedHosts::AllForOneBalancer)),
     Trouble::Process("terminate", ProcessTrouble::Terminate),
     Trouble::Process("signal-series", ProcessTrouble::SignalSeries),
     Trouble::Process("core-share", ProcessTrouble::CoreShare),
@@ -146,31 +148,30 @@
     Trouble::Process("crowd", ProcessTrouble::Crowd),
 ];
 
-/// Hosts that answer twice: not drawn, since the first copy, with no sign before it, is a fault that
-/// is known and open.
-pub const COPIES: Trouble = Trouble::World("proxy-copy", at_hosts(FaultKind::ProxyCopy, 2, 0.05));
+/// Hosts that answer twice. Not drawn: a balancer can't detect the first copy, a known open fault.
+pub const RESPONSE_COPIES: Trouble = Trouble::World("proxy-copy", on_twelfths(FaultKind::ProxyCopy, 2, 0.05));
 
-/// A name that is no trouble's.
+/// No trouble has this name.
 #[derive(Debug, Error)]
-#[error("there is no trouble {0:?}; there are {names}", names = names())]
+#[error("there is no trouble {0:?}; expected one of: {names}", names = names())]
 pub struct UnknownTrouble(String);
 
 fn names() -> String {
-    let names: Vec<&str> = TROUBLES.iter().chain([&COPIES]).map(Trouble::name).collect();
+    let names: Vec<&str> = TROUBLES.iter().chain([&RESPONSE_COPIES]).map(Trouble::name).collect();
     names.join(", ")
 }
 
 impl Trouble {
-    /// Its name, as `--only` takes it.
+    /// The name, as `--only` takes it.
     pub fn name(&self) -> &'static str {
         match self {
             Trouble::World(name, _) | Trouble::Process(name, _) => name,
         }
     }
 
-    /// Whether it breaks rules by a fault that is known and listed as open.
+    /// Whether it makes the balancer break rules by a fault that is known and not yet mended.
     pub fn is_known_open(&self) -> bool {
-        *self == COPIES
+        *self == RESPONSE_COPIES
     }
 }
 
@@ -184,7 +185,7 @@
     type Err = UnknownTrouble;
 
     fn from_str(name: &str) -> Result<Trouble, UnknownTrouble> {
-        let found = TROUBLES.iter().chain([&COPIES]).find(|trouble| trouble.name() == name);
+        let found = TROUBLES.iter().chain([&RESPONSE_COPIES]).find(|trouble| trouble.name() == name);
         found.copied().ok_or_else(|| UnknownTrouble(name.to_owned()))
     }
 }
--- a/testbed/src/world/discovery.rs
+++ b/testbed/src/world/discovery.rs
@@ -185,7 +185,7 @@
         let due = Observation::AnnouncementDue {
             balancer: self.balancer,
             host: endpoint.host,
-            standing: endpoint.status,
+            status: endpoint.status,
         };
         if self.silent.get() {
             spawn_local(self.clone().note_unless_outdated(due, endpoint.name.clone(), generation));
@@ -227,8 +227,8 @@
             if calls.stream().write_all(&response.text).await.is_err() {
                 return;
             }
-            for (host, standing) in response.announced {
-                self.ledger.note(Observation::StatusAnnounced { balancer: self.balancer, host, standing });
+            for (host, status) in response.announced {
+                self.ledger.note(Observation::StatusAnnounced { balancer: self.balancer, host, status });
             }
         }
     }
