--- a/testbed/src/audit.rs
+++ b/testbed/src/audit.rs
@@ -1,8 +1,8 @@
 //! The audit: checks the operators' four rules for each request, by what the emulated world saw.
 //! Does no I/O: it reads the events of a ledger ([`crate::ledger`]).
 //!
-//! Each comparison of times allows [`AuditSettings::slack`]: the tolerance that the protocol grants,
-//! and the time by which the world's own threads were late.
+//! Each comparison of times allows [`AuditSettings::slack`]: the tolerance that the protocol
+//! grants, and the time by which the world's own threads were late.
 
 mod request;
 
--- a/testbed/src/audit/request.rs
+++ b/testbed/src/audit/request.rs
@@ -240,7 +240,8 @@
                 self.check_deduplicated_retry(first, attempt);
             }
         }
-        // If all hosts deduplicate together, a client's retry after `-BUSY` can't take effect twice.
+        // If all hosts deduplicate together, a client's retry after `-BUSY` can't take effect
+        // twice.
         let rejected_at =
             request.rejected_at().filter(|_| self.category.deduplication_scope != DeduplicationScope::All);
         if let Some(at) = rejected_at.filter(|&at| request.may_have_run_by(at)) {
--- a/testbed/src/balancers/mod.rs
+++ b/testbed/src/balancers/mod.rs
@@ -145,8 +145,8 @@
 }
 
 impl Balancers {
-    /// Starts a balancer for each bootstrap, and waits until all answer PING. Settings files and logs
-    /// go to `folder`.
+    /// Starts a balancer for each bootstrap, and waits until all answer PING. Settings files and
+    /// logs go to `folder`.
     ///
     /// # Errors
     /// The first balancer that did not start, with the last line of its log.
@@ -242,14 +242,16 @@
         }
     }
 
-    /// Ends a balancer as operators do: by SIGTERM, then by SIGKILL if it still runs after `patience`.
+    /// Ends a balancer as operators do: by SIGTERM, then by SIGKILL if it still runs after
+    /// `patience`.
     ///
     /// # Errors
     /// How it ended, if it ended on SIGTERM with another status than success.
     pub fn terminate(&self, nth: usize, patience: Duration) -> Result<(), String> {
         self.signal(nth, Signal::TERM);
         let Some(mut process) = self.inner().balancers[nth].process.take() else { return Ok(()) };
-        // Another trouble may have stopped the process, and can't resume it once it is taken from here.
+        // Another trouble may have stopped the process, and can't resume it once it is taken from
+        // here.
         send_signal(process.child.id(), Signal::CONT);
         let began = Instant::now();
         loop {
--- a/testbed/src/balancers/program.rs
+++ b/testbed/src/balancers/program.rs
@@ -42,8 +42,8 @@
 }
 
 impl Program {
-    /// The program that an arm names, the baseline router of this program that it names, or else the
-    /// balancer beside this program.
+    /// The program that an arm names, the baseline router of this program that it names, or else
+    /// the balancer beside this program.
     ///
     /// # Errors
     /// If the arm is ambiguous or its program does not exist; the text says how to build it.
--- a/testbed/src/discovery_calls.rs
+++ b/testbed/src/discovery_calls.rs
@@ -1,5 +1,5 @@
-//! The server's side of a balancer's calls at discovery, as every emulated discovery needs it:
-//! reading a call, holding it until the list is newer, and writing the list.
+//! The server side of balancers' discovery calls, shared by all emulated discoveries: reads a call,
+//! holds it until the list is newer, and encodes the list.
 
 use std::time::Duration;
 
@@ -12,22 +12,22 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// A call is a request line and a few headers.
+/// Upper bound of a call in bytes; a call is a request line and a few headers.
 const MAX_CALL_BYTES: usize = 16 * 1024;
-/// No call is held for longer, whatever it asks for.
+/// The longest time that a call is held, in milliseconds.
 const MAX_HOLD_MS: u64 = 60_000;
 
-/// A call for what changed; one without this asks for the whole list.
+/// The query of a call for changes; a call without one asks for the whole list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ChangesQuery {
-    /// The version that the caller has.
+    /// The version of the list that the caller has.
     pub(crate) after: u64,
-    /// For how long the call may be held.
+    /// How long the call may be held if there are no changes.
     pub(crate) hold: Duration,
 }
 
 impl ChangesQuery {
-    /// Reads the query of a path; none where the call asks for the whole list.
+    /// Parses the query of a path; `None` if the call asks for the whole list.
     pub(crate) fn parse(path: &str) -> Option<ChangesQuery> {
         let (_, query) = path.split_once('?').unwrap_or_default();
         let hold_ms = number(query, "hold_ms").unwrap_or(0).min(MAX_HOLD_MS);
@@ -35,31 +35,31 @@
     }
 }
 
-/// The number that a query gives under a name.
+/// The number that a query gives for a parameter.
 fn number(query: &str, name: &str) -> Option<u64> {
     let mut pairs = query.split('&');
     let value = pairs.find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))?;
     value.parse().ok()
 }
 
-/// The calls that come on one connection.
+/// The calls received on one connection.
 pub(crate) struct Calls {
     stream: TcpStream,
     buffer: Buffer,
 }
 
 impl Calls {
-    /// Of a connection that was accepted.
+    /// Reads calls from an accepted connection.
     pub(crate) fn new(stream: TcpStream) -> Calls {
         Calls { stream, buffer: Buffer::new(MAX_CALL_BYTES) }
     }
 
-    /// The connection, to write responses to.
+    /// The connection, for writing responses.
     pub(crate) fn stream(&mut self) -> &mut TcpStream {
         &mut self.stream
     }
 
-    /// The next call; none where the connection ended or sent what is no call.
+    /// Reads the next call; `None` if the connection ended or sent an invalid request.
     pub(crate) async fn next(&mut self) -> Option<Request> {
         loop {
             if let Some(request) = http::parse_request(self.buffer.bytes(), 0).ok()? {
@@ -73,8 +73,9 @@
         }
     }
 
-    /// Holds a call for changes until there is something newer or its time is over; whether its
-    /// caller is still there. One that has gone must not be sent anything: that would count as told.
+    /// Holds a call for changes until the list is newer or its hold time is over. Returns whether
+    /// the caller is still connected: a response written to one that has gone would count as
+    /// received.
     pub(crate) async fn hold(
         &mut self,
         generation: &watch::Sender<u64>,
@@ -84,20 +85,20 @@
         let mut generation = generation.subscribe();
         let newer = generation.wait_for(|&generation| generation > after);
         let stream = &mut self.stream;
-        let gone = async { while !matches!(stream.read(&mut [0]).await, Ok(0) | Err(_)) {} };
+        let disconnected = async { while !matches!(stream.read(&mut [0]).await, Ok(0) | Err(_)) {} };
         tokio::select! {
             _ = timeout(hold, newer) => true,
-            () = gone => false,
+            () = disconnected => false,
         }
     }
 }
 
-/// A list as discovery writes it: what is newer than a version, or, with `reset`, all.
+/// The JSON of a list: the changes since a version or, with `reset`, the whole list.
 pub(crate) fn list(generation: u64, reset: bool, instances: &[&Value]) -> Value {
     json!({"generation": generation, "reset": reset, "instances": instances})
 }
 
-/// A list as a whole response.
+/// Encodes a list as an HTTP response.
 pub(crate) fn encode_list(generation: u64, reset: bool, instances: &[&Value]) -> Bytes {
     let body = list(generation, reset, instances).to_string();
     http::encode_response(200, &[("Content-Type", "application/json")], body.as_bytes())
--- a/testbed/src/ledger.rs
+++ b/testbed/src/ledger.rs
@@ -299,8 +299,8 @@
 pub struct Ledger {
     /// The run's clock.
     pub clock: Clock,
-    // A channel, not a list behind a lock: a thread that is preempted while it records an event must
-    // not block other threads.
+    // A channel, not a list behind a lock: a thread that is preempted while it records an event
+    // must not block other threads.
     sender: Sender<Event>,
     receiver: Arc<Mutex<Receiver<Event>>>,
 }
--- a/testbed/src/soak/mod.rs
+++ b/testbed/src/soak/mod.rs
@@ -3,9 +3,9 @@
 //! invariants.
 //!
 //! Troubles are of three kinds: faults of the emulated world (hosts, origin, discovery, and the
-//! proxies in front of them), signals to the processes (terminations, stops, reloads), and faults of
-//! their system calls and wall clock (injected by the preload library). A failing script is reduced:
-//! troubles are removed one by one while it still fails.
+//! proxies in front of them), signals to the processes (terminations, stops, reloads), and faults
+//! of their system calls and wall clock (injected by the preload library). A failing script is
+//! reduced: troubles are removed one by one while it still fails.
 
 pub mod disturbance;
 pub mod reduction;
--- a/testbed/src/soak/reduction.rs
+++ b/testbed/src/soak/reduction.rs
@@ -2,8 +2,8 @@
 
 use super::script::Script;
 
-/// Returns the shortest script found for which `fails` holds; `None` if the failure of `script` can't
-/// be reproduced.
+/// Returns the shortest script found for which `fails` holds; `None` if the failure of `script`
+/// can't be reproduced.
 ///
 /// Timing on real sockets differs from run to run: a script counts as failing if one of `attempts`
 /// plays fails.
--- a/testbed/src/soak/run.rs
+++ b/testbed/src/soak/run.rs
@@ -96,9 +96,9 @@
     }
 }
 
-/// Whether a terminating balancer closed a connection with a request for which no machine received an
-/// attempt: the request may have been in transit, and clients retry it. A request that the balancer
-/// had read must be answered; the balancer's own invariants check that.
+/// Whether a terminating balancer closed a connection with a request for which no machine received
+/// an attempt: the request may have been in transit, and clients retry it. A request that the
+/// balancer had read must be answered; the balancer's own invariants check that.
 fn is_closed_in_transit(breach: &Breach, report: &DisturbanceReport) -> bool {
     let was_attempted = breach.around.iter().any(|line| line.contains(ATTEMPT_RECEIVED));
     let in_termination = report.terminations.iter().any(|termination| {
--- a/testbed/src/time.rs
+++ b/testbed/src/time.rs
@@ -1,4 +1,4 @@
-//! The testbed's one clock: whole microseconds since the start of a run.
+//! The testbed's clock, in whole microseconds since the start of a run.
 
 use std::sync::atomic::{AtomicI64, Ordering};
 use std::sync::Arc;
@@ -7,18 +7,19 @@
 /// Microseconds: a time of a run, or a span of time.
 pub type Micros = i64;
 
-/// A millisecond.
+/// A millisecond, in microseconds.
 pub const MS: Micros = 1_000;
-/// A second.
+/// A second, in microseconds.
 pub const SECOND: Micros = 1_000_000;
 
-/// A clock that starts with a world and counts from the start of its run. Clones share that start.
+/// A clock that starts with a world and counts from the start of its run. Clones share the start of
+/// the run.
 #[derive(Clone, Debug)]
 pub struct Clock {
     start: Instant,
     /// Unix time at `start`, in milliseconds.
     unix_ms: f64,
-    /// When the run starts, counted from `start`: a world comes up before its run.
+    /// The start of the run, in microseconds from `start`: a world is started before its run.
     run_start: Arc<AtomicI64>,
 }
 
@@ -33,44 +34,44 @@
         self.run_start.load(Ordering::Relaxed)
     }
 
-    /// The run starts so long from now: that is time 0 from now on, for all that share this clock.
+    /// Sets the start of the run, time 0 of all clones of this clock, to `ahead` from now.
     pub fn start_run_in(&self, ahead: Micros) {
         let run_start = self.start.elapsed().as_micros() as Micros + ahead;
         self.run_start.store(run_start, Ordering::Relaxed);
     }
 
-    /// The time now; below 0 until the run starts.
+    /// The current time of the run; negative before the run starts.
     pub fn now(&self) -> Micros {
         self.start.elapsed().as_micros() as Micros - self.run_start()
     }
 
-    /// A time of the run as the standard library has it.
+    /// Converts a time of the run to an [`Instant`].
     pub fn instant(&self, at: Micros) -> Instant {
         self.start + to_duration(at + self.run_start())
     }
 
-    /// A time of the run as timers of the runtime take it.
+    /// Converts a time of the run to the type that the runtime's timers take.
     pub fn tokio_instant(&self, at: Micros) -> tokio::time::Instant {
         self.instant(at).into()
     }
 
-    /// A time of the run as Unix time, in milliseconds.
+    /// Converts a time of the run to Unix time, in milliseconds.
     pub fn unix_ms(&self, at: Micros) -> f64 {
         self.unix_ms + (at + self.run_start()) as f64 / 1e3
     }
 }
 
-/// A span of time; 0 where it is negative.
+/// Converts a span of time; a negative one becomes 0.
 pub fn to_duration(micros: Micros) -> Duration {
     Duration::from_micros(u64::try_from(micros).unwrap_or(0))
 }
 
-/// Rounds seconds to microseconds.
+/// Converts seconds to microseconds, rounded.
 pub fn seconds(seconds: f64) -> Micros {
     (seconds * 1e6).round() as Micros
 }
 
-/// Rounds milliseconds to microseconds.
+/// Converts milliseconds to microseconds, rounded.
 pub fn millis(ms: f64) -> Micros {
     (ms * 1e3).round() as Micros
 }
--- a/testbed/src/world/director.rs
+++ b/testbed/src/world/director.rs
@@ -1,4 +1,4 @@
-//! Builds the machines and discovery agents of a world, and carries out the script of faults.
+//! Starts the machines and discovery agents of a world, and applies its faults on schedule.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -23,30 +23,29 @@
 use crate::settings::BalancerBootstrap;
 use crate::time::{millis, Micros};
 
-/// How long the addresses of a host that was removed are left alone before another one listens
-/// there.
+/// Pause before a new host listens at the addresses of one that was removed.
 const ADDRESSES_FREED_AFTER: Duration = Duration::from_millis(1);
 
-/// Which end of a fault's window has come.
+/// Which boundary of a fault's window is reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Boundary {
     Begin,
     End,
 }
 
-/// The machines, the agents and the script.
+/// Owns the machines and agents of a world, and applies its faults.
 pub(super) struct Director {
     shared: Rc<Shared>,
-    /// By balancer.
+    /// The discovery agents, by balancer.
     agents: Vec<Rc<Agent>>,
     experiment: Experiment,
     next_host: Cell<u32>,
-    /// Hosts that were removed. They are kept until the run is over, as all that was started.
+    /// Hosts that were removed, kept until the run is over like everything that was started.
     removed: RefCell<Vec<Rc<Host>>>,
 }
 
 impl Director {
-    /// Brings up all agents, hosts and the origin.
+    /// Starts all agents, hosts and the origin.
     pub(super) fn start(
         experiment: &Experiment,
         seed: u64,
@@ -57,7 +56,7 @@
         let faults = FaultSchedule::new(experiment, &mut rng);
         let service_times =
             ServiceTimes::new(&experiment.categories, experiment.fleet.service, experiment.origin.service);
-        // The world's draws go on from here; those for the agents' lags are made beside them.
+        // The world continues with a copy of the generator; the agents' lags are drawn from `rng`.
         let shared = Shared::new(
             ledger.clone(),
             faults.clone(),
@@ -96,27 +95,27 @@
         }
         let origin = self.start_origin()?;
         self.shared.origin.replace(Some(origin.clone()));
-        // Balancers that never ask the origin themselves don't learn of it.
+        // Discovery lists the origin only for balancers that send requests to it.
         if self.experiment.mode == CacheMode::Aside {
             self.agents.iter().for_each(|agent| agent.add_initial(&origin));
         }
         Ok(())
     }
 
-    /// What each balancer has to know before it starts.
+    /// The bootstrap of each balancer: its discovery address and initial endpoint list.
     pub(super) fn bootstraps(&self) -> Vec<BalancerBootstrap> {
         let bootstrap =
             |agent: &Rc<Agent>| BalancerBootstrap { discovery: agent.address, known: agent.endpoint_list() };
         self.agents.iter().map(bootstrap).collect()
     }
 
-    /// The faults as they were laid out.
+    /// The windows of all faults.
     pub(super) fn fault_windows(&self) -> Vec<FaultWindow> {
         self.shared.faults.windows.clone()
     }
 
-    /// Starts a host, one that was always there or one that is empty and warming up, at new
-    /// addresses or at those of another one.
+    /// Starts a host at the given addresses, or at new ones. With a start time it is empty and
+    /// warms up; without one it has its initial fill and full capacity.
     fn start_host(
         &self,
         started_at: Option<Micros>,
@@ -186,8 +185,8 @@
         Host::start(&self.shared, settings, &Host::new_addresses(HostNo::ORIGIN, *balancers))
     }
 
-    /// Carries out the script. Never returns: what was started may not be dropped before the run is
-    /// over.
+    /// Applies each fault at the boundaries of its window. Never returns: hosts and agents must not
+    /// be dropped before the run is over.
     pub(super) async fn run_script(self: Rc<Director>, balancers: Option<Balancers>) {
         let windows = &self.shared.faults.windows;
         let mut boundaries = Vec::new();
@@ -195,7 +194,7 @@
             boundaries.push((window.from, Boundary::Begin, nth));
             boundaries.push((window.to, Boundary::End, nth));
         }
-        // What ends at a time is over before anything begins at it.
+        // At equal times, faults end before others begin.
         boundaries.sort_by_key(|&(at, boundary, nth)| (at, boundary == Boundary::Begin, nth));
         for (at, boundary, nth) in boundaries {
             sleep_until(self.shared.ledger.clock.tokio_instant(at)).await;
@@ -209,34 +208,34 @@
 
     async fn apply(&self, window: &FaultWindow, boundary: Boundary, balancers: Option<&Balancers>) {
         let now = self.shared.ledger.clock.now();
-        for host in self.concerned_hosts(window) {
+        for host in self.affected_hosts(window) {
             match boundary {
-                Boundary::Begin => self.begin_at_host(&host, window),
-                Boundary::End => self.end_at_host(&host, window, now).await,
+                Boundary::Begin => self.apply_to_host(&host, window),
+                Boundary::End => self.lift_from_host(&host, window, now).await,
             }
         }
         match window.kind {
             FaultKind::DiscoveryDown => {
                 let silent = boundary == Boundary::Begin;
-                self.concerned_agents(window).for_each(|agent| agent.set_silent(silent));
+                self.affected_agents(window).for_each(|agent| agent.set_silent(silent));
             }
             FaultKind::DiscoveryStale => {
                 let stale = boundary == Boundary::Begin;
-                self.concerned_agents(window).for_each(|agent| agent.set_stale(stale));
+                self.affected_agents(window).for_each(|agent| agent.set_stale(stale));
             }
-            FaultKind::Grow if boundary == Boundary::Begin => self.grow(window.count, now),
+            FaultKind::Grow if boundary == Boundary::Begin => self.add_hosts(window.count, now),
             FaultKind::BalancerKill => self.kill_or_restart(window, boundary, balancers),
             _ => {}
         }
     }
 
-    fn begin_at_host(&self, host: &Host, window: &FaultWindow) {
+    fn apply_to_host(&self, host: &Host, window: &FaultWindow) {
         let balancer = window.balancer;
         match window.kind {
             FaultKind::Slow | FaultKind::OriginSlow => host.set_slowdown(window.factor),
             FaultKind::Hang => host.freeze(),
             FaultKind::Silent => host.become_unresponsive(balancer),
-            FaultKind::LateConnect => host.let_connections_wait(balancer),
+            FaultKind::LateConnect => host.hold_handshakes(balancer),
             FaultKind::Stale => host.mute_connections(balancer),
             FaultKind::StaleReset => host.forget_connections(balancer),
             FaultKind::Reset => host.reset_connections(balancer),
@@ -248,7 +247,7 @@
         }
     }
 
-    async fn end_at_host(&self, host: &Rc<Host>, window: &FaultWindow, now: Micros) {
+    async fn lift_from_host(&self, host: &Rc<Host>, window: &FaultWindow, now: Micros) {
         let balancer = window.balancer;
         match window.kind {
             FaultKind::Slow | FaultKind::OriginSlow => host.set_slowdown(1.0),
@@ -274,44 +273,44 @@
         }
     }
 
-    fn concerned_hosts(&self, window: &FaultWindow) -> Vec<Rc<Host>> {
+    fn affected_hosts(&self, window: &FaultWindow) -> Vec<Rc<Host>> {
         let hosts = self.shared.hosts.borrow();
         let named = hosts.iter().filter(|host| window.hosts.contains(&host.settings.no));
-        let mut concerned: Vec<Rc<Host>> = named.cloned().collect();
+        let mut affected: Vec<Rc<Host>> = named.cloned().collect();
         if window.hosts.contains(&HostNo::ORIGIN) {
-            concerned.extend(self.shared.origin.borrow().clone());
+            affected.extend(self.shared.origin.borrow().clone());
         }
-        concerned
+        affected
     }
 
-    fn concerned_agents(&self, window: &FaultWindow) -> impl Iterator<Item = &Rc<Agent>> {
+    fn affected_agents(&self, window: &FaultWindow) -> impl Iterator<Item = &Rc<Agent>> {
         let only = window.balancer;
-        let is_concerned = move |balancer: usize| only.is_none_or(|only| only == balancer);
+        let is_affected = move |balancer: usize| only.is_none_or(|only| only == balancer);
         let by_balancer = self.agents.iter().enumerate();
-        by_balancer.filter(move |(balancer, _)| is_concerned(*balancer)).map(|(_, agent)| agent)
+        by_balancer.filter(move |(balancer, _)| is_affected(*balancer)).map(|(_, agent)| agent)
     }
 
-    /// All agents learn of a host's status, each after its lag.
+    /// Publishes a host's status to all agents; each lists it after its lag.
     fn publish(&self, host: &Host, status: EndpointStatus) {
         self.agents.iter().for_each(|agent| agent.publish(host, status));
     }
 
-    fn grow(&self, count: usize, now: Micros) {
+    fn add_hosts(&self, count: usize, now: Micros) {
         for _ in 0..count {
             match self.start_host(Some(now), None) {
                 Ok(host) => self.publish(&host, EndpointStatus::Active),
-                Err(cause) => log::warn!("a new host: {cause}"),
+                Err(cause) => log::warn!("starting an additional host failed: {cause}"),
             }
         }
     }
 
     fn kill_or_restart(&self, window: &FaultWindow, boundary: Boundary, balancers: Option<&Balancers>) {
         let Some(balancers) = balancers else { return };
-        let concerned = match window.balancer {
+        let affected = match window.balancer {
             Some(only) => only..only + 1,
             None => 0..self.agents.len(),
         };
-        for balancer in concerned {
+        for balancer in affected {
             match boundary {
                 Boundary::Begin => balancers.kill(balancer),
                 Boundary::End => balancers.restart(balancer, &self.agents[balancer].endpoint_list()),
@@ -319,13 +318,13 @@
         }
     }
 
-    /// Removes a host for good.
+    /// Removes a host permanently, and publishes that it has left.
     async fn remove(&self, host: &Rc<Host>) {
         host.remove().await;
         self.publish(host, EndpointStatus::Left);
         self.shared.hosts.borrow_mut().retain(|other| !Rc::ptr_eq(other, host));
         self.removed.borrow_mut().push(host.clone());
-        // Its addresses may be taken over at once.
+        // A replacement may listen at its addresses as soon as this returns.
         sleep(ADDRESSES_FREED_AFTER).await;
     }
 }
--- a/testbed/src/world/discovery.rs
+++ b/testbed/src/world/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery: each balancer has an agent of its own, which learns of changes after a lag of its own
-//! and answers the balancer's watch.
+//! Discovery: each balancer has its own agent, which learns of changes after its own lag and
+//! answers the balancer's watch.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -24,31 +24,31 @@
 use crate::ledger::{EndpointStatus, HostNo, Ledger, Observation};
 use crate::time::{to_duration, Micros};
 
-/// By the protocol a balancer counts as informed of a change after this time at the latest, also by
-/// an agent that does not answer.
+/// By the protocol, a balancer counts as informed of a change after this time, even if its agent
+/// does not answer.
 const INFORMED_AT_LATEST: Duration = Duration::from_secs(6);
-/// Nothing listens there on loopback.
+/// A loopback port on which nothing listens.
 const UNUSED_PORT: u16 = 1;
-/// Cells are host numbers below this, so that the origin has one in range.
+/// The cell of a host is its number modulo this, which keeps the origin's cell in range.
 const CELLS: u32 = 1_000_000;
 
-/// What an agent knows of one host.
+/// A host as an agent knows it.
 #[derive(Clone)]
 struct Endpoint {
     name: String,
     host: HostNo,
     status: EndpointStatus,
-    /// As responses give it.
+    /// The endpoint's JSON in responses.
     body: Value,
 }
 
-/// An endpoint and the generation of the list that brought it.
+/// An endpoint and the generation of the list in which it last changed.
 struct ListedEndpoint {
     generation: u64,
     endpoint: Endpoint,
 }
 
-/// A response and what it announces, to be recorded once it is written.
+/// A response and the statuses that it announces, to be recorded once it is written.
 struct WatchResponse {
     text: Bytes,
     announced: Vec<(HostNo, EndpointStatus)>,
@@ -57,18 +57,18 @@
 /// The discovery agent of one balancer.
 pub struct Agent {
     balancer: usize,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// How long after a change it learns of it.
+    /// Delay after which it learns of a change.
     lag: Micros,
     ledger: Ledger,
     faults: FaultSchedule,
     proxies: Rc<FaultProxies>,
     /// The generation of the list.
     generation: watch::Sender<u64>,
-    /// The list, by name.
+    /// The endpoint list, by host name.
     endpoints: RefCell<BTreeMap<String, ListedEndpoint>>,
-    /// Changes that are not in the list: discovery is stale.
+    /// Changes held back from the list while discovery is stale.
     withheld: RefCell<Vec<Endpoint>>,
     silent: Cell<bool>,
     stale: Cell<bool>,
@@ -79,7 +79,7 @@
     /// Starts the agent of a balancer with an empty list.
     ///
     /// # Errors
-    /// What the kernel says where its address can't be had.
+    /// The kernel's error if it can't listen.
     pub fn start(
         balancer: usize,
         lag: Micros,
@@ -106,7 +106,7 @@
         Ok(agent)
     }
 
-    /// A host's status has changed; the agent learns of it after its lag.
+    /// Adds a host's changed status to the list after the agent's lag.
     pub fn publish(self: &Rc<Agent>, host: &Host, status: EndpointStatus) {
         let endpoint = self.endpoint(host, status);
         let agent = self.clone();
@@ -120,14 +120,14 @@
         });
     }
 
-    /// A host that is there from the start.
+    /// Adds a host to the initial list, without lag.
     pub fn add_initial(&self, host: &Host) {
         let endpoint = self.endpoint(host, EndpointStatus::Active);
         let name = endpoint.name.clone();
         self.endpoints.borrow_mut().insert(name, ListedEndpoint { generation: 1, endpoint });
     }
 
-    /// The whole list, as a balancer is given it at its start.
+    /// The whole list, as a balancer gets it at its start.
     pub fn endpoint_list(&self) -> Value {
         let endpoints = self.endpoints.borrow();
         let present = endpoints.values().filter(|listed| listed.endpoint.status != EndpointStatus::Left);
@@ -135,13 +135,14 @@
         list(*self.generation.borrow(), true, &instances)
     }
 
-    /// While it is silent it takes calls and answers none.
+    /// Makes the agent silent or ends that; while silent it accepts calls but does not answer them.
     pub fn set_silent(&self, silent: bool) {
         self.silent.set(silent);
         self.silence_changed.notify_waiters();
     }
 
-    /// While it is stale its list does not change; what it has missed is added at the end.
+    /// Makes the list stale or ends that; while stale it does not change, and at the end the
+    /// changes held back are added.
     pub fn set_stale(self: &Rc<Agent>, stale: bool) {
         self.stale.set(stale);
         if !stale {
@@ -177,9 +178,9 @@
         Endpoint { name: settings.name.clone(), host: settings.no, status, body }
     }
 
-    /// Adds a change to the list. From then on the balancer counts as informed, also one that has
-    /// no call open: an agent that answers would inform it at once. With a silent one it counts so
-    /// after [`INFORMED_AT_LATEST`].
+    /// Adds a change to the list. The balancer counts as informed from then on, even without an
+    /// open call, since the agent would answer one at once; if the agent is silent, the balancer
+    /// counts as informed after [`INFORMED_AT_LATEST`].
     fn add(self: &Rc<Agent>, endpoint: Endpoint) {
         let generation = *self.generation.borrow() + 1;
         let due = Observation::AnnouncementDue {
@@ -233,7 +234,7 @@
         }
     }
 
-    /// What is newer than a generation, or the whole list.
+    /// The response with the changes since a generation, or with the whole list.
     fn changes_since(&self, after: Option<u64>) -> WatchResponse {
         let endpoints = self.endpoints.borrow();
         let is_asked_for = |listed: &&ListedEndpoint| match after {
--- a/testbed/src/world/faults.rs
+++ b/testbed/src/world/faults.rs
@@ -1,5 +1,5 @@
-//! The script of faults laid out in time: which faults are on when, and how likely one strikes an
-//! attempt. Pure.
+//! The schedule of faults: which faults are active when, and the probability that one applies to an
+//! attempt. Does no I/O.
 
 use std::collections::BTreeSet;
 
@@ -10,24 +10,24 @@
 use crate::ledger::HostNo;
 use crate::time::{seconds, Micros};
 
-/// One time that a fault is on.
+/// A period in which a fault is active.
 #[derive(Clone, Debug)]
 pub struct FaultWindow {
-    /// What it does.
+    /// The kind of fault.
     pub kind: FaultKind,
-    /// The machines that it concerns.
+    /// The machines that it affects.
     pub hosts: BTreeSet<HostNo>,
-    /// The one balancer that it concerns or that sees it; all where it is `None`.
+    /// The only balancer that it affects; `None` for all.
     pub balancer: Option<usize>,
-    /// When it begins, in microseconds of the run.
+    /// Its start, in microseconds of the run.
     pub from: Micros,
-    /// When it is over.
+    /// Its end, in microseconds of the run.
     pub to: Micros,
-    /// How likely it strikes an attempt.
+    /// Probability that it applies to an attempt.
     pub probability: f64,
-    /// How much slower work is under it.
+    /// Factor by which work takes longer.
     pub factor: f64,
-    /// For growth: how many hosts are added.
+    /// Number of hosts that [`FaultKind::Grow`] adds.
     pub count: usize,
 }
 
@@ -39,7 +39,7 @@
             && self.hosts.contains(&host)
     }
 
-    /// Its kind and whom it concerns, as reports show it.
+    /// Its kind and what it affects, as reports show it.
     pub fn title(&self) -> String {
         let name = serde_json::to_string(&self.kind).unwrap_or_default();
         let name = name.trim_matches('"');
@@ -59,13 +59,13 @@
 /// All faults of a run.
 #[derive(Clone, Debug, Default)]
 pub struct FaultSchedule {
-    /// In the order of their beginnings.
+    /// All windows, in order of their starts.
     pub windows: Vec<FaultWindow>,
 }
 
 impl FaultSchedule {
-    /// Lays out the faults of an experiment. Which hosts are meant by a number is drawn once for
-    /// each fault.
+    /// Makes the schedule of an experiment's faults. If a fault gives only a number of hosts, they
+    /// are drawn once for all its windows.
     pub fn new(experiment: &Experiment, rng: &mut ChaCha8Rng) -> FaultSchedule {
         let mut windows = Vec::new();
         for fault in &experiment.faults {
@@ -76,10 +76,10 @@
         FaultSchedule { windows }
     }
 
-    /// How likely an attempt is struck by a fault of this kind now.
+    /// Probability that a fault of this kind applies to an attempt now.
     pub fn probability(&self, now: Micros, kind: FaultKind, host: HostNo, balancer: usize) -> f64 {
-        let on = self.windows.iter().filter(|window| window.covers(now, kind, host, balancer));
-        on.map(|window| window.probability).fold(0.0, f64::max)
+        let active = self.windows.iter().filter(|window| window.covers(now, kind, host, balancer));
+        active.map(|window| window.probability).fold(0.0, f64::max)
     }
 }
 
@@ -95,7 +95,7 @@
     }
 }
 
-/// Adds the times that one fault is on: once, or again and again until the run is over.
+/// Adds the windows of one fault: one, or one every `every_s` until the run is over.
 fn add_windows(
     fault: &Fault,
     hosts: &BTreeSet<HostNo>,
@@ -128,8 +128,8 @@
     }
 }
 
-/// A roll-out takes one host after the other: each drains for a third of its time and is down for a
-/// twentieth.
+/// Adds the windows of a roll-out, which takes one host after the other: each drains for a third of
+/// its share of the time and is then down for a twentieth.
 fn add_roll_out(whole: &FaultWindow, windows: &mut Vec<FaultWindow>) {
     let per_host = (whole.to - whole.from) / whole.hosts.len().max(1) as Micros;
     for (nth, host) in whole.hosts.iter().enumerate() {
--- a/testbed/src/world/host/accept.rs
+++ b/testbed/src/world/host/accept.rs
@@ -1,5 +1,5 @@
-//! How a host takes new connections from one balancer: it accepts them, refuses them, or lets none
-//! come up.
+//! The listener of a host for one balancer: it accepts connections, refuses them, or leaves their
+//! handshakes unanswered.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,11 +13,11 @@
 use super::{Host, ListenerState};
 use crate::world::listener::{listen, reset_on_drop, LISTEN_BACKLOG};
 
-/// How long to wait before an address that can't be had is tried again.
+/// Pause before listening is tried again at an address that could not be bound.
 const LISTEN_RETRY_DELAY: Duration = Duration::from_millis(5);
-/// Connections that surely fill a listen queue of length 0.
+/// Number of connections that surely fill a listen queue of length 0.
 const FILLER_CONNECTIONS: usize = 4;
-/// A connection that is not up by then will not come up: the queue is full.
+/// If a filler connection takes longer to complete, the queue is full.
 const FILLER_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// The listener of a host for one balancer.
@@ -27,9 +27,9 @@
     state: watch::Receiver<ListenerState>,
     /// `None` while connections are refused.
     listener: Option<TcpListener>,
-    /// Connections of our own that fill the listen queue while no new connection is to come up.
+    /// Connections from here that fill the listen queue, so that no handshake completes.
     fillers: Vec<TcpStream>,
-    /// Whether the listen queue was cut to nothing.
+    /// Whether the listen queue has length 0, to leave handshakes unanswered.
     queue_closed: bool,
 }
 
@@ -39,7 +39,7 @@
         Acceptor { host, balancer, state, listener: Some(listener), fillers: Vec::new(), queue_closed: false }
     }
 
-    /// Goes on until its task is aborted.
+    /// Runs until its task is aborted.
     pub(super) async fn run(mut self) {
         loop {
             let state = *self.state.borrow_and_update();
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Takes one connection, unless the state changes before one comes.
+    /// Accepts one connection, unless the listener's state changes first.
     async fn accept_one(&mut self) {
         self.fillers.clear();
         if self.listener.is_none() {
@@ -69,7 +69,7 @@
             return;
         };
         if std::mem::take(&mut self.queue_closed) {
-            reset_queued(listener).await;
+            reset_queued_connections(listener).await;
             let _ = SockRef::from(listener).listen(LISTEN_BACKLOG);
         }
         tokio::select! {
@@ -90,7 +90,7 @@
         spawn_local(self.host.clone().serve_connection(self.balancer, stream));
     }
 
-    /// With a queue that is full the kernel answers no further connection.
+    /// Fills the listen queue: the kernel answers no handshake while it is full.
     async fn fill_listen_queue(&mut self) {
         let Some(listener) = &self.listener else { return };
         let _ = SockRef::from(listener).listen(0);
@@ -104,9 +104,9 @@
     }
 }
 
-/// Resets the connections that came up in the listen queue while none was to come up: what was written
-/// on one in time would be read late, through no fault of its balancer's.
-async fn reset_queued(listener: &TcpListener) {
+/// Resets connections whose handshakes completed although they were to be left unanswered: the host
+/// would read late what the balancer had written in time, and the audit would blame the balancer.
+async fn reset_queued_connections(listener: &TcpListener) {
     while let Ok(Ok((stream, _))) = timeout(Duration::ZERO, listener.accept()).await {
         reset_on_drop(&stream);
     }
--- a/testbed/src/world/host/attempt.rs
+++ b/testbed/src/world/host/attempt.rs
@@ -1,5 +1,5 @@
 //! One attempt of a balancer at a machine: from its last byte to the response, with its effects on
-//! stores and the faults that strike it.
+//! stores and the faults that apply to it.
 
 use std::rc::Rc;
 
@@ -18,32 +18,32 @@
 
 /// The longest time that a command may wait for a core, in milliseconds.
 const MAX_WAIT_MS: f64 = 3.6e6;
-/// A miss costs a host this fraction of the work on a hit: it is found out at once.
+/// A miss costs a host the work of a hit divided by this, since only the lookup is done.
 const MISS_WORK_DIVISOR: Micros = 4;
-/// How long the origin remembers misses; longer than any overload window in use.
+/// How long the origin remembers misses; must exceed every overload window.
 const MISSES_KEPT: Micros = 10 * SECOND;
-/// Bytes of a reply that is garbled by a fault.
+/// Length of a garbled reply, in bytes.
 const GARBLED_REPLY_BYTES: usize = 24;
-/// Deduplication scopes of cells are numbered from here, beyond those of zones.
+/// First number of the deduplication scopes of cells, above those of zones.
 const FIRST_CELL_SCOPE: u32 = 1_000_000;
 
-/// A command as one machine works on it.
+/// A command that a machine works on.
 struct Attempt {
     command: Command,
     balancer: usize,
     received_at: Micros,
-    /// It is rejected if its work has not begun by this time.
+    /// The attempt is rejected if no core has started it by this time.
     start_by: Micros,
     /// The index of its request class, if it has one.
     class: Option<usize>,
     service_time: Micros,
-    /// Whether the machine can do it without the value from elsewhere.
+    /// Whether the machine can do it without the origin: a write, or a read of a key that it holds.
     is_hit: bool,
 }
 
 impl Host {
-    /// Takes an attempt whose first byte came at `first_byte_at` (its last one otherwise), and
-    /// works on it. `connection_cost` is work that comes on top.
+    /// Works on an attempt. `first_byte_at` is when its first byte came; without it, now.
+    /// `connection_cost` is additional work.
     pub(super) async fn handle_attempt(
         self: &Rc<Host>,
         balancer: usize,
@@ -55,7 +55,7 @@
         let began = first_byte_at.unwrap_or(received_at);
         let (id, host) = (command.id, self.settings.no);
         self.shared.ledger.note(Observation::AttemptReceived { id, host, balancer, began });
-        if self.is_struck_by(FaultKind::Busy, received_at, balancer) {
+        if self.fault_applies(FaultKind::Busy, received_at, balancer) {
             return self.reject(&command);
         }
         let attempt = self.prepare(balancer, command, received_at);
@@ -91,14 +91,14 @@
         self.store.borrow().holds(key, self.shared.last_write_to(key))
     }
 
-    /// Whether a fault of this kind, which was on when the attempt came, strikes it.
-    fn is_struck_by(&self, kind: FaultKind, received_at: Micros, balancer: usize) -> bool {
+    /// Whether a fault of this kind that was active when the attempt came applies to it.
+    fn fault_applies(&self, kind: FaultKind, received_at: Micros, balancer: usize) -> bool {
         let probability = self.shared.faults.probability(received_at, kind, self.settings.no, balancer);
         self.shared.draw(probability)
     }
 
-    /// What is left to do elsewhere once this machine has done its part; a response where that ends
-    /// the attempt.
+    /// Has the origin do its part, if it has any, after this machine's. Returns a response if that
+    /// ends the attempt.
     async fn complete_elsewhere(self: &Rc<Host>, attempt: &Attempt) -> Option<Response> {
         let passes_on = self.shared.mode == CacheMode::Through;
         if !attempt.is_hit && !passes_on {
@@ -111,7 +111,7 @@
         match self.call_origin(attempt).await {
             JobOutcome::Completed if attempt.is_hit => None,
             JobOutcome::Completed => {
-                self.keep(attempt.command.key.clone());
+                self.store_key(attempt.command.key.clone());
                 None
             }
             JobOutcome::Rejected => Some(self.reject(&attempt.command)),
@@ -127,7 +127,7 @@
         self.reply(&Reply::Miss)
     }
 
-    /// The origin's part of a read or write that a host passes on itself.
+    /// The origin's part of a read or write that this host passes on.
     async fn call_origin(&self, attempt: &Attempt) -> JobOutcome {
         self.report_miss_to_origin();
         let origin = self.shared.origin.borrow().clone();
@@ -140,7 +140,8 @@
         origin.run_job(at_origin.max(attempt.service_time), attempt.start_by).await
     }
 
-    /// The origin keeps account of which hosts cause its load, should it be overloaded.
+    /// Reports a miss to the origin, which records the hosts that cause its load in case of
+    /// overload.
     fn report_miss_to_origin(&self) {
         let now = self.now();
         let host_warming_up = self.machine.borrow().is_warming_up(now);
@@ -153,7 +154,7 @@
         }
     }
 
-    /// It ran: what that does to stores, recorded with whether it took effect.
+    /// Applies an executed command to the stores, and records it and whether it took effect.
     fn record_execution(&self, attempt: &Attempt) {
         let command = &attempt.command;
         let mut effect = command.write;
@@ -167,7 +168,7 @@
         self.shared.ledger.note(Observation::Executed { id, host, effect });
     }
 
-    /// Whether a write is no repeat that its deduplication scope drops.
+    /// Whether a write takes effect, or is a repeat that its deduplication scope drops.
     fn takes_effect(&self, attempt: &Attempt) -> bool {
         let Some(idempotency_key) = fact(&attempt.command.facts, "k") else { return true };
         let Some(class) = attempt.class else { return true };
@@ -185,27 +186,27 @@
         first_run == now || now - first_run > millis(class.window_ms)
     }
 
-    /// The response to what ran, or what faults make of it.
+    /// The response to an executed command, after the faults that apply to it.
     fn respond(&self, attempt: &Attempt) -> Response {
-        let is_struck_by = |kind| self.is_struck_by(kind, attempt.received_at, attempt.balancer);
-        if is_struck_by(FaultKind::Error) {
+        let fault_applies = |kind| self.fault_applies(kind, attempt.received_at, attempt.balancer);
+        if fault_applies(FaultKind::Error) {
             return self.reply(&Reply::Failed);
         }
-        if is_struck_by(FaultKind::Lost) {
+        if fault_applies(FaultKind::Lost) {
             return Response::Mute;
         }
-        if is_struck_by(FaultKind::Reset) {
+        if fault_applies(FaultKind::Reset) {
             return Response::Reset;
         }
-        if is_struck_by(FaultKind::Spoil) {
+        if fault_applies(FaultKind::Spoil) {
             let garbled: [u8; GARBLED_REPLY_BYTES] = self.shared.rng.borrow_mut().random();
             return Response::LastReply(Bytes::copy_from_slice(&garbled));
         }
         self.reply(&Reply::Value(&self.value_for(&attempt.command)))
     }
 
-    /// The value made for this request: it begins with the request's id, by which a client knows it
-    /// as its own.
+    /// The value made for this request. It begins with the request's id, by which the client checks
+    /// that it is its own.
     fn value_for(&self, command: &Command) -> Vec<u8> {
         let mut value = format!("{}:{}:", command.id, self.settings.name).into_bytes();
         let size = fact(&command.facts, "size").and_then(|size| size.parse::<usize>().ok()).unwrap_or(0);
--- a/testbed/src/world/host/connection.rs
+++ b/testbed/src/world/host/connection.rs
@@ -18,22 +18,22 @@
 use crate::time::{to_duration, Micros};
 use crate::world::listener::reset_on_drop;
 
-/// Longer than any run: a connection that does no more is kept open until then, or until it is
-/// reset.
+/// How long a connection on which nothing more is sent stays open unless it is reset; longer than
+/// any run.
 const KEPT_OPEN: Duration = Duration::from_secs(600);
 
 /// What a host does on a connection after a command.
 pub(super) enum Response {
     Reply(Bytes),
-    /// Sends this, and nothing ever after.
+    /// Sends this as the last bytes of the connection, which stays open.
     LastReply(Bytes),
-    /// Sends nothing, now and ever after.
+    /// Sends nothing more; the connection stays open.
     Mute,
     Reset,
 }
 
 impl Host {
-    /// Serves a connection until either side ends it or a fault does.
+    /// Serves a connection until either side or a fault ends it.
     pub(super) async fn serve_connection(self: Rc<Host>, balancer: usize, mut stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         self.open_connections.set(self.open_connections.get() + 1);
@@ -48,7 +48,7 @@
         match served {
             ConnectionState::Open | ConnectionState::Reset => {}
             ConnectionState::Mute => {
-                // It stays open, and nothing is read any more, until it is reset.
+                // The connection stays open and nothing is read from it, until it is reset.
                 let reset = async { while next_state(&mut states).await != ConnectionState::Reset {} };
                 let _ = timeout(KEPT_OPEN, reset).await;
             }
@@ -70,7 +70,8 @@
     }
 }
 
-/// The state in which the connection is left; `Open` where it ends in good order.
+/// Serves messages, and returns the state in which the connection is left; `Open` if it is to be
+/// closed in order.
 async fn serve_until_end(host: &Rc<Host>, balancer: usize, stream: &mut TcpStream) -> ConnectionState {
     let mut connection = ServedConnection {
         host,
@@ -92,14 +93,14 @@
     balancer: usize,
     stream: &'a mut TcpStream,
     buffer: Buffer,
-    /// No message has come yet: the first one bears the cost of the connection.
+    /// Whether no message has come yet; the first one bears the cost of the connection.
     is_new: bool,
-    /// When the first byte came of what stands in the buffer.
+    /// When the first byte of the buffered message came.
     first_byte_at: Option<Micros>,
 }
 
 impl ServedConnection<'_> {
-    /// Reads one message and does what it asks for.
+    /// Reads one message and responds to it.
     async fn serve_message(&mut self) -> ControlFlow<ConnectionState> {
         let message = self.next_message().await?;
         let is_first = std::mem::take(&mut self.is_new);
--- a/testbed/src/world/host/cores.rs
+++ b/testbed/src/world/host/cores.rs
@@ -1,5 +1,5 @@
-//! How a host works: its commands are jobs of its [`Machine`](crate::world::machine::Machine), and
-//! one task ends each when its time has come.
+//! Runs a host's commands as jobs of its [`Machine`](crate::world::machine::Machine); one task ends
+//! each job at its completion time.
 
 use std::rc::Rc;
 
@@ -14,15 +14,14 @@
 /// How a job ended.
 pub(super) enum JobOutcome {
     Completed,
-    /// The queue was full, or no core was free in time: it never ran.
+    /// The job never ran: the queue was full, or no core was free in time.
     Rejected,
-    /// The machine went down with it.
+    /// The machine went down before the job ended.
     HostDown,
 }
 
 impl Host {
-    /// Has the cores work for so long, beginning at `start_by` at the latest, and waits until that
-    /// is over.
+    /// Runs a job of this much work, started by `start_by` at the latest, and waits for its end.
     pub(super) async fn run_job(&self, work: Micros, start_by: Micros) -> JobOutcome {
         let id = self.next_job.get();
         self.next_job.set(id + 1);
@@ -73,7 +72,8 @@
         of_warming_hosts * 2 > all
     }
 
-    /// Ends jobs as their times come, and brings the machine up again where it does not stay down.
+    /// Ends jobs at their completion times, and restarts the machine after an overload if its
+    /// settings say so. Never returns.
     pub(super) async fn complete_jobs(self: Rc<Host>) {
         loop {
             self.next_change().await;
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Until a job is done, or the machine has changed so that its next one may be done at another
+    /// Waits until a job completes, or until the machine changes and with it the next completion
     /// time.
     async fn next_change(&self) {
         let next_completion = self.machine.borrow().next_completion_at();
@@ -107,9 +107,10 @@
     fn end_completed_jobs(&self) {
         let completed = self.machine.borrow_mut().take_completed(self.now());
         for job in completed {
-            if let Some(waiting) = self.jobs.borrow_mut().remove(&job.id) {
-                // A job whose connection has ended ran all the same: nobody needs to learn of it.
-                let _ = waiting.send(job.ran);
+            if let Some(waiter) = self.jobs.borrow_mut().remove(&job.id) {
+                // Sending fails if the job's connection has ended meanwhile; the job ran all the
+                // same.
+                let _ = waiter.send(job.ran);
             }
         }
     }
--- a/testbed/src/world/host/mod.rs
+++ b/testbed/src/world/host/mod.rs
@@ -1,7 +1,7 @@
-//! A machine of the emulated world on its sockets: a cache host that stores, or the origin. It has
-//! a listener for each balancer, so that a fault can be seen by one of them alone.
+//! A machine of the emulated world on its sockets: a cache host with a store, or the origin. It has
+//! a listener for each balancer, so that a fault can affect one of them only.
 //!
-//! This file holds what a machine is, its start and its faults; `accept` takes connections,
+//! This file defines a machine, its start and its faults; `accept` takes connections,
 //! `connection` serves one, `attempt` works on a command, `cores` runs its jobs, `protocol`
 //! reads and writes its bytes.
 
@@ -33,31 +33,31 @@
 use protocol::Protocol;
 use store::KeyStore;
 
-/// How an open connection goes on.
+/// What becomes of an open connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionState {
-    /// As each begins.
+    /// Served normally; the initial state.
     Open,
-    /// It stays open, and nothing more is sent on it.
+    /// The connection stays open, and nothing more is sent on it.
     Mute,
-    /// The host knows it no more: it is reset as soon as anything comes on it.
+    /// The host has no state of it: the connection is reset as soon as anything comes on it.
     Forgotten,
     Reset,
 }
 
-/// How new connections fare.
+/// What becomes of new connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ListenerState {
     Accepting,
     Refusing,
-    /// They never come up.
+    /// Their handshakes are left unanswered.
     Unresponsive,
 }
 
-/// The way from one balancer to a host.
+/// The path from one balancer to a host: its listener and connections.
 struct BalancerPath {
     address: SocketAddr,
-    /// What happens to the connections that are open when it is sent.
+    /// Applies to the connections that are open when a state is sent.
     connection_state: watch::Sender<ConnectionState>,
     listener_state: watch::Sender<ListenerState>,
     acceptor: RefCell<Option<JoinHandle<()>>>,
@@ -80,7 +80,7 @@
     }
 }
 
-/// What a machine is. Times are in microseconds.
+/// The settings of a machine. Times are in microseconds.
 pub struct HostSettings {
     /// Its number in the world.
     pub no: HostNo,
@@ -88,23 +88,23 @@
     pub name: String,
     /// The number of its zone.
     pub zone: u32,
-    /// Its cores and queue.
+    /// Its cores, queue and warm-up.
     pub machine: MachineSettings,
-    /// Connections that it has open at the same time; more are reset.
+    /// Number of connections open at the same time; more are reset.
     pub max_connections: usize,
-    /// A connection on which nothing comes for so long is closed.
+    /// A connection on which nothing comes for this time is closed.
     pub idle_timeout: Micros,
-    /// Work that the first command on a connection costs on top.
+    /// Additional work of the first command on a connection.
     pub connection_cost: Micros,
-    /// Keys that it can store.
+    /// Number of keys that it can store.
     pub store_capacity: usize,
     /// The share of all keys that it holds from the start.
     pub initial_fill: f64,
-    /// How old a load report may be; with 0 its replies carry none.
+    /// The age at which a load report is renewed; with 0, replies carry no report.
     pub report_interval: Micros,
     /// When it started; `None` for long before the run.
     pub started_at: Option<Micros>,
-    /// How long it stays down after an overload; `None` for good.
+    /// How long it stays down after an overload; `None` if it never restarts.
     pub restart_after: Option<Micros>,
 }
 
@@ -112,44 +112,44 @@
 #[derive(Default)]
 struct LoadReport {
     made_at: Micros,
-    /// Empty before the first.
+    /// Empty before the first report.
     text: String,
 }
 
-/// A miss at a cache host, as the origin keeps account of it.
+/// A miss at a cache host, as recorded by the origin.
 struct RecentMiss {
     at: Micros,
     host_warming_up: bool,
 }
 
-/// A machine that is up, or at least has its addresses.
+/// A machine with its addresses and listeners, whether up or down.
 pub struct Host {
-    /// What it is.
+    /// Its settings.
     pub settings: HostSettings,
     shared: Rc<Shared>,
     machine: RefCell<Machine>,
-    /// Those who wait for a job: sent whether it ran, and dropped where the machine goes down.
+    /// Senders to those who wait for jobs: each sends whether its job ran, and is dropped if the
+    /// machine goes down.
     jobs: RefCell<HashMap<u64, oneshot::Sender<bool>>>,
     next_job: Cell<u64>,
     machine_changed: Notify,
     store: RefCell<KeyStore>,
-    /// By balancer.
+    /// The paths, by balancer.
     paths: Vec<BalancerPath>,
     open_connections: Cell<usize>,
     last_load_report: RefCell<LoadReport>,
-    /// After an overload or at its end: it can't be made to accept connections meanwhile.
+    /// Whether it is overloaded, dead or removed; [`Host::open`] has no effect meanwhile.
     down: Cell<bool>,
     started_at: Cell<Option<Micros>>,
-    /// At the origin: misses that came of late.
+    /// At the origin: recent misses at cache hosts.
     misses: RefCell<VecDeque<RecentMiss>>,
 }
 
 impl Host {
-    /// Brings a machine up with a listener for each balancer, at new addresses or at those of
-    /// another machine.
+    /// Starts a machine with a listener for each balancer, at these addresses.
     ///
     /// # Errors
-    /// What the kernel says where an address can't be had.
+    /// The kernel's error if it can't listen at an address.
     pub fn start(
         shared: &Rc<Shared>,
         settings: HostSettings,
@@ -180,14 +180,14 @@
         });
         for (balancer, listener) in listeners.into_iter().enumerate() {
             let acceptor = Acceptor::new(host.clone(), balancer, listener);
-            let running = spawn_local(acceptor.run());
-            host.paths[balancer].acceptor.replace(Some(running));
+            let task = spawn_local(acceptor.run());
+            host.paths[balancer].acceptor.replace(Some(task));
         }
         spawn_local(host.clone().complete_jobs());
         Ok(host)
     }
 
-    /// New addresses for a machine: each has its own, and each balancer sees another.
+    /// New addresses for a machine, one for each balancer; the port is chosen by the kernel.
     pub fn new_addresses(no: HostNo, balancers: usize) -> Vec<SocketAddr> {
         let [high, low] = (no.0 as u16).wrapping_add(1).to_be_bytes();
         let address = |balancer: usize| Ipv4Addr::new(127, 32 + balancer as u8, high, low);
@@ -199,7 +199,7 @@
         self.paths[balancer].address
     }
 
-    /// Its addresses for all balancers, by their numbers.
+    /// Its addresses, by balancer.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.paths.iter().map(|path| path.address).collect()
     }
@@ -230,7 +230,7 @@
         self.shared.ledger.clock.now()
     }
 
-    /// The way from one balancer, or from all.
+    /// The path from one balancer, or from all if it is `None`.
     fn paths_of(&self, balancer: Option<usize>) -> &[BalancerPath] {
         match balancer {
             Some(balancer) => self.paths.get(balancer..=balancer).unwrap_or(&[]),
@@ -250,12 +250,12 @@
         }
     }
 
-    /// Stores a key with its present value.
-    fn keep(&self, key: Bytes) {
+    /// Stores a key with its current value.
+    fn store_key(&self, key: Bytes) {
         self.store.borrow_mut().put(key, self.shared.last_write());
     }
 
-    /// The load report, made anew where the last one is too old.
+    /// The load report, renewed if the last one is too old.
     fn load_report(&self) -> String {
         let now = self.now();
         let mut report = self.last_load_report.borrow_mut();
@@ -270,65 +270,65 @@
     }
 }
 
-/// Faults, as the script of an experiment brings them about. Those that name a balancer are seen by
-/// it alone, and by all where it is `None`.
+/// The faults that the script of an experiment causes. Those that take a balancer affect only that
+/// one, or all if it is `None`.
 impl Host {
-    /// Works on nothing until [`Host::thaw`]; connections and commands are still taken.
+    /// Stops all work until [`Host::thaw`]; connections and commands are still accepted.
     pub fn freeze(&self) {
         self.machine.borrow_mut().freeze(self.now());
     }
 
-    /// Works again.
+    /// Resumes work.
     pub fn thaw(&self) {
         self.machine.borrow_mut().thaw(self.now());
         self.machine_changed.notify_one();
     }
 
-    /// Works this many times as long on each command.
+    /// Makes each command take this many times as long.
     pub fn set_slowdown(&self, slowdown: f64) {
         self.machine.borrow_mut().set_slowdown(slowdown);
     }
 
-    /// Connections that are open stay so, and nothing more is sent on them.
+    /// Keeps open connections open, but sends nothing more on them.
     pub fn mute_connections(&self, balancer: Option<usize>) {
         self.set_connections(balancer, ConnectionState::Mute);
     }
 
-    /// Connections that are open are known no more: what comes on one is met by a reset.
+    /// Forgets open connections: each is reset as soon as anything comes on it.
     pub fn forget_connections(&self, balancer: Option<usize>) {
         self.set_connections(balancer, ConnectionState::Forgotten);
     }
 
-    /// Resets the connections that are open.
+    /// Resets all open connections.
     pub fn reset_connections(&self, balancer: Option<usize>) {
         self.set_connections(balancer, ConnectionState::Reset);
     }
 
-    /// Resets connections and refuses new ones.
+    /// Resets open connections and refuses new ones.
     pub fn refuse(&self, balancer: Option<usize>) {
         self.set_listeners(balancer, ListenerState::Refusing);
         self.reset_connections(balancer);
     }
 
-    /// Sends nothing more to anyone, and no new connection comes up.
+    /// Sends nothing more on open connections, and leaves new handshakes unanswered.
     pub fn become_unresponsive(&self, balancer: Option<usize>) {
         self.set_listeners(balancer, ListenerState::Unresponsive);
         self.mute_connections(balancer);
     }
 
-    /// Lets no new connection come up; open ones go on.
-    pub fn let_connections_wait(&self, balancer: Option<usize>) {
+    /// Leaves new handshakes unanswered; open connections are served.
+    pub fn hold_handshakes(&self, balancer: Option<usize>) {
         self.set_listeners(balancer, ListenerState::Unresponsive);
     }
 
-    /// Accepts connections, unless it is down.
+    /// Accepts new connections again, unless it is down.
     pub fn open(&self, balancer: Option<usize>) {
         if !self.down.get() {
             self.set_listeners(balancer, ListenerState::Accepting);
         }
     }
 
-    /// Loses all that it holds, and answers nobody.
+    /// Goes down: loses its store and jobs, resets connections and refuses new ones.
     pub fn die(&self) {
         self.down.set(true);
         self.refuse(None);
@@ -338,7 +338,7 @@
         self.machine.borrow_mut().restart(now);
     }
 
-    /// Comes up again after its death, empty and warming up.
+    /// Comes up again after [`Host::die`], empty and warming up.
     pub fn restart(&self) {
         let now = self.now();
         self.down.set(false);
@@ -347,7 +347,7 @@
         self.open(None);
     }
 
-    /// Dies for good; its addresses are free when this returns.
+    /// Goes down permanently; its addresses are free when this returns.
     pub async fn remove(&self) {
         self.die();
         for path in &self.paths {
--- a/testbed/src/world/host/protocol.rs
+++ b/testbed/src/world/host/protocol.rs
@@ -1,4 +1,4 @@
-//! The protocol of a machine as bytes: RESP2 at cache hosts, HTTP at the origin.
+//! Parses and encodes the messages of a machine: RESP2 at cache hosts, HTTP at the origin.
 
 use basaltwood_wire::{http, resp};
 use bytes::Bytes;
@@ -21,50 +21,50 @@
     pub(super) id: RequestId,
     pub(super) key: Bytes,
     pub(super) write: bool,
-    /// What the balancer adds about the request (`name=value`, separated by commas).
+    /// What the balancer adds about the request, as `name=value` pairs separated by commas.
     pub(super) facts: String,
 }
 
 /// One message of a balancer.
 pub(super) enum Message {
     Command(Command),
-    /// A command of the connection, with its fixed reply.
+    /// A command that concerns the connection, with its fixed reply.
     Fixed(&'static [u8]),
-    /// Asks for the load report.
+    /// A request for the load report.
     Info,
 }
 
-/// A message and the bytes that it took.
+/// A message and its length in bytes.
 pub(super) struct ParsedMessage {
     pub(super) message: Message,
     pub(super) consumed: usize,
 }
 
-/// Why bytes are no message that a machine takes.
+/// Why received bytes are not a valid message.
 #[derive(Debug, Error)]
 pub(super) enum MessageError {
     #[error(transparent)]
     Http(#[from] http::RequestError),
     #[error(transparent)]
     Resp(#[from] resp::RespError),
-    #[error("no id")]
+    #[error("the request id is missing or not 16 hexadecimal digits")]
     MissingRequestId,
-    #[error("no command of ours")]
+    #[error("unknown or incomplete command: expected CACHE.GET, CACHE.SET, PING, CLIENT, SELECT or INFO")]
     UnknownCommand,
 }
 
-/// What a machine answers a command.
+/// A machine's reply to a command.
 pub(super) enum Reply<'a> {
     Value(&'a [u8]),
     Miss,
-    /// It never ran.
+    /// The command did not run.
     Rejected,
-    /// It ran and failed.
+    /// The command failed.
     Failed,
 }
 
 impl Protocol {
-    /// The first message of the bytes, if it is there as a whole.
+    /// Parses the first message of the bytes; `None` if it is not complete yet.
     pub(super) fn parse(self, bytes: &[u8]) -> Result<Option<ParsedMessage>, MessageError> {
         match self {
             Protocol::Http => parse_http(bytes),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// A reply as bytes; `load_report` comes along where the protocol carries it.
+    /// Encodes a reply; RESP replies with a value or a miss carry `load_report`.
     pub(super) fn encode(self, reply: &Reply<'_>, load_report: Option<&str>) -> Bytes {
         match (self, reply) {
             (Protocol::Http, Reply::Value(value)) => http::encode_response(200, &[], value),
--- a/testbed/src/world/host/shared.rs
+++ b/testbed/src/world/host/shared.rs
@@ -1,4 +1,4 @@
-//! What all machines of an emulated world share.
+//! State that all machines of an emulated world share.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -17,33 +17,32 @@
 use crate::world::faults::FaultSchedule;
 use crate::world::service_time::ServiceTimes;
 
-/// A host that did not hold a key that it was asked for.
+/// A host that did not hold a requested key.
 struct KeyMiss {
     host: Rc<Host>,
     key: Bytes,
 }
 
-/// What all machines of a world share.
+/// State that all machines of a world share.
 pub struct Shared {
-    /// Where everything is recorded that crosses a socket.
+    /// Records everything that crosses a socket.
     pub ledger: Ledger,
     /// The faults of the run.
     pub faults: FaultSchedule,
-    /// How long commands are worked on.
+    /// The distributions of commands' service times.
     pub service_times: ServiceTimes,
-    /// Who asks the origin for what a host lacks.
+    /// Whether the balancer or the host asks the origin after a miss.
     pub mode: CacheMode,
-    /// The one source of chance of the world, so that a seed gives one order of draws.
+    /// The generator of all draws of machines, so that they depend on the seed alone.
     pub rng: RefCell<ChaCha8Rng>,
     /// Connections accepted so far, by all machines.
     pub(super) connections_accepted: Arc<AtomicU64>,
-    /// Misses by their request: the origin's answer to it is stored at these hosts.
+    /// Misses by request; the origin's answer to the request is stored at these hosts.
     misses: RefCell<HashMap<RequestId, Vec<KeyMiss>>>,
-    /// The number of the last write to each key: what a host stored before it is stale.
+    /// The number of the last write to each key; a copy stored before that write is stale.
     last_write_by_key: RefCell<HashMap<Bytes, u64>>,
     last_write: Cell<u64>,
-    /// When a write with an idempotency key ran first, by that key and the scope that drops its
-    /// repeats.
+    /// When the write with an idempotency key first ran, by that key and the deduplication scope.
     first_runs: RefCell<HashMap<(Bytes, u32), Micros>>,
     /// The cache hosts.
     pub hosts: RefCell<Vec<Rc<Host>>>,
@@ -52,7 +51,7 @@
 }
 
 impl Shared {
-    /// A world without machines.
+    /// The state of a world without machines.
     pub fn new(
         ledger: Ledger,
         faults: FaultSchedule,
@@ -77,7 +76,7 @@
         })
     }
 
-    /// A key has another value from now on: what hosts hold of it is stale.
+    /// Records a write to a key, which makes hosts' earlier copies of it stale.
     pub(super) fn record_write(&self, key: &Bytes) {
         self.last_write.set(self.last_write.get() + 1);
         self.last_write_by_key.borrow_mut().insert(key.clone(), self.last_write.get());
@@ -93,7 +92,7 @@
         self.last_write.get()
     }
 
-    /// A host lacked the key of a request: the origin's answer to it will be stored there.
+    /// Records that a host did not hold a request's key; the origin's answer will be stored there.
     pub(super) fn record_miss(&self, id: RequestId, host: Rc<Host>, key: Bytes) {
         self.misses.borrow_mut().entry(id).or_default().push(KeyMiss { host, key });
     }
@@ -102,17 +101,17 @@
     pub(super) fn fill_missed(&self, id: RequestId) {
         let misses = self.misses.borrow_mut().remove(&id).unwrap_or_default();
         for miss in misses {
-            miss.host.keep(miss.key);
+            miss.host.store_key(miss.key);
         }
     }
 
-    /// When a write with this idempotency key ran first within a scope: `now` if this is that time.
+    /// When the write with this idempotency key first ran in a scope; records `now` if it had not.
     pub(super) fn first_run(&self, idempotency_key: &str, scope: u32, now: Micros) -> Micros {
         let key = (Bytes::copy_from_slice(idempotency_key.as_bytes()), scope);
         *self.first_runs.borrow_mut().entry(key).or_insert(now)
     }
 
-    /// Draws whether something of this probability happens; draws nothing where it can't.
+    /// Draws an event of this probability; uses no random number if the probability is 0.
     pub(super) fn draw(&self, probability: f64) -> bool {
         probability > 0.0 && self.rng.borrow_mut().random_bool(probability.clamp(0.0, 1.0))
     }
--- a/testbed/src/world/host/store.rs
+++ b/testbed/src/world/host/store.rs
@@ -1,5 +1,5 @@
-//! The keys that a host holds: the newest ones, and from the start a share of all keys. Values are
-//! made anew for each request, so that only keys are kept.
+//! The keys that a host holds: those stored last, and initially a share of all keys. Only keys are
+//! kept, since values are made for each request.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -12,11 +12,11 @@
 pub(super) struct KeyStore {
     host: HostNo,
     capacity: usize,
-    /// The share of all keys that it holds from the start; 0 once that is lost.
+    /// The share of all keys that it holds initially; 0 after [`KeyStore::clear`].
     initial_fill: f64,
-    /// Each key with the number of the last write to any key before it was stored.
+    /// Stored keys, each with the number of the last write to any key before it was stored.
     stored: HashMap<Bytes, u64>,
-    /// The keys in the order in which they were stored first.
+    /// The keys in the order in which they were first stored.
     order: VecDeque<Bytes>,
 }
 
@@ -25,7 +25,8 @@
         KeyStore { host, capacity, initial_fill, stored: HashMap::new(), order: VecDeque::new() }
     }
 
-    /// Whether it holds the present value of a key, whose last write, if any, had this number.
+    /// Whether it holds the current value of a key. `last_write` is the number of the last write to
+    /// the key, if any.
     pub(super) fn holds(&self, key: &Bytes, last_write: Option<u64>) -> bool {
         if let Some(&stored_after) = self.stored.get(key) {
             if last_write.is_none_or(|write| stored_after >= write) {
@@ -35,14 +36,14 @@
         last_write.is_none() && self.held_initially(key)
     }
 
-    /// Drawn from the key and the host, so that it needs no memory.
+    /// Whether the key is in the initial fill, decided by a hash of key and host and not stored.
     fn held_initially(&self, key: &Bytes) -> bool {
         let draw = xxh3_64_with_seed(key, u64::from(self.host.0)) as f64 / u64::MAX as f64;
         draw < self.initial_fill
     }
 
-    /// Stores a key after the write of this number; the oldest key goes where there is no capacity
-    /// for it.
+    /// Stores a key as of the write with this number; beyond the capacity the oldest keys are
+    /// dropped.
     pub(super) fn put(&mut self, key: Bytes, last_write: u64) {
         if self.stored.insert(key.clone(), last_write).is_none() {
             self.order.push_back(key);
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Loses everything.
+    /// Removes all keys, also those of the initial fill.
     pub(super) fn clear(&mut self) {
         self.initial_fill = 0.0;
         self.stored.clear();
--- a/testbed/src/world/listener.rs
+++ b/testbed/src/world/listener.rs
@@ -6,13 +6,13 @@
 use socket2::SockRef;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// Connections that the kernel may hold ready to be accepted.
+/// Length of the listen queue, in connections.
 pub const LISTEN_BACKLOG: i32 = 1024;
 
-/// Listens on an IPv4 address that may have been in use until now.
+/// Listens on an IPv4 address, also one that was in use a moment ago.
 ///
 /// # Errors
-/// What the kernel says where the address can't be had.
+/// The kernel's error if the address can't be bound.
 pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -20,7 +20,7 @@
     socket.listen(LISTEN_BACKLOG as u32)
 }
 
-/// The connection is reset, not closed in good order, when it is dropped.
+/// Makes dropping the connection reset it instead of closing it in order.
 pub fn reset_on_drop(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
--- a/testbed/src/world/machine.rs
+++ b/testbed/src/world/machine.rs
@@ -1,56 +1,55 @@
-//! The cores, the queue and the warm-up of an emulated machine: what it accepts, when work is done
-//! and when it is overloaded. Pure: time comes in with every call, and the caller draws how much
-//! work a command is.
+//! A model of a machine's cores, queue and warm-up: which jobs it accepts, when they complete, and
+//! when it is overloaded. Does no I/O: callers pass the time and the work of each job.
 
 use std::collections::VecDeque;
 
 use crate::time::Micros;
 
-/// How a machine is built.
+/// The settings of a machine.
 #[derive(Clone, Copy, Debug)]
 pub struct MachineSettings {
-    /// Commands that it works on at the same time.
+    /// Number of jobs that it runs at the same time.
     pub cores: usize,
-    /// 1 finishes a command in the time that was drawn for it.
+    /// Work done per unit of time on each core; at 1 a job takes as long as its work says.
     pub speed: f64,
-    /// Commands that may wait for a core; more are rejected.
+    /// Number of jobs that may wait for a core; more are rejected.
     pub max_queue: usize,
     /// The share of its capacity that a machine has when it starts.
     pub initial_capacity: f64,
-    /// How long after its start a machine has its whole capacity.
+    /// Time after its start at which a machine has its whole capacity.
     pub warm_up: Micros,
-    /// More work than this many times its present capacity over the window overloads it; 0 for
-    /// never.
+    /// The machine is overloaded by more work in a window than this multiple of what it can do in
+    /// that time at present; 0 for never.
     pub overload_multiple: f64,
-    /// The time over which arriving work is added up.
+    /// The window over which arriving work is summed.
     pub overload_window: Micros,
     /// Whether only a machine that is warming up can be overloaded.
     pub overloads_only_while_warming: bool,
 }
 
-/// One command as a machine sees it.
+/// One command, as a machine runs it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Job {
-    /// Chosen by the caller, who finds the job by it again.
+    /// Chosen by the caller to identify the job.
     pub id: u64,
-    /// Time that it takes at full speed.
+    /// Time that it takes at speed 1 and whole capacity.
     pub work: Micros,
-    /// It is dropped if no core is free for it by this time.
+    /// The job is dropped if no core is free by this time.
     pub start_by: Micros,
 }
 
-/// What becomes of a job on its arrival.
+/// The outcome of submitting a job.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It has a core or waits for one.
+    /// The job runs on a core or waits for one.
     Accepted,
-    /// As many jobs wait as may.
+    /// The queue is full; the job was rejected.
     QueueFull,
-    /// This was too much work: the machine is down from now on.
+    /// The job's work overloaded the machine, which the caller is to take down.
     Overloaded,
 }
 
-/// A job that needs its core no more.
+/// A job that ran, or was dropped from the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CompletedJob {
     /// The job's id.
@@ -66,12 +65,12 @@
     /// The job that each core works on, and when it will be done.
     cores: Vec<Option<(Micros, Job)>>,
     queue: VecDeque<Job>,
-    /// When it last started; `None` for long ago.
+    /// When it last started; `None` if it has been up for longer than its warm-up.
     started_at: Option<Micros>,
     frozen_at: Option<Micros>,
-    /// Jobs take this many times as long.
+    /// Factor by which jobs take longer.
     slowdown: f64,
-    /// Work that arrived within the window, whether or not it was accepted, by its time.
+    /// Arrival times and work of the jobs in the window, whether or not they were accepted.
     arrivals: VecDeque<(Micros, Micros)>,
     /// The sum of `arrivals`.
     work_in_window: Micros,
@@ -79,7 +78,7 @@
 }
 
 impl Machine {
-    /// A machine that started at a time, or long ago (`None`).
+    /// A machine that started at a time, or is warm already (`None`).
     pub fn new(settings: MachineSettings, started_at: Option<Micros>) -> Machine {
         Machine {
             cores: vec![None; settings.cores],
@@ -94,7 +93,7 @@
         }
     }
 
-    /// The share of its capacity that it has, from `initial_capacity` to 1.
+    /// The share of its whole capacity that it has now, from `initial_capacity` to 1.
     pub fn capacity_share(&self, now: Micros) -> f64 {
         match self.started_at {
             Some(started) if self.settings.warm_up > 0 => {
@@ -105,24 +104,23 @@
         }
     }
 
-    /// Whether its capacity still grows.
+    /// Whether its warm-up is still going on.
     pub fn is_warming_up(&self, now: Micros) -> bool {
         self.started_at.is_some_and(|started| now - started < self.settings.warm_up)
     }
 
-    /// Jobs on a core or waiting for one.
+    /// Number of jobs on a core or waiting for one.
     pub fn in_flight(&self) -> usize {
         self.queue.len() + self.cores.iter().flatten().count()
     }
 
-    /// Work that arrived within the last window, as a multiple of what the machine can do in that
-    /// time.
+    /// Work that arrived within the window, as a multiple of what the machine can do in that time.
     pub fn load(&self, now: Micros) -> f64 {
         let capacity = self.settings.cores as f64 * self.settings.speed * self.capacity_share(now);
         self.work_in_window as f64 / (capacity * self.settings.overload_window.max(1) as f64)
     }
 
-    /// A job arrives.
+    /// Submits a job.
     pub fn submit(&mut self, now: Micros, job: Job) -> Admission {
         self.advance(now);
         if self.is_overloaded_by(now, job.work) {
@@ -136,7 +134,7 @@
         Admission::Accepted
     }
 
-    /// Adds work to the window; whether that is more than the machine bears.
+    /// Adds work to the window, and returns whether the machine is overloaded by it.
     fn is_overloaded_by(&mut self, now: Micros, work: Micros) -> bool {
         if self.settings.overload_multiple <= 0.0 {
             return false;
@@ -151,7 +149,7 @@
         can_overload && self.load(now) > self.settings.overload_multiple
     }
 
-    /// When the next job will be done, by what is known now.
+    /// The time at which the next running job completes; `None` if none runs or work is stopped.
     pub fn next_completion_at(&self) -> Option<Micros> {
         if self.frozen_at.is_some() {
             return None;
@@ -159,7 +157,7 @@
         self.cores.iter().flatten().map(|(end, _)| *end).min()
     }
 
-    /// The jobs that were done by now, each given once.
+    /// Takes the jobs that have completed or were dropped by now.
     pub fn take_completed(&mut self, now: Micros) -> Vec<CompletedJob> {
         self.advance(now);
         std::mem::take(&mut self.completed)
@@ -171,7 +169,7 @@
         self.frozen_at.get_or_insert(now);
     }
 
-    /// Work goes on; what was begun is done later by the length of the pause.
+    /// Resumes work; jobs that were running complete later by the length of the pause.
     pub fn thaw(&mut self, now: Micros) {
         if let Some(since) = self.frozen_at.take() {
             for (end, _) in self.cores.iter_mut().flatten() {
@@ -186,7 +184,7 @@
         self.slowdown = slowdown;
     }
 
-    /// It starts anew: its warm-up begins, and its jobs are lost.
+    /// Restarts the machine: its warm-up begins, and its jobs are lost.
     pub fn restart(&mut self, now: Micros) {
         *self = Machine::new(self.settings, Some(now));
     }
@@ -195,7 +193,7 @@
         if self.frozen_at.is_some() {
             return;
         }
-        // In the order of time: which job a core starts next depends on when it was free.
+        // One completion at a time: when a core becomes free decides which queued job it starts.
         while let Some(end) = self.next_completion_at().filter(|&end| end <= now) {
             for core in &mut self.cores {
                 if let Some((_, job)) = core.take_if(|(at, _)| *at <= end) {
--- a/testbed/src/world/machine/tests.rs
+++ b/testbed/src/world/machine/tests.rs
@@ -1,4 +1,4 @@
-//! The machine's queue, warm-up and overload, by calls alone.
+//! Tests of the machine's queue, warm-up and overload.
 
 use super::*;
 use crate::time::{MS, SECOND};
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_pause_delays_started_jobs_by_its_length_and_drops_those_past_their_start() {
+fn pause_delays_running_jobs_by_its_length_and_drops_queued_ones_past_start_by() {
     let mut machine = Machine::new(SETTINGS, None);
     for id in 0..3 {
         assert_eq!(machine.submit(0, Job { start_by: 250 * MS, ..job(id) }), Admission::Accepted);
@@ -35,12 +35,12 @@
 }
 
 #[test]
-fn a_machine_that_warms_up_works_slower_and_is_overloaded_where_a_warm_one_is_not() {
+fn warming_machine_works_slower_and_is_overloaded_where_a_warm_one_is_not() {
     let mut warming = Machine::new(SETTINGS, Some(0));
     warming.submit(0, job(0));
     assert_eq!(warming.next_completion_at(), Some(400 * MS));
     let overloaded = (1..20).position(|id| warming.submit(id as Micros, job(id)) == Admission::Overloaded);
-    // Twice a quarter of a second's work within a second: the sixth command is too much.
+    // The limit is twice a quarter of a second's work: 500 ms, exceeded by the sixth job of 100 ms.
     assert_eq!(overloaded, Some(4));
     let mut warm = Machine::new(SETTINGS, None);
     assert!((0..20).all(|id| warm.submit(id as Micros, job(id)) != Admission::Overloaded));
--- a/testbed/src/world/mod.rs
+++ b/testbed/src/world/mod.rs
@@ -1,6 +1,6 @@
 //! The emulated world around the balancers: hosts, origin and discovery on loopback sockets, and
-//! the script of faults. It lives on a thread of its own, and records in the ledger all that
-//! crosses its sockets.
+//! the script of faults. It runs on its own thread, and records everything that crosses its sockets
+//! in the ledger.
 
 mod director;
 pub mod discovery;
@@ -34,34 +34,34 @@
 /// How often the CPU time of the world's thread is read.
 const CPU_TIME_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Why a world did not come up.
+/// Why a world could not be started.
 #[derive(Debug, Error)]
 pub enum WorldError {
-    /// No runtime could be had for its thread.
-    #[error("the runtime: {0}")]
+    /// The runtime of its thread could not be built.
+    #[error("cannot build the async runtime of the emulated world: {0}")]
     Runtime(std::io::Error),
     /// A host, the origin or an agent could not listen.
-    #[error("a listener of the world: {0}")]
+    #[error("a host, the origin or a discovery agent of the emulated world cannot listen: {0}")]
     Listener(std::io::Error),
     /// Its thread could not be started.
-    #[error("a thread: {0}")]
+    #[error("cannot start the thread of the emulated world: {0}")]
     Thread(std::io::Error),
-    /// Its thread ended before it was up.
-    #[error("the world did not come up")]
+    /// Its thread ended before everything listened.
+    #[error("the thread of the emulated world ended before its hosts listened")]
     Ended,
 }
 
-/// A world on its thread. It ends when this is dropped.
+/// A world on its own thread, which ends when this is dropped.
 pub struct World {
-    /// What each balancer has to know before it starts.
+    /// The bootstrap of each balancer: its discovery address and initial endpoint list.
     pub bootstraps: Vec<BalancerBootstrap>,
     /// The faults of the run.
     pub fault_windows: Vec<FaultWindow>,
-    /// By how much the world's thread was late: the times in the ledger may be late by that.
+    /// Lateness of the world's thread; times in the ledger may be late by as much.
     pub lateness: Arc<Lateness>,
     /// Connections that hosts and origin have accepted so far.
     pub connections_accepted: Arc<AtomicU64>,
-    /// CPU time of the world's thread so far, in microseconds, read every tenth of a second.
+    /// CPU time of the world's thread so far, in microseconds, read every [`CPU_TIME_INTERVAL`].
     pub cpu_us: Arc<AtomicU64>,
     begin: Option<oneshot::Sender<Option<Balancers>>>,
     end: Option<oneshot::Sender<()>>,
@@ -69,10 +69,10 @@
 }
 
 impl World {
-    /// Brings a world up: every listener is there when this returns.
+    /// Starts a world; all its listeners accept connections when this returns.
     ///
     /// # Errors
-    /// Where the thread or a listener can't be had.
+    /// If the thread, its runtime or a listener could not be started.
     pub fn start(experiment: &Experiment, seed: u64, ledger: &Ledger) -> Result<World, WorldError> {
         let (up, when_up) = mpsc::channel();
         let (begin, begun) = oneshot::channel();
@@ -106,8 +106,8 @@
         })
     }
 
-    /// Begins the script of faults; the clock has been set to the start of the run. `balancers` are
-    /// those that the script may kill.
+    /// Begins the script of faults. The clock must be set to the start of the run before. The
+    /// script may kill `balancers`.
     pub fn run_script(&mut self, balancers: Option<Balancers>) {
         if let Some(begin) = self.begin.take() {
             let _ = begin.send(balancers);
@@ -124,13 +124,13 @@
     }
 }
 
-/// What is known of a world once it is up.
+/// What the world's thread reports once all listeners are up.
 struct WorldUp {
     bootstraps: Vec<BalancerBootstrap>,
     fault_windows: Vec<FaultWindow>,
 }
 
-/// What the world's thread is given.
+/// The inputs of the world's thread.
 struct WorldThread {
     experiment: Experiment,
     seed: u64,
@@ -140,22 +140,22 @@
     cpu_us: Arc<AtomicU64>,
     up: mpsc::Sender<Result<WorldUp, WorldError>>,
     begun: oneshot::Receiver<Option<Balancers>>,
-    /// Ends when the world is dropped.
+    /// Resolves when the world is dropped.
     ended: oneshot::Receiver<()>,
 }
 
 impl WorldThread {
     fn run(self) {
         match tokio::runtime::Builder::new_current_thread().enable_all().build() {
-            Ok(runtime) => LocalSet::new().block_on(&runtime, self.live()),
+            Ok(runtime) => LocalSet::new().block_on(&runtime, self.run_until_dropped()),
             Err(cause) => {
                 let _ = self.up.send(Err(WorldError::Runtime(cause)));
             }
         }
     }
 
-    /// Until the world is dropped.
-    async fn live(self) {
+    /// Runs the world until its handle is dropped.
+    async fn run_until_dropped(self) {
         let started =
             Director::start(&self.experiment, self.seed, &self.ledger, self.connections_accepted.clone());
         let director = match started {
--- a/testbed/src/world/proxy.rs
+++ b/testbed/src/world/proxy.rs
@@ -1,8 +1,8 @@
-//! Fault proxies between balancers and machines: what goes to a machine passes at once or never,
-//! what comes from it is delayed, dripped, cut, copied, silenced, half closed or reset by the script.
+//! Fault proxies between balancers and machines. Faults delay, drip, cut, copy, silence, half-close
+//! or reset responses; requests pass at once or never.
 //!
-//! Towards machines nothing is delayed: the ledger records an attempt as it reaches its machine, and
-//! the audit judges it by that time.
+//! Requests are not delayed since the ledger records an attempt when it reaches its machine, and
+//! the audit checks that time.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -24,19 +24,20 @@
 use crate::ledger::HostNo;
 use crate::time::Clock;
 
-/// Bytes that are passed on at a time.
+/// Upper bound of the bytes that are forwarded at a time.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// Bytes of a chunk that drip one by one, and the pause between them.
+/// Bytes of a chunk that are forwarded one by one.
 const DRIPPING_BYTES: usize = 40;
+/// Pause after each of the dripping bytes.
 const DRIP_INTERVAL: Duration = Duration::from_millis(2);
-/// How long a response is delayed, at most.
+/// Upper bound of a response's delay.
 const MAX_DELAY: Duration = Duration::from_millis(300);
-/// A machine that takes longer to accept is not there.
+/// Time in which a machine must accept a connection; otherwise the balancer's is reset.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
-/// A copy follows its original after this time.
+/// Time between a response and its copy.
 const COPY_DELAY: Duration = Duration::from_millis(3);
 
-/// The faults that a proxy plays, each with its probability for a piece of a response.
+/// The faults that proxies apply, each with its probability per piece of a response.
 const PROXY_FAULTS: [FaultKind; 7] = [
     FaultKind::ProxyDelay,
     FaultKind::ProxyDrip,
@@ -47,16 +48,16 @@
     FaultKind::ProxyReset,
 ];
 
-/// The proxies of a world, one for each address of a machine that a balancer is told.
+/// The proxies of a world, one for each address of a machine that is advertised to a balancer.
 pub struct FaultProxies {
     faults: FaultSchedule,
     clock: Clock,
     rng: RefCell<ChaCha8Rng>,
-    /// Where the proxy of a machine's address listens.
-    listening: RefCell<HashMap<SocketAddr, SocketAddr>>,
+    /// The proxy's address, by the machine's address.
+    proxy_addresses: RefCell<HashMap<SocketAddr, SocketAddr>>,
 }
 
-/// One proxy's way from a balancer to a machine.
+/// The path from one balancer to one machine, through a proxy.
 #[derive(Clone)]
 struct Route {
     proxies: Rc<FaultProxies>,
@@ -65,20 +66,24 @@
     address: SocketAddr,
 }
 
-/// What becomes of a connection after a piece of a response.
-enum Passed {
-    On,
+/// The state of a connection after a piece of a response.
+enum Forwarding {
+    /// The piece was forwarded, or the machine closed the connection in order.
+    Passed,
+    /// The connection stays open, and nothing more is forwarded.
     Silenced,
-    Ended,
+    /// The balancer's connection is to be reset.
+    Reset,
 }
 
 impl FaultProxies {
-    /// Proxies that play these faults.
+    /// Creates the proxies for these faults.
     pub fn new(faults: FaultSchedule, clock: Clock, rng: ChaCha8Rng) -> Rc<FaultProxies> {
-        Rc::new(FaultProxies { faults, clock, rng: RefCell::new(rng), listening: RefCell::default() })
+        Rc::new(FaultProxies { faults, clock, rng: RefCell::new(rng), proxy_addresses: RefCell::default() })
     }
 
-    /// Where a balancer is to find a machine: at its proxy, where the script has faults for any.
+    /// The address of a machine that discovery gives to a balancer: that of its proxy if the
+    /// schedule has any proxy fault, otherwise the machine's own.
     pub fn advertised(
         self: &Rc<FaultProxies>,
         machine: HostNo,
@@ -88,17 +93,17 @@
         if !self.faults.windows.iter().any(|window| PROXY_FAULTS.contains(&window.kind)) {
             return address;
         }
-        if let Some(&proxy) = self.listening.borrow().get(&address) {
+        if let Some(&proxy) = self.proxy_addresses.borrow().get(&address) {
             return proxy;
         }
         let route = Route { proxies: self.clone(), machine, balancer, address };
         match route.listen() {
             Ok(proxy) => {
-                self.listening.borrow_mut().insert(address, proxy);
+                self.proxy_addresses.borrow_mut().insert(address, proxy);
                 proxy
             }
             Err(cause) => {
-                log::warn!("a proxy of {machine}: {cause}");
+                log::warn!("starting a proxy of {machine} failed, it is used without one: {cause}");
                 address
             }
         }
@@ -122,64 +127,65 @@
     }
 
     async fn serve(self, mut downstream: TcpStream) {
-        // Nothing waits here for a machine that does not come up, to be passed on late.
+        // A request must not wait here for its machine and be forwarded late.
         let Ok(Ok(mut upstream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address)).await else {
             reset_on_drop(&downstream);
             return;
         };
         let _ = (downstream.set_nodelay(true), upstream.set_nodelay(true));
-        let ended = {
+        let state = {
             let (mut from_balancer, mut to_balancer) = downstream.split();
             let (mut from_machine, mut to_machine) = upstream.split();
             tokio::select! {
-                () = pass_requests(&mut from_balancer, &mut to_machine) => Passed::Ended,
-                passed = self.pass_responses(&mut from_machine, &mut to_balancer) => passed,
+                () = forward_requests(&mut from_balancer, &mut to_machine) => Forwarding::Reset,
+                state = self.forward_responses(&mut from_machine, &mut to_balancer) => state,
             }
         };
-        match ended {
-            Passed::Silenced => {
-                // Both sides stay open, and nothing passes any more, until the balancer gives up.
+        match state {
+            Forwarding::Silenced => {
+                // Both sides stay open and nothing is forwarded, until the balancer closes the
+                // connection.
                 let mut ignored = vec![0; CHUNK_BYTES];
                 while matches!(downstream.read(&mut ignored).await, Ok(1..)) {}
             }
-            Passed::Ended => reset_on_drop(&downstream),
-            Passed::On => {}
+            Forwarding::Reset => reset_on_drop(&downstream),
+            Forwarding::Passed => {}
         }
     }
 
-    async fn pass_responses(&self, from: &mut ReadHalf<'_>, to: &mut WriteHalf<'_>) -> Passed {
+    async fn forward_responses(&self, from: &mut ReadHalf<'_>, to: &mut WriteHalf<'_>) -> Forwarding {
         let mut chunk = vec![0; CHUNK_BYTES];
         loop {
             let count = match from.read(&mut chunk).await {
                 Ok(count @ 1..) => count,
-                Ok(_) => return Passed::On,
-                Err(_) => return Passed::Ended,
+                Ok(_) => return Forwarding::Passed,
+                Err(_) => return Forwarding::Reset,
             };
-            match self.pass(&chunk[..count], to).await {
-                Ok(Passed::On) => {}
+            match self.forward_piece(&chunk[..count], to).await {
+                Ok(Forwarding::Passed) => {}
                 Ok(other) => return other,
-                Err(_) => return Passed::Ended,
+                Err(_) => return Forwarding::Reset,
             }
         }
     }
 
-    /// Passes a piece of a response on, with what the script makes of it.
-    async fn pass(&self, piece: &[u8], to: &mut WriteHalf<'_>) -> std::io::Result<Passed> {
-        if self.strikes(FaultKind::ProxySilence) {
-            return Ok(Passed::Silenced);
+    /// Forwards a piece of a response, with the faults that apply to it.
+    async fn forward_piece(&self, piece: &[u8], to: &mut WriteHalf<'_>) -> std::io::Result<Forwarding> {
+        if self.applies(FaultKind::ProxySilence) {
+            return Ok(Forwarding::Silenced);
         }
-        if self.strikes(FaultKind::ProxyReset) {
-            return Ok(Passed::Ended);
+        if self.applies(FaultKind::ProxyReset) {
+            return Ok(Forwarding::Reset);
         }
-        if self.strikes(FaultKind::ProxyDelay) {
+        if self.applies(FaultKind::ProxyDelay) {
             let part = self.proxies.rng.borrow_mut().random::<f64>();
             sleep(MAX_DELAY.mul_f64(part)).await;
         }
-        if self.strikes(FaultKind::ProxyCut) {
+        if self.applies(FaultKind::ProxyCut) {
             to.write_all(&piece[..piece.len() / 2]).await?;
-            return Ok(Passed::Ended);
+            return Ok(Forwarding::Reset);
         }
-        if self.strikes(FaultKind::ProxyDrip) {
+        if self.applies(FaultKind::ProxyDrip) {
             let dripping = piece.len().min(DRIPPING_BYTES);
             for byte in &piece[..dripping] {
                 to.write_all(&[*byte]).await?;
@@ -189,25 +195,25 @@
         } else {
             to.write_all(piece).await?;
         }
-        if self.strikes(FaultKind::ProxyCopy) {
+        if self.applies(FaultKind::ProxyCopy) {
             sleep(COPY_DELAY).await;
             to.write_all(piece).await?;
         }
-        if self.strikes(FaultKind::ProxyHalfClose) {
+        if self.applies(FaultKind::ProxyHalfClose) {
             to.shutdown().await?;
-            return Ok(Passed::Silenced);
+            return Ok(Forwarding::Silenced);
         }
-        Ok(Passed::On)
+        Ok(Forwarding::Passed)
     }
 
-    fn strikes(&self, kind: FaultKind) -> bool {
+    fn applies(&self, kind: FaultKind) -> bool {
         let FaultProxies { faults, clock, rng, .. } = &*self.proxies;
         let probability = faults.probability(clock.now(), kind, self.machine, self.balancer);
         probability > 0.0 && rng.borrow_mut().random::<f64>() < probability
     }
 }
 
-async fn pass_requests(from: &mut ReadHalf<'_>, to: &mut WriteHalf<'_>) {
+async fn forward_requests(from: &mut ReadHalf<'_>, to: &mut WriteHalf<'_>) {
     let mut chunk = vec![0; CHUNK_BYTES];
     while let Ok(count @ 1..) = from.read(&mut chunk).await {
         if to.write_all(&chunk[..count]).await.is_err() {
--- a/testbed/src/world/service_time.rs
+++ b/testbed/src/world/service_time.rs
@@ -1,4 +1,4 @@
-//! How much work a command is: drawn by its request class, for hosts and for the origin.
+//! Draws the service time of a command by its request class, for hosts and for the origin.
 
 use rand::Rng;
 use rand_distr::{Distribution, Exp, LogNormal};
@@ -14,7 +14,7 @@
 }
 
 impl ServiceTimes {
-    /// Hosts and the origin each have a distribution; a request class may have its own at hosts.
+    /// Takes the distributions of hosts and the origin; a request class may have its own at hosts.
     pub fn new(classes: &[Category], host: ServiceTime, origin: ServiceTime) -> ServiceTimes {
         ServiceTimes { classes: classes.to_vec(), host, origin }
     }
@@ -29,7 +29,7 @@
         &self.classes[index]
     }
 
-    /// Draws how long one command of a class is worked on, at a host or at the origin.
+    /// Draws the service time of a command of a class, at a host or at the origin.
     pub fn draw(&self, rng: &mut impl Rng, class: Option<usize>, at_origin: bool) -> Micros {
         let of_class = class.and_then(|index| self.classes[index].service);
         let at_host = of_class.unwrap_or(self.host);
@@ -42,12 +42,14 @@
     let mean = service.mean_ms.max(1e-3);
     let ms = match service.kind {
         TimeDistribution::Constant => mean,
-        TimeDistribution::Exponential => Exp::new(1.0 / mean).map_or(mean, |law| law.sample(rng)),
+        TimeDistribution::Exponential => {
+            Exp::new(1.0 / mean).map_or(mean, |distribution| distribution.sample(rng))
+        }
         // The mean of exp(N(m, s)) is exp(m + s^2 / 2).
         TimeDistribution::LogNormal => {
             let sigma = service.sigma.clamp(0.0, 4.0);
-            let law = LogNormal::new(mean.ln() - sigma * sigma / 2.0, sigma);
-            law.map_or(mean, |law| law.sample(rng))
+            let distribution = LogNormal::new(mean.ln() - sigma * sigma / 2.0, sigma);
+            distribution.map_or(mean, |distribution| distribution.sample(rng))
         }
     };
     millis(ms).max(1)
--- a/testbed/tests/audit.rs
+++ b/testbed/tests/audit.rs
@@ -1,5 +1,5 @@
-//! Each check of the audit can fail: a bad peer in the balancer's place commits each breach, and an
-//! honest one none.
+//! Each check of the audit finds its breach: a misbehaving router takes the balancer's place. An
+//! honest router commits no breach.
 
 mod common;
 
@@ -13,7 +13,7 @@
 use expect_test::expect;
 
 #[test]
-fn misbehaving_router_each_breach_is_found_and_honest_router_has_none() {
+fn each_breach_of_a_misbehaving_router_is_found_and_none_of_an_honest_one() {
     let calm = experiment("seconds = 2.0", "[load]\nrate = 150");
     let drains = experiment(
         "seconds = 2.0",
@@ -33,7 +33,7 @@
         (Some("again"), &calm, Some((Rule::Once, "sent to origin again"))),
         (Some("deny"), &calm, Some((Rule::Once, "nacked though it may have run"))),
         (Some("drain"), &drains, Some((Rule::Drain, "after its drain"))),
-        // Nothing was written to it, and it counts as told all the same.
+        // It never reads discovery, but counts as informed of the drain.
         (Some("deaf"), &drains, Some((Rule::Drain, "after its drain"))),
     ];
     thread::scope(|scope| {
@@ -65,17 +65,17 @@
 
 #[test]
 fn warming_host_overloaded_is_a_breach_of_the_router() {
-    // A new host gets a third of the reads at once: more than the 16 ms of work a second that it is
-    // said to bear.
+    // A new host gets a third of the reads at once, more than its limit of 16 ms of work per
+    // second.
     let experiment = experiment(
         "seconds = 2.5",
         "[load]\nrate = 300\n[cold]\nfrom = 0.05\nmultiple = 0.02\nwindow_ms = 500\n\
          [[faults]]\nkind = \"grow\"\nhosts = 1\nfrom_s = 0.3",
     );
     let run = played(&experiment, &router("random", None));
-    let fell = run.breaches.iter().find(|breach| breach.rule == Rule::Cold);
+    let breach = run.breaches.iter().find(|breach| breach.rule == Rule::Cold);
     assert!(
-        fell.is_some_and(|fell| fell.what == "host 2 was pushed over while it was cold"),
+        breach.is_some_and(|breach| breach.what == "host 2 was pushed over while it was cold"),
         "{:?}",
         run.breaches
     );
@@ -83,21 +83,26 @@
 
 const A: RequestId = RequestId(10);
 
-/// An op of one category, what happened to it by millisecond, and what the audit says.
-fn judged(category: &str, group: DeduplicationScope, happened: &[(Micros, Observation)]) -> String {
+/// Audits one request of a class, given the observations after it was sent, each with its
+/// millisecond.
+fn audit_request(
+    category: &str,
+    group: DeduplicationScope,
+    observations: &[(Micros, Observation)],
+) -> String {
     let experiment = experiment("seconds = 1.0", "[load]\nrate = 1");
     let nth = experiment.categories.iter().position(|other| other.name == category).expect("a category");
     let mut categories = experiment.categories;
     categories[nth].deduplication_scope = group;
-    let asked = Observation::RequestSent { id: A, balancer: 0, category: nth, until: 2 * SECOND };
-    let mut events = vec![Event { at: 0, observation: asked }];
+    let sent = Observation::RequestSent { id: A, balancer: 0, category: nth, until: 2 * SECOND };
+    let mut events = vec![Event { at: 0, observation: sent }];
     events.extend(
-        happened.iter().map(|(at, observation)| Event { at: at * MS, observation: observation.clone() }),
+        observations.iter().map(|(at, observation)| Event { at: at * MS, observation: observation.clone() }),
     );
-    verdict(&events, &categories)
+    findings(&events, &categories)
 }
 
-fn verdict(events: &[Event], categories: &[Category]) -> String {
+fn findings(events: &[Event], categories: &[Category]) -> String {
     let settings = AuditSettings { categories, zones: 2, grace: SECOND, slack: 50 * MS };
     let found: Vec<String> = audit(events, &settings).iter().map(ToString::to_string).collect();
     if found.is_empty() {
@@ -124,26 +129,32 @@
 }
 
 #[test]
-fn retries_are_judged_by_what_was_known_of_earlier_attempts() {
+fn retry_is_a_breach_unless_earlier_attempts_are_known_not_to_have_run() {
     let served = || answered(90, Reply::Served { own: true });
     let mut trace = Vec::new();
     let mut note = |title: &str, verdict: String| trace.push(format!("{title}: {verdict}"));
     let twice = [received(10, 0), rejected(20, 0), received(30, 1), executed(40, 1, true), served()];
-    note("once, turned away first", judged("once", DeduplicationScope::All, &twice));
+    note("once, turned away first", audit_request("once", DeduplicationScope::All, &twice));
     let blind = [received(10, 0), received(30, 1), executed(40, 1, true), served()];
-    note("once, blind", judged("once", DeduplicationScope::All, &blind));
+    note("once, blind", audit_request("once", DeduplicationScope::All, &blind));
     let both = [received(10, 0), executed(20, 0, true), received(30, 1), executed(40, 1, true), served()];
-    note("once, ran twice", judged("once", DeduplicationScope::All, &both));
+    note("once, ran twice", audit_request("once", DeduplicationScope::All, &both));
     let rejected_while_open = [received(10, 0), answered(30, Reply::Busy)];
-    note("once, nacked while out", judged("once", DeduplicationScope::All, &rejected_while_open));
-    note("put, nacked while out, one group", judged("put", DeduplicationScope::All, &rejected_while_open));
-    note("put, nacked while out, zones", judged("put", DeduplicationScope::Zone, &rejected_while_open));
+    note("once, nacked while out", audit_request("once", DeduplicationScope::All, &rejected_while_open));
+    note(
+        "put, nacked while out, one group",
+        audit_request("put", DeduplicationScope::All, &rejected_while_open),
+    );
+    note(
+        "put, nacked while out, zones",
+        audit_request("put", DeduplicationScope::Zone, &rejected_while_open),
+    );
     let same = [received(10, 0), received(30, 2), executed(40, 2, true), executed(45, 0, false), served()];
-    note("put, same zone", judged("put", DeduplicationScope::Zone, &same));
-    note("put, other zone", judged("put", DeduplicationScope::Zone, &blind));
+    note("put, same zone", audit_request("put", DeduplicationScope::Zone, &same));
+    note("put, other zone", audit_request("put", DeduplicationScope::Zone, &blind));
     note(
         "put, same cell",
-        judged(
+        audit_request(
             "put",
             DeduplicationScope::Cell,
             &[received(10, 3), received(30, 3), executed(40, 3, true), served()],
@@ -164,12 +175,12 @@
 }
 
 #[test]
-fn retry_past_window_origin_overload_and_killed_balancer_are_told_apart() {
+fn late_retry_origin_overload_and_closed_connection_are_breaches_but_not_after_a_kill() {
     let late = [received(10, 0), received(5_200, 0), executed(5_300, 0, true)];
-    let late = judged("put", DeduplicationScope::All, &late);
+    let late = audit_request("put", DeduplicationScope::All, &late);
     let origin = |by_cold_misses| {
-        let fell = Observation::Overloaded { host: HostNo::ORIGIN, cold: false, by_cold_misses };
-        judged("read", DeduplicationScope::All, &[(10, fell), answered(20, Reply::Failed)])
+        let overloaded = Observation::Overloaded { host: HostNo::ORIGIN, cold: false, by_cold_misses };
+        audit_request("read", DeduplicationScope::All, &[(10, overloaded), answered(20, Reply::Failed)])
     };
     let cut = (500, Observation::ConnectionClosed { id: A });
     let killed = (490, Observation::BalancerProcess { balancer: 0, up: false });
@@ -177,9 +188,9 @@
         late,
         origin(false),
         origin(true),
-        judged("read", DeduplicationScope::All, std::slice::from_ref(&cut)),
-        judged("read", DeduplicationScope::All, &[killed, cut]),
-        judged("read", DeduplicationScope::All, &[(2_400, Observation::Unanswered { id: A })]),
+        audit_request("read", DeduplicationScope::All, std::slice::from_ref(&cut)),
+        audit_request("read", DeduplicationScope::All, &[killed, cut]),
+        audit_request("read", DeduplicationScope::All, &[(2_400, Observation::Unanswered { id: A })]),
     ];
     expect![[r#"
         rule 1 at 5.200 s: op 000000000000000a went to host 0 3200.0 ms after its end
@@ -193,7 +204,7 @@
 }
 
 #[test]
-fn observation_stored_text_keeps_the_words_of_earlier_results() {
+fn observations_are_stored_in_the_words_of_earlier_results() {
     let host = HostNo(3);
     let observations = [
         Observation::RequestSent { id: A, balancer: 0, category: 1, until: 5 },
--- a/testbed/tests/pools.rs
+++ b/testbed/tests/pools.rs
@@ -1,5 +1,5 @@
-//! The balancer's connection pools on real sockets, against hosts that lose connections in every
-//! way: judged by the audit's rules and by the balancer's counters.
+//! Tests of the balancer's connection pools on real sockets, against hosts that lose connections in
+//! various ways; checked by the audit and the balancer's counters.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use basaltwood_testbed::figures::Run;
 use common::*;
 
-/// Reads only, on six warm hosts; most requests go out on pooled connections.
+/// An experiment of reads only, on six warm hosts; most requests use pooled connections.
 fn reads(faults: &str) -> basaltwood_testbed::experiment::Experiment {
     let load = "[load]\nrate = 240\nkeys = 300\n";
     let mut experiment = larger("seconds = 3.0", &format!("{load}{faults}"));
@@ -22,7 +22,7 @@
 
 fn checked_counters(run: &Run) -> &BTreeMap<String, u64> {
     assert!(breaches(run).is_empty(), "{:#?}", breaches(run));
-    assert!(!run.counters.is_empty(), "the balancer writes its counters");
+    assert!(!run.counters.is_empty(), "the balancer did not log its counters");
     &run.counters
 }
 
@@ -31,19 +31,19 @@
 }
 
 #[test]
-fn pooled_connections_all_dead_at_once_leave_every_host_in_use() {
+fn requests_are_served_after_all_pooled_connections_die_at_once() {
     let run = played(&reads(&fault("stale", "hosts = \"all\"\nfrom_s = 1.0")), &balancer());
 
     let counters = checked_counters(&run);
-    // At most one attempt for each connection that was pooled, and a hedge brings its value.
+    // At most one attempt times out for each pooled connection, and a hedge brings its value.
     assert!(counters["attempts_timed_out"] <= counters["connections_opened"], "{}", describe(&run));
     assert!(run.figures.served * 100 >= run.figures.requests * 97, "{}", describe(&run));
 }
 
 #[test]
 fn pooled_connections_reset_under_an_attempt_count_as_connection_faults() {
-    // Each command on a connection from before is met by a reset; new connections work. Twice, so
-    // that the balancer may learn from the first time.
+    // Commands on earlier connections are answered by a reset; new connections work. This happens
+    // twice, so that the balancer can learn from the first time.
     let resets = fault("stale-reset", "hosts = \"all\"\nfrom_s = 1.0\nto_s = 1.1\nevery_s = 1.0");
 
     let run = played(&reads(&resets), &balancer());
@@ -54,7 +54,12 @@
         "{}",
         describe(&run)
     );
-    assert_eq!(counters["attempts_connection_lost"], 0, "none of it is a host's: {}", describe(&run));
+    assert_eq!(
+        counters["attempts_connection_lost"],
+        0,
+        "no fault is attributed to a host: {}",
+        describe(&run)
+    );
     assert!(run.figures.served * 100 >= run.figures.requests * 99, "{}", describe(&run));
     assert_eq!(run.figures.rejected, 0, "{}", describe(&run));
 }
@@ -68,18 +73,18 @@
 
     checked_counters(&run);
     let host = |no: usize| &run.figures.hosts[&format!("host {no}")];
-    // The one with dead connections is used as ever; the hung one is left out and used again later.
+    // Host 3, with dead connections, stays in use; host 0 hangs, is ejected and used again later.
     assert!(host(3).executed * 10 >= host(4).executed.min(host(5).executed) * 3, "{}", describe(&run));
     assert!(run.figures.served * 100 >= run.figures.requests * 95, "{}", describe(&run));
 }
 
 #[test]
-fn hosts_that_hang_again_and_again_do_not_crowd_out_the_others() {
+fn repeatedly_hanging_hosts_leave_descriptors_for_the_others() {
     let some = "hosts = [0, 1]\n";
     let hangs = fault("hang", &format!("{some}from_s = 0.5\nto_s = 1.0\nevery_s = 0.9"));
     let resets = fault("reset", &format!("{some}from_s = 0.99\nto_s = 1.0\nevery_s = 0.9\npart = 0.0"));
     let mut experiment = reads(&(hangs + &resets));
-    // Few descriptors: what hangs must not eat those of the others.
+    // With few descriptors, hanging hosts must not use up those of the others.
     experiment.limits.sockets = 64;
     experiment.load.connections = 20;
 
@@ -90,7 +95,7 @@
 }
 
 #[test]
-fn silent_host_costs_no_connect_time_out_after_the_first() {
+fn silent_host_costs_few_connect_time_outs() {
     let run = played(&reads(&fault("silent", "hosts = [2]\nfrom_s = 0.8")), &balancer());
 
     let counters = checked_counters(&run);
--- a/testbed/tests/world.rs
+++ b/testbed/tests/world.rs
@@ -1,4 +1,4 @@
-//! The emulated fleet on its sockets, used as by a balancer: each fault does what its name says.
+//! Tests of the emulated fleet's faults through its sockets, as a balancer sees them.
 
 mod common;
 
@@ -12,8 +12,8 @@
 use common::*;
 use expect_test::expect;
 
-/// A world whose fault on host 0 begins 300 ms after the start and ends 1.6 s after it.
-struct Stage {
+/// A world with one fault on host 0, from 300 ms to 1.6 s after the start.
+struct FaultedWorld {
     clock: Clock,
     address: SocketAddr,
     last_request: u64,
@@ -23,23 +23,23 @@
 const FAULT_BEGINS: Micros = 300 * MS;
 const FAULT_ENDS: Micros = 1_600 * MS;
 
-impl Stage {
-    fn new(kind: &str) -> Stage {
+impl FaultedWorld {
+    fn new(kind: &str) -> FaultedWorld {
         let fault =
             format!("[load]\nrate = 1\n[[faults]]\nkind = \"{kind}\"\nhosts = [0]\nfrom_s = 0.3\nto_s = 1.6");
         let experiment = experiment("seconds = 60.0", &fault);
         let ledger = Ledger::new(Clock::start());
-        let mut world = World::start(&experiment, 1, &ledger).expect("a world");
+        let mut world = World::start(&experiment, 1, &ledger).expect("the world starts");
         let clock = ledger.clock.clone();
         clock.start_run_in(0);
         world.run_script(None);
         let known = world.bootstraps[0].known["instances"].as_array().expect("a list").clone();
         let cell = |instance: &&serde_json::Value| instance["cell"] == 0 && instance["machineType"] == "host";
         let address = known.iter().find(cell).expect("host 0")["hostPort"].as_str().expect("an address");
-        Stage { clock, address: address.parse().expect("an address"), last_request: 0, _world: world }
+        FaultedWorld { clock, address: address.parse().expect("an address"), last_request: 0, _world: world }
     }
 
-    /// Waits until a boundary of the fault has surely taken effect.
+    /// Waits until 150 ms after a boundary of the fault, when it has surely taken effect.
     fn wait_until_after(&self, boundary: Micros) {
         std::thread::sleep(to_duration(boundary + 150 * MS - self.clock.now()));
     }
@@ -55,7 +55,7 @@
         Ok(stream)
     }
 
-    /// Reads a key on a connection; the result in a word.
+    /// Reads a key on a connection, and returns the result in a word or two.
     fn request(&mut self, stream: &mut TcpStream) -> &'static str {
         self.last_request += 1;
         let id = format!("{:016x}", self.last_request);
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Reads a key on a new connection; the result in a word.
+    /// Reads a key on a new connection, and returns the result in a word or two.
     fn request_on_new(&mut self) -> &'static str {
         match self.connect() {
             Ok(mut stream) => self.request(&mut stream),
@@ -85,27 +85,28 @@
     }
 }
 
-/// Before, during and after a fault: results on a connection from before it, and on a new one.
+/// Results of reads before, during and after a fault, on a connection from before it and on new
+/// ones.
 fn play(kind: &str) -> String {
-    let mut stage = Stage::new(kind);
-    let mut old = stage.connect().expect("it is there");
-    let before = stage.request(&mut old);
-
-    stage.wait_until_after(FAULT_BEGINS);
-    let during_on_old = stage.request(&mut old);
-    let during_on_new = stage.request_on_new();
-
-    stage.wait_until_after(FAULT_ENDS);
-    let mut new = stage.connect();
-    let after_on_old = stage.request(&mut old);
-    let after_on_new = new.as_mut().map_or_else(|cause| *cause, |stream| stage.request(stream));
+    let mut world = FaultedWorld::new(kind);
+    let mut old = world.connect().expect("host 0 accepts");
+    let before = world.request(&mut old);
+
+    world.wait_until_after(FAULT_BEGINS);
+    let during_on_old = world.request(&mut old);
+    let during_on_new = world.request_on_new();
+
+    world.wait_until_after(FAULT_ENDS);
+    let mut new = world.connect();
+    let after_on_old = world.request(&mut old);
+    let after_on_new = new.as_mut().map_or_else(|cause| *cause, |stream| world.request(stream));
     let during = format!("kept {during_on_old}, new {during_on_new}");
     let after = format!("kept {after_on_old}, new {after_on_new}");
     format!("{kind}: {before} | {during} | {after}")
 }
 
 #[test]
-fn fault_of_each_kind_does_what_its_name_says() {
+fn each_kind_of_fault_has_its_effect_on_kept_and_new_connections() {
     let kinds = [
         "hang",
         "silent",
@@ -122,8 +123,9 @@
         "drain",
     ];
 
-    let playing: Vec<_> = kinds.iter().map(|&kind| std::thread::spawn(move || play(kind))).collect();
-    let trace: Vec<String> = playing.into_iter().map(|stage| stage.join().expect("it is played")).collect();
+    let threads: Vec<_> = kinds.iter().map(|&kind| std::thread::spawn(move || play(kind))).collect();
+    let trace: Vec<String> =
+        threads.into_iter().map(|thread| thread.join().expect("the thread does not panic")).collect();
 
     // Before | during | after.
     expect![[r#"
