--- a/testbed/src/balancers/mod.rs
+++ b/testbed/src/balancers/mod.rs
@@ -44,7 +44,7 @@
     /// No free address was found.
     #[error("cannot reserve a loopback address for balancer {balancer}: {cause}")]
     Address {
-        /// The balancer's number.
+        /// The balancer's index.
         balancer: usize,
         /// The system's error.
         cause: std::io::Error,
@@ -52,7 +52,7 @@
     /// Its files could not be written, or its process could not be started.
     #[error("cannot start balancer {balancer}: {cause}")]
     Start {
-        /// The balancer's number.
+        /// The balancer's index.
         balancer: usize,
         /// The system's error.
         cause: std::io::Error,
@@ -60,20 +60,20 @@
     /// Its process ended before it answered PING.
     #[error("balancer {balancer} ended with {status} before it was ready; last log line: {last_line}")]
     Ended {
-        /// The balancer's number.
+        /// The balancer's index.
         balancer: usize,
         /// The exit status.
         status: ExitStatus,
         /// The last line of its log.
         last_line: String,
     },
-    /// It did not answer PING within [`START_TIMEOUT`].
+    /// It did not answer PING within `START_TIMEOUT`.
     #[error(
         "balancer {balancer} does not answer PING after {} s; last log line: {last_line}",
         START_TIMEOUT.as_secs()
     )]
     NotReady {
-        /// The balancer's number.
+        /// The balancer's index.
         balancer: usize,
         /// The last line of its log.
         last_line: String,
--- a/testbed/src/soak/disturbance.rs
+++ b/testbed/src/soak/disturbance.rs
@@ -14,7 +14,7 @@
 use crate::ledger::Ledger;
 use crate::time::{seconds, Micros, MS};
 
-/// Time between SIGSTOP and SIGCONT: the longest stop that the operators' terms allow.
+/// Time between SIGSTOP and SIGCONT: the stop that the operators' page on real days allows.
 const STALL: Duration = Duration::from_millis(150);
 /// Pause between two steps of a repeated trouble.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(450);
@@ -244,7 +244,7 @@
     }
 }
 
-/// Opens a connection that sends nothing, half a command, or commands whose replies it never reads.
+/// Opens a connection and sends nothing, half a command, or commands whose replies are never read.
 fn open_unfinished_connection(address: SocketAddr, number: usize) -> Option<TcpStream> {
     let mut stream = TcpStream::connect_timeout(&address, Duration::from_millis(100)).ok()?;
     let bytes: &[u8] = match number % 3 {
--- a/testbed/src/soak/script.rs
+++ b/testbed/src/soak/script.rs
@@ -162,7 +162,7 @@
 const FLEET_PARTS: usize = 12;
 /// Number of zones in [`FLEET`].
 const ZONES: usize = 3;
-/// The longest deadline among [`CLASSES`].
+/// The longest deadline of the classes in every script.
 pub const LONGEST_DEADLINE: Duration = Duration::from_millis(1_500);
 
 /// Request classes of every retry safety, with short deduplication windows.
--- a/testbed/src/world/mod.rs
+++ b/testbed/src/world/mod.rs
@@ -61,7 +61,7 @@
     pub lateness: Arc<Lateness>,
     /// Connections that hosts and origin have accepted so far.
     pub connections_accepted: Arc<AtomicU64>,
-    /// CPU time of the world's thread so far, in microseconds, read every [`CPU_TIME_INTERVAL`].
+    /// CPU time of the world's thread so far, in microseconds, updated every 0.1 s.
     pub cpu_us: Arc<AtomicU64>,
     begin: Option<oneshot::Sender<Option<Balancers>>>,
     end: Option<oneshot::Sender<()>>,
