--- a/testbed/src/soak/trouble.rs
+++ b/testbed/src/soak/trouble.rs
@@ -148,7 +148,8 @@
     Trouble::Process("crowd", ProcessTrouble::Crowd),
 ];
 
-/// Hosts that answer twice. Not drawn: a balancer can't detect the first copy, a known open fault.
+/// Hosts that answer twice. Not drawn: a known open fault is that nothing gives away the first
+/// copy.
 pub const RESPONSE_COPIES: Trouble = Trouble::World("proxy-copy", on_twelfths(FaultKind::ProxyCopy, 2, 0.05));
 
 /// No trouble has this name.
--- a/testbed/src/world/host/protocol.rs
+++ b/testbed/src/world/host/protocol.rs
@@ -59,7 +59,7 @@
     Miss,
     /// The command did not run.
     Rejected,
-    /// The command failed.
+    /// The command failed; it may have run.
     Failed,
 }
 
--- a/testbed/src/world/host/shared.rs
+++ b/testbed/src/world/host/shared.rs
@@ -33,7 +33,7 @@
     pub service_times: ServiceTimes,
     /// Whether the balancer or the host asks the origin after a miss.
     pub mode: CacheMode,
-    /// The generator of all draws of machines, so that they depend on the seed alone.
+    /// The only generator of machines' draws, so that a seed gives one sequence of draws.
     pub rng: RefCell<ChaCha8Rng>,
     /// Connections accepted so far, by all machines.
     pub(super) connections_accepted: Arc<AtomicU64>,
