--- a/balancer/src/budget.rs
+++ b/balancer/src/budget.rs
@@ -1,6 +1,8 @@
 //! The budgets that all connections share: file descriptors, and bytes held in memory.
 //!
-//! Each grant is a guard that returns its share to the budget when it is dropped.
+//! Each grant returns its share to the budget when it is dropped. A permit is a hard limit: without
+//! a free share it is refused or waited for. A guard only accounts for what its holder uses, which
+//! may exceed the limit: before reading more, callers ask `has_memory` or `chunk_size`.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -12,8 +14,8 @@
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
 
 /// Descriptors other than the connections of clients and hosts: standard streams, the runtime's,
-/// signals, the listener, discovery's, and one accepted client that is not counted yet. Without
-/// discovery's, 12 were in use.
+/// signals, the listener, discovery's, and one accepted client that is not counted yet. Before the
+/// first client, and without discovery's, 12 are in use.
 const RESERVED_DESCRIPTORS: usize = 16;
 /// The minimum number of connections, even if the descriptor limit is smaller.
 const MIN_CONNECTIONS: usize = 4;
@@ -36,25 +38,29 @@
     reserved_descriptors: usize,
     client_connections: Cell<usize>,
     /// Half of all connections, since each request needs a connection to a host beside its
-    /// client's. Hosts' open connections count towards the hosts' half; if a full half were kept
-    /// free on top of them, clients would wait while descriptors are unused.
+    /// client's. Open connections to hosts do not lower it: clients would then wait while
+    /// descriptors are unused.
     max_client_connections: Cell<usize>,
     held_bytes: Cell<usize>,
     max_held_bytes: Cell<usize>,
-    /// Memory for values being read, in units. A value's whole size is reserved before its first
-    /// byte is read, in order of arrival. Short values have a semaphore of their own so that long
-    /// ones do not delay them.
+    /// Memory for values above 4 KiB that arrive in parts, in units of [`RESERVATION_UNIT`]. A
+    /// value's whole size is reserved before the rest of it is read, in order of arrival. Values up
+    /// to [`MAX_BUFFERED_VALUE`] are short; they have a semaphore of their own so that long ones do
+    /// not delay them.
     long_values: Arc<Semaphore>,
     short_values: Arc<Semaphore>,
     max_long_value_units: usize,
     streams: Cell<usize>,
-    max_stream_bytes: usize,
-    /// Notified when a descriptor or memory is returned to the budget.
+    /// The memory that the chunk size aims at for all streams together. As each of a stream's three
+    /// chunks has at least 4 KiB, it is exceeded if there is more than one stream per 12 KiB of it.
+    target_stream_bytes: usize,
+    /// Notified when a descriptor or a guard's memory is returned and when the limits change, but
+    /// not at the end of a reservation for a value or of a stream.
     pub freed: Notify,
-    /// Clients that can be shed: those that are idle, and those that sent part of a command or
-    /// nothing yet.
+    /// Clients that can be shed and have sent only complete commands, at least one.
     idle_clients: SheddableClients,
-    partial_clients: SheddableClients,
+    /// Clients that can be shed and sent part of a command, or no command yet.
+    command_owing_clients: SheddableClients,
     /// Clients whose connections are shut down on this side and that have not closed yet.
     closing_clients: SheddableClients,
     next_wait: Cell<u64>,
@@ -120,7 +126,7 @@
 impl StreamGuard {
     /// The size in bytes of the chunks to read now; it shrinks as more values are streamed.
     pub fn chunk_size(&self) -> usize {
-        let per_stream = self.0.max_stream_bytes / CHUNKS_PER_STREAM / self.0.streams.get();
+        let per_stream = self.0.target_stream_bytes / CHUNKS_PER_STREAM / self.0.streams.get();
         per_stream.clamp(*CHUNK_SIZES.start(), *CHUNK_SIZES.end())
     }
 }
@@ -148,10 +154,10 @@
             short_values: Arc::new(Semaphore::new(memory / 12 / RESERVATION_UNIT)),
             max_long_value_units,
             streams: Cell::new(0),
-            max_stream_bytes: memory / 6,
+            target_stream_bytes: memory / 6,
             freed: Notify::new(),
             idle_clients: SheddableClients::default(),
-            partial_clients: SheddableClients::default(),
+            command_owing_clients: SheddableClients::default(),
             closing_clients: SheddableClients::default(),
             next_wait: Cell::new(0),
         };
@@ -167,8 +173,9 @@
         self.max_client_connections.set(connections / 2);
         // A value may be held twice, in a request and in an answer, and hosts' buffers add to that.
         // Besides this quarter, a third is for long values of requests, a twelfth for short ones
-        // that arrive in parts, and a sixth for streams, all three fixed at the start; the last
-        // sixth is for the process itself.
+        // that arrive in parts, and a sixth for streams; the last sixth is for the process itself.
+        // The third, the twelfth and the sixth for streams are parts of the memory given to `new`
+        // and do not change here: a successor that begins with half keeps the parts of that half.
         self.max_held_bytes.set(memory / 4);
         self.freed.notify_waiters();
     }
@@ -211,10 +218,10 @@
         self.client_connections.get() >= self.max_client_connections.get()
     }
 
-    /// Waits until this client is to be shed, which its `wakeup` signals. Each call counts the
-    /// client's waiting time anew.
-    pub async fn shed_requested(&self, is_partial: bool, wakeup: &Rc<Notify>) {
-        let clients = if is_partial { &self.partial_clients } else { &self.idle_clients };
+    /// Waits until this client is to be shed, which its `wakeup` signals. `owes_command` means that
+    /// it sent part of a command, or no command yet. Each call restarts the client's waiting time.
+    pub async fn shed_requested(&self, owes_command: bool, wakeup: &Rc<Notify>) {
+        let clients = if owes_command { &self.command_owing_clients } else { &self.idle_clients };
         self.wait_to_be_shed(clients, wakeup).await;
     }
 
@@ -231,10 +238,10 @@
     }
 
     /// Asks one client to give up its descriptor: first one whose connection is already shut down,
-    /// then the longest idle one, and only if there is none, one that sent part of a command or
-    /// nothing. Many clients of the last kind must not keep others out.
+    /// then the idle one whose connection has had no event for longest, and only if there is none,
+    /// one that owes a command. Many clients of the last kind must not keep others out.
     pub fn shed_client(&self) {
-        for clients in [&self.closing_clients, &self.idle_clients, &self.partial_clients] {
+        for clients in [&self.closing_clients, &self.idle_clients, &self.command_owing_clients] {
             if let Some((_, wakeup)) = clients.borrow_mut().pop_first() {
                 wakeup.notify_one();
                 return;
@@ -252,7 +259,8 @@
         length.div_ceil(RESERVATION_UNIT) <= self.max_long_value_units
     }
 
-    /// Waits for memory for a value, in order of the calls.
+    /// Waits for memory for a value, in order of the calls. `None` only if the semaphore is closed,
+    /// which never happens.
     pub async fn reserve_value(self: Rc<ResourceBudget>, length: usize) -> Option<ValuePermit> {
         let values = if length > MAX_BUFFERED_VALUE { &self.long_values } else { &self.short_values };
         let units = length.div_ceil(RESERVATION_UNIT) as u32;
--- a/balancer/src/config.rs
+++ b/balancer/src/config.rs
@@ -45,7 +45,7 @@
         cause: InvalidConfig,
     },
     /// The map of regions exists, or was named, and can't be read.
-    #[error("{file}: {cause}: correct $BASALTWOOD_REGIONS or the file, or remove both")]
+    #[error("{file}: {cause}: correct the file or $BASALTWOOD_REGIONS, if set; without both no map is used")]
     UnreadableRegionMap {
         /// The map's file.
         file: String,
@@ -65,11 +65,11 @@
         is_missing || self.is_shortage()
     }
 
-    /// Whether this process or its machine temporarily lacks descriptors or memory. Excludes a
-    /// missing file: at the start it will not appear by itself.
+    /// Whether this process or its machine temporarily lacks descriptors or memory. A missing
+    /// file does not count: at the start it will not appear by itself.
     pub fn is_shortage(&self) -> bool {
         self.io_cause().is_some_and(|cause| {
-            cause.kind() != io::ErrorKind::PermissionDenied && FaultOrigin::of(cause) != FaultOrigin::Peer
+            cause.kind() != io::ErrorKind::PermissionDenied && FaultOrigin::of(cause) != FaultOrigin::Other
         })
     }
 
@@ -173,9 +173,9 @@
     pub inherited_descriptor: Option<u16>,
     /// A folder that all processes of this balancer share.
     pub shared_folder: Option<PathBuf>,
-    /// The memory limit of the process, in bytes.
+    /// The memory limit of this balancer, in bytes. During a takeover its two processes share it.
     pub memory_bytes: usize,
-    /// The limit on open sockets of the process.
+    /// The limit on open sockets of this balancer. During a takeover its two processes share it.
     pub max_sockets: usize,
     /// The hosts to use until discovery answers.
     pub known_endpoints: EndpointList,
--- a/balancer/src/counters.rs
+++ b/balancer/src/counters.rs
@@ -60,7 +60,7 @@
     // Connections to hosts: opened, reused, found closed when about to be reused.
     connections_opened, connections_reused, connections_stale,
     // Endpoint lists applied; calls to discovery refused for now, timed out or lost, and answered
-    // with an invalid response; list entries rejected as invalid; departed hosts whose state was
+    // with an invalid response; list entries left out as invalid; departed hosts whose state was
     // released.
     endpoint_lists, discovery_unavailable, discovery_timeouts, discovery_invalid, endpoints_refused,
     hosts_released,
--- a/balancer/src/downstream/connection.rs
+++ b/balancer/src/downstream/connection.rs
@@ -297,14 +297,14 @@
         let recheck_at = self.activity.next_recheck(snapshot);
         let can_be_shed =
             snapshot.is_idle && (snapshot.is_quiet || (self.activity.had_command && !snapshot.is_partial));
-        let has_no_command = snapshot.is_partial || !self.activity.had_command;
+        let owes_command = snapshot.is_partial || !self.activity.had_command;
         let waits_for_memory = plan.takes_commands && !plan.has_memory;
         let is_writing = !self.outgoing.is_empty();
         let budget = &self.shared.budget;
         let input = self.input.wait(&mut self.reader, plan.reads);
         let output = self.outgoing.advance(&mut self.writer);
         let awaited = next_awaited(&mut self.pending, &self.shared.invariants);
-        let shed_requested = budget.shed_requested(has_no_command, &self.shed_wakeup);
+        let shed_requested = budget.shed_requested(owes_command, &self.shed_wakeup);
         tokio::select! {
             biased;
             event = input, if plan.watches_client => Event::Input(event),
--- a/balancer/src/downstream/input.rs
+++ b/balancer/src/downstream/input.rs
@@ -24,8 +24,7 @@
 /// commands without a value.
 pub const UNBUDGETED_BYTES: usize = 4 * 1024;
 /// How often a client from which nothing more is read is checked for having disconnected: no
-/// attempt may begin for it more than 0.1 s after it left. Source: the operators' page on real
-/// days.
+/// attempt may begin for it more than 0.1 s after it left. Source: the operators' requirements.
 const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Why a client's bytes can't be parsed as a command. Nothing that the client sends afterwards is
--- a/balancer/src/io_errors.rs
+++ b/balancer/src/io_errors.rs
@@ -9,8 +9,9 @@
     Interrupted,
     /// This machine temporarily lacks descriptors, memory, ports, a route or the like.
     LocalShortage,
-    /// The peer, or the network path to it.
-    Peer,
+    /// Neither an interruption nor a shortage: with a socket, the peer or the network path to it;
+    /// with a file, for example that it does not exist.
+    Other,
 }
 
 /// Whether an error means that the process or the machine has no free descriptor.
@@ -40,7 +41,7 @@
                 | libc::ENOSPC
                 | libc::EIO,
             ) => FaultOrigin::LocalShortage,
-            _ => FaultOrigin::Peer,
+            _ => FaultOrigin::Other,
         }
     }
 }
--- a/balancer/src/lifecycle.rs
+++ b/balancer/src/lifecycle.rs
@@ -1,4 +1,5 @@
-//! The phases of the process between start and exit.
+//! The phases of the process between start and exit. `downstream::idle_close` has the conditions
+//! and time limits under which idle connections are closed in each phase.
 
 /// A phase of the process. Signals and admin requests change it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -7,14 +8,17 @@
     Starting,
     /// Requests are accepted and answered.
     Serving,
-    /// Operators drain this balancer: requests are still served, and each connection is closed
-    /// after its next answer. Operators can return to `Serving`.
+    /// Entered and left by operators' admin requests, without a time limit. `PING` is answered with
+    /// an error. Connections are still accepted, and each is closed once it has had a command and
+    /// owes no answer.
     LameDuck,
-    /// After SIGTERM or SIGINT: connections are still accepted for a limited time, and each is
-    /// closed after its next answer.
+    /// Entered on SIGTERM or SIGINT if the listening socket is the process's own. Connections are
+    /// still accepted for a limited time, and each is closed once it has had a command and owes no
+    /// answer.
     Draining,
-    /// After SIGTERM or SIGINT, if another process accepts: each connection is closed after its
-    /// next answer.
+    /// Entered on SIGTERM or SIGINT if the listening socket is inherited: another process accepts
+    /// new connections, and this one does not. Each open connection is closed after its next
+    /// answer, or after a limited time if it has had a command and owes no answer.
     Takeover,
     /// No connection is accepted; an open one is closed once all its requests are answered.
     Closing,
--- a/balancer/src/listener.rs
+++ b/balancer/src/listener.rs
@@ -50,7 +50,7 @@
             cause.kind(),
             io::ErrorKind::AddrInUse | io::ErrorKind::AddrNotAvailable | io::ErrorKind::PermissionDenied
         );
-        !is_address && FaultOrigin::of(cause) != FaultOrigin::Peer
+        !is_address && FaultOrigin::of(cause) != FaultOrigin::Other
     }
 }
 
--- a/balancer/src/logging.rs
+++ b/balancer/src/logging.rs
@@ -1,8 +1,9 @@
 //! The program's log: plain text or JSON lines, with the same fields.
 //!
-//! `RUST_LOG` sets the level; the default is `info`. Rare events are logged at `info`: phases,
-//! configurations, lists of hosts. The events of each request, attempt and connection are logged at
-//! `debug`, so that any of them can be followed by its number.
+//! `RUST_LOG` sets the level; the default is `info`. Phases, configurations and lists of
+//! hosts are logged at `info`. Changes of a host, such as an ejection, and the events of each
+//! request, attempt and connection are logged at `debug`, so that any of them can be followed by
+//! its number.
 
 use std::io::{self, Write};
 
--- a/balancer/src/loop_profile.rs
+++ b/balancer/src/loop_profile.rs
@@ -1,8 +1,8 @@
 //! Profiles the event loop second by second: how late it was, how long its costly stages took, and
 //! how requests ended. The process has a single thread, so the counts need no synchronisation.
 //!
-//! Each second is logged: at `info` if the loop was late or requests were refused, otherwise at
-//! `debug`. A single run of a stage that takes long is logged in a line of its own.
+//! Each second is logged: at `info` if the loop was late or requests were refused or failed,
+//! otherwise at `debug`. A single run of a stage that takes long is logged in a line of its own.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -86,7 +86,8 @@
     pub connections_opened: u64,
     /// Checkouts delayed since the start because too many connections were being opened.
     pub connects_throttled: u64,
-    /// Checkouts refused since the start for lack of descriptors or by an open circuit.
+    /// Checkouts since the start that were refused because the host holds its share of the
+    /// descriptors, or refused or delayed because its circuit is open.
     pub connects_refused: u64,
 }
 
--- a/balancer/src/process/limit_sharing.rs
+++ b/balancer/src/process/limit_sharing.rs
@@ -19,9 +19,9 @@
 pub struct LimitSharing {
     shared: Rc<Shared>,
     slot: ProcessSlot,
-    /// The limit on sockets of both processes.
+    /// The limit on sockets of this balancer, that is of both processes together.
     max_sockets: usize,
-    /// The memory limit of both processes.
+    /// The memory limit of this balancer, in bytes.
     memory_bytes: usize,
     /// The share that is applied; `None` before the first check.
     share: Option<LimitShare>,
@@ -29,7 +29,7 @@
 }
 
 impl LimitSharing {
-    /// `max_sockets` and `memory_bytes` are the limits of both processes together.
+    /// `max_sockets` and `memory_bytes` are the balancer's limits, for both processes together.
     pub fn new(
         shared: Rc<Shared>,
         slot: ProcessSlot,
--- a/balancer/src/process/start.rs
+++ b/balancer/src/process/start.rs
@@ -35,7 +35,7 @@
 const MAX_ANSWER_TIME: Duration = Duration::from_millis(3_000);
 
 /// How long the start waits for descriptors or memory that this machine lacks: nine in ten
-/// processes have to be ready within 10 s. Source: the operators' page on real days.
+/// processes have to be ready within 10 s. Source: the operators' requirements.
 const START_RETRY_TIME: Duration = Duration::from_secs(8);
 
 /// Why the process can't start. Displayed, it is one line.
@@ -143,6 +143,7 @@
         seed: config.policy.seed,
         balancers: config.policy.balancers,
         idle_timeout: config.runtime_limits.idle_timeout,
+        // Connections to hosts are compared with all descriptors, also those for clients.
         max_connections: config.max_sockets,
     })
 }
--- a/balancer/src/requests.rs
+++ b/balancer/src/requests.rs
@@ -19,8 +19,8 @@
 use crate::upstream::AttemptTarget;
 
 /// A final answer that is more than this late violates an invariant: half of the lateness at which
-/// an answer is lost, of which 0.15 s allow for a stalled process. Source: the operators' page on
-/// real days.
+/// an answer counts as lost; 0.15 s of it allow for a stalled process. Source: the operators'
+/// requirements.
 const MAX_ANSWER_LATENESS: Micros = 250_000;
 
 /// The final answer to a request, independent of the protocol.
--- a/balancer/src/socket_io.rs
+++ b/balancer/src/socket_io.rs
@@ -95,7 +95,7 @@
                 sleep(SHORTAGE_PAUSE).await;
                 Ok(())
             }
-            FaultOrigin::LocalShortage | FaultOrigin::Peer => Err(error),
+            FaultOrigin::LocalShortage | FaultOrigin::Other => Err(error),
         }
     }
 }
--- a/balancer/src/takeover.rs
+++ b/balancer/src/takeover.rs
@@ -32,11 +32,11 @@
 /// The share of the balancer's limits that this process may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitShare {
-    /// No other process runs: all but the share that a new one starts with.
+    /// No other process runs: two thirds, so that a new one can start with a third.
     Alone,
-    /// This process has just started beside another one: the share that the other leaves free.
+    /// This process has just started beside another one: the third that the other leaves free.
     Beginning,
-    /// Two processes run, or it is unknown whether they do.
+    /// Half: two processes run, or it is unknown whether they do.
     Half,
 }
 
--- a/balancer/src/upstream/connecting.rs
+++ b/balancer/src/upstream/connecting.rs
@@ -67,7 +67,7 @@
                 Ok(stream) => return Ok(stream),
                 Err(error) => error,
             };
-            if FaultOrigin::of(&error) == FaultOrigin::Peer {
+            if FaultOrigin::of(&error) == FaultOrigin::Other {
                 let deadline_passed = error.kind() == ErrorKind::TimedOut && deadline < host_deadline;
                 return Err(if deadline_passed {
                     ConnectError::DeadlinePassed
--- a/balancer/src/upstream/duplicates.rs
+++ b/balancer/src/upstream/duplicates.rs
@@ -11,19 +11,19 @@
 
 use crate::request::ClientRequest;
 
-/// How long a host is suspected of answering twice after it sent more than it was asked for. During
+/// How long a host may send copies of responses after it sent more than it was asked for. During
 /// this time a response that [repeats](ResponseFingerprint::repeated_by) the previous one on its
 /// connection is treated as a copy.
-const SUSPECTED_FOR: Duration = Duration::from_secs(10);
+const COPIES_POSSIBLE_FOR: Duration = Duration::from_secs(10);
 /// How long each request gets a connection of its own after a sign of duplicates. Copies arrive
-/// only milliseconds late, and every new connection costs its host: with 10 s, the day of corrupted
-/// responses (fault `spoil`) served 0.07 less (docs/incidents/hunt.md).
+/// only milliseconds late, and every new connection costs its host: with 10 s, the share of the
+/// achievable value that was served fell by 0.07 in a run with corrupted responses (fault `spoil`).
 const FRESH_CONNECTIONS_FOR: Duration = Duration::from_secs(1);
 /// Number of bytes at the end of a response that are hashed; hashing all of a long response would
 /// cost more than it is worth.
 const MAX_HASHED_BYTES: usize = 4 * 1024;
 
-/// Whether one host is suspected of answering twice.
+/// Signs that one host answers requests twice.
 #[derive(Default)]
 pub struct DuplicateDetector {
     /// When the host last sent more than it was asked for.
@@ -36,12 +36,16 @@
     /// Records that the host sent more than it was asked for.
     pub fn record_unexpected_bytes(&self) {
         self.unexpected_bytes_at.set(Some(Instant::now()));
-        self.record_repeated_response();
+        self.note_sign();
     }
 
     /// Records that a response equals the previous one: a sign only, as values may be equal by
     /// chance.
     pub fn record_repeated_response(&self) {
+        self.note_sign();
+    }
+
+    fn note_sign(&self) {
         self.last_sign_at.set(Some(Instant::now()));
     }
 
@@ -51,8 +55,8 @@
     }
 
     /// Whether a response may be a copy of the previous one on its connection.
-    pub fn suspected(&self) -> bool {
-        self.unexpected_bytes_at.get().is_some_and(|at| at.elapsed() < SUSPECTED_FOR)
+    pub fn may_send_copies(&self) -> bool {
+        self.unexpected_bytes_at.get().is_some_and(|at| at.elapsed() < COPIES_POSSIBLE_FOR)
     }
 }
 
--- a/balancer/src/upstream/exchange.rs
+++ b/balancer/src/upstream/exchange.rs
@@ -240,11 +240,12 @@
             upstreams.record_unexpected_bytes(self.target.host);
         }
         // If a host answers twice, a copy may come after the check before the write and be taken
-        // for the response to the next request. After a sign of duplicates each connection carries
-        // one request; on one that carried another before, a repeated value is not served.
-        let duplicates_suspected = upstreams.suspects_duplicates(self.target.host);
+        // for the response to the next request. For `FRESH_CONNECTIONS_FOR` after a sign of
+        // duplicates each connection carries one request; while copies are possible, a repeated
+        // value is not served on a connection that carried another request before.
+        let copies_possible = upstreams.may_send_copies(self.target.host);
         let last = connection.last_response.take();
-        let last = last.filter(|_| duplicates_suspected && result.value.is_some());
+        let last = last.filter(|_| copies_possible && result.value.is_some());
         if last.is_some_and(|last| last.repeated_by(fingerprint, self.request.value.is_some())) {
             log::debug!(
                 request = self.attempt.request.0, host = self.target.host.0;
@@ -255,8 +256,8 @@
         }
         connection.last_response = Some(fingerprint);
         // A copy of a rejection would claim that the next attempt never ran. So a connection is
-        // closed after a rejection while duplicates are suspected.
-        let last_of_connection = duplicates_suspected && result.outcome == AttemptOutcome::Rejected;
+        // closed after a rejection while copies are possible.
+        let last_of_connection = copies_possible && result.outcome == AttemptOutcome::Rejected;
         let fresh = upstreams.wants_fresh_connections(self.target.host);
         let keep = reusable && !more_follows && !last_of_connection && !fresh;
         let Some(connection) = checked_out.take() else { return result };
--- a/balancer/src/upstream/mod.rs
+++ b/balancer/src/upstream/mod.rs
@@ -229,7 +229,7 @@
         self.hosts.borrow().get(&host).filter(|entry| entry.is_origin).map(|entry| entry.address)
     }
 
-    /// Sets how many descriptors connections to hosts may use from now on.
+    /// Sets the number of descriptors that connections to hosts are compared with from now on.
     pub fn set_max_connections(&self, max_connections: usize) {
         self.pools.borrow_mut().set_max_connections(max_connections);
     }
@@ -289,8 +289,8 @@
     }
 
     /// Whether a response of this host may be a copy of the previous one on its connection.
-    fn suspects_duplicates(&self, host: HostId) -> bool {
-        self.hosts.borrow().get(&host).is_some_and(|entry| entry.duplicates.suspected())
+    fn may_send_copies(&self, host: HostId) -> bool {
+        self.hosts.borrow().get(&host).is_some_and(|entry| entry.duplicates.may_send_copies())
     }
 
     /// When a host stopped accepting attempts, if it did.
--- a/balancer/src/upstream/send_audit.rs
+++ b/balancer/src/upstream/send_audit.rs
@@ -15,9 +15,9 @@
 #[cfg(test)]
 mod tests;
 
-/// A client's close is handled within this time. Source: the operators' page on real days.
+/// A client's close is handled within this time. Source: the operators' requirements.
 const DEPARTURE_SLACK: Duration = Duration::from_millis(100);
-/// How long a process may be held up between reading its clock and a write, by the same page.
+/// How long a process may be held up between reading its clock and a write; same source.
 const STALL_SLACK: Duration = Duration::from_millis(150);
 
 /// One attempt as it was written.
--- a/balancer/tests/large_fleet/main.rs
+++ b/balancer/tests/large_fleet/main.rs
@@ -19,7 +19,7 @@
 /// Sixteen times the usual size of a fleet.
 const HOSTS: usize = 3_200;
 /// How long after its deadline a final answer counts as lost; until then a late answer only earns
-/// no benefit. Source: the operators' page on real days.
+/// no benefit. Source: the operators' requirements.
 const LOST_AFTER: Duration = Duration::from_millis(500);
 
 /// The settings of one of 300 balancers, as on the operators' large days.
--- a/connection_pool/src/circuit_breaker.rs
+++ b/connection_pool/src/circuit_breaker.rs
@@ -63,7 +63,7 @@
     /// A connect failed; `draw` is a random number that jitters the backoff.
     pub fn connect_failed(&mut self, now: Micros, draw: u64) {
         self.probing = false;
-        // Connects that were under way together count as one failure.
+        // The circuit is open: this connect began before. It does not count as a further failure.
         if now < self.open_until {
             return;
         }
--- a/connection_pool/src/connection.rs
+++ b/connection_pool/src/connection.rs
@@ -52,7 +52,7 @@
     }
 
     /// How long the connection has been idle or has awaited a late response.
-    pub fn idle_for(&self, now: Micros) -> Micros {
+    pub fn unused_for(&self, now: Micros) -> Micros {
         now - self.idle_since
     }
 
--- a/connection_pool/src/host_pool.rs
+++ b/connection_pool/src/host_pool.rs
@@ -121,7 +121,7 @@
     /// Reuses an idle connection; false if it has been idle for `idle_limit` or longer.
     pub fn reuse(&mut self, now: Micros, id: ConnectionId, idle_limit: Micros) -> bool {
         let Some(connection) = self.connections.get_mut(&id) else { return false };
-        let idle_for = connection.idle_for(now);
+        let idle_for = connection.unused_for(now);
         if idle_for >= idle_limit {
             return false;
         }
@@ -240,8 +240,8 @@
     /// Connections that were idle for `idle_limit`, or awaited a late response for [`LATE_WAIT`].
     pub fn expired(&self, now: Micros, idle_limit: Micros) -> Vec<ConnectionId> {
         self.select(|connection| match connection.state {
-            ConnectionState::Idle => connection.idle_for(now) >= idle_limit,
-            ConnectionState::AwaitingLateResponse => connection.idle_for(now) >= LATE_WAIT,
+            ConnectionState::Idle => connection.unused_for(now) >= idle_limit,
+            ConnectionState::AwaitingLateResponse => connection.unused_for(now) >= LATE_WAIT,
             _ => false,
         })
     }
--- a/connection_pool/src/lib.rs
+++ b/connection_pool/src/lib.rs
@@ -49,7 +49,8 @@
     pub balancers: u32,
     /// The configured idle time after which hosts close a connection.
     pub idle_timeout: Micros,
-    /// Number of file descriptors that connections to hosts may use.
+    /// Number of file descriptors that connections to hosts are compared with, for clients and
+    /// hosts together: it decides when descriptors are short and what a host's share is.
     pub max_connections: usize,
 }
 
--- a/connection_pool/src/pools.rs
+++ b/connection_pool/src/pools.rs
@@ -17,7 +17,8 @@
 const STALL_THRESHOLD: Micros = 400_000;
 /// Number of hosts that must have learned an idle limit before it applies to all hosts.
 const HOSTS_TO_AGREE: usize = 2;
-/// Descriptors count as short once connections hold 7/8 of them.
+/// Descriptors count as short once connections to hosts hold 7/8 of them, those for clients
+/// included.
 const SHORTAGE_NUMERATOR: usize = 7;
 const SHORTAGE_DENOMINATOR: usize = 8;
 /// While descriptors are short, a host may hold at most this multiple of its even share of them.
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Sets how many descriptors connections to hosts may use from now on.
+    /// Sets the number of descriptors that connections to hosts are compared with from now on.
     pub fn set_max_connections(&mut self, max_connections: usize) {
         self.config.max_connections = max_connections;
     }
