--- a/balancer/src/lifecycle.rs
+++ b/balancer/src/lifecycle.rs
@@ -9,8 +9,8 @@
     /// Requests are accepted and answered.
     Serving,
     /// Entered and left by operators' admin requests, without a time limit. `PING` is answered with
-    /// an error. Connections are still accepted, and each is closed once it has had a command and
-    /// owes no answer.
+    /// an error. Connections are still accepted and requests served; each connection is closed once
+    /// it has had a command and owes no answer.
     LameDuck,
     /// Entered on SIGTERM or SIGINT if the listening socket is the process's own. Connections are
     /// still accepted for a limited time, and each is closed once it has had a command and owes no
