--- a/testbed/src/audit.rs
+++ b/testbed/src/audit.rs
@@ -1,8 +1,8 @@
-//! The audit: checks the operators' four rules for each request, by what the emulated world saw.
+//! The audit: checks the operators' four rules, only by what the emulated world recorded.
 //! Does no I/O: it reads the events of a ledger ([`crate::ledger`]).
 //!
-//! Each comparison of times allows [`AuditSettings::slack`]: the tolerance that the protocol
-//! grants, and the time by which the world's own threads were late.
+//! Each comparison with a time limit allows [`AuditSettings::slack`]: the tolerance that the
+//! protocol grants, and the time by which the world's own threads were late.
 
 mod request;
 
@@ -50,8 +50,8 @@
     pub at_us: Micros,
     /// What happened, in one line.
     pub what: String,
-    /// Events of the same request. For a breach that concerns no request: those that concern no
-    /// request either, from 1 s before to 0.1 s after the breach.
+    /// Events of the same request, if the breach concerns one, and events that concern no request,
+    /// from 1 s before to 0.1 s after the breach.
     pub around: Vec<String>,
 }
 
@@ -69,7 +69,7 @@
     pub zones: u32,
     /// How long after a drain's announcement attempts may still begin at the host.
     pub grace: Micros,
-    /// Tolerance of every comparison of times.
+    /// Tolerance of each comparison with a time limit.
     pub slack: Micros,
 }
 
--- a/testbed/src/audit/request.rs
+++ b/testbed/src/audit/request.rs
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Rule 1: a served value was made for this request, by a host that received an attempt.
+    /// Rule 1: a served value was made for this request, by a host that ran an attempt.
     fn check_values(&mut self) {
         let (id, request) = (self.id, self.request);
         for &(at, reply) in &request.replies {
--- a/testbed/src/balancers/mod.rs
+++ b/testbed/src/balancers/mod.rs
@@ -42,7 +42,7 @@
 #[derive(Debug, Error)]
 pub enum BalancerError {
     /// No free address was found.
-    #[error("cannot reserve a loopback address for balancer {balancer}: {cause}")]
+    #[error("cannot find a free loopback address for balancer {balancer}: {cause}")]
     Address {
         /// The balancer's index.
         balancer: usize,
@@ -243,11 +243,11 @@
     }
 
     /// Ends a balancer as operators do: by SIGTERM, then by SIGKILL if it still runs after
-    /// `patience`.
+    /// `timeout`.
     ///
     /// # Errors
     /// How it ended, if it ended on SIGTERM with another status than success.
-    pub fn terminate(&self, nth: usize, patience: Duration) -> Result<(), String> {
+    pub fn terminate(&self, nth: usize, timeout: Duration) -> Result<(), String> {
         self.signal(nth, Signal::TERM);
         let Some(mut process) = self.inner().balancers[nth].process.take() else { return Ok(()) };
         // Another trouble may have stopped the process, and can't resume it once it is taken from
@@ -263,7 +263,7 @@
                         "balancer {nth} ended after SIGTERM with {status}; last log line: {last_line}"
                     ));
                 }
-                Ok(None) if began.elapsed() < patience => std::thread::sleep(READY_POLL_INTERVAL),
+                Ok(None) if began.elapsed() < timeout => std::thread::sleep(READY_POLL_INTERVAL),
                 _ => break,
             }
         }
@@ -282,7 +282,7 @@
     ///
     /// # Errors
     /// The system's error if the control file can't be opened.
-    pub fn faults(&self, nth: usize) -> std::io::Result<Option<FaultControl>> {
+    pub fn fault_control(&self, nth: usize) -> std::io::Result<Option<FaultControl>> {
         let inner = self.inner();
         let library = inner.program.fault_library.as_ref();
         library.map(|library| FaultControl::open(&inner.faults_path(nth), library)).transpose()
@@ -417,8 +417,8 @@
     pairs.filter_map(|(name, count)| Some((name.to_owned(), count.parse().ok()?))).collect()
 }
 
-/// Finds a free address with a fixed port, so that a restarted balancer can listen there again. The
-/// port is free until the balancer binds it, unless another process takes it first.
+/// Finds an address with a free port, which the balancer keeps over restarts. The port is not
+/// reserved until the balancer binds it.
 fn free_address(nth: usize) -> Result<SocketAddr, BalancerError> {
     let any_port = SocketAddr::from((Ipv4Addr::new(127, 30, 0, nth as u8 + 1), 0));
     let free = TcpListener::bind(any_port).and_then(|listener| listener.local_addr());
--- a/testbed/src/soak/disturbance.rs
+++ b/testbed/src/soak/disturbance.rs
@@ -14,12 +14,12 @@
 use crate::ledger::Ledger;
 use crate::time::{seconds, Micros, MS};
 
-/// Time between SIGSTOP and SIGCONT: the stop that the operators' page on real days allows.
+/// Time between SIGSTOP and SIGCONT: as long a stop as the operators' terms for real days allow.
 const STALL: Duration = Duration::from_millis(150);
 /// Pause between two steps of a repeated trouble.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(450);
 /// Time from SIGTERM to SIGKILL: the shortest that operators use, the longest deadline plus 0.7 s.
-const TERMINATE_PATIENCE: Duration = LONGEST_DEADLINE.saturating_add(Duration::from_millis(700));
+const TERMINATE_TIMEOUT: Duration = LONGEST_DEADLINE.saturating_add(Duration::from_millis(700));
 /// Period of a process that is limited to a share of a core.
 const SHARE_PERIOD: Duration = Duration::from_millis(20);
 /// Time in each [`SHARE_PERIOD`] for which the process runs.
@@ -80,7 +80,7 @@
             .iter()
             .enumerate()
             .map(|(nth, &(trouble, scripted))| {
-                // Troubles 0 and 1 affect the same balancers, trouble 2 affects the others.
+                // Successive pairs of troubles affect balancers of even and odd index in turn.
                 let affected = (0..count)
                     .filter(|balancer| (balancer + nth / 2) % BALANCERS_PER_AFFECTED == 0)
                     .collect();
@@ -185,7 +185,7 @@
                 self.balancers.signal(balancer, signal);
                 thread::sleep(SERIES_INTERVAL);
             }
-            if let Err(failure) = self.balancers.terminate(balancer, TERMINATE_PATIENCE) {
+            if let Err(failure) = self.balancers.terminate(balancer, TERMINATE_TIMEOUT) {
                 report.failures.push(failure);
             }
             self.balancers.restart_with_initial_list(balancer);
@@ -195,7 +195,7 @@
     }
 
     fn controls(&self) -> std::io::Result<Vec<FaultControl>> {
-        let controls = self.affected.iter().map(|&nth| self.balancers.faults(nth));
+        let controls = self.affected.iter().map(|&nth| self.balancers.fault_control(nth));
         controls.filter_map(Result::transpose).collect()
     }
 
--- a/testbed/src/soak/run.rs
+++ b/testbed/src/soak/run.rs
@@ -13,7 +13,7 @@
 use crate::figures::Run;
 use crate::play::{play_disturbed, PlayError};
 
-/// How a balancer's log line about a violated invariant begins.
+/// Text by which a balancer's log lines about violated invariants are found.
 const VIOLATION: &str = "invariant ";
 /// The audit's text for a connection that was closed with a request unanswered.
 const CLOSED_UNANSWERED: &str = "ended the connection over op";
--- a/testbed/src/soak/script.rs
+++ b/testbed/src/soak/script.rs
@@ -35,7 +35,7 @@
     pub only: Vec<Trouble>,
 }
 
-/// A trouble and when it lasts.
+/// A trouble and its period.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScriptedTrouble {
     /// The trouble.
@@ -87,7 +87,7 @@
         Script { options, troubles }
     }
 
-    /// The script without its trouble of this index.
+    /// The script without the trouble at index `nth`.
     pub fn without(&self, nth: usize) -> Script {
         let mut shorter = self.clone();
         shorter.troubles.remove(nth);
@@ -165,7 +165,7 @@
 /// The longest deadline of the classes in every script.
 pub const LONGEST_DEADLINE: Duration = Duration::from_millis(1_500);
 
-/// Request classes of every retry safety, with short deduplication windows.
+/// Request classes of every retry safety; deduplication windows are shorter than the deadlines.
 const CLASSES: &str = r#"
 [[categories]]
 name = "read"
--- a/testbed/src/soak/trouble.rs
+++ b/testbed/src/soak/trouble.rs
@@ -49,7 +49,8 @@
 pub enum ProcessTrouble {
     /// SIGTERM; the process is restarted once it has ended.
     Terminate,
-    /// As [`ProcessTrouble::Terminate`], after a rapid series of SIGHUP, SIGUSR1 and SIGTERM.
+    /// SIGHUP, SIGUSR1, SIGTERM, SIGHUP and SIGTERM, 5 ms apart, before the SIGTERM of
+    /// [`ProcessTrouble::Terminate`].
     SignalSeries,
     /// The process runs for a tenth of the time, 2 ms in every 20 ms.
     CoreShare,
@@ -69,7 +70,8 @@
     Interrupted,
     /// Half of the calls that open or write files fail, while the process receives SIGHUP.
     FilesFail,
-    /// Connections that send nothing, or half a command, occupy descriptors of the process.
+    /// Connections that send nothing, half a command, or commands whose replies are never read
+    /// occupy descriptors of the process.
     Crowd,
 }
 
@@ -148,8 +150,8 @@
     Trouble::Process("crowd", ProcessTrouble::Crowd),
 ];
 
-/// Hosts that answer twice. Not drawn: a known open fault is that nothing gives away the first
-/// copy.
+/// Hosts that send a response twice. Not drawn: nothing announces the first copy, which the
+/// balancer therefore does not recognize; this fault is known and open.
 pub const RESPONSE_COPIES: Trouble = Trouble::World("proxy-copy", on_twelfths(FaultKind::ProxyCopy, 2, 0.05));
 
 /// No trouble has this name.
@@ -170,7 +172,7 @@
         }
     }
 
-    /// Whether it makes the balancer break rules by a fault that is known and not yet mended.
+    /// Whether it makes the balancer break rules by a fault that is known and not yet fixed.
     pub fn is_known_open(&self) -> bool {
         *self == RESPONSE_COPIES
     }
--- a/testbed/src/world/host/accept.rs
+++ b/testbed/src/world/host/accept.rs
@@ -27,7 +27,7 @@
     state: watch::Receiver<ListenerState>,
     /// `None` while connections are refused.
     listener: Option<TcpListener>,
-    /// Connections from here that fill the listen queue, so that no handshake completes.
+    /// Connections opened here to fill the listen queue, so that no handshake completes.
     fillers: Vec<TcpStream>,
     /// Whether the listen queue has length 0, to leave handshakes unanswered.
     queue_closed: bool,
--- a/testbed/src/world/host/attempt.rs
+++ b/testbed/src/world/host/attempt.rs
@@ -37,12 +37,13 @@
     /// The index of its request class, if it has one.
     class: Option<usize>,
     service_time: Micros,
-    /// Whether the machine can do it without the origin: a write, or a read of a key that it holds.
+    /// Whether the machine needs no value from the origin: for a write, for a read of a key that it
+    /// holds, and at the origin itself.
     is_hit: bool,
 }
 
 impl Host {
-    /// Works on an attempt. `first_byte_at` is when its first byte came; without it, now.
+    /// Works on an attempt. `first_byte_at` is when its first byte came; now if it is `None`.
     /// `connection_cost` is additional work.
     pub(super) async fn handle_attempt(
         self: &Rc<Host>,
@@ -97,8 +98,8 @@
         self.shared.draw(probability)
     }
 
-    /// Has the origin do its part, if it has any, after this machine's. Returns a response if that
-    /// ends the attempt.
+    /// Reports a miss to the balancer, or calls the origin if this host passes commands on. Returns a
+    /// response if that ends the attempt.
     async fn complete_elsewhere(self: &Rc<Host>, attempt: &Attempt) -> Option<Response> {
         let passes_on = self.shared.mode == CacheMode::Through;
         if !attempt.is_hit && !passes_on {
--- a/testbed/src/world/host/connection.rs
+++ b/testbed/src/world/host/connection.rs
@@ -71,7 +71,7 @@
 }
 
 /// Serves messages, and returns the state in which the connection is left; `Open` if it is to be
-/// closed in order.
+/// closed gracefully.
 async fn serve_until_end(host: &Rc<Host>, balancer: usize, stream: &mut TcpStream) -> ConnectionState {
     let mut connection = ServedConnection {
         host,
--- a/testbed/src/world/host/mod.rs
+++ b/testbed/src/world/host/mod.rs
@@ -284,7 +284,7 @@
         self.machine_changed.notify_one();
     }
 
-    /// Makes each command take this many times as long.
+    /// Makes jobs that start from now on take this many times as long.
     pub fn set_slowdown(&self, slowdown: f64) {
         self.machine.borrow_mut().set_slowdown(slowdown);
     }
--- a/testbed/src/world/host/shared.rs
+++ b/testbed/src/world/host/shared.rs
@@ -105,7 +105,7 @@
         }
     }
 
-    /// When the write with this idempotency key first ran in a scope; records `now` if it had not.
+    /// When the write with this idempotency key first ran in a scope; if it has not, records `now`.
     pub(super) fn first_run(&self, idempotency_key: &str, scope: u32, now: Micros) -> Micros {
         let key = (Bytes::copy_from_slice(idempotency_key.as_bytes()), scope);
         *self.first_runs.borrow_mut().entry(key).or_insert(now)
--- a/testbed/src/world/listener.rs
+++ b/testbed/src/world/listener.rs
@@ -9,7 +9,7 @@
 /// Length of the listen queue, in connections.
 pub const LISTEN_BACKLOG: i32 = 1024;
 
-/// Listens on an IPv4 address, also one that was in use a moment ago.
+/// Listens on an IPv4 address, also right after another listener there was closed.
 ///
 /// # Errors
 /// The kernel's error if the address can't be bound.
@@ -20,7 +20,7 @@
     socket.listen(LISTEN_BACKLOG as u32)
 }
 
-/// Makes dropping the connection reset it instead of closing it in order.
+/// Makes dropping the connection reset it instead of closing it gracefully.
 pub fn reset_on_drop(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
--- a/testbed/src/world/proxy.rs
+++ b/testbed/src/world/proxy.rs
@@ -30,11 +30,11 @@
 const DRIPPING_BYTES: usize = 40;
 /// Pause after each of the dripping bytes.
 const DRIP_INTERVAL: Duration = Duration::from_millis(2);
-/// Upper bound of a response's delay.
+/// Upper bound of the delay of a piece of a response.
 const MAX_DELAY: Duration = Duration::from_millis(300);
 /// Time in which a machine must accept a connection; otherwise the balancer's is reset.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
-/// Time between a response and its copy.
+/// Time between a piece of a response and its copy.
 const COPY_DELAY: Duration = Duration::from_millis(3);
 
 /// The faults that proxies apply, each with its probability per piece of a response.
@@ -68,7 +68,7 @@
 
 /// The state of a connection after a piece of a response.
 enum Forwarding {
-    /// The piece was forwarded, or the machine closed the connection in order.
+    /// The piece was forwarded, or the machine closed the connection gracefully.
     Passed,
     /// The connection stays open, and nothing more is forwarded.
     Silenced,
--- a/testbed/tests/audit.rs
+++ b/testbed/tests/audit.rs
@@ -14,27 +14,27 @@
 
 #[test]
 fn each_breach_of_a_misbehaving_router_is_found_and_none_of_an_honest_one() {
-    let calm = experiment("seconds = 2.0", "[load]\nrate = 150");
-    let drains = experiment(
+    let without_faults = experiment("seconds = 2.0", "[load]\nrate = 150");
+    let with_drain = experiment(
         "seconds = 2.0",
         "[load]\nrate = 150\n[[faults]]\nkind = \"drain\"\nhosts = [1]\nfrom_s = 0.3\nto_s = 1.9",
     );
     type Case<'a> = (Option<&'a str>, &'a Experiment, Option<(Rule, &'a str)>);
     let cases: [Case; 13] = [
-        (None, &calm, None),
-        (None, &drains, None),
-        (Some("forget"), &calm, Some((Rule::Answered, "got no answer"))),
-        (Some("late"), &calm, Some((Rule::Answered, "too late"))),
-        (Some("twice"), &calm, Some((Rule::Answered, "a second time"))),
-        (Some("foreign"), &calm, Some((Rule::Answered, "made for another"))),
-        (Some("forge"), &calm, Some((Rule::Answered, "no host made"))),
-        (Some("cut"), &calm, Some((Rule::Answered, "ended the connection"))),
-        (Some("after"), &calm, Some((Rule::Answered, "after its end"))),
-        (Some("again"), &calm, Some((Rule::Once, "sent to origin again"))),
-        (Some("deny"), &calm, Some((Rule::Once, "nacked though it may have run"))),
-        (Some("drain"), &drains, Some((Rule::Drain, "after its drain"))),
-        // It never reads discovery, but counts as informed of the drain.
-        (Some("deaf"), &drains, Some((Rule::Drain, "after its drain"))),
+        (None, &without_faults, None),
+        (None, &with_drain, None),
+        (Some("forget"), &without_faults, Some((Rule::Answered, "got no answer"))),
+        (Some("late"), &without_faults, Some((Rule::Answered, "too late"))),
+        (Some("twice"), &without_faults, Some((Rule::Answered, "a second time"))),
+        (Some("foreign"), &without_faults, Some((Rule::Answered, "made for another"))),
+        (Some("forge"), &without_faults, Some((Rule::Answered, "no host made"))),
+        (Some("cut"), &without_faults, Some((Rule::Answered, "ended the connection"))),
+        (Some("after"), &without_faults, Some((Rule::Answered, "after its end"))),
+        (Some("again"), &without_faults, Some((Rule::Once, "sent to origin again"))),
+        (Some("deny"), &without_faults, Some((Rule::Once, "nacked though it may have run"))),
+        (Some("drain"), &with_drain, Some((Rule::Drain, "after its drain"))),
+        // This router never calls discovery, but counts as informed of the drain.
+        (Some("deaf"), &with_drain, Some((Rule::Drain, "after its drain"))),
     ];
     thread::scope(|scope| {
         for (misdeed, experiment, expected) in cases {
--- a/testbed/tests/soak.rs
+++ b/testbed/tests/soak.rs
@@ -55,9 +55,9 @@
     };
     let shortest = reduce(&script, 1, &mut fails).expect("the script plays").expect("the script fails");
     assert_eq!(shortest.names(), "terminate+files-fail");
-    let never =
+    let not_reproduced =
         reduce(&script, 2, &mut |_: &Script| Ok::<bool, Infallible>(false)).expect("the script plays");
-    assert!(never.is_none());
+    assert!(not_reproduced.is_none());
 }
 
 /// A pair of troubles with the options of its script.
--- a/testbed/tests/world.rs
+++ b/testbed/tests/world.rs
@@ -34,8 +34,9 @@
         clock.start_run_in(0);
         world.run_script(None);
         let known = world.bootstraps[0].known["instances"].as_array().expect("a list").clone();
-        let cell = |instance: &&serde_json::Value| instance["cell"] == 0 && instance["machineType"] == "host";
-        let address = known.iter().find(cell).expect("host 0")["hostPort"].as_str().expect("an address");
+        let is_host_0 =
+            |instance: &&serde_json::Value| instance["cell"] == 0 && instance["machineType"] == "host";
+        let address = known.iter().find(is_host_0).expect("host 0")["hostPort"].as_str().expect("an address");
         FaultedWorld { clock, address: address.parse().expect("an address"), last_request: 0, _world: world }
     }
 
