--- a/testbed/src/soak/trouble.rs
+++ b/testbed/src/soak/trouble.rs
@@ -150,8 +150,8 @@
     Trouble::Process("crowd", ProcessTrouble::Crowd),
 ];
 
-/// Hosts that send a response twice. Not drawn: nothing announces the first copy, which the
-/// balancer therefore does not recognize; this fault is known and open.
+/// Hosts that send a response twice. Not drawn: nothing announces a host's first copy, so that the
+/// balancer may take it for the next response; this fault is known and open.
 pub const RESPONSE_COPIES: Trouble = Trouble::World("proxy-copy", on_twelfths(FaultKind::ProxyCopy, 2, 0.05));
 
 /// No trouble has this name.
--- a/testbed/src/world/host/attempt.rs
+++ b/testbed/src/world/host/attempt.rs
@@ -98,8 +98,8 @@
         self.shared.draw(probability)
     }
 
-    /// Reports a miss to the balancer, or calls the origin if this host passes commands on. Returns a
-    /// response if that ends the attempt.
+    /// Reports a miss to the balancer, or calls the origin if this host passes commands on. Returns
+    /// a response if that ends the attempt.
     async fn complete_elsewhere(self: &Rc<Host>, attempt: &Attempt) -> Option<Response> {
         let passes_on = self.shared.mode == CacheMode::Through;
         if !attempt.is_hit && !passes_on {
