--- a/testbed/tests/audit.rs
+++ b/testbed/tests/audit.rs
@@ -37,25 +37,24 @@
         (Some("deaf"), &with_drain, Some((Rule::Drain, "after its drain"))),
     ];
     thread::scope(|scope| {
-        for (misdeed, experiment, expected) in cases {
+        for (fault, experiment, expected) in cases {
             scope.spawn(move || {
-                let run = played(experiment, &router("random", misdeed));
+                let run = played(experiment, &router("random", fault));
                 assert!(
                     run.figures.requests > 200 && run.figures.failed < 20,
-                    "{misdeed:?}: {:?}",
+                    "{fault:?}: {:?}",
                     run.figures
                 );
                 let found = breaches(&run);
                 match expected {
-                    None => assert!(found.is_empty(), "{misdeed:?}: {found:#?}"),
+                    None => assert!(found.is_empty(), "{fault:?}: {found:#?}"),
                     Some((rule, text)) => {
                         let of_kind = |breach: &&basaltwood_testbed::audit::Breach| {
                             breach.rule == rule && breach.what.contains(text)
                         };
                         let breach = run.breaches.iter().find(of_kind);
-                        let breach =
-                            breach.unwrap_or_else(|| panic!("{misdeed:?}: no {text:?} in {found:#?}"));
-                        assert!(!breach.around.is_empty(), "{misdeed:?}: nothing around {breach}");
+                        let breach = breach.unwrap_or_else(|| panic!("{fault:?}: no {text:?} in {found:#?}"));
+                        assert!(!breach.around.is_empty(), "{fault:?}: nothing around {breach}");
                     }
                 }
             });
