--- a/testbed/src/cli/scale.rs
+++ b/testbed/src/cli/scale.rs
@@ -69,12 +69,12 @@
         let title = format!("[{}/{count}] {axis} = {at} seed {seed}", self.points.len() + 1);
         let logs = self.folder.join("logs").join(format!("{at}-{seed}"));
         create_folder(&logs)?;
-        let mut current_stretch = String::new();
-        let mut on_progress = |stretch: &str, seconds: f64| {
-            if !stretch.is_empty() {
-                stretch.clone_into(&mut current_stretch);
+        let mut current_stage = String::new();
+        let mut on_progress = |stage: &str, seconds: f64| {
+            if !stage.is_empty() {
+                stage.clone_into(&mut current_stage);
             }
-            self.print(&format!("{title}  {current_stretch} {seconds:.0} s"));
+            self.print(&format!("{title}  {current_stage} {seconds:.0} s"));
         };
         let point = scale::run::run_point(experiment, at, seed, &logs, &mut on_progress).map_err(failed)?;
         let line = self.lines.append(&point)?;
--- a/testbed/src/cli/soak.rs
+++ b/testbed/src/cli/soak.rs
@@ -104,7 +104,7 @@
     let troubles: Vec<String> = verdict.troubles.iter().map(ToString::to_string).collect();
     let result = if verdict.holds() { "holds" } else { "FAILS" };
     println!(
-        "seed {}: {result}; {}; {} requests, {} served, {} unread at a balancer's end",
+        "seed {}: {result}; {}; {} requests, {} served, {} closed unread by an ending balancer",
         verdict.seed,
         troubles.join(", "),
         verdict.requests,
--- a/testbed/src/cli/trace.rs
+++ b/testbed/src/cli/trace.rs
@@ -36,14 +36,14 @@
     let experiment = Experiment::read(file).map_err(bad_input)?;
     let plan = play::plan(&experiment, seed).map_err(bad_input)?;
     export(&plan, &experiment, out)?;
-    println!("{} ops in {}", plan.requests.len(), out.display());
+    println!("{} requests in {}", plan.requests.len(), out.display());
     Ok(())
 }
 
 fn import_csv(csv: &Path, out: &Path) -> Result<(), CommandError> {
     let lines = trace::from_csv(open(csv)?).map_err(|cause| bad_file(csv, cause))?;
     write(out, &lines)?;
-    println!("{} ops in {}", lines.lines().count(), out.display());
+    println!("{} requests in {}", lines.lines().count(), out.display());
     Ok(())
 }
 
--- a/testbed/src/experiment/check.rs
+++ b/testbed/src/experiment/check.rs
@@ -178,7 +178,8 @@
 }
 
 impl Fault {
-    /// Whether a repeated fault starts again before it has ended, or has no end.
+    /// Whether a repeated fault starts again before it has ended. Without `to_s` that is reported
+    /// only for a fault that begins at 0.
     fn overlaps_itself(&self) -> bool {
         self.every_s.is_some_and(|every| every <= self.to_s.unwrap_or(every) - self.from_s)
     }
--- a/testbed/src/experiment/faults.rs
+++ b/testbed/src/experiment/faults.rs
@@ -61,7 +61,7 @@
     BalancerKill,
     /// The proxy between balancer and host delays a piece of a response with probability `part`.
     ProxyDelay,
-    /// The proxy passes a piece on byte by byte, with probability `part`.
+    /// The proxy passes the first bytes of a piece on one by one, with probability `part`.
     ProxyDrip,
     /// The proxy passes half of a piece on and resets the connection, with probability `part`.
     ProxyCut,
--- a/testbed/src/experiment/load.rs
+++ b/testbed/src/experiment/load.rs
@@ -54,8 +54,8 @@
     /// requests are late through the testbed's own fault.
     #[serde(default = "default_late_ms")]
     pub late_ms: f64,
-    /// Plays a closed loop, to show its error: each connection sends its next request only after
-    /// the reply to the last one, and latency counts from then.
+    /// Plays a closed loop, a faulty way to measure, for comparison: each connection sends its next
+    /// request only after the reply to the last one, and latency counts from then.
     #[serde(default)]
     pub closed_loop: bool,
     /// A recorded trace to play instead of generated arrivals.
@@ -171,7 +171,7 @@
     BackOff {
         /// The largest number of retries.
         times: u32,
-        /// The first pause.
+        /// The bound of the first pause.
         pause_ms: f64,
     },
 }
--- a/testbed/src/figures.rs
+++ b/testbed/src/figures.rs
@@ -45,7 +45,7 @@
 impl Latency {
     /// Computes the percentiles of times in microseconds.
     pub fn of(times: impl Iterator<Item = Micros>) -> Latency {
-        // Three significant digits.
+        // Three significant digits; longer times are recorded as LONGEST_LATENCY.
         let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, LONGEST_LATENCY, 3) else {
             return Latency::default();
         };
--- a/testbed/src/lateness/verdict.rs
+++ b/testbed/src/lateness/verdict.rs
@@ -54,7 +54,7 @@
 
 /// Judges a run from the lateness of its requests when sent, of the world's thread and of the
 /// reference thread, all recorded in that run. The run is void if the testbed was later than the
-/// machine's lateness explains, or if the machine was so late that the benefit can't be told.
+/// machine's lateness explains, or if the machine was so late that the benefit is uncertain.
 /// Otherwise it is valid, with a warning if the machine was late.
 pub fn judge(
     bounds: LatenessBounds,
@@ -165,10 +165,10 @@
         Some((Responsible::Testbed, line))
     }
 
-    /// Voids the run if the machine was so late that the benefit can't be told.
+    /// Voids the run if the machine was so late that the benefit is uncertain.
     fn benefit_in_doubt(&self) -> Option<Void> {
         // A request has at least half of its latency objective to spare. Seven wakeups in a row use
-        // that up only if one of them is late by a seventh of it.
+        // that up only if one of them is late by at least a seventh of it.
         let share = self.bounds.target / 2 / Micros::from(WAKEUPS_PER_REQUEST);
         // The world's whole lateness counts, waits for a core included: whatever its cause, it
         // delays the hosts' replies.
@@ -178,9 +178,9 @@
             return None;
         }
         let line = format!(
-            "the machine was late: the reference thread, or the fleet for want of a core, woke over {:.1} ms \
-             late in {:.2}% of its periods (reference p99 {:.1}, max {:.1} ms), so up to {:.1}% of the \
-             benefit can't be told",
+            "the machine was late: the reference thread, or the fleet with its waits for a core, woke over \
+             {:.1} ms late in {:.2}% of its periods (reference p99 {:.1}, max {:.1} ms), so up to {:.1}% of \
+             the benefit is uncertain",
             as_ms(share as u64),
             100.0 * over,
             self.reference_p99_ms(),
--- a/testbed/src/load/client.rs
+++ b/testbed/src/load/client.rs
@@ -29,7 +29,7 @@
 const MAX_CONNECT_ATTEMPTS: u32 = 3;
 /// The pause before such a client chooses a balancer again.
 const CONNECT_RETRY_PAUSE: Micros = 10 * MS;
-/// The number of attempts after which the backoff no longer doubles.
+/// The largest number of times that the backoff doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
 
 /// A request for which attempts are made.
--- a/testbed/src/load/plan.rs
+++ b/testbed/src/load/plan.rs
@@ -18,7 +18,7 @@
 /// Evenly spaced arrivals step by at most the interval of this rate, so that they notice the end of
 /// a time without requests.
 const MIN_EVEN_RATE_PER_S: f64 = 10.0;
-/// The shortest period, in seconds.
+/// The shortest period of a shape or a working set, in seconds; shorter ones are raised to it.
 const MIN_PERIOD_S: f64 = 0.001;
 
 /// A planned request.
--- a/testbed/src/load/player.rs
+++ b/testbed/src/load/player.rs
@@ -171,8 +171,8 @@
         thread::sleep(to_duration(cost));
     }
 
-    /// Plays a closed loop, to show its error: each client makes its next request only after the
-    /// reply to the last one, and latency counts from then.
+    /// Plays a closed loop, a faulty way to measure, for comparison: each client makes its next
+    /// request only after the reply to the last one, and latency counts from then.
     async fn run_closed_loop(self: Rc<Player>) {
         let next = Rc::new(Cell::new(0));
         let mut clients = JoinSet::new();
--- a/testbed/src/play.rs
+++ b/testbed/src/play.rs
@@ -56,7 +56,7 @@
         /// The I/O error.
         cause: io::Error,
     },
-    /// A trace can't be read.
+    /// A trace can't be played.
     #[error("{}: {cause}", path.display())]
     Trace {
         /// The trace.
@@ -106,7 +106,7 @@
 /// The requests of an experiment: generated from the seed, or read from its trace.
 ///
 /// # Errors
-/// Fails if the trace can't be read.
+/// Fails if the trace can't be read or is invalid.
 pub fn plan(experiment: &Experiment, seed: u64) -> Result<Plan, PlayError> {
     let mut plan = match &experiment.load.trace {
         Some(path) => import(path, experiment)?,
--- a/testbed/src/scale/experiment.rs
+++ b/testbed/src/scale/experiment.rs
@@ -229,7 +229,8 @@
     }
 }
 
-/// The resources that a balancer may use without requests.
+/// The resources that a balancer may use: CPU time and bytes in the stage without requests, memory
+/// in the stage with requests.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Budget {
--- a/testbed/src/scale/fleet.rs
+++ b/testbed/src/scale/fleet.rs
@@ -23,7 +23,7 @@
 use crate::thread_stats::thread_cpu_seconds;
 use crate::world::listener::listen;
 
-/// The delay after a failed accept: all descriptors are in use, until connections close.
+/// The delay after a failed accept: all descriptors are in use until a connection closes.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 /// How often a command held up by a hang checks whether the hang is over.
 const HANG_CHECK_INTERVAL: Duration = Duration::from_millis(50);
--- a/testbed/src/scale/point.rs
+++ b/testbed/src/scale/point.rs
@@ -20,9 +20,9 @@
     pub at: f64,
     /// The seed of the run.
     pub seed: u64,
-    /// Why the result is void; `None` if it counts.
+    /// Why the result is void; `None` for a valid result.
     pub void: Option<String>,
-    /// A caveat on the figures of a result that counts.
+    /// A warning about the figures of a valid result.
     pub warning: Option<String>,
     /// The conditions of this point.
     #[serde(rename = "held")]
--- a/testbed/src/scale/run/lateness.rs
+++ b/testbed/src/scale/run/lateness.rs
@@ -1,5 +1,5 @@
 //! Measures how late the threads of a run and the machine were, and decides whether the figures of
-//! the run count.
+//! the run are valid.
 
 use hdrhistogram::Histogram;
 
--- a/testbed/src/scale/run/mod.rs
+++ b/testbed/src/scale/run/mod.rs
@@ -133,7 +133,7 @@
         settled: &SettledSnapshots,
     ) -> Figures {
         let mut figures = figures::measure(self.conditions, load);
-        // `quiet_start` is left out: list changes started with it.
+        // `quiet_start` holds no changes: its command to discovery started them.
         let mut with_changes = vec![&load.quiet_end, &load.load_start, &load.load_end];
         with_changes.extend(hang_end);
         with_changes.extend([&settled.stopped, &settled.settled]);
--- a/testbed/src/scale/run/real_balancer.rs
+++ b/testbed/src/scale/run/real_balancer.rs
@@ -17,7 +17,7 @@
 use crate::settings::BalancerBootstrap;
 use crate::time::{Clock, Micros, MS};
 
-/// The delay from the start of the load's thread, which connects first, to the first request.
+/// The time from the start of the load generator to the start of the run.
 const LOAD_START_DELAY: Micros = 100 * MS;
 
 /// A real balancer. Dropping this ends its process; the guard ends it if this process is killed.
--- a/testbed/src/scale/simulated/load.rs
+++ b/testbed/src/scale/simulated/load.rs
@@ -18,7 +18,7 @@
 use crate::scale::protocol::SimulatedSpec;
 use crate::time::MS;
 
-/// The salt of the hash that makes a key of its rank, so that popular keys lie apart on the ring.
+/// The salt for hashing the rank of a key to the key, so that popular keys lie apart on the ring.
 const KEY_SALT: u64 = 7;
 
 /// The distribution of the ranks of keys.
--- a/testbed/tests/cli.rs
+++ b/testbed/tests/cli.rs
@@ -159,7 +159,7 @@
     let mut command = Command::new(TESTBED);
     command.args(["run", "x.toml"]).current_dir(folder.path()).stdout(Stdio::piped()).stderr(Stdio::null());
     let mut run = command.spawn().expect("the testbed starts");
-    let mut lines = BufReader::new(run.stdout.take().expect("its output")).lines();
+    let mut lines = BufReader::new(run.stdout.take().expect("piped output")).lines();
     assert!(lines.next().expect("a line").expect("text").contains("1/60 s"));
     let children =
         std::fs::read_to_string(format!("/proc/{0}/task/{0}/children", run.id())).expect("children");
--- a/testbed/tests/common/mod.rs
+++ b/testbed/tests/common/mod.rs
@@ -60,9 +60,9 @@
     Experiment::parse(&format!("{top}\n{base}\n{tables}")).expect("an experiment")
 }
 
-pub fn router(kind: &str, misdeed: Option<&str>) -> Program {
-    let misdeed = misdeed.map(|misdeed| format!("--misdeed={misdeed}"));
-    let arguments = ["router".to_owned(), kind.to_owned()].into_iter().chain(misdeed).collect();
+pub fn router(kind: &str, injected_fault: Option<&str>) -> Program {
+    let option = injected_fault.map(|fault| format!("--misdeed={fault}"));
+    let arguments = ["router".to_owned(), kind.to_owned()].into_iter().chain(option).collect();
     Program {
         path: env!("CARGO_BIN_EXE_basaltwood-testbed").into(),
         arguments,
--- a/testbed/tests/lateness.rs
+++ b/testbed/tests/lateness.rs
@@ -82,13 +82,13 @@
 }
 
 #[test]
-fn machine_too_late_to_tell_the_benefit_voids_by_the_machine() {
+fn uncertain_benefit_on_a_late_machine_voids_by_the_machine() {
     // Half of 150 ms divided by seven wakeups is 10.7 ms: two in a thousand periods are over it.
     let (requests, late) = (late_by(&[(2, 20 * MS)]), late_by_work(&[(2, 20 * MS)]));
     assert_void(
         &judge(BOUNDS, &requests, &late, &late),
         Responsible::Machine,
-        "up to 1.4% of the benefit can't be told",
+        "up to 1.4% of the benefit is uncertain",
     );
     // Lateness can only reduce the benefit: only the part that was not earned is in doubt.
     let earned = LatenessBounds { missed: 0.009, ..BOUNDS };
@@ -110,12 +110,12 @@
     // Waits for a core are the machine's fault, although the reference thread waited less.
     let waited = late_by_waits(&[(60, 5 * MS)]);
     assert!(matches!(judge(BOUNDS, &requests, &waited, &calm), Verdict::Warned(_)));
-    // Waits so long that the benefit can't be told void the run all the same.
+    // Waits that make the benefit uncertain void the run all the same.
     let waited_long = late_by_waits(&[(2, 20 * MS)]);
     assert_void(
         &judge(BOUNDS, &requests, &waited_long, &calm),
         Responsible::Machine,
-        "up to 1.4% of the benefit can't be told",
+        "up to 1.4% of the benefit is uncertain",
     );
     // The reference thread's waits do not excuse lateness through the fleet's own work.
     assert_void(
--- a/testbed/tests/runs.rs
+++ b/testbed/tests/runs.rs
@@ -119,9 +119,9 @@
     ];
     let program = balancer();
     // Four at a time, so as not to overload the machine.
-    for few in cases.chunks(4) {
+    for batch in cases.chunks(4) {
         thread::scope(|scope| {
-            for (name, faults) in few {
+            for (name, faults) in batch {
                 let program = &program;
                 scope.spawn(move || {
                     let tables = format!(
--- a/testbed/tests/scale.rs
+++ b/testbed/tests/scale.rs
@@ -189,8 +189,8 @@
         let at_balancers = figure("connections of a balancer") * 8.0;
         let (at_real, at_hosts) = (figure("real: descriptors"), figure("connections at a host, mean") * at);
         assert!(at_hosts >= at_balancers * 0.8 && at_hosts <= at_balancers + at_real + 8.0, "{point}");
-        // The hang of one host delays some requests. The silence of discovery delays all list
-        // changes of that second.
+        // One host hangs for a second, which delays some requests. Discovery is silent for a
+        // second, which delays all list changes of that second.
         assert!(figure("hang: ops") > 100.0 && figure("hang: ops not in target") < 80.0, "{point}");
         assert!(figure("discovery back: changes not told to all") == 0.0, "{point}");
         assert!(figure("discovery back: to all, ms") < 4_000.0, "{point}");
