--- a/balancer/src/process/tasks.rs
+++ b/balancer/src/process/tasks.rs
@@ -20,7 +20,7 @@
     }
 }
 
-/// Logs each change of a host's state, with the evidence of failure.
+/// Logs each change of a host's state, with the evidence from its attempts that ended.
 fn log_host_changes(shared: &Shared) {
     for change in shared.router.borrow_mut().take_host_changes() {
         log::debug!(
--- a/membership/src/schedule.rs
+++ b/membership/src/schedule.rs
@@ -7,7 +7,7 @@
 /// The longest time from the start of a call to the start of the next, whatever the call's outcome.
 /// A change counts as delivered 6 s after discovery has it and is reachable, and an answer may take
 /// 2 s, so a call has to start within the first 4 s. 0.1 s of these is left for delays that the
-/// schedule does not count. Source: the operators' page on real days.
+/// schedule does not count. Source: the operators' requirements.
 pub const MAX_CALL_INTERVAL: Micros = 3_900_000;
 
 /// The longest time that a call may take, from its dial to the last byte of its answer. The pause
@@ -39,9 +39,9 @@
 /// The longest pause after a call without an answer, before jitter.
 const MAX_PAUSE_AFTER_TIMEOUT: Micros = 300_000;
 
-/// The first pause after a refusal is this times the number of balancers, which spreads the calls: a
-/// discovery that gets more calls than it can serve still works on calls that it has refused
-/// already, and has to become idle first.
+/// The first pause after a refusal, for each balancer that calls the discovery. The pauses spread
+/// the calls: a discovery that gets more calls than it can serve still works on calls that it has
+/// refused already, and has to become idle first.
 const PAUSE_PER_BALANCER: Micros = 60_000;
 
 /// The maximum number of doublings of a pause or timeout, which keeps the shift in range.
@@ -159,10 +159,11 @@
     /// The pause after this failed call, before jitter.
     fn pause_limit(&self, error: &WatchError) -> Micros {
         match error {
-            // Changes that an unanswered call missed count as delivered by now, and so do changes
-            // that discovery has when it becomes reachable again. One more call does not overload
-            // it: the pause does not grow with the number of balancers, and is at most half of the
-            // drain grace.
+            // The next call must follow soon. The time until changes count as delivered to this
+            // balancer (see `MAX_CALL_INTERVAL`) has begun for changes that an unanswered call
+            // missed; changes that discovery has when it becomes reachable again count at once. One
+            // more call does not overload discovery: the pause does not grow with the number of
+            // balancers, and is at most half of the drain grace.
             WatchError::TimedOut(_) => self.backed_off(MIN_PAUSE).min(self.max_pause_after_timeout),
             WatchError::Unavailable { .. } | WatchError::InvalidResponse(_) => {
                 self.backed_off(self.first_pause_after_refusal).min(MAX_CALL_INTERVAL)
--- a/membership/src/start_times.rs
+++ b/membership/src/start_times.rs
@@ -9,8 +9,8 @@
 
 use basaltwood::types::Micros;
 
-/// The longest time from a change until a list with it is read. Source: the operators' page on real
-/// days.
+/// The longest time from a change until a list with it is read. Source: the operators'
+/// requirements.
 const MAX_CHANGE_DELAY: Micros = 6_000_000;
 /// A change of the wall clock's offset by less than this is slewing; a larger one is a step.
 const STEP_THRESHOLD: Micros = 500_000;
--- a/settings/src/policy_config.rs
+++ b/settings/src/policy_config.rs
@@ -160,8 +160,8 @@
     }
 }
 
-/// Converts a duration of the settings to microseconds; `what` names the field or category in the
-/// error.
+/// Converts a duration of the settings to microseconds. In the error, `what` names the field, or
+/// for the three durations of a category only the category.
 fn duration(what: &str, ms: f64) -> Result<Micros, SettingsError> {
     if (0.0..MAX_DURATION_MS).contains(&ms) {
         Ok(micros(ms))
--- a/src/host_tracker.rs
+++ b/src/host_tracker.rs
@@ -16,9 +16,9 @@
 pub(crate) struct HostStatus {
     pub(crate) endpoint: Option<Endpoint>,
     pub(crate) is_suspected: bool,
-    /// The evidence against the host's health since it was last healthy, in typical latencies.
+    /// The tracker's `failure_evidence`: without overdue attempts, in typical latencies.
     pub(crate) failure_evidence: f64,
-    /// The fraction of its full capacity that the host has at least; 1 when warm.
+    /// A lower bound of the host's capacity as a fraction of its full capacity; 1 when warm.
     pub(crate) capacity: f64,
     /// The share of its own keys that the host keeps; below 1 if it is slow.
     pub(crate) key_share: f64,
@@ -87,8 +87,10 @@
     pub(crate) status: HostStatus,
     pub(crate) in_flight: BTreeMap<AttemptKey, InFlight>,
     pub(crate) warming_since: Option<Micros>,
+    /// When the host became suspected, which began its ejection; `None` if it is not suspected.
     pub(crate) suspected_since: Option<Micros>,
-    /// The evidence against the host's health since it was last healthy, in typical latencies.
+    /// The evidence against the host's health from attempts that ended since the last
+    /// `mark_healthy`, in typical latencies.
     pub(crate) failure_evidence: f64,
     /// The latest send time among the attempts that brought a value or a miss.
     pub(crate) served_sent_at: Micros,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -77,9 +77,12 @@
         self.warm_up.sends.try_send(now, self.warm_up.slow_start.overload_window, host, bounds, &mut self.rng)
     }
 
-    /// The bounds on the sends to a host and on those for one key. The host's bound is this
-    /// balancer's share of the mean and of the deviation of the load from all balancers, divided by
-    /// the probability that this balancer has any request for the host in a window.
+    /// The bounds on the sends to a host and on those for one key in a window. The host's bound is
+    /// `WARM_UP_MARGIN` of this balancer's share of the load that overloads the host, plus
+    /// `WARM_UP_DEVIATION` of that load's deviation. It is divided by the probability that this
+    /// balancer has any request for the host in a window: windows without one leave their part
+    /// unused. The key's bound is `WARM_UP_MARGIN` of the same share of the load, less the load
+    /// that the warm-up share of the host's capacity takes.
     fn warm_up_bounds(&self, status: &HostStatus, key: Option<RingPosition>) -> SendBounds {
         let overload = self.warm_up.slow_start.overload_multiple;
         let own_share = 1.0 - self.fleet.others_share;
@@ -94,8 +97,10 @@
         SendBounds { max_sends, key: key.map(|key| KeyBound { key, max_sends: max_for_key }) }
     }
 
-    /// Gives a request its only final answer. It is a rejection only if trying again is harmless.
-    pub fn close(&mut self, id: RequestId, is_shed: bool, reason: EndReason, mailboxes: &mut Mailboxes) {
+    /// Gives a request its only final answer: a rejection if `may_reject` and trying again is
+    /// harmless, otherwise a failure. Callers make sure that no attempt is in flight unless it is
+    /// to be cancelled.
+    pub fn close(&mut self, id: RequestId, may_reject: bool, reason: EndReason, mailboxes: &mut Mailboxes) {
         let Some(request) = self.requests.get(&id) else { return };
         let in_flight = !request.in_flight.is_empty();
         let earlier = request.first_possible_run().map(|earlier| self.possible_run(earlier, in_flight));
@@ -103,7 +108,7 @@
         let is_harmless = rejection_is_harmless(safety, earlier, self.retry_after, mailboxes.now);
         let rejection = PolicyAction::Reject { request: id, retry_after: self.retry_after, reason };
         let failure = PolicyAction::Fail { request: id, reason };
-        mailboxes.actions.push(if is_shed && is_harmless { rejection } else { failure });
+        mailboxes.actions.push(if may_reject && is_harmless { rejection } else { failure });
         self.forget(id, mailboxes);
     }
 }
--- a/src/policy/constants.rs
+++ b/src/policy/constants.rs
@@ -22,13 +22,14 @@
 pub const MIN_HOT_KEY_SENDS: f64 = 2.0;
 /// The size of the table of load counts by key, and of the table of failing keys.
 pub const MAX_TRACKED_KEYS: usize = 2_048;
-/// The fewest holders of a hot key. It gets more if each of three would read more of the key than
-/// the mean load of a host.
+/// The fewest holders of a hot key. A key whose load is more than this many times the mean load of
+/// a host gets one holder for each full mean load.
 pub const MIN_HOT_KEY_HOLDERS: u64 = 3;
 
 // Bounds on the cost of a decision, independent of the size of the fleet.
 
-/// Hosts that one selection assesses. It may miss a usable host if fewer than 1 in 100 are usable.
+/// The most hosts that one selection assesses. If fewer than 1 host in 100 is usable, the selection
+/// may assess none of these.
 pub const MAX_HOSTS_ASSESSED: usize = 256;
 /// Ring points visited for the holders of a hot key: the whole ring of 256 hosts.
 pub const MAX_POINTS_FOR_HOLDERS: u64 = 64 * 256;
@@ -57,7 +58,8 @@
 pub const REJECTION_EVIDENCE: f64 = FAILURE_EVIDENCE / 3.0;
 /// The most overdue attempts that count as evidence: one slow request must not count for many.
 pub const MAX_OVERDUE_ATTEMPTS: usize = 3;
-/// The least time for which a host stays ejected: enough for a restart.
+/// An ejection does not end by itself before this time, which is enough for a restart. A value or a
+/// miss from the host ends the ejection at once.
 pub const MIN_EJECTION_TIME: Micros = 2_000_000;
 /// Lost hosts that make their zone unreachable: fewer may be a coincidence of single bad hosts.
 pub const MIN_LOST_HOSTS: usize = 3;
@@ -109,7 +111,8 @@
 
 // Slow start of a host that is warming up.
 
-/// The fraction of the load that overloads a host which it gets at most: homes differ in load.
+/// At most this fraction of its overload limit is sent to a host that is warming up: homes differ
+/// in load.
 pub const WARM_UP_MARGIN: f64 = 0.6;
 /// The fraction of the deviation of a host's load that is granted on top: traffic varies by itself
 /// as well.
@@ -121,7 +124,7 @@
 
 // Retries.
 
-/// The maximum stall between reading the clock and writing, as the operators' page states it.
+/// The maximum stall between reading the clock and writing. Source: the operators' requirements.
 pub const MAX_PROCESS_STALL: Micros = 150_000;
 /// The retries of the class of the highest weight beyond the one that each class has; other classes
 /// get fewer by their weight.
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -133,8 +133,7 @@
         }
         if outcome == AttemptOutcome::Miss && self.capabilities.cache_aside && !request.is_write {
             request.has_missed = true;
-            // A miss at a suspected host is ignored while another attempt of the request is in
-            // flight.
+            // While another attempt of the request is in flight, a miss starts no further one.
             if request.in_flight.is_empty() {
                 self.route(id, mailboxes);
             }
@@ -158,12 +157,13 @@
     fn settle_retry_cost(&mut self, id: RequestId, outcome: AttemptOutcome, sent: Option<SentAttempt>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let is_fault = outcome == AttemptOutcome::ConnectionFault;
-        let is_paid = is_fault && self.connection_retry_budget.is_available();
-        if let Some(attempt) = sent.filter(|_| is_paid) {
+        let uses_connection_budget = is_fault && self.connection_retry_budget.is_available();
+        if let Some(attempt) = sent.filter(|_| uses_connection_budget) {
             self.connection_retry_budget.spend();
             request.forget_tried(attempt.host);
         }
-        if is_paid || matches!(outcome, AttemptOutcome::Unreachable | AttemptOutcome::NotSent) {
+        if uses_connection_budget || matches!(outcome, AttemptOutcome::Unreachable | AttemptOutcome::NotSent)
+        {
             request.retries_left += 1;
             self.retry_budget.refund();
         }
@@ -175,8 +175,8 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let is_in_time = request.expires_at - mailboxes.now > (self.fleet.typical_latency / 4.0) as Micros;
         let may_send = request.in_flight.is_empty() || self.capabilities.hedging;
-        let is_paid = request.retries_left > 0 && self.retry_budget.is_available();
-        if may_send && is_in_time && is_paid {
+        let can_afford_retry = request.retries_left > 0 && self.retry_budget.is_available();
+        if may_send && is_in_time && can_afford_retry {
             request.retries_left -= 1;
             self.retry_budget.spend();
             self.route(id, mailboxes);
--- a/src/policy/fleet.rs
+++ b/src/policy/fleet.rs
@@ -52,10 +52,12 @@
         self.evaluate_warm_up(hosts);
     }
 
-    /// Sets the share of its minimum capacity that a host which is warming up gets. It is the mean
-    /// load per capacity of the fleet, since load that the host does not take congests the warm
-    /// hosts. If the admission check can't bound a single key, the share has to: for a key with
-    /// `WARM_UP_KEY_SHARE` of all reads.
+    /// Sets the share of its minimum capacity that a host which is warming up gets: the number of
+    /// hosts divided by the capacity of those that are not suspected, since load that the host does
+    /// not take congests the warm hosts. It is at most `WARM_UP_MARGIN` of the overload multiple.
+    /// At less than one send per host and window the admission check can't bound a single key, so
+    /// this bound falls with the sends, down to the share at which a key with `WARM_UP_KEY_SHARE`
+    /// of all reads does not overload the host (at most `WARM_UP_MARGIN`).
     fn evaluate_warm_up(&mut self, hosts: f64) {
         let caches = || self.host_statuses.iter().filter(|status| status.is_cache());
         let available_capacity: f64 =
--- a/src/policy/host.rs
+++ b/src/policy/host.rs
@@ -111,6 +111,8 @@
         }
     }
 
+    /// Adds evidence against the host or clears it. Evidence does not decay with time: only
+    /// `mark_healthy` clears it.
     fn record_outcome(&mut self, outcome: AttemptOutcome, sent_at: Micros, elapsed: Micros, now: Micros) {
         use AttemptOutcome::*;
         match outcome {
@@ -133,8 +135,8 @@
         }
     }
 
-    /// Suspects the host if there is enough evidence against its health, and ends its ejection
-    /// after `MIN_EJECTION_TIME` or longer.
+    /// Suspects the host if there is enough evidence against its health. Ends its ejection after
+    /// `MIN_EJECTION_TIME` or longer, if no answer has ended it before.
     pub fn sweep(&mut self, fleet: FleetMeasures, mailboxes: &mut Mailboxes) {
         let now = mailboxes.now;
         let may_be_suspected = self.suspected_since.is_none() && !self.status.is_origin();
@@ -143,10 +145,12 @@
             self.report_suspected(mailboxes);
         }
         // The time is enough for a restart, so the host is assumed to be cold. A quiet balancer
-        // waits for the time between its own sends, without an upper bound: if all balancers probed
-        // a congested host more often, the congestion would never end.
-        let ejected_for = self.sample_gap.min(fleet.send_interval).max(MIN_EJECTION_TIME);
-        if self.suspected_since.is_some_and(|since| now - since >= ejected_for) {
+        // waits for the time between its own sends, without an upper bound: if all balancers sent
+        // to a congested host more often, the congestion would never end. That time is the smaller
+        // of the gap between the host's last latency samples, which includes any time without
+        // attempts there, and the mean time between sends to a host of mean load.
+        let ejection_time = self.sample_gap.min(fleet.send_interval).max(MIN_EJECTION_TIME);
+        if self.suspected_since.is_some_and(|since| now - since >= ejection_time) {
             self.warming_since = Some(now);
             self.mark_healthy();
         }
--- a/src/policy/retry_safety.rs
+++ b/src/policy/retry_safety.rs
@@ -10,7 +10,7 @@
     pub endpoint: Option<&'a Endpoint>,
     /// The earliest time at which the attempt was sent.
     pub sent_at: Micros,
-    /// Whether any earlier attempt of the request is still in flight.
+    /// Whether any other attempt of the request is in flight.
     pub others_in_flight: bool,
 }
 
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -23,7 +23,7 @@
     /// Selects the host for the next attempt of a request.
     ///
     /// # Errors
-    /// The reason for which the request is to be rejected.
+    /// Why no host was selected.
     pub fn select_host(&mut self, id: RequestId, now: Micros) -> Result<HostId, EndReason> {
         let request = &self.requests[&id];
         if self.capabilities.cache_aside && (request.is_write || request.has_missed) {
@@ -106,7 +106,7 @@
         if !status.is_cache() {
             return Candidate::Unusable;
         }
-        // Suspected hosts come last, with one attempt at a time.
+        // Avoided hosts come last, with one attempt at a time.
         if self.is_avoided(status) {
             let is_free = status.in_flight == 0;
             return if is_free { Candidate::Fallback(0.0) } else { Candidate::Unusable };
@@ -128,7 +128,8 @@
         share >= 1.0 || (key.mixed(self.salt ^ u64::from(host.0)).0 as f64) < share * u64::MAX as f64
     }
 
-    /// Whether a host currently gets nothing but probes.
+    /// Whether a host is avoided: it is suspected (by the evidence against the host itself), or its
+    /// zone is unreachable. [`PoolSize::ejected`](crate::types::PoolSize::ejected) counts both.
     pub fn is_avoided(&self, status: &HostStatus) -> bool {
         status.is_suspected || self.zones.avoids(status.zone(), status.activity)
     }
--- a/src/policy/zones.rs
+++ b/src/policy/zones.rs
@@ -28,8 +28,9 @@
         self.unreachable_zones.difference(&before).copied().collect()
     }
 
-    /// Whether to avoid a host because of its zone. A host that lost an attempt itself and is back
-    /// from its ejection acts as a probe of the zone: any answer makes the zone reachable again.
+    /// Whether to avoid a host because its zone is unreachable. A host that lost an attempt sent
+    /// after its last answer is not avoided for its zone, so that it can get attempts unless it is
+    /// suspected: any answer makes the zone reachable again.
     pub fn avoids(&self, zone: ZoneId, host: HostActivity) -> bool {
         host.lost_at <= host.answered_at && self.unreachable_zones.contains(&zone)
     }
--- a/src/ring.rs
+++ b/src/ring.rs
@@ -47,8 +47,8 @@
     host_count: usize,
     /// The points at the positions that derive from the hosts' names.
     raw: RingPoints,
-    /// The points after Equation 1 (see `move_points`); `None` if all hosts have the same weight,
-    /// since no point moves then.
+    /// The points as moved by `move_points`; `None` if all hosts have the same weight, since no
+    /// point moves then.
     moved: Option<RingPoints>,
 }
 
@@ -88,8 +88,9 @@
         }
     }
 
-    /// Applies Equation 1 to all points: MH_i = (H_i + H_{i+1}) / 2 if the host of a point has a
-    /// higher weight than that of the next point.
+    /// Moves each point whose host has a higher weight than that of the next point to the middle
+    /// between the previous and the next point. This is Equation 1 of the paper that the ring
+    /// follows, MH_i = (H_i + H_{i+1}) / 2, with H_i as the previous point and H_{i+1} as the next.
     fn move_points(&mut self) -> RingPoints {
         let weight = |point: RingPoint| self.hosts[point.host.index()].weight;
         let previous_points = self.raw.iter().last().into_iter().chain(self.raw.iter());
--- a/src/types/endpoints.rs
+++ b/src/types/endpoints.rs
@@ -48,7 +48,8 @@
 pub struct PoolSize {
     /// Listed cache hosts, including draining ones.
     pub listed: usize,
-    /// Listed cache hosts that currently get nothing but probes.
+    /// Listed cache hosts that are suspected, or avoided since their zone is unreachable. They get
+    /// attempts only if no other host is usable, each host one at a time.
     pub ejected: usize,
     /// Listed cache hosts that are in slow start.
     pub warming_up: usize,
--- a/src/types/events.rs
+++ b/src/types/events.rs
@@ -15,8 +15,9 @@
     Rejected,
     /// No answer came in time; the request may have run.
     TimedOut,
-    /// The request did not run: the connection failed, or was not tried after several failures, or
-    /// the request could not be written completely in time.
+    /// The request did not run: connecting failed, or was not tried since the host's circuit is
+    /// open after several failures, or the request could not be written completely in time. Each of
+    /// these counts against the host.
     Unreachable,
     /// The connection was lost with the attempt in flight; the host may be down.
     ConnectionLost,
@@ -191,45 +192,52 @@
     pub host: HostId,
     /// Whether the host is listed as accepting requests.
     pub is_up: bool,
-    /// Whether the host is suspected of not answering and gets nothing but probes.
+    /// Whether the host is suspected: the evidence against it, including that of overdue attempts,
+    /// rose above the threshold and was not cleared since.
     pub is_suspected: bool,
     /// Whether the host is warming up.
     pub is_warming_up: bool,
-    /// The evidence against the host's health, in typical latencies.
+    /// The evidence against the host's health from attempts that ended, in typical latencies.
+    /// Overdue attempts are not included, so it is 0 for a suspected host that only hangs.
     pub failure_evidence: f64,
 }
 
-/// Why a request ends without being served.
+/// Why a request ends without being served. A rejection becomes a failure if trying again could
+/// make the request take effect twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// The concurrency limit of the whole fleet is reached.
+    /// Rejected: the concurrency limit of the whole fleet is reached.
     FleetAtLimit,
-    /// The selected host is at its concurrency limit, and the request can't spill to the next one.
+    /// Rejected: the selected host is at its concurrency limit, and so is the next one, or no other
+    /// host is usable, or the retry budget is too low for a spill; or the origin is at its limit.
     HostsAtLimit,
-    /// No host is up, or all that are up were tried or are suspected.
+    /// Rejected: no host is up, or each one that was assessed was tried, is avoided with an attempt
+    /// in flight, is slow or warming up and at its limit, or is warming up after another was tried;
+    /// or no origin is up.
     NoUsableHost,
-    /// A rule forbids sending to the selected hosts; most often they are in slow start.
+    /// Rejected: a rule forbade sending to the host of every selection that the request may have,
+    /// most often as these hosts are in slow start; or a rule forbade sending to the origin.
     NotAdmitted,
-    /// This balancer is at its limit of connection attempts.
+    /// Rejected: this balancer is at its limit of connection attempts.
     ConnectsAtLimit,
-    /// The remaining time is shorter than the minimum latency.
+    /// Rejected: the remaining time is shorter than the minimum latency of the fleet or the origin.
     TooLittleTime,
-    /// The remaining time is too short for another attempt.
+    /// Failed: the remaining time is too short for another attempt, or the deadline has passed.
     OutOfTime,
-    /// The request has used its retries, or the retry budget is empty.
+    /// Failed: the request has used its retries, or the retry budget is empty.
     RetriesExhausted,
-    /// The key got errors from two hosts, and no value since.
+    /// Failed: the key got errors from two hosts, and no value since.
     KeyFails,
-    /// The event loop is late, so new requests are rejected until it has caught up.
+    /// Rejected: the event loop is late, so new requests are rejected until it has caught up.
     Overloaded,
-    /// The process shuts down.
+    /// Rejected: the process shuts down.
     ShuttingDown,
-    /// The limit of open requests is reached.
+    /// Rejected: the limit of open requests is reached.
     TooManyOpen,
 }
 
 impl EndReason {
-    /// The name of the reason in logs.
+    /// The name of the reason in the `event loop` log line.
     pub fn name(self) -> &'static str {
         match self {
             EndReason::FleetAtLimit => "fleet_at_limit",
--- a/src/types/ids.rs
+++ b/src/types/ids.rs
@@ -9,9 +9,10 @@
 }
 
 ids! {
-    /// A client's request; numbers are not reused.
+    /// A client's request; a number is reused only after 2^32 requests.
     RequestId(u32),
-    /// A host at one balancer, numbered from 0 in the order in which hosts are first listed.
+    /// A host at one balancer, numbered from 0 in the order in which hosts are first listed; the
+    /// number of a released host may be reused.
     HostId(u32),
     /// An attempt of a request, numbered from 0 in the order in which the attempts start; each
     /// attempt after the first is a retry.
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,6 +1,6 @@
 //! The load on cold hosts from all balancers together, in simulation. A host must get less in a
-//! window than the bound on the operators' page, N + 2 * sqrt(N) + 2, where N is what the settings
-//! allow the host at that time.
+//! window than the bound in the operators' requirements, N + 2 * sqrt(N) + 2, where N is what the
+//! settings allow the host at that time.
 
 mod common;
 
@@ -248,11 +248,11 @@
     format!("{title}\n{columns}\n{lines}")
 }
 
-/// Loads are fractions of the bound on the operators' page. Columns: the highest load with one host
-/// in four restarted, without and with a hot key; with all hosts restarted, without and with a hot
-/// key; with all balancers restarted as well, for some hosts and for all with a hot key. Then the
-/// mean use of what the settings allow and the fraction of unsent requests, each for some hosts and
-/// for all.
+/// Loads are fractions of the bound in the operators' requirements. Columns: the highest load with
+/// one host in four restarted, without and with a hot key; with all hosts restarted, without and
+/// with a hot key; with all balancers restarted as well, for some hosts and for all with a hot key.
+/// Then the mean use of what the settings allow and the fraction of unsent requests, each for some
+/// hosts and for all.
 #[test]
 fn slow_start_load_of_all_balancers_stays_below_bound_of_host() {
     let equal = table(40, &[1, 2, 20, 30, 300, 14_000], false);
--- a/tests/common/policy.rs
+++ b/tests/common/policy.rs
@@ -85,7 +85,7 @@
         actions
     }
 
-    /// The number of hosts that currently get nothing but probes.
+    /// The number of hosts that are suspected, or avoided since their zone is unreachable.
     pub fn ejected(&self) -> usize {
         self.policy.pool_size().ejected
     }
