--- a/balancer/src/budget.rs
+++ b/balancer/src/budget.rs
@@ -60,7 +60,7 @@
     /// Clients that can be shed and have sent only complete commands, at least one.
     idle_clients: SheddableClients,
     /// Clients that can be shed and sent part of a command, or no command yet.
-    command_owing_clients: SheddableClients,
+    awaited_clients: SheddableClients,
     /// Clients whose connections are shut down on this side and that have not closed yet.
     closing_clients: SheddableClients,
     next_wait: Cell<u64>,
@@ -157,7 +157,7 @@
             target_stream_bytes: memory / 6,
             freed: Notify::new(),
             idle_clients: SheddableClients::default(),
-            command_owing_clients: SheddableClients::default(),
+            awaited_clients: SheddableClients::default(),
             closing_clients: SheddableClients::default(),
             next_wait: Cell::new(0),
         };
@@ -174,8 +174,8 @@
         // A value may be held twice, in a request and in an answer, and hosts' buffers add to that.
         // Besides this quarter, a third is for long values of requests, a twelfth for short ones
         // that arrive in parts, and a sixth for streams; the last sixth is for the process itself.
-        // The third, the twelfth and the sixth for streams are parts of the memory given to `new`
-        // and do not change here: a successor that begins with half keeps the parts of that half.
+        // The third, the twelfth and the sixth for streams are shares of the memory given to `new`
+        // and do not change here: a successor that begins with half keeps the shares of that half.
         self.max_held_bytes.set(memory / 4);
         self.freed.notify_waiters();
     }
@@ -218,10 +218,11 @@
         self.client_connections.get() >= self.max_client_connections.get()
     }
 
-    /// Waits until this client is to be shed, which its `wakeup` signals. `owes_command` means that
-    /// it sent part of a command, or no command yet. Each call restarts the client's waiting time.
-    pub async fn shed_requested(&self, owes_command: bool, wakeup: &Rc<Notify>) {
-        let clients = if owes_command { &self.command_owing_clients } else { &self.idle_clients };
+    /// Waits until this client is to be shed, which its `wakeup` signals. `awaits_command` means
+    /// that it sent part of a command, or no command yet. Each call restarts the client's waiting
+    /// time.
+    pub async fn shed_requested(&self, awaits_command: bool, wakeup: &Rc<Notify>) {
+        let clients = if awaits_command { &self.awaited_clients } else { &self.idle_clients };
         self.wait_to_be_shed(clients, wakeup).await;
     }
 
@@ -239,9 +240,9 @@
 
     /// Asks one client to give up its descriptor: first one whose connection is already shut down,
     /// then the idle one whose connection has had no event for longest, and only if there is none,
-    /// one that owes a command. Many clients of the last kind must not keep others out.
+    /// one whose command is awaited. Many clients of the last kind must not keep others out.
     pub fn shed_client(&self) {
-        for clients in [&self.closing_clients, &self.idle_clients, &self.command_owing_clients] {
+        for clients in [&self.closing_clients, &self.idle_clients, &self.awaited_clients] {
             if let Some((_, wakeup)) = clients.borrow_mut().pop_first() {
                 wakeup.notify_one();
                 return;
--- a/balancer/src/downstream/accept.rs
+++ b/balancer/src/downstream/accept.rs
@@ -57,7 +57,7 @@
             Err(cause) => {
                 failures += 1;
                 log::debug!("accepting a client connection failed: {cause}");
-                // Waiting clients are owed an answer until the exit, but may not delay it forever.
+                // Clients that wait are answered until the exit, but must not delay it forever.
                 if *phase.borrow() == Phase::Flushing && failures > MAX_FAILURES_AT_END {
                     return;
                 }
--- a/balancer/src/downstream/closing.rs
+++ b/balancer/src/downstream/closing.rs
@@ -57,7 +57,7 @@
 impl CloseReason {
     /// Whether replies may be left unsent for this reason: the client can't receive them (it left
     /// or does not read), or it can tell that they are missing (its last value is incomplete).
-    pub fn may_owe_replies(self) -> bool {
+    pub fn allows_pending_replies(self) -> bool {
         use CloseReason::{ClientLeft, ConnectionBroken, ReaderStalled, ValueTruncated};
         matches!(self, ClientLeft | ConnectionBroken | ReaderStalled | ValueTruncated)
     }
@@ -77,18 +77,19 @@
     /// Why the connection is closed.
     pub reason: CloseReason,
     /// The number of replies that were not written in full.
-    pub owed: usize,
+    pub pending_replies: usize,
 }
 
 /// Closes a client's connection. Returns once the client has closed too, has received everything,
 /// or is no longer waited for.
 pub async fn close(shared: &Rc<Shared>, mut stream: TcpStream, closed: Closed) {
-    let Closed { number, reason, owed } = closed;
-    log::debug!(client = number, reason:?, owed; "client connection ends");
-    if owed > 0 && !reason.may_owe_replies() {
-        shared
-            .invariants
-            .violated(Invariant::ReplyOwedAtClose, format_args!("client {number}, {reason:?}, {owed} owed"));
+    let Closed { number, reason, pending_replies } = closed;
+    log::debug!(client = number, reason:?, owed = pending_replies; "client connection ends");
+    if pending_replies > 0 && !reason.allows_pending_replies() {
+        shared.invariants.violated(
+            Invariant::ReplyOwedAtClose,
+            format_args!("client {number}, {reason:?}, {pending_replies} replies pending"),
+        );
     }
     if !reason.client_may_read() || stream.shutdown().await.is_err() {
         return;
--- a/balancer/src/downstream/connection.rs
+++ b/balancer/src/downstream/connection.rs
@@ -121,7 +121,7 @@
     pub async fn run(mut self) -> Closed {
         let reason = self.serve().await;
         let being_written = usize::from(!self.outgoing.is_empty());
-        Closed { number: self.number, reason, owed: self.pending.len() + being_written }
+        Closed { number: self.number, reason, pending_replies: self.pending.len() + being_written }
     }
 
     async fn serve(&mut self) -> CloseReason {
@@ -268,8 +268,8 @@
         if !self.outgoing.is_empty() || snapshot.awaits_memory {
             return None;
         }
-        let owes_command = snapshot.is_idle && (snapshot.is_partial || !self.activity.had_command);
-        owes_command.then_some(COMMAND_TIMEOUT)
+        let awaits_command = snapshot.is_idle && (snapshot.is_partial || !self.activity.had_command);
+        awaits_command.then_some(COMMAND_TIMEOUT)
     }
 
     fn read_plan(&self, snapshot: &Snapshot) -> ReadPlan {
@@ -297,14 +297,14 @@
         let recheck_at = self.activity.next_recheck(snapshot);
         let can_be_shed =
             snapshot.is_idle && (snapshot.is_quiet || (self.activity.had_command && !snapshot.is_partial));
-        let owes_command = snapshot.is_partial || !self.activity.had_command;
+        let awaits_command = snapshot.is_partial || !self.activity.had_command;
         let waits_for_memory = plan.takes_commands && !plan.has_memory;
         let is_writing = !self.outgoing.is_empty();
         let budget = &self.shared.budget;
         let input = self.input.wait(&mut self.reader, plan.reads);
         let output = self.outgoing.advance(&mut self.writer);
         let awaited = next_awaited(&mut self.pending, &self.shared.invariants);
-        let shed_requested = budget.shed_requested(owes_command, &self.shed_wakeup);
+        let shed_requested = budget.shed_requested(awaits_command, &self.shed_wakeup);
         tokio::select! {
             biased;
             event = input, if plan.watches_client => Event::Input(event),
--- a/balancer/src/downstream/idle_close.rs
+++ b/balancer/src/downstream/idle_close.rs
@@ -23,7 +23,7 @@
 /// A connection's state at the beginning of a step.
 pub struct Snapshot {
     pub phase: Phase,
-    /// No reply is owed or being written.
+    /// No reply is pending or being written.
     pub is_idle: bool,
     /// Part of a command has arrived.
     pub is_partial: bool,
--- a/balancer/src/invariants.rs
+++ b/balancer/src/invariants.rs
@@ -7,7 +7,7 @@
 /// An invariant whose violation the process itself can detect; each variant names the violation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
-    /// A connection was closed while replies were owed to a client that could have received them.
+    /// A connection was closed while replies were pending for a client that could receive them.
     ReplyOwedAtClose,
     /// A request ended without a final answer.
     AnswerMissing,
--- a/balancer/src/lifecycle.rs
+++ b/balancer/src/lifecycle.rs
@@ -10,15 +10,15 @@
     Serving,
     /// Entered and left by operators' admin requests, without a time limit. `PING` is answered with
     /// an error. Connections are still accepted and requests served; each connection is closed once
-    /// it has had a command and owes no answer.
+    /// it has had a command and no answer is pending.
     LameDuck,
     /// Entered on SIGTERM or SIGINT if the listening socket is the process's own. Connections are
-    /// still accepted for a limited time, and each is closed once it has had a command and owes no
-    /// answer.
+    /// still accepted for a limited time, and each is closed once it has had a command and no
+    /// answer is pending.
     Draining,
     /// Entered on SIGTERM or SIGINT if the listening socket is inherited: another process accepts
     /// new connections, and this one does not. Each open connection is closed after its next
-    /// answer, or after a limited time if it has had a command and owes no answer.
+    /// answer, or after a limited time if it has had a command and no answer is pending.
     Takeover,
     /// No connection is accepted; an open one is closed once all its requests are answered.
     Closing,
--- a/balancer/src/process/start.rs
+++ b/balancer/src/process/start.rs
@@ -127,8 +127,8 @@
 }
 
 /// The budget at the start. If another process of this balancer may be running, the budget covers
-/// only the descriptors that the other one leaves free, until [`LimitSharing`] has checked; and
-/// half of the memory, as a part of the memory budget is fixed at the start.
+/// only the descriptors that the other one leaves free, until [`LimitSharing`] has checked, and
+/// half of the memory, since some shares of the memory budget are fixed at the start.
 fn resource_budget(config: &Config) -> Rc<ResourceBudget> {
     let (sockets, memory_bytes) = match config.inherited_descriptor {
         Some(_) => (LimitShare::Beginning.of(config.max_sockets), LimitShare::Half.of(config.memory_bytes)),
--- a/balancer/src/shared.rs
+++ b/balancer/src/shared.rs
@@ -22,7 +22,7 @@
 use crate::socket_table::SocketTable;
 use crate::upstream::{UpstreamEvent, Upstreams};
 
-/// Everything needed to serve a request. It lives from start to exit.
+/// Everything needed to serve a request. Exists from start to exit.
 pub struct Shared {
     /// The policy, with all open requests.
     pub router: RefCell<Router>,
--- a/balancer/src/takeover.rs
+++ b/balancer/src/takeover.rs
@@ -161,7 +161,7 @@
             Ok(Some(_)) => LimitShare::Alone,
             Ok(None) if self.started_at.elapsed() < SETTLING_TIME => LimitShare::Beginning,
             Ok(None) => LimitShare::Half,
-            // The check failed, for example for want of a descriptor: the share stays as it was.
+            // The check failed, for example for lack of a descriptor: the share stays as it was.
             Err(_) => self.last_share.get().unwrap_or(LimitShare::Beginning),
         };
         self.last_share.set(Some(share));
--- a/balancer/src/takeover/tests.rs
+++ b/balancer/src/takeover/tests.rs
@@ -85,7 +85,7 @@
     assert_eq!(names.len(), 4, "{names:?}");
 }
 
-/// If the other slot can't be checked for want of a descriptor, the share stays as it was: a change
+/// If the other slot can't be checked for lack of a descriptor, the share stays as it was: a change
 /// to half would close connections at a time at which none can be opened.
 #[test]
 fn failed_check_of_the_other_slot_leaves_the_share_unchanged() {
--- a/balancer/tests/drains.rs
+++ b/balancer/tests/drains.rs
@@ -148,9 +148,9 @@
         _ => Reply::Nothing,
     });
     let old = Peer::http(|request| {
-        let news = r#"{"generation":40,"reset":false,"instances":[]}"#;
+        let changes = r#"{"generation":40,"reset":false,"instances":[]}"#;
         if request.contains("from=1&") {
-            http_answer(200, news)
+            http_answer(200, changes)
         } else {
             Reply::Nothing
         }
@@ -219,7 +219,7 @@
 /// A response that arrives byte by byte does not extend the timeout.
 #[test]
 fn drain_in_a_list_that_arrives_byte_by_byte_is_honoured_in_time() {
-    assert_honoured_in_time(0, |news| Reply::Trickle(news, Duration::from_secs(1)), calls_without_failures());
+    assert_honoured_in_time(0, |list| Reply::Trickle(list, Duration::from_secs(1)), calls_without_failures());
 }
 
 /// A change counts as announced 6 s after discovery has it and can be reached, whatever failed
@@ -250,15 +250,15 @@
     let (_release, a) = breaking_host();
     let b = Peer::host(|_| hit("from b"));
     let entries = [entry("a", a.address, "leaving"), entry("b", b.address, "active")].join(",");
-    let news = format!(r#"{{"generation":2,"reset":false,"instances":[{entries}]}}"#);
+    let changes = format!(r#"{{"generation":2,"reset":false,"instances":[{entries}]}}"#);
     let calls = AtomicU32::new(0);
     // The first call that is not closed gets no whole answer, and the last one none at all.
     let discovery = Peer::http(move |_| match calls.fetch_add(1, Ordering::Relaxed) {
         call if call < failed => Reply::ThenClose(String::new()),
         call if call == failed => {
-            first(format!("HTTP/1.1 200 so\r\nContent-Length: {}\r\n\r\n{news}", news.len()))
+            first(format!("HTTP/1.1 200 so\r\nContent-Length: {}\r\n\r\n{changes}", changes.len()))
         }
-        call if call == failed + 1 => http_answer(200, &news),
+        call if call == failed + 1 => http_answer(200, &changes),
         _ => Reply::Nothing,
     });
     let known = [entry("a", a.address, "active"), entry("b", b.address, "active")];
--- a/balancer/tests/starts.rs
+++ b/balancer/tests/starts.rs
@@ -53,9 +53,9 @@
     assert!(nine_in_ten < Duration::from_secs(10), "{ready_after:?}");
 }
 
-/// While discovery is down, more idle clients than are allowed hold all descriptors that clients may
-/// use, and reconnect when they are closed. When discovery answers again, the list has to be applied
-/// in time, admin requests answered, and attempts sent.
+/// While discovery is down, more idle clients than are allowed hold all descriptors that clients
+/// may use, and reconnect when they are closed. When discovery answers again, the list has to be
+/// applied in time, admin requests answered, and attempts sent.
 #[test]
 fn idle_clients_at_the_limit_delay_neither_list_nor_admin_nor_attempts() {
     let discovery_up = Arc::new(AtomicBool::new(false));
--- a/regions/src/update.rs
+++ b/regions/src/update.rs
@@ -20,7 +20,8 @@
 /// An event for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegionEvent {
-    /// A cache host is up in a zone that no region has, or in none (`None`); reported once per zone.
+    /// A cache host is up in a zone that no region has, or in none (`None`). Reported once per
+    /// zone.
     UnknownZone(Option<Box<str>>),
     /// Another region became the ring.
     RingChanged {
--- a/testbed/src/balancers/mod.rs
+++ b/testbed/src/balancers/mod.rs
@@ -34,7 +34,7 @@
 const COUNTERS_TIMEOUT: Duration = Duration::from_millis(500);
 const COUNTERS_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Time after a kill by which clients have surely seen all the balancer's connections close, in
+/// Time after a kill by which clients have seen all the balancer's connections close, in
 /// microseconds.
 pub const RELEASED_AFTER_KILL: Micros = 500_000;
 
--- a/testbed/src/figures.rs
+++ b/testbed/src/figures.rs
@@ -17,8 +17,8 @@
 
 /// The longest latency that histograms can record, in microseconds: an hour.
 const LONGEST_LATENCY: u64 = 3_600_000_000;
-/// A percentile curve ends where this fraction of the requests is above it: five nines.
-const SMALLEST_PART_OF_CURVE: f64 = 1e-5;
+/// A percentile curve ends at the 99.999th percentile, which this fraction of the requests exceeds.
+const MIN_CURVE_FRACTION: f64 = 1e-5;
 
 /// The percentiles of a set of times, in milliseconds.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -68,7 +68,7 @@
 fn curve(at: impl Fn(f64) -> f64) -> Vec<(f64, f64)> {
     let mut points = Vec::new();
     let mut above: f64 = 1.0;
-    while above > SMALLEST_PART_OF_CURVE {
+    while above > MIN_CURVE_FRACTION {
         let percentile = 100.0 * (1.0 - above);
         points.push((percentile, at(percentile)));
         above *= 0.8;
--- a/testbed/src/lateness/verdict.rs
+++ b/testbed/src/lateness/verdict.rs
@@ -17,7 +17,7 @@
     /// The shortest latency objective, on which the benefit depends, in microseconds.
     pub target: Micros,
     /// The fraction of the benefit that was not earned. Lateness can only reduce the benefit, so
-    /// the machine has cost at most this fraction.
+    /// this is an upper bound of the fraction that the machine can have cost.
     pub missed: f64,
 }
 
--- a/testbed/src/ledger.rs
+++ b/testbed/src/ledger.rs
@@ -69,7 +69,8 @@
 }
 
 impl EndpointStatus {
-    /// The word that stored results have for this status.
+    /// The word for this status in stored results. `Active` is stored as "Up", its name in older
+    /// results.
     fn stored_name(self) -> &'static str {
         match self {
             EndpointStatus::Active => "Up",
--- a/testbed/src/load/plan.rs
+++ b/testbed/src/load/plan.rs
@@ -13,7 +13,7 @@
 use crate::experiment::{Arrivals, Experiment, HotKey, RateShape, Tenant, WorkingSetShift};
 use crate::time::{seconds, Micros, SECOND};
 
-/// Separates the plan's random numbers from those of other parts with the same seed ("load").
+/// Separates the plan's random numbers from others with the same seed ("load").
 const SEED_MASK: u64 = 0x6c6f_6164;
 /// Evenly spaced arrivals step by at most the interval of this rate, so that they notice the end of
 /// a time without requests.
--- a/testbed/src/load/player.rs
+++ b/testbed/src/load/player.rs
@@ -25,7 +25,7 @@
 use crate::thread_stats::{record_lateness, thread_cpu_seconds};
 use crate::time::{to_duration, Clock, Micros};
 
-/// Separates the clients' random numbers from those of other parts with the same seed ("clie").
+/// Separates the clients' random numbers from others with the same seed ("clie").
 const SEED_MASK: u64 = 0x636c_6965;
 
 /// Why a plan can't be played.
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -53,14 +53,15 @@
 /// The highest 99th percentile of a carried rate: nearly all requests are served without queueing.
 const CARRIED_P99_MS: f64 = 20.0;
 /// The fractions of the ceiling at which the balancer is compared with the direct path.
-const COMPARED_PARTS: [f64; 3] = [0.1, 0.5, 0.9];
+const COMPARED_FRACTIONS: [f64; 3] = [0.1, 0.5, 0.9];
 /// The numbers of idle connections at which memory is measured.
 const IDLE_CONNECTIONS: [usize; 3] = [10, 1_000, 10_000];
 /// How long a client with an idle connection waits for the connection and for its one reply.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The experiment that measurements play: reads of 128 bytes with Poisson arrivals and a latency
-/// objective far above the latencies expected.
+/// objective far above the latencies expected. `redeliverable` becomes `retryable` in the
+/// balancer's settings.
 const EXPERIMENT: &str = r#"
 name = "measure"
 seconds = 3.0
@@ -90,13 +91,13 @@
     #[error("cannot build the async runtime: {0}")]
     Runtime(io::Error),
     /// A stand-in can't listen, or the path of this program can't be found.
-    #[error(transparent)]
+    #[error("cannot listen as a stand-in host, or find the path of this program: {0}")]
     System(#[from] io::Error),
     /// A stand-in can't be started.
     #[error("cannot start a stand-in host: {0}")]
     StandIn(io::Error),
     /// A stand-in printed no address.
-    #[error("a stand-in host printed no address; result of reading its output: {0:?}")]
+    #[error("expected a stand-in host to print its address, but {}", describe_output(.0))]
     StandInSilent(Option<io::Result<usize>>),
     /// The experiment that measurements play is invalid.
     #[error(transparent)]
@@ -122,6 +123,16 @@
     },
 }
 
+/// Describes the output that a stand-in printed instead of an address.
+fn describe_output(read: &Option<io::Result<usize>>) -> String {
+    match read {
+        None => "its output is not captured".to_owned(),
+        Some(Err(cause)) => format!("its output could not be read: {cause}"),
+        Some(Ok(0)) => "it ended without output".to_owned(),
+        Some(Ok(bytes)) => format!("its first line, of {bytes} bytes, is not an address"),
+    }
+}
+
 /// Serves as a stand-in host that answers every read at once with a value made for it. Prints its
 /// address and serves until the process is ended.
 ///
@@ -408,8 +419,8 @@
         ceiling: f64,
         print: &mut PrintPoint,
     ) -> Result<(), MeasureError> {
-        for part in COMPARED_PARTS {
-            let rate = (ceiling * part).round();
+        for fraction in COMPARED_FRACTIONS {
+            let rate = (ceiling * fraction).round();
             let direct = self.point("direct", rate, CLIENT_LOAD, &self.addresses(), None)?;
             print("direct", &direct);
             let addresses = balancer.addresses();
--- a/testbed/src/soak/script.rs
+++ b/testbed/src/soak/script.rs
@@ -148,7 +148,7 @@
         let _ = match fault.hosts {
             AffectedHosts::None => Ok(()),
             AffectedHosts::Twelfths(count) => {
-                writeln!(text, "hosts = {}", (count * hosts / FLEET_PARTS).max(1))
+                writeln!(text, "hosts = {}", (count * hosts / TWELFTHS_PER_FLEET).max(1))
             }
             AffectedHosts::OneZone => {
                 writeln!(text, "hosts = {:?}", (0..hosts).step_by(ZONES).collect::<Vec<_>>())
@@ -159,7 +159,7 @@
 }
 
 /// Troubles give their number of hosts in twelfths of the fleet.
-const FLEET_PARTS: usize = 12;
+const TWELFTHS_PER_FLEET: usize = 12;
 /// Number of zones in [`FLEET`].
 const ZONES: usize = 3;
 /// The longest deadline of the classes in every script.
--- a/testbed/src/world/host/accept.rs
+++ b/testbed/src/world/host/accept.rs
@@ -15,7 +15,7 @@
 
 /// Pause before listening is tried again at an address that could not be bound.
 const LISTEN_RETRY_DELAY: Duration = Duration::from_millis(5);
-/// Number of connections that surely fill a listen queue of length 0.
+/// Number of connections that fill a listen queue of length 0.
 const FILLER_CONNECTIONS: usize = 4;
 /// If a filler connection takes longer to complete, the queue is full.
 const FILLER_TIMEOUT: Duration = Duration::from_millis(20);
--- a/testbed/tests/audit.rs
+++ b/testbed/tests/audit.rs
@@ -133,24 +133,24 @@
     let mut trace = Vec::new();
     let mut note = |title: &str, verdict: String| trace.push(format!("{title}: {verdict}"));
     let twice = [received(10, 0), rejected(20, 0), received(30, 1), executed(40, 1, true), served()];
-    note("once, turned away first", audit_request("once", DeduplicationScope::All, &twice));
-    let blind = [received(10, 0), received(30, 1), executed(40, 1, true), served()];
-    note("once, blind", audit_request("once", DeduplicationScope::All, &blind));
+    note("once, rejected first", audit_request("once", DeduplicationScope::All, &twice));
+    let sent_in_doubt = [received(10, 0), received(30, 1), executed(40, 1, true), served()];
+    note("once, sent again in doubt", audit_request("once", DeduplicationScope::All, &sent_in_doubt));
     let both = [received(10, 0), executed(20, 0, true), received(30, 1), executed(40, 1, true), served()];
     note("once, ran twice", audit_request("once", DeduplicationScope::All, &both));
     let rejected_while_open = [received(10, 0), answered(30, Reply::Busy)];
-    note("once, nacked while out", audit_request("once", DeduplicationScope::All, &rejected_while_open));
+    note("once, rejected in doubt", audit_request("once", DeduplicationScope::All, &rejected_while_open));
     note(
-        "put, nacked while out, one group",
+        "put, rejected in doubt, one group",
         audit_request("put", DeduplicationScope::All, &rejected_while_open),
     );
     note(
-        "put, nacked while out, zones",
+        "put, rejected in doubt, zones",
         audit_request("put", DeduplicationScope::Zone, &rejected_while_open),
     );
     let same = [received(10, 0), received(30, 2), executed(40, 2, true), executed(45, 0, false), served()];
     note("put, same zone", audit_request("put", DeduplicationScope::Zone, &same));
-    note("put, other zone", audit_request("put", DeduplicationScope::Zone, &blind));
+    note("put, other zone", audit_request("put", DeduplicationScope::Zone, &sent_in_doubt));
     note(
         "put, same cell",
         audit_request(
@@ -160,13 +160,13 @@
         ),
     );
     expect![[r#"
-        once, turned away first: nothing
-        once, blind: rule 2 at 0.030 s: at-most-once op 000000000000000a was sent to host 1 again while an earlier push may have run
+        once, rejected first: nothing
+        once, sent again in doubt: rule 2 at 0.030 s: at-most-once op 000000000000000a was sent to host 1 again while an earlier push may have run
         once, ran twice: rule 2 at 0.030 s: at-most-once op 000000000000000a was sent to host 1 again while an earlier push may have run
         rule 2 at 0.030 s: at-most-once op 000000000000000a took effect 2 times
-        once, nacked while out: rule 2 at 0.030 s: at-most-once op 000000000000000a was nacked though it may have run
-        put, nacked while out, one group: nothing
-        put, nacked while out, zones: rule 2 at 0.030 s: deduplicated op 000000000000000a was nacked though it may have run in one group
+        once, rejected in doubt: rule 2 at 0.030 s: at-most-once op 000000000000000a was nacked though it may have run
+        put, rejected in doubt, one group: nothing
+        put, rejected in doubt, zones: rule 2 at 0.030 s: deduplicated op 000000000000000a was nacked though it may have run in one group
         put, same zone: nothing
         put, other zone: rule 2 at 0.030 s: deduplicated op 000000000000000a left its group: host 0, then host 1
         put, same cell: nothing"#]]
--- a/testbed/tests/lateness.rs
+++ b/testbed/tests/lateness.rs
@@ -90,7 +90,7 @@
         Responsible::Machine,
         "up to 1.4% of the benefit is uncertain",
     );
-    // Lateness can only reduce the benefit: only the part that was not earned is in doubt.
+    // Lateness can only reduce the benefit: only the fraction that was not earned is in doubt.
     let earned = LatenessBounds { missed: 0.009, ..BOUNDS };
     assert_eq!(judge(earned, &requests, &late, &late), Verdict::Valid);
     // With a longer latency objective the same machine is good enough.
--- a/testbed/tests/world.rs
+++ b/testbed/tests/world.rs
@@ -40,7 +40,7 @@
         FaultedWorld { clock, address: address.parse().expect("an address"), last_request: 0, _world: world }
     }
 
-    /// Waits until 150 ms after a boundary of the fault, when it has surely taken effect.
+    /// Waits until 150 ms after a boundary of the fault, when it has taken effect.
     fn wait_until_after(&self, boundary: Micros) {
         std::thread::sleep(to_duration(boundary + 150 * MS - self.clock.now()));
     }
