--- a/balancer/src/downstream/idle_close.rs
+++ b/balancer/src/downstream/idle_close.rs
@@ -117,7 +117,7 @@
     }
 }
 
-/// Whether `since` is set and at least `span` has passed since.
-fn has_passed(since: Option<Instant>, span: Duration) -> bool {
-    since.is_some_and(|since| Instant::now() >= since + span)
+/// Whether `since` is set and at least `duration` has passed since.
+fn has_passed(since: Option<Instant>, duration: Duration) -> bool {
+    since.is_some_and(|since| Instant::now() >= since + duration)
 }
--- a/balancer/src/downstream/reply.rs
+++ b/balancer/src/downstream/reply.rs
@@ -167,8 +167,8 @@
     match answer {
         FinalAnswer::Succeeded(Value::Whole(value)) => resp::encode_bulk(value),
         FinalAnswer::Succeeded(Value::Streamed(stream)) => resp::encode_bulk_head(stream.length),
-        FinalAnswer::Rejected { retry_after: Some(span) } => {
-            Bytes::from(format!("-BUSY {}\r\n", span / 1000))
+        FinalAnswer::Rejected { retry_after: Some(time) } => {
+            Bytes::from(format!("-BUSY {}\r\n", time / 1000))
         }
         FinalAnswer::Rejected { retry_after: None } => Bytes::from_static(b"-BUSY\r\n"),
         FinalAnswer::Failed => resp::encode_error("dead-lettered"),
--- a/balancer/src/loop_profile.rs
+++ b/balancer/src/loop_profile.rs
@@ -163,7 +163,7 @@
 }
 
 fn write_line(level: log::Level, window: &Window, load: &LoadSnapshot) {
-    let us = |span: Duration| span.as_micros() as u64;
+    let us = |duration: Duration| duration.as_micros() as u64;
     let [decision, parsed, applied, sweep, pools] = STAGES.map(|stage| window.cost(stage));
     log::log!(
         level,
--- a/balancer/src/process/retry.rs
+++ b/balancer/src/process/retry.rs
@@ -8,16 +8,16 @@
 /// The time between two calls.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Repeats `call` until it succeeds, fails with a permanent error, or `span` has passed.
+/// Repeats `call` until it succeeds, fails with a permanent error, or `retry_time` has passed.
 ///
 /// # Errors
 /// The error of the last call.
 pub async fn retry_for<T, E: Display>(
-    span: Duration,
+    retry_time: Duration,
     is_temporary: impl Fn(&E) -> bool,
     mut call: impl FnMut() -> Result<T, E>,
 ) -> Result<T, E> {
-    let deadline = Instant::now() + span;
+    let deadline = Instant::now() + retry_time;
     let mut is_first = true;
     loop {
         let cause = match call() {
@@ -28,7 +28,7 @@
             return Err(cause);
         }
         if is_first {
-            log::warn!("{cause}; it is tried again for {} s", span.as_secs());
+            log::warn!("{cause}; it is tried again for {} s", retry_time.as_secs());
             is_first = false;
         }
         sleep(RETRY_INTERVAL).await;
--- a/balancer/src/shared.rs
+++ b/balancer/src/shared.rs
@@ -141,7 +141,7 @@
                     router.attempt_on_new_connection(now, request, number);
                 }
                 UpstreamEvent::HostAlive(host) => router.host_alive(now, host),
-                UpstreamEvent::ProcessStalled(span) => router.process_stalled(now, span),
+                UpstreamEvent::ProcessStalled(duration) => router.process_stalled(now, duration),
             }
         }
         self.wake_requests();
--- a/balancer/src/socket_io.rs
+++ b/balancer/src/socket_io.rs
@@ -130,8 +130,8 @@
     let mut bytes = [0; DIRECT_READ_BYTES];
     let mut total = 0;
     while buffer.has_remaining_mut() && total < MAX_DIRECT_BYTES {
-        let room = buffer.remaining_mut().min(bytes.len());
-        match (&mut &*socket).read(&mut bytes[..room]) {
+        let max_bytes = buffer.remaining_mut().min(bytes.len());
+        match (&mut &*socket).read(&mut bytes[..max_bytes]) {
             Ok(0) => break,
             Ok(count) => {
                 buffer.put_slice(&bytes[..count]);
--- a/balancer/src/upstream/send_audit.rs
+++ b/balancer/src/upstream/send_audit.rs
@@ -28,7 +28,7 @@
     pub last_byte_at: Instant,
     /// When the attempt times out.
     pub deadline: Instant,
-    /// The time left that the host was told.
+    /// The time left that the request stated to the host.
     pub stated_time: Micros,
     /// When its host began to drain, if it did.
     pub draining_since: Option<Instant>,
--- a/balancer/tests/drains.rs
+++ b/balancer/tests/drains.rs
@@ -65,7 +65,11 @@
         trace,
         "a host that has left is treated like one that is leaving"
     );
-    assert_eq!(answers_of_waiting_attempts(""), trace, "so is a host that a complete list does not name");
+    assert_eq!(
+        answers_of_waiting_attempts(""),
+        trace,
+        "a host that a complete list does not name is treated like one that is leaving"
+    );
 }
 
 /// An attempt is in its handshake with `a` when the list changes `a` and names another host.
--- a/connection_pool/tests/traces.rs
+++ b/connection_pool/tests/traces.rs
@@ -34,8 +34,8 @@
     }
 
     /// Advances the clock with a tick every 50 ms, and traces the actions of each tick.
-    fn advance(&mut self, span: Micros) {
-        let until = self.now + span;
+    fn advance(&mut self, duration: Micros) {
+        let until = self.now + duration;
         while self.now < until {
             self.now = (self.now + 50 * MS).min(until);
             self.pools.tick(self.now);
--- a/testbed/tests/pools.rs
+++ b/testbed/tests/pools.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn hung_host_and_dead_connections_of_another_are_told_apart() {
+fn hung_host_and_dead_connections_of_another_are_distinguished() {
     let hang = fault("hang", "hosts = [0]\nfrom_s = 1.0\nto_s = 2.0");
     let both = hang + &fault("stale-reset", "hosts = [3]\nfrom_s = 1.0");
 
