--- a/balancer/src/shared.rs
+++ b/balancer/src/shared.rs
@@ -22,7 +22,7 @@
 use crate::socket_table::SocketTable;
 use crate::upstream::{UpstreamEvent, Upstreams};
 
-/// Everything needed to serve a request. It lives from start to exit.
+/// Everything needed to serve a request. Exists from start to exit.
 pub struct Shared {
     /// The policy, with all open requests.
     pub router: RefCell<Router>,
@@ -141,7 +141,7 @@
                     router.attempt_on_new_connection(now, request, number);
                 }
                 UpstreamEvent::HostAlive(host) => router.host_alive(now, host),
-                UpstreamEvent::ProcessStalled(span) => router.process_stalled(now, span),
+                UpstreamEvent::ProcessStalled(duration) => router.process_stalled(now, duration),
             }
         }
         self.wake_requests();
