--- a/membership/src/schedule.rs
+++ b/membership/src/schedule.rs
@@ -39,9 +39,9 @@
 /// The longest pause after a call without an answer, before jitter.
 const MAX_PAUSE_AFTER_TIMEOUT: Micros = 300_000;
 
-/// The first pause after a refusal, for each balancer that calls the discovery. The pauses spread
-/// the calls: a discovery that gets more calls than it can serve still works on calls that it has
-/// refused already, and has to become idle first.
+/// Multiplied by the number of balancers, this is each balancer's first pause after a refusal. The
+/// pauses spread the calls, since a discovery that gets more calls than it can serve still works on
+/// calls that it has refused already, and has to become idle first.
 const PAUSE_PER_BALANCER: Micros = 60_000;
 
 /// The maximum number of doublings of a pause or timeout, which keeps the shift in range.
--- a/src/ring.rs
+++ b/src/ring.rs
@@ -89,8 +89,8 @@
     }
 
     /// Moves each point whose host has a higher weight than that of the next point to the middle
-    /// between the previous and the next point. This is Equation 1 of the paper that the ring
-    /// follows, MH_i = (H_i + H_{i+1}) / 2, with H_i as the previous point and H_{i+1} as the next.
+    /// between the previous and the next point. Equation 1 of the paper on which the ring is
+    /// based is MH_i = (H_i + H_{i+1}) / 2.
     fn move_points(&mut self) -> RingPoints {
         let weight = |point: RingPoint| self.hosts[point.host.index()].weight;
         let previous_points = self.raw.iter().last().into_iter().chain(self.raw.iter());
--- a/src/ring/tests.rs
+++ b/src/ring/tests.rs
@@ -14,8 +14,7 @@
     RingHost { position: RingPosition::of(&format!("host-{number}")), host: HostId(number), weight }
 }
 
-/// The points of the hosts after `Ring::move_points` (Equation 1), computed directly from its
-/// definition.
+/// The points of the hosts after `Ring::move_points`, computed directly from its definition.
 fn reference(hosts: &[RingHost]) -> Vec<(u64, HostId)> {
     let mut raw: Vec<(u64, HostId, f64)> = Vec::new();
     for host in hosts {
